--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -11,8 +11,8 @@
 use hyper::{HeaderMap, Request, StatusCode};
 use swiftshunt_http::{PermitOver, PermittedBody, SendPermit};
 use swiftshunt_routing::Configuration;
-use swiftshunt_scheduler::offers::Withheld;
-use swiftshunt_scheduler::selection::{Chosen, Demand, Ending};
+use swiftshunt_scheduler::eligibility::Withheld;
+use swiftshunt_scheduler::selection::{AttemptOutcome, ChosenWorker, Demand};
 
 use crate::beliefs::Beliefs;
 use crate::clock::Clock;
@@ -200,7 +200,7 @@
     /// Sends to the chosen worker and waits for the head of the answer.
     pub(crate) async fn send(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         outgoing: &Outgoing,
         last_event: Option<u64>,
         patience: Patience,
@@ -232,7 +232,7 @@
         let now = self.clock.now();
         if let Some(load) = facts.load {
             let mut selector = self.beliefs.selector();
-            selector.told(&chosen.incarnation, load, now);
+            selector.record_load(&chosen.incarnation, load, now);
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
@@ -252,7 +252,7 @@
     /// Why an answer is no answer to this request.
     fn refuse_answer(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         outgoing: &Outgoing,
         head: &response::Parts,
         facts: &AnswerFacts,
@@ -278,7 +278,7 @@
 
     async fn exchange(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         outgoing: &Outgoing,
         last_event: Option<u64>,
         patience: Patience,
@@ -327,7 +327,7 @@
     /// there, `held` from before or a new one.
     async fn start(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         outgoing: &Outgoing,
         held: Option<Start>,
     ) -> Result<Start, SendFailure> {
@@ -337,7 +337,7 @@
     }
 
     /// Whether the worker may still be offered the request: it was chosen a moment ago.
-    fn may_offer(&self, chosen: &Chosen, outgoing: &Outgoing) -> Result<(), SendFailure> {
+    fn may_offer(&self, chosen: &ChosenWorker, outgoing: &Outgoing) -> Result<(), SendFailure> {
         let selector = self.beliefs.selector();
         let offered = selector.may_offer(&chosen.incarnation, &outgoing.demand.residency);
         offered.map_err(|why| withheld(chosen, outgoing, why))
@@ -345,7 +345,7 @@
 
     fn request(
         &self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         outgoing: &Outgoing,
         last_event: Option<u64>,
         patience: Patience,
@@ -368,7 +368,7 @@
     }
 
     /// Ends when the request is to be taken away from the worker.
-    async fn lost_patience(&self, chosen: &Chosen, patience: Patience) -> SendFailure {
+    async fn lost_patience(&self, chosen: &ChosenWorker, patience: Patience) -> SendFailure {
         let started = self.clock.now();
         let now = started;
         let Some(silence) = patience.silence else {
@@ -392,7 +392,7 @@
     }
 
     /// Whether the worker has begun requests that were sent after `sent_at`.
-    fn has_overtaken(&self, chosen: &Chosen, sent_at: Duration) -> bool {
+    fn has_overtaken(&self, chosen: &ChosenWorker, sent_at: Duration) -> bool {
         let selector = self.beliefs.selector();
         selector.has_overtaken(&chosen.incarnation, sent_at)
     }
@@ -404,7 +404,7 @@
 }
 
 /// The failure of a send that the worker may not be offered, logged.
-fn withheld(chosen: &Chosen, outgoing: &Outgoing, why: Withheld) -> SendFailure {
+fn withheld(chosen: &ChosenWorker, outgoing: &Outgoing, why: Withheld) -> SendFailure {
     log::info!(request = outgoing.id.as_deref().unwrap_or(""),
         worker = chosen.incarnation.as_str(), why:% = why; "a send is withheld");
     SendFailure::Withheld { why }
@@ -412,11 +412,11 @@
 
 /// What a whole answer says of its worker: errors of its own count against it, also where the
 /// answer is passed on; a worker that errs at once would else look idle and draw requests.
-fn ending_by_status(status: StatusCode) -> Ending {
+fn ending_by_status(status: StatusCode) -> AttemptOutcome {
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
-        Ending::Failed
+        AttemptOutcome::Failed
     } else {
-        Ending::Answered
+        AttemptOutcome::Answered
     }
 }
 
@@ -435,13 +435,13 @@
     }
 }
 
-fn ending_of(failure: &SendFailure) -> Ending {
+fn ending_of(failure: &SendFailure) -> AttemptOutcome {
     match failure {
-        SendFailure::Held { .. } | SendFailure::Withheld { .. } => Ending::Withdrawn,
-        SendFailure::NotSent { .. } => Ending::Unreachable,
-        SendFailure::Declined { .. } => Ending::TurnedAway,
-        SendFailure::Broken { .. } => Ending::Broken,
-        SendFailure::Silent | SendFailure::OutOfTime => Ending::Silent,
+        SendFailure::Held { .. } | SendFailure::Withheld { .. } => AttemptOutcome::Cancelled,
+        SendFailure::NotSent { .. } => AttemptOutcome::Unreachable,
+        SendFailure::Declined { .. } => AttemptOutcome::Declined,
+        SendFailure::Broken { .. } => AttemptOutcome::Broken,
+        SendFailure::Silent | SendFailure::OutOfTime => AttemptOutcome::TimedOut,
     }
 }
 
--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -6,7 +6,7 @@
 use swiftshunt_jobs::JobSpec;
 use swiftshunt_routing::Route;
 use swiftshunt_scheduler::admission::{
-    come_back_for_room, come_back_to_log, come_back_within_limit,
+    retry_after_log_outage, retry_after_route_limit, retry_after_tenant_limit,
 };
 use swiftshunt_types::total_tokens;
 
@@ -21,7 +21,7 @@
     /// `time_left`.
     pub(super) fn journal_away(&self, job: &str, time_left: Duration) -> CallerAnswer {
         let outage = self.leases.outage();
-        let come_back = come_back_to_log(outage, time_left, rand::random());
+        let come_back = retry_after_log_outage(outage, time_left, rand::random());
         log::info!(job, outage_ms = outage.as_millis() as u64, time_left_ms = time_left.as_millis() as u64,
             come_back_ms = come_back.as_millis() as u64; "refused while the journal is away");
         self.dispatcher
@@ -76,10 +76,10 @@
         let draw = rand::random();
         let (come_back, reason) = match fit {
             Fit::Unsure(settles_in) => {
-                let come_back = come_back_within_limit(settles_in, time_left, draw);
+                let come_back = retry_after_tenant_limit(settles_in, time_left, draw);
                 (come_back, Refusal::LimitUnsure)
             }
-            Fit::Full | Fit::Fits => (come_back_for_room(time_left, draw), Refusal::Limit),
+            Fit::Full | Fit::Fits => (retry_after_route_limit(time_left, draw), Refusal::Limit),
         };
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, reason:? = reason, come_back_ms = come_back.as_millis() as u64;
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -11,7 +11,7 @@
 use swiftshunt_http::SendPermit;
 use swiftshunt_jobs::{ItemOutcome, ItemSpec, JobSpec, Progress, Settled};
 use swiftshunt_routing::Route;
-use swiftshunt_scheduler::selection::{Chosen, Class, Demand, Ending};
+use swiftshunt_scheduler::selection::{AttemptOutcome, ChosenWorker, Class, Demand};
 use swiftshunt_scheduler::slots::ItemTimes;
 use swiftshunt_topology::Residency;
 use swiftshunt_types::TenantName;
@@ -224,7 +224,7 @@
         &self,
         id: &ItemId,
         outgoing: &Outgoing,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         output: &mut Output,
     ) -> Attempt {
         let item = outgoing.id.as_deref().unwrap_or("");
@@ -318,13 +318,13 @@
                 _ => Attempt::BrokenOff,
             };
             answer.in_flight.ends(match attempt {
-                Attempt::Impossible => Ending::Answered,
-                _ => Ending::Failed,
+                Attempt::Impossible => AttemptOutcome::Answered,
+                _ => AttemptOutcome::Failed,
             });
             return attempt;
         }
         if !answer.is_vouched_success() {
-            answer.in_flight.ends(Ending::Broken);
+            answer.in_flight.ends(AttemptOutcome::Broken);
             return Attempt::BrokenOff;
         }
         match self.read_events(&mut answer, output).await {
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use swiftshunt_scheduler::readers::{RegionReader, region_readers};
+use swiftshunt_scheduler::readers::{RegionReader, rank_region_readers};
 
 use crate::beliefs::lock;
 use crate::clock::Clock;
@@ -62,7 +62,7 @@
         };
         let region = self.members.of_own_region();
         let own = self.members.own();
-        region_readers(&partition, own, region, is_in_doubt, MOST_ASKED)
+        rank_region_readers(&partition, own, region, is_in_doubt, MOST_ASKED)
     }
 
     /// A reader did not answer.
--- a/crates/swiftshunt-gateway/src/beliefs.rs
+++ b/crates/swiftshunt-gateway/src/beliefs.rs
@@ -83,12 +83,12 @@
     fn learn_services(&self, configuration: &Configuration) {
         let mut selector = self.selector();
         for (name, service) in &configuration.services {
-            selector.set_cold(
+            selector.set_cold_bound(
                 name,
                 service.cold.as_ref().map(|cold| self.cold_bound(cold)),
             );
             if let Some(engine) = service.engine {
-                selector.set_memory(name, engine.memory_tokens);
+                selector.set_prefix_cache_size(name, engine.memory_tokens);
             }
         }
     }
@@ -104,7 +104,9 @@
         let selector = self.selector();
         let mut split = lock(&self.split);
         split
-            .next(route, |service| selector.is_open(service, residency))
+            .next(route, |service| {
+                selector.has_eligible_worker(service, residency)
+            })
             .to_owned()
     }
 
--- a/crates/swiftshunt-gateway/src/directory_news.rs
+++ b/crates/swiftshunt-gateway/src/directory_news.rs
@@ -2,7 +2,7 @@
 //! gateway would grow with both.
 
 use swiftshunt_scheduler::directory::Availability;
-use swiftshunt_scheduler::listed::Unlisted;
+use swiftshunt_scheduler::listed::UnlistOutcome;
 
 /// Workers that a line names of each kind at most; the others are counted.
 const NAMED: usize = 8;
@@ -53,8 +53,8 @@
     }
 
     /// Workers are no longer listed.
-    pub(crate) fn unlisted(&mut self, unlisted: &Unlisted) {
-        for departed in &unlisted.gone {
+    pub(crate) fn unlisted(&mut self, unlisted: &UnlistOutcome) {
+        for departed in &unlisted.removed {
             self.gone.add(&departed.incarnation);
         }
         for incarnation in &unlisted.lapsed {
--- a/crates/swiftshunt-gateway/src/earlier_builds/values.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/values.rs
@@ -9,7 +9,7 @@
 use swiftshunt_journal::{
     AppendOutcome, KeyedRecord, Lease, LogError, NewestPage, ReadOutcome, TailPart, Topic, frames,
 };
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, Tried, WorkerEnd};
 use swiftshunt_scheduler::rates::bucket::{self, Left};
 use swiftshunt_scheduler::slots::book::NotPlaced;
--- a/crates/swiftshunt-gateway/src/emptying.rs
+++ b/crates/swiftshunt-gateway/src/emptying.rs
@@ -59,7 +59,7 @@
 
     fn items_left(&self, now: Duration) -> BTreeSet<String> {
         let selector = self.beliefs.selector();
-        selector.left_by_items(self.items_leave_after, now)
+        selector.workers_to_vacate(self.items_leave_after, now)
     }
 }
 
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -17,7 +17,7 @@
 use swiftshunt_http::SendPermit;
 use swiftshunt_routing::{Caller, Configuration, Rejected, Route, RouteKind, Tenant};
 use swiftshunt_scheduler::admission::{
-    come_back_elsewhere, come_back_to_start, come_back_within_limit,
+    retry_after_elsewhere, retry_after_startup, retry_after_tenant_limit,
 };
 use swiftshunt_scheduler::selection::{Class, Demand};
 
@@ -94,7 +94,7 @@
     /// The answer to a request that comes so late in a stop that it might not end within the grace
     /// period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
-        let come_back = come_back_elsewhere(rand::random());
+        let come_back = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
         metrics.refused(Refusal::Stopping, come_back, Duration::ZERO);
         log::info!(come_back_ms = come_back.as_millis() as u64; "refused, since this gateway stops");
@@ -102,7 +102,7 @@
     }
 
     fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
-        let come_back = come_back_to_start(arrived, rand::random());
+        let come_back = retry_after_startup(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
         metrics.refused(Refusal::NoConfiguration, come_back, Duration::ZERO);
         log::info!(come_back_ms = come_back.as_millis() as u64; "no configuration is known yet");
@@ -180,7 +180,7 @@
         if age <= within {
             return None;
         }
-        let come_back = come_back_elsewhere(rand::random());
+        let come_back = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
         metrics.refused(Refusal::Unconfirmed, come_back, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
@@ -199,10 +199,10 @@
         let time_left = entered.until().saturating_sub(now);
         let (refusal, come_back) = match refused {
             Refused::Limit(again_after) => {
-                let come_back = come_back_within_limit(again_after, time_left, rand::random());
+                let come_back = retry_after_tenant_limit(again_after, time_left, rand::random());
                 (Refusal::RateLimit, come_back)
             }
-            Refused::Unsure => (Refusal::RateUnsure, come_back_elsewhere(rand::random())),
+            Refused::Unsure => (Refusal::RateUnsure, retry_after_elsewhere(rand::random())),
         };
         let told = self.rates.told(&tenant.name);
         let counter = told.counter.map(|counter| counter.to_string());
--- a/crates/swiftshunt-gateway/src/followers.rs
+++ b/crates/swiftshunt-gateway/src/followers.rs
@@ -7,7 +7,7 @@
 use swiftshunt_journal::{Change, KeyedRecord, Log, LogError, Topic};
 use swiftshunt_routing::Installed;
 use swiftshunt_scheduler::directory::WorkerEntry;
-use swiftshunt_scheduler::listed::Unlisted;
+use swiftshunt_scheduler::listed::UnlistOutcome;
 
 use crate::beliefs::Beliefs;
 use crate::clock::Clock;
@@ -159,7 +159,8 @@
         match self.protocol.worker(&record.key, &record.value) {
             Ok(entry) => {
                 let selector = self.beliefs.selector();
-                selector.is_news(&entry) || selector.is_colder(&entry, self.clock.now())
+                selector.differs_from_known(&entry)
+                    || selector.extends_cold_period(&entry, self.clock.now())
             }
             // Each gateway that takes it has to know once that it names no worker.
             Err(_) => !self.unreadable.is_known(Topic::Workers, &record.key),
@@ -182,12 +183,12 @@
     /// Takes workers as gone whose entries lapsed and are not back in time.
     async fn end_lapse(self: Arc<Self>, until: Duration) {
         tokio::time::sleep(until.saturating_sub(self.clock.now())).await;
-        let gone = self.beliefs.selector().remove_lapsed(self.clock.now());
+        let removed = self.beliefs.selector().remove_lapsed(self.clock.now());
         let mut news = DirectoryNews::default();
-        self.quarantine.departed(&gone);
-        news.unlisted(&Unlisted {
-            gone,
-            ..Unlisted::default()
+        self.quarantine.departed(&removed);
+        news.unlisted(&UnlistOutcome {
+            removed,
+            ..UnlistOutcome::default()
         });
         news.log();
     }
@@ -204,7 +205,7 @@
         let (before, listed) = {
             let mut selector = self.beliefs.selector();
             let before = selector.incarnation(&id).map(str::to_owned);
-            let has_changed = selector.apply(entry, now);
+            let has_changed = selector.apply_entry(entry, now);
             let incarnation = selector.incarnation(&id).filter(|_| has_changed);
             (before, incarnation.map(str::to_owned))
         };
@@ -248,8 +249,11 @@
             }
         }
         let lapses_until = (now < lapses_until).then_some(lapses_until);
-        let unlisted = self.beliefs.selector().unlist(&unlisted, lapses_until);
-        self.quarantine.departed(&unlisted.gone);
+        let unlisted = self
+            .beliefs
+            .selector()
+            .remove_unlisted(&unlisted, lapses_until);
+        self.quarantine.departed(&unlisted.removed);
         news.unlisted(&unlisted);
         if let Some(until) = lapses_until.filter(|_| !unlisted.lapsed.is_empty()) {
             tokio::spawn(Arc::clone(self).end_lapse(until));
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -105,7 +105,7 @@
         let clock = Clock::start();
         let metrics = Arc::new(Metrics::new());
         let topology = settings.topology().map_err(StartError::Topology)?;
-        let selector = Selector::at(topology.clone());
+        let selector = Selector::with_topology(topology.clone());
         let beliefs = Arc::new(Beliefs::new(selector, settings.cold));
         let notices = bind_datagrams(peers_address).map_err(|source| StartError::Listen {
             field: "listen.peers",
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftshunt_scheduler::selection::{Chosen, Class, Ending};
+use swiftshunt_scheduler::selection::{AttemptOutcome, ChosenWorker, Class};
 use swiftshunt_topology::Distance;
 
 use crate::attempt::{Dispatcher, Outgoing};
@@ -20,22 +20,22 @@
     quarantine: Arc<Quarantine>,
     pub(crate) subject: Subject,
     clock: Clock,
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: ChosenWorker,
     distance: Distance,
     traffic: Traffic,
     class: Class,
     sent_at: Duration,
     had_first_event: bool,
-    ending: Ending,
+    outcome: AttemptOutcome,
 }
 
 impl InFlight {
-    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &Chosen, outgoing: &Outgoing) -> Self {
+    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &ChosenWorker, outgoing: &Outgoing) -> Self {
         let now = dispatcher.clock.now();
         let demand = &outgoing.demand;
         let distance = {
             let mut selector = dispatcher.beliefs.selector();
-            selector.sent(chosen, demand, now);
+            selector.record_send(chosen, demand, now);
             selector.distance_to(&chosen.zone)
         };
         let traffic = dispatcher.metrics.traffic.clone();
@@ -54,7 +54,7 @@
             class: demand.class,
             sent_at: now,
             had_first_event: false,
-            ending: Ending::Withdrawn,
+            outcome: AttemptOutcome::Cancelled,
         }
     }
 
@@ -63,11 +63,11 @@
         let now = self.clock.now();
         let mut selector = self.beliefs.selector();
         if self.had_first_event {
-            selector.heard(&self.chosen.incarnation, now);
+            selector.record_activity(&self.chosen.incarnation, now);
             return;
         }
         self.had_first_event = true;
-        selector.first_event(&self.chosen, now - self.sent_at, now);
+        selector.record_first_event(&self.chosen, now - self.sent_at, now);
     }
 
     /// So many bytes of the answer came.
@@ -76,8 +76,8 @@
     }
 
     /// How the request leaves the worker, unless it is dropped before this.
-    pub(crate) fn ends(&mut self, ending: Ending) {
-        self.ending = ending;
+    pub(crate) fn ends(&mut self, outcome: AttemptOutcome) {
+        self.outcome = outcome;
     }
 }
 
@@ -85,19 +85,21 @@
     fn drop(&mut self) {
         let now = self.clock.now();
         let held = now.saturating_sub(self.sent_at);
-        self.beliefs.selector().left(
+        self.beliefs.selector().record_outcome(
             &self.chosen,
             self.class,
-            self.ending,
+            self.outcome,
             self.had_first_event,
             held,
             now,
         );
         self.beliefs.load_changed.notify_one();
-        if let Ending::Unreachable | Ending::Broken | Ending::Silent = self.ending {
+        if let AttemptOutcome::Unreachable | AttemptOutcome::Broken | AttemptOutcome::TimedOut =
+            self.outcome
+        {
             self.slots.send_failed(&self.chosen);
         }
-        if self.ending == Ending::Broken {
+        if self.outcome == AttemptOutcome::Broken {
             self.quarantine.broke_off(&self.subject, &self.chosen, held);
         }
     }
--- a/crates/swiftshunt-gateway/src/journey.rs
+++ b/crates/swiftshunt-gateway/src/journey.rs
@@ -5,7 +5,7 @@
 
 use hyper::StatusCode;
 use swiftshunt_routing::{Repeat, Route};
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 
 use crate::attempt::{Outgoing, SendFailure};
 use crate::protocol::RequestFacts;
@@ -21,7 +21,7 @@
     /// Prompt tokens that the worker was expected to read for it.
     pub(crate) missing_tokens: u64,
     /// How long it was expected to read, what waited there included.
-    pub(crate) expected_reading: Duration,
+    pub(crate) expected_prefill: Duration,
 }
 
 /// A request on its way.
@@ -73,12 +73,12 @@
     }
 
     /// It goes to a worker now.
-    pub(crate) fn sent(&mut self, chosen: &Chosen, now: Duration) {
+    pub(crate) fn sent(&mut self, chosen: &ChosenWorker, now: Duration) {
         self.tried.push(chosen.incarnation.clone());
         self.last_send = Some(LastSend {
             at: now,
             missing_tokens: chosen.missing_tokens,
-            expected_reading: chosen.expected_reading,
+            expected_prefill: chosen.expected_prefill,
         });
     }
 
@@ -89,7 +89,7 @@
         let sent = self.last_send.as_ref();
         let sent_after = sent.map_or(Duration::ZERO, |sent| sent.at.saturating_sub(self.arrived));
         let missing_tokens = sent.map_or(0, |sent| sent.missing_tokens);
-        let reading = sent.map_or(Duration::ZERO, |sent| sent.expected_reading);
+        let reading = sent.map_or(Duration::ZERO, |sent| sent.expected_prefill);
         log::info!(request = self.id(), route = self.route.name.as_str(), worker,
             sends = self.tried.len(), status = status.as_u16(), waited_ms = waited.as_millis() as u64,
             sent_after_ms = sent_after.as_millis() as u64,
@@ -98,7 +98,7 @@
     }
 
     /// Logs that a send of it failed.
-    pub(crate) fn log_failure(&self, chosen: &Chosen, failure: &SendFailure) {
+    pub(crate) fn log_failure(&self, chosen: &ChosenWorker, failure: &SendFailure) {
         log::info!(request = self.id(), worker = chosen.incarnation.as_str(),
             address = chosen.address.to_string().as_str(),
             failure:% = failure, sends = self.tried.len(),
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -6,8 +6,8 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-use swiftshunt_scheduler::cold::keeper::{REMEMBERED, keepers};
-use swiftshunt_scheduler::readers::first_ranked;
+use swiftshunt_scheduler::cold::permit_issuer::{UNLISTED_NODE_TTL, permit_issuers};
+use swiftshunt_scheduler::readers::top_ranked;
 use swiftshunt_scheduler::slots::cell::{Cell, owner};
 use swiftshunt_topology::{Distance, Topology};
 use swiftshunt_types::{RegionName, TenantName};
@@ -272,7 +272,7 @@
     pub(crate) fn ranked(&self, subject: &impl Hash, count: usize) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let all = known.listed.keys().copied().chain([self.own]);
-        first_ranked(subject, all, count)
+        top_ranked(subject, all, count)
     }
 
     /// The keepers of the starts at a worker, by their rank: the first in the order that is the worker's own,
@@ -280,13 +280,13 @@
     /// more; it is taken over when that gateway is forgotten.
     pub(crate) fn keepers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
         let region = self.topology.dividing_region_of(zone);
-        let remembered_from = self.clock.now().saturating_sub(REMEMBERED);
+        let remembered_from = self.clock.now().saturating_sub(UNLISTED_NODE_TTL);
         let mut known = lock(&self.known);
         known.unlisted.retain(|_, gone| gone.at >= remembered_from);
         let listed = known.listed.keys().chain(known.unlisted.keys()).copied();
         let all = listed.chain([self.own]);
         let near = all.filter(|gateway| self.is_in(&known, *gateway, region));
-        let keepers = keepers(worker, near);
+        let keepers = permit_issuers(worker, near);
         let is_listed =
             |keeper: &SocketAddr| *keeper == self.own || known.listed.contains_key(keeper);
         let keepers = keepers
--- a/crates/swiftshunt-gateway/src/messages/mod.rs
+++ b/crates/swiftshunt-gateway/src/messages/mod.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 
 use quarantine::QuarantineMessage;
 use rates::RateMessage;
--- a/crates/swiftshunt-gateway/src/messages/slots.rs
+++ b/crates/swiftshunt-gateway/src/messages/slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 use swiftshunt_scheduler::slots::book::{NotPlaced, Question};
 use swiftshunt_scheduler::slots::cell::Cell;
 use swiftshunt_scheduler::slots::prompts::{Prompt, Reading};
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use swiftshunt_routing::RouteKind;
 use swiftshunt_scheduler::admission::{self, Decision, Obstacle, Situation};
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 
 use crate::answers::{CallerAnswer, end_to_end, not_run, plain, whole};
 use crate::attempt::{Answer, Dispatcher, Patience, SendFailure};
@@ -123,7 +123,9 @@
     fn leave_closed(&self, journey: &mut Journey) {
         let beliefs = &self.dispatcher.beliefs;
         let residency = &journey.outgoing.demand.residency;
-        let is_open = beliefs.selector().is_open(&journey.service, residency);
+        let is_open = beliefs
+            .selector()
+            .has_eligible_worker(&journey.service, residency);
         if journey.runs == 0 && !is_open {
             journey.service = beliefs.next_service(&journey.route, residency);
         }
@@ -131,7 +133,7 @@
 
     /// The worker for a request. One that would be late wherever it goes waits behind those that can be in
     /// time.
-    async fn place(&self, journey: &Journey) -> Option<Chosen> {
+    async fn place(&self, journey: &Journey) -> Option<ChosenWorker> {
         let now = self.dispatcher.clock.now();
         let in_time = (journey.arrived + journey.route.objective).saturating_sub(now);
         match self.place_within(journey, Some(in_time)).await {
@@ -141,7 +143,7 @@
         }
     }
 
-    async fn place_late(&self, journey: &Journey) -> Option<Chosen> {
+    async fn place_late(&self, journey: &Journey) -> Option<ChosenWorker> {
         let clock = self.dispatcher.clock;
         let came = clock.now();
         let patient = journey.until.saturating_sub(journey.arrived);
@@ -187,12 +189,14 @@
     fn admit(&self, journey: &Journey) -> (Obstacle, Decision) {
         let now = self.dispatcher.clock.now();
         let selector = self.dispatcher.beliefs.selector();
-        let reaches_workers = selector.has_heard_since(now.saturating_sub(HEARD_LATELY));
+        let reaches_workers = selector.has_activity_since(now.saturating_sub(HEARD_LATELY));
         let residency = &journey.outgoing.demand.residency;
-        let closed = selector.closed(&journey.service, residency, now);
+        let closed = selector.service_obstacle(&journey.service, residency, now);
         let obstacle = if let Some(closed) = closed {
             closed
-        } else if journey.was_declined || selector.awaits_starts(&journey.service, residency, now) {
+        } else if journey.was_declined
+            || selector.awaits_start_permits(&journey.service, residency, now)
+        {
             Obstacle::Full
         } else if journey.tried.is_empty() || reaches_workers {
             Obstacle::NoWorker
@@ -217,8 +221,8 @@
         (obstacle, decision)
     }
 
-    fn patience(&self, journey: &Journey, chosen: &Chosen) -> Patience {
-        let limit = journey.silence_limit() + chosen.expected_reading;
+    fn patience(&self, journey: &Journey, chosen: &ChosenWorker) -> Patience {
+        let limit = journey.silence_limit() + chosen.expected_prefill;
         let silence = journey.may_run_again().then_some(limit);
         Patience {
             until: journey.until,
@@ -271,7 +275,7 @@
                     status = status.as_u16(); "a worker failed the request");
                 answer
                     .in_flight
-                    .ends(swiftshunt_scheduler::selection::Ending::Failed);
+                    .ends(swiftshunt_scheduler::selection::AttemptOutcome::Failed);
                 drop(answer);
                 if journey.may_repeat() {
                     return None;
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 use swiftshunt_journal::{Change, Log, Topic};
 use swiftshunt_scheduler::limits::TokenBucket;
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 
 use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
@@ -149,7 +149,7 @@
         let reading = self
             .beliefs
             .selector()
-            .reading_time(service, missing_tokens);
+            .prefill_time(service, missing_tokens);
         if reading < WORTH_TELLING {
             return;
         }
@@ -189,7 +189,7 @@
         let mut budget = lock(&self.budget);
         let allowed = peers
             .iter()
-            .take_while(|_| budget.take(NOTICES_A_SECOND, MOST_AT_ONCE, now).is_ok())
+            .take_while(|_| budget.try_take(NOTICES_A_SECOND, MOST_AT_ONCE, now).is_ok())
             .count();
         if allowed < peers.len() {
             peers.shuffle(&mut rand::rng());
@@ -227,7 +227,7 @@
             } => {
                 let now = self.clock.now();
                 let mut selector = self.beliefs.selector();
-                selector.sent_by_another(&worker, &parts, missing, now);
+                selector.record_peer_send(&worker, &parts, missing, now);
             }
             Notice::Here { from, zone } => {
                 self.members.list(from, true);
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -10,8 +10,8 @@
 use swiftshunt_jobs::{ItemSpec, JobSpec, Page};
 use swiftshunt_routing::{Caller, Configuration, Credentials};
 use swiftshunt_scheduler::directory::WorkerEntry;
-use swiftshunt_scheduler::prompt_memory::PromptPart;
-use swiftshunt_scheduler::selection::ToldLoad;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
+use swiftshunt_scheduler::selection::ReportedLoad;
 use swiftshunt_types::TenantName;
 
 /// What a caller asks for.
@@ -127,7 +127,7 @@
     /// Whether the worker declares that it did not run the request and will not.
     pub declined: bool,
     /// The worker's load.
-    pub load: Option<ToldLoad>,
+    pub load: Option<ReportedLoad>,
     /// How long the connection may rest.
     pub keep_alive: Option<Duration>,
     /// How much longer the worker is cold, if it says so.
--- a/crates/swiftshunt-gateway/src/quarantine/directory.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/directory.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use swiftshunt_scheduler::listed::Departed;
+use swiftshunt_scheduler::listed::RemovedWorker;
 use swiftshunt_scheduler::quarantine::{Evidence, SETTLES_WITHIN};
 use swiftshunt_scheduler::slots::WorkerKey;
 
@@ -31,7 +31,7 @@
     }
 
     /// Entries of workers lapsed: after a while it shows whether they have ended.
-    pub(crate) fn departed(self: &Arc<Self>, departed: &[Departed]) {
+    pub(crate) fn departed(self: &Arc<Self>, departed: &[RemovedWorker]) {
         if departed.is_empty() {
             return;
         }
@@ -53,7 +53,7 @@
     fn judge_departures(&self, incarnations: &[String]) {
         let ended = {
             let selector = self.beliefs.selector();
-            let listed = |zone: &str| selector.listed_in(zone);
+            let listed = |zone: &str| selector.listed_count(zone);
             lock(&self.departures).ended(listed, self.clock.now())
         };
         let is_ended = |life: &&String| ended.contains(&WorkerKey::of(life));
--- a/crates/swiftshunt-gateway/src/quarantine/ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/ends.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, SUSPECTED_FOR, WorkerEnd};
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 use swiftshunt_scheduler::slots::WorkerKey;
 
 use super::sight::look;
@@ -30,7 +30,7 @@
 
 /// A worker of which it is not known whether it has ended, though requests broke off there.
 pub(super) struct Doubted {
-    chosen: Chosen,
+    chosen: ChosenWorker,
     /// What has happened if it has ended.
     ends: Vec<(Fingerprint, WorkerEnd)>,
     since: Duration,
@@ -46,7 +46,12 @@
 
 impl Quarantine {
     /// A request broke off at a worker to which it was sent `ago`.
-    pub(crate) fn broke_off(self: &Arc<Self>, subject: &Subject, chosen: &Chosen, ago: Duration) {
+    pub(crate) fn broke_off(
+        self: &Arc<Self>,
+        subject: &Subject,
+        chosen: &ChosenWorker,
+        ago: Duration,
+    ) {
         if self.is_own_fault(chosen) {
             return;
         }
@@ -83,7 +88,7 @@
     }
 
     /// Whether requests break off at so many workers together that the cause is likely to be here.
-    fn is_own_fault(&self, chosen: &Chosen) -> bool {
+    fn is_own_fault(&self, chosen: &ChosenWorker) -> bool {
         let now = self.clock.now();
         let workers = self.beliefs.selector().ready_count(&chosen.service);
         let mut failures = lock(&self.own_failures);
@@ -91,7 +96,7 @@
         failures.are_own(workers)
     }
 
-    async fn check(self: Arc<Self>, chosen: Chosen) {
+    async fn check(self: Arc<Self>, chosen: ChosenWorker) {
         let mut sight = look(chosen.address).await;
         if sight == Sight::Takes {
             // A process that ends may close its connections before the port at which it listens.
@@ -132,7 +137,7 @@
     }
 
     /// A worker was looked at; gives what has happened there if it has ended.
-    fn checked(&self, chosen: &Chosen, refuses: bool) -> Vec<(Fingerprint, WorkerEnd)> {
+    fn checked(&self, chosen: &ChosenWorker, refuses: bool) -> Vec<(Fingerprint, WorkerEnd)> {
         let now = self.clock.now();
         let mut checks = lock(&self.checks);
         checks.retain(|_, check| match check {
@@ -149,7 +154,7 @@
         }
     }
 
-    fn doubt(&self, chosen: Chosen, ends: Vec<(Fingerprint, WorkerEnd)>) {
+    fn doubt(&self, chosen: ChosenWorker, ends: Vec<(Fingerprint, WorkerEnd)>) {
         let since = self.clock.now();
         let mut doubted = lock(&self.doubted);
         doubted.retain(|worker| since < worker.since + SUSPECTED_FOR);
@@ -190,7 +195,7 @@
     }
 
     /// A worker ended while it ran requests.
-    fn ended(&self, chosen: &Chosen, ends: &[(Fingerprint, WorkerEnd)]) {
+    fn ended(&self, chosen: &ChosenWorker, ends: &[(Fingerprint, WorkerEnd)]) {
         let fingerprints: Vec<Fingerprint> = ends.iter().map(|(request, _)| *request).collect();
         log::info!(worker = chosen.incarnation.as_str(), address = chosen.address.to_string().as_str(),
             fingerprints:? = fingerprints; "a worker ended while it ran requests");
--- a/crates/swiftshunt-gateway/src/quarantine/sight.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/sight.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use rand::seq::SliceRandom;
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
@@ -28,7 +28,7 @@
 
 impl Quarantine {
     /// What a second place sees of a worker that refuses connections here; the same where there is none.
-    pub(super) async fn second_sight_of(&self, chosen: &Chosen) -> Sight {
+    pub(super) async fn second_sight_of(&self, chosen: &ChosenWorker) -> Sight {
         let witnesses = self.witnesses(&chosen.zone);
         if witnesses.is_empty() {
             return Sight::Refuses;
--- a/crates/swiftshunt-gateway/src/rates/questions.rs
+++ b/crates/swiftshunt-gateway/src/rates/questions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::rates::bucket::Verdict;
-use swiftshunt_scheduler::readers::weight;
+use swiftshunt_scheduler::readers::stable_hash;
 use swiftshunt_types::TenantName;
 
 use super::{COUNTERS, Rates};
@@ -242,7 +242,7 @@
 
 /// The number that names a counter.
 fn number_of(counter: SocketAddr) -> u64 {
-    weight(counter)
+    stable_hash(counter)
 }
 
 fn answer_of(verdict: Verdict) -> RateAnswer {
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -7,7 +7,7 @@
 use futures_util::stream;
 use http_body_util::{BodyExt, StreamBody};
 use hyper::body::Frame;
-use swiftshunt_scheduler::selection::Ending;
+use swiftshunt_scheduler::selection::AttemptOutcome;
 
 use crate::answers::{AnswerBody, BodyError};
 use crate::attempt::{Answer, Dispatcher, Outgoing, Patience, SendFailure};
@@ -32,7 +32,7 @@
     answer: &mut Answer,
 ) -> Result<Bytes, SendFailure> {
     let again = journey.route.resumable && journey.runs + 1 < journey.route.max_attempts;
-    let reading = answer.in_flight.chosen.expected_reading;
+    let reading = answer.in_flight.chosen.expected_prefill;
     let silence = again.then(|| journey.silence_limit() + reading);
     match next(dispatcher, answer, journey.until, silence).await? {
         Next::Bytes(bytes) => Ok(bytes),
@@ -43,9 +43,9 @@
 /// Records with the worker how its stream failed.
 pub(crate) fn ends_by(answer: &mut Answer, failure: &SendFailure) {
     answer.in_flight.ends(match failure {
-        SendFailure::Silent => Ending::Silent,
-        SendFailure::OutOfTime => Ending::Withdrawn,
-        _ => Ending::Broken,
+        SendFailure::Silent => AttemptOutcome::TimedOut,
+        SendFailure::OutOfTime => AttemptOutcome::Cancelled,
+        _ => AttemptOutcome::Broken,
     });
 }
 
@@ -271,7 +271,7 @@
                 until,
                 told_until: self.told_until,
                 // Silence is no reason to end an answer that can go nowhere else.
-                silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_reading),
+                silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_prefill),
             };
             match dispatcher
                 .send(&chosen, &self.outgoing, position, patience)
--- a/crates/swiftshunt-gateway/src/slots/elsewhere.rs
+++ b/crates/swiftshunt-gateway/src/slots/elsewhere.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 use swiftshunt_scheduler::slots::CellWorker;
 use swiftshunt_scheduler::slots::cell::Cell;
 
@@ -123,7 +123,7 @@
     }
 
     /// Asks for a worker in another region that was said to have room; none if none takes the request in time.
-    pub(super) async fn cross(&self, placing: &Placing<'_>, cell: Cell) -> Option<Chosen> {
+    pub(super) async fn cross(&self, placing: &Placing<'_>, cell: Cell) -> Option<ChosenWorker> {
         let Placing {
             demand,
             tried,
@@ -152,7 +152,12 @@
             Some(Ok(assigned)) => {
                 self.saw(&cell, assigned.number);
                 let selector = self.beliefs.selector();
-                selector.assigned_to(placing.service, assigned.worker, demand, assigned.reading)
+                selector.assigned_worker_for(
+                    placing.service,
+                    assigned.worker,
+                    demand,
+                    assigned.reading,
+                )
             }
             Some(Err(_)) | None => None,
         };
--- a/crates/swiftshunt-gateway/src/slots/failures.rs
+++ b/crates/swiftshunt-gateway/src/slots/failures.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::selection::ChosenWorker;
 use swiftshunt_scheduler::slots::WorkerKey;
 use swiftshunt_scheduler::slots::cell::Cell;
 
@@ -12,7 +12,7 @@
 
 impl Slots {
     /// A send of this gateway to a worker broke, found no connection, or was met by silence.
-    pub(crate) fn send_failed(&self, chosen: &Chosen) {
+    pub(crate) fn send_failed(&self, chosen: &ChosenWorker) {
         if !self.beliefs.has_batch(&chosen.service) {
             return;
         }
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use rand::RngCore;
-use swiftshunt_scheduler::selection::{Chosen, Demand};
+use swiftshunt_scheduler::selection::{ChosenWorker, Demand};
 use swiftshunt_scheduler::slots::book::{Book, NotPlaced};
 use swiftshunt_scheduler::slots::cell::Cell;
 use swiftshunt_scheduler::slots::elsewhere::Elsewhere;
@@ -49,7 +49,7 @@
 /// A worker that this gateway would choose, and its cell with what is offered there; no cell where
 /// the service has no batch items.
 struct Offer {
-    chosen: Chosen,
+    chosen: ChosenWorker,
     shared: Option<(Cell, Vec<Bid>)>,
 }
 
@@ -121,7 +121,7 @@
 /// Where a request goes.
 pub(crate) enum Place {
     /// To this worker.
-    At(Chosen),
+    At(ChosenWorker),
     /// No worker takes requests.
     Nowhere,
     /// Every worker that was looked at would make it late.
@@ -253,11 +253,12 @@
             let shared = None;
             return Some(Offer { chosen, shared });
         }
-        let home = selector.choose_home(service, demand, tried, full, now);
-        let outside = home.or_else(|| selector.choose_outside(service, demand, tried, full, now));
+        let home = selector.choose_affinity_target(service, demand, tried, full, now);
+        let outside =
+            home.or_else(|| selector.choose_outside_cells(service, demand, tried, full, now));
         let chosen = match outside {
             Some(chosen) => chosen,
-            None => selector.choose_in_reach(service, demand, tried, now)?,
+            None => selector.choose_preferring_own_region(service, demand, tried, now)?,
         };
         let cell = selector.cell_of(&chosen);
         let bids = selector.bids(&cell, demand, tried, now);
@@ -271,8 +272,8 @@
         placing: &Placing<'_>,
         cell: &Cell,
         assigned: Assigned,
-        chosen: Chosen,
-    ) -> Chosen {
+        chosen: ChosenWorker,
+    ) -> ChosenWorker {
         self.saw(cell, assigned.number);
         if assigned.waits || assigned.frees {
             log::info!(request = placing.request, cell = cell.index, waits = assigned.waits,
@@ -283,7 +284,7 @@
         } = assigned;
         let selector = self.beliefs.selector();
         selector
-            .assigned_to(placing.service, worker, placing.demand, reading)
+            .assigned_worker_for(placing.service, worker, placing.demand, reading)
             .unwrap_or(chosen)
     }
 
@@ -303,7 +304,7 @@
 
     /// Without the owner's word an item of this gateway's own steps aside where the worker seems
     /// full.
-    fn make_room_here(&self, chosen: &Chosen) {
+    fn make_room_here(&self, chosen: &ChosenWorker) {
         let now = self.clock.now();
         if self.beliefs.selector().is_full(&chosen.incarnation, now) {
             self.step_aside(|worker| worker == chosen.incarnation, now);
@@ -376,7 +377,7 @@
         service: &str,
         times: ItemTimes,
         residency: &Residency,
-    ) -> Chosen {
+    ) -> ChosenWorker {
         loop {
             let regions = self.beliefs.selector().regions(service, residency);
             let now = self.clock.now();
@@ -390,7 +391,8 @@
             self.saw(&granted.cell, granted.number);
             let now = self.clock.now();
             let selector = self.beliefs.selector();
-            if let Some(chosen) = selector.assigned(service, granted.worker, residency, now) {
+            if let Some(chosen) = selector.assigned_worker(service, granted.worker, residency, now)
+            {
                 return chosen;
             }
         }
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -116,7 +116,7 @@
 
     fn assigned_one(&self, worker: WorkerKey, cell: &Cell, now: Duration) {
         let mut selector = self.beliefs.selector();
-        selector.assigned_one(worker, &cell.service, now);
+        selector.record_assignment(worker, &cell.service, now);
     }
 
     fn hand_out(&self, cell: &Cell, grant: Grant) {
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -55,7 +55,7 @@
     /// What this gateway holds in a cell now.
     pub(super) fn holding(&self, cell: &Cell) -> Holding {
         Holding {
-            held: self.beliefs.selector().held_in(cell),
+            held: self.beliefs.selector().held_slots_in(cell),
             waiting: self.queue.waiting(cell, self.clock.now()),
         }
     }
--- a/crates/swiftshunt-gateway/src/starts.rs
+++ b/crates/swiftshunt-gateway/src/starts.rs
@@ -7,9 +7,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use swiftshunt_scheduler::cold::keeper::{Starts as HandedOut, asks_second_first};
-use swiftshunt_scheduler::cold::{ColdBound, START_LIFE};
-use swiftshunt_scheduler::selection::Chosen;
+use swiftshunt_scheduler::cold::permit_issuer::{PermitIssuer, prefers_second_issuer};
+use swiftshunt_scheduler::cold::{ColdBound, START_PERMIT_TTL};
+use swiftshunt_scheduler::selection::ChosenWorker;
 use tokio::sync::oneshot;
 
 use crate::beliefs::{Beliefs, lock};
@@ -46,7 +46,7 @@
     beliefs: Arc<Beliefs>,
     metrics: Arc<Metrics>,
     clock: Clock,
-    handed_out: Mutex<HandedOut>,
+    permit_issuer: Mutex<PermitIssuer>,
     asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     last_ask: AtomicU64,
 }
@@ -77,7 +77,7 @@
             beliefs,
             metrics,
             clock,
-            handed_out: Mutex::new(HandedOut::new(clock.now())),
+            permit_issuer: Mutex::new(PermitIssuer::new(clock.now())),
             asks: Mutex::default(),
             last_ask: AtomicU64::new(0),
         }
@@ -85,17 +85,21 @@
 
     /// The start for a send now: `held` if it has not lapsed, none needed at a warm worker, or a new one; none
     /// if there is none to be had.
-    pub(crate) async fn take_or_keep(&self, chosen: &Chosen, held: Option<Start>) -> Option<Start> {
+    pub(crate) async fn take_or_keep(
+        &self,
+        chosen: &ChosenWorker,
+        held: Option<Start>,
+    ) -> Option<Start> {
         let now = self.clock.now();
         let lapses_at = held.and_then(|held| held.lapses_at);
         if lapses_at.is_some_and(|lapses_at| now < lapses_at) {
             return held;
         }
-        let bound = self.beliefs.selector().needs_start(chosen, now);
+        let bound = self.beliefs.selector().required_cold_bound(chosen, now);
         let Some(bound) = bound else {
             return Some(Start { lapses_at: None });
         };
-        let lapses_at = now + START_LIFE;
+        let lapses_at = now + START_PERMIT_TTL;
         let verdict = self.ask_keepers(chosen, &bound).await;
         let now = self.clock.now();
         match verdict {
@@ -106,7 +110,7 @@
             Err(again_in) => {
                 let until = now + again_in.max(NONE_FOR);
                 let mut selector = self.beliefs.selector();
-                selector.no_start_until(&chosen.incarnation, until);
+                selector.record_no_permits_until(&chosen.incarnation, until);
                 self.metrics.starts_missing.inc();
                 None
             }
@@ -114,9 +118,9 @@
     }
 
     /// Asks the keepers of a worker one after the other.
-    async fn ask_keepers(&self, chosen: &Chosen, bound: &ColdBound) -> Verdict {
+    async fn ask_keepers(&self, chosen: &ChosenWorker, bound: &ColdBound) -> Verdict {
         let mut keepers = self.members.keepers(&chosen.id, &chosen.zone);
-        if asks_second_first(bound, rand::random()) {
+        if prefers_second_issuer(bound, rand::random()) {
             keepers.reverse();
         }
         let mut again_in = SILENT_FOR;
@@ -132,7 +136,7 @@
     }
 
     /// Asks one keeper; no verdict if it does not answer in time.
-    async fn ask(&self, keeper: SocketAddr, chosen: &Chosen) -> Option<Verdict> {
+    async fn ask(&self, keeper: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
         if keeper == self.members.own() {
             return Some(self.hand_out(&chosen.service, &chosen.id, &chosen.zone));
         }
@@ -177,9 +181,9 @@
         };
         let now = self.clock.now();
         let verdict = {
-            let mut handed_out = lock(&self.handed_out);
-            handed_out.settles_from(known_since);
-            handed_out.hand_out(worker, &bound, rank, now)
+            let mut permit_issuer = lock(&self.permit_issuer);
+            permit_issuer.settle_from(known_since);
+            permit_issuer.issue_permit(worker, &bound, rank, now)
         };
         if verdict.is_ok() {
             self.metrics.starts_handed_out.inc();
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -10,7 +10,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, StatusCode};
 use swiftshunt_journal::TailPart;
-use swiftshunt_scheduler::readers::{readers, weight};
+use swiftshunt_scheduler::readers::{select_readers, stable_hash};
 
 use super::message::TailCall;
 use crate::beliefs::lock;
@@ -72,7 +72,7 @@
     /// The gateways that read for others: none where there are few gateways. Each region has its own, so that
     /// what all need crosses to it once for each of its readers.
     fn all(&self) -> Vec<SocketAddr> {
-        readers(self.members.of_own_region(), self.gateways_per_reader)
+        select_readers(self.members.of_own_region(), self.gateways_per_reader)
     }
 
     /// The reader at which this gateway waits; none if it is to read the log itself.
@@ -88,7 +88,7 @@
             let doubt = doubts.get(reader);
             doubt.is_none_or(|doubt| doubt.until <= now)
         });
-        trusted.max_by_key(|reader| weight((own, *reader)))
+        trusted.max_by_key(|reader| stable_hash((own, *reader)))
     }
 
     /// Asks a reader; none if it does not answer within `limit`.
--- a/crates/swiftshunt-node/src/fleet/loads.rs
+++ b/crates/swiftshunt-node/src/fleet/loads.rs
@@ -79,11 +79,11 @@
                 slots: load.slots,
                 leaving: load.leaving,
             };
-            lock(&context.workers).report(&id, report, load.models, asked_at);
+            lock(&context.workers).record_report(&id, report, load.models, asked_at);
         }
         // Where something stands between, a worker that is gone shows as a connection that breaks.
         Err(HttpError::NotConnected { .. } | HttpError::BrokenOff { .. }) => {
-            lock(&context.workers).connection_failed(&id, asked_at);
+            lock(&context.workers).record_connection_failure(&id, asked_at);
         }
         Err(_) => {}
     }
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -9,7 +9,7 @@
 use swiftshunt_ledger::state::{
     Command, Order, OrderStatus, Outcome, PoolCommand, PoolOutcome, PoolState, Target,
 };
-use swiftshunt_scheduler::targets::{Demand, EngineView, due_loads};
+use swiftshunt_scheduler::targets::{EngineView, ReplicaTarget, due_loads};
 use swiftshunt_types::{ModelName, PartitionId, PoolName, WorkerId};
 use tokio_util::sync::CancellationToken;
 
@@ -84,7 +84,7 @@
 
     async fn plan(&self, pool: &PoolName, state: &PoolState, target: &Target) {
         let now = unix_seconds();
-        let demand = Demand {
+        let demand = ReplicaTarget {
             model: target.model.clone(),
             replicas: target.replicas,
             ready_by: target.ready_by,
--- a/crates/swiftshunt-node/src/limiter.rs
+++ b/crates/swiftshunt-node/src/limiter.rs
@@ -23,7 +23,7 @@
         let bucket = buckets
             .entry(tenant.name.clone())
             .or_insert_with(|| TokenBucket::full(limits.burst, now));
-        let taken = bucket.take(limits.requests_per_second, limits.burst, now);
+        let taken = bucket.try_take(limits.requests_per_second, limits.burst, now);
         taken.map_err(|wait| {
             let message = format!("tenant `{}` exceeds its request rate", tenant.name);
             Failure::not_run(ErrorKind::RateLimited, message).with_retry_after(wait)
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -73,7 +73,7 @@
     context: &Arc<Context>,
     request: AnswerRequest,
 ) -> Result<Answer, Failure> {
-    lock(&context.retries).first_try();
+    lock(&context.retries).record_first_attempt();
     let mut run = Run {
         context: Arc::clone(context),
         request,
@@ -148,7 +148,7 @@
                 }
                 Err(EngineError::NotStarted { reason }) => {
                     let now = self.context.clock.now();
-                    lock(&self.context.workers).connection_failed(&worker, now);
+                    lock(&self.context.workers).record_connection_failure(&worker, now);
                     reason
                 }
                 Err(EngineError::Broken { reason }) => {
@@ -158,7 +158,7 @@
             };
             self.explain(format!("give up worker {worker}"), reason);
             self.excluded.push(worker);
-            self.take_retry()?;
+            self.try_take_retry()?;
         }
     }
 
@@ -255,7 +255,7 @@
     }
 
     async fn resume(&mut self) -> Result<OpenEngine, Failure> {
-        self.take_retry()?;
+        self.try_take_retry()?;
         self.context.metrics.resumed_streams.inc();
         self.open_with_retries().await
     }
@@ -346,8 +346,8 @@
     }
 
     /// Takes one retry out of the budget.
-    fn take_retry(&self) -> Result<(), Failure> {
-        if lock(&self.context.retries).take_retry() {
+    fn try_take_retry(&self) -> Result<(), Failure> {
+        if lock(&self.context.retries).try_take_retry() {
             return Ok(());
         }
         Err(self.failure(
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -182,7 +182,7 @@
     /// Takes the decision back: the worker certainly did not start.
     async fn release(&self, dispatch: &Dispatch, reason: String) {
         let now = self.context.clock.now();
-        lock(&self.context.workers).connection_failed(&dispatch.worker, now);
+        lock(&self.context.workers).record_connection_failure(&dispatch.worker, now);
         self.explain(format!("take dispatch {} back", dispatch.id), reason);
         let command = Command::ReleaseSubmission {
             submission: self.id.clone(),
--- a/crates/swiftshunt-scheduler/src/admission.rs
+++ b/crates/swiftshunt-scheduler/src/admission.rs
@@ -100,7 +100,7 @@
 
 /// When a caller comes back that a gateway refuses which knows no configuration, `age` after its
 /// start.
-pub fn come_back_to_start(age: Duration, draw: f64) -> Duration {
+pub fn retry_after_startup(age: Duration, draw: f64) -> Duration {
     let rest = STARTS_WITHIN.saturating_sub(age);
     let overdue = age.saturating_sub(STARTS_WITHIN);
     jittered(rest.max(overdue).max(SHORTEST_COME_BACK), draw)
@@ -109,24 +109,24 @@
 /// When a caller comes back whose request needs the log, which has been away for `outage`: after as
 /// long again. A caller that has the time for it is refused five times in an outage of 7 s, and one of
 /// any length costs it about twice its length at most.
-pub fn come_back_to_log(outage: Duration, time_left: Duration, draw: f64) -> Duration {
+pub fn retry_after_log_outage(outage: Duration, time_left: Duration, draw: f64) -> Duration {
     spread(outage.max(SHORTEST_COME_BACK), time_left, draw)
 }
 
 /// When a caller comes back to a route whose limit is reached: some items have ended by then.
-pub fn come_back_for_room(time_left: Duration, draw: f64) -> Duration {
+pub fn retry_after_route_limit(time_left: Duration, draw: f64) -> Duration {
     spread(ROOM_AFTER, time_left, draw)
 }
 
 /// When a caller comes back whose tenant has reached its limit, and for which there may be room again after
 /// `again_after`: those that are refused meanwhile come back spread over the next second, as room comes evenly.
-pub fn come_back_within_limit(again_after: Duration, time_left: Duration, draw: f64) -> Duration {
+pub fn retry_after_tenant_limit(again_after: Duration, time_left: Duration, draw: f64) -> Duration {
     let come_back = again_after + ROOM_AFTER.mul_f64(draw.clamp(0.0, 1.0));
     come_back.min(time_left / SHARE_OF_TIME_LEFT)
 }
 
 /// When a caller comes back whose gateway stops or reaches nobody: at once, since it comes to another.
-pub fn come_back_elsewhere(draw: f64) -> Duration {
+pub fn retry_after_elsewhere(draw: f64) -> Duration {
     jittered(COME_BACK_ELSEWHERE, draw)
 }
 
--- a/crates/swiftshunt-scheduler/src/candidate.rs
+++ b/crates/swiftshunt-scheduler/src/candidate.rs
@@ -4,14 +4,14 @@
 
 use swiftshunt_types::RegionName;
 
-use crate::cold::known::{ColdDoubt, KnownStarts};
+use crate::cold::worker_state::{ColdSuspicion, KnownPermits};
 use crate::directory::WorkerEntry;
-use crate::prompt_memory::PromptMemory;
-use crate::selection::{Chosen, ToldLoad};
+use crate::prefix_cache::PrefixCacheEstimate;
+use crate::selection::{ChosenWorker, ReportedLoad};
 use crate::slots::WorkerKey;
 use crate::slots::cell::Cell;
 use crate::slots::prompts::Reading;
-use crate::warmth::Warmth;
+use crate::warmup::WarmupState;
 
 /// Age at which what a worker told of others' requests counts half, and the service's mean half.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(1_500);
@@ -30,31 +30,31 @@
 pub(crate) struct Candidate {
     pub(crate) entry: WorkerEntry,
     /// Until when it serves on though its entry lapsed; none while it is listed.
-    pub(crate) lapsed_until: Option<Duration>,
+    pub(crate) grace_until: Option<Duration>,
     pub(crate) key: WorkerKey,
     /// Its region, where there is more than one.
     pub(crate) region: Option<RegionName>,
     /// When it is warm, by its entry.
     pub(crate) cold_until: Duration,
-    pub(crate) doubt: ColdDoubt,
+    pub(crate) cold_suspicion: ColdSuspicion,
     /// Until when its keepers have no start left, and what an owner of its slots may still assign.
-    pub(crate) starts: KnownStarts,
+    pub(crate) known_permits: KnownPermits,
     pub(crate) own_online: u32,
     pub(crate) own_batch: u32,
     pub(crate) pending_tokens: u64,
     /// When requests of this node that have no first event yet were sent, oldest first.
     pub(crate) pending_since: Vec<Duration>,
     /// When the latest request that has its first event was sent.
-    pub(crate) latest_begun: Duration,
+    pub(crate) latest_started_sent_at: Duration,
     /// When the worker will have read the long prompts that other nodes sent it.
-    pub(crate) reads_until: Duration,
-    pub(crate) told: Option<(ToldLoad, u32, Duration)>,
-    pub(crate) memory: PromptMemory,
+    pub(crate) peer_prefill_until: Duration,
+    pub(crate) last_report: Option<(ReportedLoad, u32, Duration)>,
+    pub(crate) prefix_cache: PrefixCacheEstimate,
     pub(crate) failure_rate: f64,
     pub(crate) failure_rate_at: Duration,
     pub(crate) failures_in_row: u32,
     pub(crate) ejected_until: Duration,
-    pub(crate) heard_at: Duration,
+    pub(crate) last_activity_at: Duration,
     pub(crate) duration_ms: Option<f64>,
 }
 
@@ -69,37 +69,37 @@
             key: WorkerKey::of(&entry.incarnation),
             region,
             cold_until: now + entry.cold_left,
-            doubt: ColdDoubt::listed(now),
-            starts: KnownStarts::default(),
+            cold_suspicion: ColdSuspicion::listed(now),
+            known_permits: KnownPermits::default(),
             entry,
-            lapsed_until: None,
+            grace_until: None,
             own_online: 0,
             own_batch: 0,
             pending_tokens: 0,
             pending_since: Vec::new(),
-            latest_begun: Duration::ZERO,
-            reads_until: Duration::ZERO,
-            told: None,
-            memory: PromptMemory::new(memory_tokens),
+            latest_started_sent_at: Duration::ZERO,
+            peer_prefill_until: Duration::ZERO,
+            last_report: None,
+            prefix_cache: PrefixCacheEstimate::new(memory_tokens),
             failure_rate: 0.0,
             failure_rate_at: now,
             failures_in_row: 0,
             ejected_until: Duration::ZERO,
-            heard_at: now,
+            last_activity_at: now,
             duration_ms: None,
         }
     }
 
     /// It is chosen for a request, for which it has to read this.
-    pub(crate) fn chosen(&self, reading: Reading, has_prompt: bool) -> Chosen {
-        Chosen {
+    pub(crate) fn to_chosen_worker(&self, reading: Reading, has_prompt: bool) -> ChosenWorker {
+        ChosenWorker {
             service: self.entry.service.clone(),
             id: self.entry.life.id.clone(),
             incarnation: self.entry.incarnation.clone(),
             address: self.entry.address,
             zone: self.entry.zone.clone(),
             missing_tokens: reading.missing_tokens,
-            expected_reading: reading.time,
+            expected_prefill: reading.time,
             has_prompt,
         }
     }
@@ -109,42 +109,42 @@
         self.region == cell.region && self.key.cell_index(cell.count) == cell.index
     }
 
-    pub(crate) fn warmth(&self, now: Duration) -> Warmth {
+    pub(crate) fn warmup_state(&self, now: Duration) -> WarmupState {
         if now < self.cold_until {
-            Warmth::ColdUntil(self.cold_until)
+            WarmupState::ColdUntil(self.cold_until)
         } else {
-            Warmth::Warm
+            WarmupState::Warm
         }
     }
 
-    pub(crate) fn own(&self) -> u32 {
+    pub(crate) fn own_requests(&self) -> u32 {
         self.own_online + self.own_batch
     }
 
     pub(crate) fn slots(&self) -> u32 {
-        let told = self.told.map(|(load, _, _)| load.slots);
+        let told = self.last_report.map(|(load, _, _)| load.slots);
         told.filter(|slots| *slots > 0)
             .unwrap_or(self.entry.slots)
             .max(1)
     }
 
     /// Requests of others that it was told to hold, and how much that still counts.
-    pub(crate) fn told_others(&self, now: Duration) -> Option<(f64, f64)> {
-        let (told, own_then, at) = self.told?;
+    pub(crate) fn others_load(&self, now: Duration) -> Option<(f64, f64)> {
+        let (told, own_then, at) = self.last_report?;
         let others = f64::from((told.running + told.waiting).saturating_sub(own_then));
         let age = now.saturating_sub(at).as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
         Some((others, 0.5_f64.powf(age)))
     }
 
-    /// Requests that it holds, as far as known; `usual_others` is what its like hold of others.
+    /// Requests that it holds, as far as known; `mean_others_load` is what its like hold of others.
     /// What its like hold is no reason to believe that it is crowded: it counts up to half of the
     /// slots.
-    pub(crate) fn load(&self, usual_others: f64, now: Duration) -> f64 {
-        let own = f64::from(self.own());
-        let usual_others = usual_others.min(f64::from(self.slots()) / 2.0);
-        match self.told_others(now) {
-            Some((others, weight)) => own + others * weight + usual_others * (1.0 - weight),
-            None => own + usual_others,
+    pub(crate) fn load(&self, mean_others_load: f64, now: Duration) -> f64 {
+        let own = f64::from(self.own_requests());
+        let mean_others_load = mean_others_load.min(f64::from(self.slots()) / 2.0);
+        match self.others_load(now) {
+            Some((others, weight)) => own + others * weight + mean_others_load * (1.0 - weight),
+            None => own + mean_others_load,
         }
     }
 
@@ -155,16 +155,16 @@
     }
 
     /// Another node sent a prompt that takes `reading` to read.
-    pub(crate) fn reads_for_another(&mut self, reading: Duration, now: Duration) {
-        self.reads_until = self.reads_until.max(now) + reading;
+    pub(crate) fn add_peer_prefill(&mut self, reading: Duration, now: Duration) {
+        self.peer_prefill_until = self.peer_prefill_until.max(now) + reading;
     }
 
     /// How long the worker still reads prompts that other nodes sent.
-    pub(crate) fn reading_for_others(&self, now: Duration) -> Duration {
-        self.reads_until.saturating_sub(now)
+    pub(crate) fn peer_prefill_time(&self, now: Duration) -> Duration {
+        self.peer_prefill_until.saturating_sub(now)
     }
 
-    pub(crate) fn no_longer_pending(&mut self, sent_at: Duration, tokens: u64) {
+    pub(crate) fn remove_pending(&mut self, sent_at: Duration, tokens: u64) {
         self.pending_tokens = self.pending_tokens.saturating_sub(tokens);
         let position = self.pending_since.iter().position(|sent| *sent == sent_at);
         if let Some(position) = position {
@@ -175,18 +175,18 @@
     /// Whether a request sent later has its first event: workers begin requests in their order, so
     /// one that waits on was left hanging.
     pub(crate) fn has_overtaken(&self, sent_at: Duration) -> bool {
-        self.latest_begun > sent_at
+        self.latest_started_sent_at > sent_at
     }
 
     pub(crate) fn silence(&self, now: Duration) -> Duration {
-        if self.own() == 0 {
+        if self.own_requests() == 0 {
             return Duration::ZERO;
         }
-        now.saturating_sub(self.heard_at)
+        now.saturating_sub(self.last_activity_at)
     }
 
-    pub(crate) fn heard(&mut self, now: Duration) {
-        self.heard_at = now;
+    pub(crate) fn record_activity(&mut self, now: Duration) {
+        self.last_activity_at = now;
     }
 
     pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
--- a/crates/swiftshunt-scheduler/src/cells.rs
+++ b/crates/swiftshunt-scheduler/src/cells.rs
@@ -6,8 +6,12 @@
 use swiftshunt_types::RegionName;
 
 use crate::candidate::Candidate;
-use crate::cost::{USUAL_SILENCE, prefill_rate, service_ms, standing_cost, unexplained_wait};
-use crate::selection::{Chosen, Demand, Selector, missing_tokens, shared_tokens, spread};
+use crate::cost::{
+    USUAL_SILENCE, load_independent_cost, mean_slot_ms, prefill_rate, unexplained_wait,
+};
+use crate::selection::{
+    ChosenWorker, Demand, Selector, missing_tokens, shared_tokens, tie_break_cost,
+};
 use crate::slots::cell::{Cell, cell_count};
 use crate::slots::prompts::{EngineRates, Reading};
 use crate::slots::{Bid, CellWorker, Held, WorkerKey};
@@ -23,7 +27,7 @@
     /// The cells of a service.
     pub fn cells(&self, service: &str) -> impl Iterator<Item = Cell> {
         let mut regions: Vec<Option<RegionName>> = self
-            .ready(service)
+            .ready_workers(service)
             .map(|candidate| candidate.region.clone())
             .collect();
         regions.sort();
@@ -48,7 +52,7 @@
         if !self.topology.spans_regions() {
             return vec![None];
         }
-        let open = self.open(service, residency);
+        let open = self.eligible_workers(service, residency);
         let mut regions: Vec<_> = open.map(|candidate| candidate.region.clone()).collect();
         let own = self.topology.own_region();
         regions.sort_by_key(|region| (region.as_ref() != own, region.clone()));
@@ -58,13 +62,13 @@
 
     /// How many cells a service has in a region.
     fn cell_count(&self, service: &str, region: Option<&RegionName>) -> u32 {
-        let in_region = self.ready(service);
+        let in_region = self.ready_workers(service);
         let in_region = in_region.filter(|candidate| candidate.region.as_ref() == region);
         cell_count(in_region.count())
     }
 
     /// The cell that a worker is in.
-    pub fn cell_of(&self, chosen: &Chosen) -> Cell {
+    pub fn cell_of(&self, chosen: &ChosenWorker) -> Cell {
         let region = self.topology.dividing_region_of(&chosen.zone);
         let count = self.cell_count(&chosen.service, region);
         Cell {
@@ -77,14 +81,14 @@
 
     /// Chooses as [`Selector::choose`] does, outside of some cells of the service, and in the own region as long
     /// as a worker is left there.
-    pub fn choose_outside(
+    pub fn choose_outside_cells(
         &self,
         service: &str,
         demand: &Demand,
         tried: &[String],
         full: &[Cell],
         now: Duration,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenWorker> {
         let reach = self.reach(service, demand, tried, now);
         self.choose_among(service, demand, now, |candidate| {
             reach.includes(candidate) && is_left(candidate, tried, full)
@@ -92,14 +96,14 @@
     }
 
     /// Chooses as [`Selector::choose`] does, in the own region as long as a sound worker is there.
-    pub fn choose_in_reach(
+    pub fn choose_preferring_own_region(
         &self,
         service: &str,
         demand: &Demand,
         tried: &[String],
         now: Duration,
-    ) -> Option<Chosen> {
-        self.choose_outside(service, demand, tried, &[], now)
+    ) -> Option<ChosenWorker> {
+        self.choose_outside_cells(service, demand, tried, &[], now)
     }
 
     /// Where a request is looked at first: in the own region, as long as a sound worker is there that was not
@@ -107,11 +111,11 @@
     fn reach(&self, service: &str, demand: &Demand, tried: &[String], now: Duration) -> Reach<'_> {
         let own = self.topology.own_region();
         let own = own.filter(|_| self.topology.spans_regions());
-        let mut open = self.open(service, &demand.residency);
+        let mut open = self.eligible_workers(service, &demand.residency);
         let stays = open.any(|candidate| {
             candidate.region.as_ref() == own
                 && candidate.ejected_until <= now
-                && !self.lacks_starts(candidate, now)
+                && !self.lacks_start_permits(candidate, now)
                 && is_left(candidate, tried, &[])
         });
         Reach(own.filter(|_| stays))
@@ -121,27 +125,27 @@
     /// service: the worker that weighs most for the beginning, among those that answer. Every gateway
     /// finds the same first, second and third one, so that few cells read the beginning. None where
     /// it is short.
-    pub fn choose_home(
+    pub fn choose_affinity_target(
         &self,
         service: &str,
         demand: &Demand,
         tried: &[String],
         full: &[Cell],
         now: Duration,
-    ) -> Option<Chosen> {
-        if self.reading_time(service, shared_tokens(demand)) < KEPT_TOGETHER {
+    ) -> Option<ChosenWorker> {
+        if self.prefill_time(service, shared_tokens(demand)) < KEPT_TOGETHER {
             return None;
         }
         let reach = self.reach(service, demand, tried, now);
         let is_open = |candidate: &Candidate| {
             candidate.ejected_until <= now
-                && !self.lacks_starts(candidate, now)
+                && !self.lacks_start_permits(candidate, now)
                 && reach.includes(candidate)
                 && is_left(candidate, tried, full)
         };
-        let home = self.home_among(service, demand, is_open)?;
-        let missing = missing_tokens(home, demand);
-        Some(self.chosen(home, missing, true, now))
+        let affinity_target = self.affinity_target_among(service, demand, is_open)?;
+        let missing = missing_tokens(affinity_target, demand);
+        Some(self.to_chosen_worker(affinity_target, missing, true, now))
     }
 
     /// Cells of other regions whose owners are told of one.
@@ -149,7 +153,7 @@
         let regions = self.topology.regions().into_iter();
         let others = regions.filter(|region| cell.region.as_ref().is_some_and(|own| own != region));
         let counterparts = others.filter_map(|region| {
-            let workers = self.ready(&cell.service);
+            let workers = self.ready_workers(&cell.service);
             let there = workers.filter(|candidate| candidate.region.as_ref() == Some(&region));
             let workers = there.count();
             (workers > 0).then(|| cell.counterpart(&region, workers))
@@ -158,7 +162,7 @@
     }
 
     fn members<'s>(&'s self, cell: &'s Cell) -> impl Iterator<Item = &'s Candidate> {
-        self.ready(&cell.service)
+        self.ready_workers(&cell.service)
             .filter(|candidate| candidate.is_in(cell))
     }
 
@@ -167,25 +171,25 @@
     pub fn bids(&self, cell: &Cell, demand: &Demand, tried: &[String], now: Duration) -> Vec<Bid> {
         let open: Vec<&Candidate> = self
             .members(cell)
-            .filter(|candidate| self.withheld(candidate, &demand.residency).is_none())
+            .filter(|candidate| self.withhold_reason(candidate, &demand.residency).is_none())
             .filter(|candidate| !tried.contains(&candidate.entry.incarnation))
-            .filter(|candidate| !self.lacks_starts(candidate, now))
+            .filter(|candidate| !self.lacks_start_permits(candidate, now))
             .collect();
         let any_sound = open.iter().any(|candidate| candidate.ejected_until <= now);
-        let home = self.home(&cell.service, demand);
-        let away_from_home = self.away_from_home_cost(&cell.service, demand);
+        let affinity_target = self.affinity_target(&cell.service, demand);
+        let affinity_miss_cost = self.affinity_miss_cost(&cell.service, demand);
         let times = self.services.get(&cell.service);
         let offered = open
             .into_iter()
             .filter(|candidate| !any_sound || candidate.ejected_until <= now);
         let bids = offered.map(|candidate| {
             let incarnation = candidate.entry.incarnation.as_str();
-            let mut cost = standing_cost(candidate, times, now)
+            let mut cost = load_independent_cost(candidate, times, now)
                 + unexplained_wait(candidate, times, now)
-                + self.place_cost(candidate)
-                + spread(demand.salt, incarnation);
-            if home != Some(incarnation) {
-                cost += away_from_home;
+                + self.distance_cost(candidate)
+                + tie_break_cost(demand.salt, incarnation);
+            if affinity_target != Some(incarnation) {
+                cost += affinity_miss_cost;
             }
             Bid {
                 worker: candidate.key,
@@ -199,7 +203,9 @@
     pub fn cell_workers(&self, cell: &Cell, now: Duration) -> Vec<CellWorker> {
         let members = self.members(cell);
         let workers = members.map(|candidate| {
-            let told = candidate.told.filter(|(_, _, at)| now < *at + TOLD_NOW);
+            let told = candidate
+                .last_report
+                .filter(|(_, _, at)| now < *at + TOLD_NOW);
             CellWorker {
                 key: candidate.key,
                 slots: candidate.slots(),
@@ -213,9 +219,11 @@
     }
 
     /// What this node holds at the workers of a cell, also at those that are leaving.
-    pub fn held_in(&self, cell: &Cell) -> Vec<(WorkerKey, Held)> {
+    pub fn held_slots_in(&self, cell: &Cell) -> Vec<(WorkerKey, Held)> {
         let members = self.candidates.values().filter(|candidate| {
-            candidate.own() > 0 && candidate.entry.service == cell.service && candidate.is_in(cell)
+            candidate.own_requests() > 0
+                && candidate.entry.service == cell.service
+                && candidate.is_in(cell)
         });
         let held = members.map(|candidate| {
             let held = Held {
@@ -231,7 +239,7 @@
     pub fn engine_rates(&self, service: &str) -> EngineRates {
         let times = self.services.get(service);
         EngineRates {
-            slot_ms: service_ms(times),
+            slot_ms: mean_slot_ms(times),
             tokens_per_ms: prefill_rate(times),
             memory_tokens: self.memory_tokens(service),
         }
@@ -243,32 +251,34 @@
         key: WorkerKey,
         residency: &Residency,
     ) -> Option<&Candidate> {
-        let candidate = self.ready(service).find(|candidate| candidate.key == key);
-        candidate.filter(|candidate| self.withheld(candidate, residency).is_none())
+        let candidate = self
+            .ready_workers(service)
+            .find(|candidate| candidate.key == key);
+        candidate.filter(|candidate| self.withhold_reason(candidate, residency).is_none())
     }
 
     /// The worker that an owner assigned, if it may still be offered what may be handled in these regions.
-    pub fn assigned(
+    pub fn assigned_worker(
         &self,
         service: &str,
         key: WorkerKey,
         residency: &Residency,
         now: Duration,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenWorker> {
         let candidate = self.open_by_key(service, key, residency)?;
-        Some(self.chosen(candidate, 0, true, now))
+        Some(self.to_chosen_worker(candidate, 0, true, now))
     }
 
     /// The same, for a request; `reading` is what the owner says that the worker has to read for it.
-    pub fn assigned_to(
+    pub fn assigned_worker_for(
         &self,
         service: &str,
         key: WorkerKey,
         demand: &Demand,
         reading: Reading,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenWorker> {
         let candidate = self.open_by_key(service, key, &demand.residency)?;
-        Some(candidate.chosen(reading, demand.prompt_tokens > 0))
+        Some(candidate.to_chosen_worker(reading, demand.prompt_tokens > 0))
     }
 }
 
--- a/crates/swiftshunt-scheduler/src/cold/known.rs
+++ b/crates/swiftshunt-scheduler/src/cold/worker_state.rs
@@ -5,11 +5,11 @@
 use swiftshunt_topology::Residency;
 
 use super::ColdBound;
-use super::pace::{Left, Pace};
+use super::permit_rate::{PermitBucket, PermitRate};
 use crate::candidate::Candidate;
-use crate::selection::{Chosen, Ending, Selector};
+use crate::selection::{AttemptOutcome, ChosenWorker, Selector};
 use crate::slots::WorkerKey;
-use crate::warmth::Warmth;
+use crate::warmup::WarmupState;
 
 /// Time from a worker's listing until its entry is sure to tell whether it is cold: entries are renewed about
 /// every second, and one may be on its way.
@@ -17,7 +17,7 @@
 
 /// Why a worker may be cold though its entry does not say so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ColdDoubt {
+pub(crate) struct ColdSuspicion {
     /// When it was listed first, or again.
     listed_at: Duration,
     /// Whether the latest send to it met nobody: it may have ended, and start again.
@@ -26,7 +26,7 @@
     back_at: Option<Duration>,
 }
 
-impl ColdDoubt {
+impl ColdSuspicion {
     /// Of a worker that is listed now.
     pub(crate) fn listed(now: Duration) -> Self {
         Self {
@@ -37,35 +37,40 @@
     }
 
     /// A request left the worker.
-    pub(crate) fn observe(&mut self, ending: Ending, now: Duration) {
-        match ending {
-            Ending::Unreachable | Ending::Broken | Ending::Silent => self.is_failing = true,
-            Ending::Answered if self.is_failing => {
+    pub(crate) fn observe(&mut self, outcome: AttemptOutcome, now: Duration) {
+        match outcome {
+            AttemptOutcome::Unreachable | AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
+                self.is_failing = true
+            }
+            AttemptOutcome::Answered if self.is_failing => {
                 self.is_failing = false;
                 self.back_at = Some(now);
             }
-            Ending::Answered | Ending::TurnedAway | Ending::Failed | Ending::Withdrawn => {}
+            AttemptOutcome::Answered
+            | AttemptOutcome::Declined
+            | AttemptOutcome::Failed
+            | AttemptOutcome::Cancelled => {}
         }
     }
 
-    fn is_open(&self, lasts: Duration, now: Duration) -> bool {
-        let is_back = |back_at| now < back_at + lasts;
+    fn is_active(&self, cold_period: Duration, now: Duration) -> bool {
+        let is_back = |back_at| now < back_at + cold_period;
         self.is_failing || now < self.listed_at + ENTRY_TELLS || self.back_at.is_some_and(is_back)
     }
 }
 
 /// What a node knows of the starts left at a worker.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct KnownStarts {
+pub(crate) struct KnownPermits {
     /// Until when its keepers said that there is none.
     none_until: Duration,
     /// What this node, as the owner of the worker's slots, may still assign.
-    assignable: Option<Left>,
+    assignable: Option<PermitBucket>,
 }
 
 impl Selector {
     /// Tells what the workers of a service bear after a start; none if they bear their usual load.
-    pub fn set_cold(&mut self, service: &str, bound: Option<ColdBound>) {
+    pub fn set_cold_bound(&mut self, service: &str, bound: Option<ColdBound>) {
         match bound {
             Some(bound) => drop(self.cold.insert(service.to_owned(), bound)),
             None => drop(self.cold.remove(service)),
@@ -77,46 +82,53 @@
         self.cold.get(service)
     }
 
-    pub(crate) fn warmth_of(&self, candidate: &Candidate, now: Duration) -> Warmth {
-        let told = candidate.warmth(now);
+    pub(crate) fn warmup_state_of(&self, candidate: &Candidate, now: Duration) -> WarmupState {
+        let told = candidate.warmup_state(now);
         let Some(bound) = self.cold.get(&candidate.entry.service) else {
             return told;
         };
-        if told != Warmth::Warm {
+        if told != WarmupState::Warm {
             return told;
         }
         let withdrawn_at = self.evacuations.withdrawn_at(&candidate.entry.zone);
-        let is_just_back = withdrawn_at.is_some_and(|at| now < at + bound.lasts + ENTRY_TELLS);
-        if is_just_back || candidate.doubt.is_open(bound.lasts, now) {
-            return Warmth::Unknown;
+        let is_just_back =
+            withdrawn_at.is_some_and(|at| now < at + bound.cold_period + ENTRY_TELLS);
+        if is_just_back || candidate.cold_suspicion.is_active(bound.cold_period, now) {
+            return WarmupState::Unknown;
         }
-        Warmth::Warm
+        WarmupState::Warm
     }
 
     /// What a worker may get from all nodes together, if it is cold or may be: a request goes there with a
     /// start alone.
-    pub fn needs_start(&self, chosen: &Chosen, now: Duration) -> Option<ColdBound> {
+    pub fn required_cold_bound(&self, chosen: &ChosenWorker, now: Duration) -> Option<ColdBound> {
         let bound = self.cold.get(&chosen.service)?;
-        let is_warm = self.warmth(&chosen.incarnation, now) == Warmth::Warm;
+        let is_warm = self.warmup_state(&chosen.incarnation, now) == WarmupState::Warm;
         (!is_warm).then_some(*bound)
     }
 
     /// A worker's keepers have no start until then.
-    pub fn no_start_until(&mut self, incarnation: &str, until: Duration) {
+    pub fn record_no_permits_until(&mut self, incarnation: &str, until: Duration) {
         if let Some(candidate) = self.candidates.get_mut(incarnation) {
-            candidate.starts.none_until = until;
+            candidate.known_permits.none_until = until;
         }
     }
 
     /// Whether a worker is cold, or may be, and its keepers said that there is no start.
     /// Whether a cold worker of a service takes a request as soon as there is a start at it again.
-    pub fn awaits_starts(&self, service: &str, residency: &Residency, now: Duration) -> bool {
-        let mut open = self.open(service, residency);
-        open.any(|candidate| self.lacks_starts(candidate, now))
+    pub fn awaits_start_permits(
+        &self,
+        service: &str,
+        residency: &Residency,
+        now: Duration,
+    ) -> bool {
+        let mut open = self.eligible_workers(service, residency);
+        open.any(|candidate| self.lacks_start_permits(candidate, now))
     }
 
-    pub(crate) fn lacks_starts(&self, candidate: &Candidate, now: Duration) -> bool {
-        now < candidate.starts.none_until && self.warmth_of(candidate, now) != Warmth::Warm
+    pub(crate) fn lacks_start_permits(&self, candidate: &Candidate, now: Duration) -> bool {
+        now < candidate.known_permits.none_until
+            && self.warmup_state_of(candidate, now) != WarmupState::Warm
     }
 
     /// Whether the owner of a worker's slots may assign it: it is warm, or a start there is likely to be had.
@@ -124,29 +136,30 @@
         let Some(bound) = self.cold.get(service) else {
             return true;
         };
-        let mut candidates = self.ready(service);
+        let mut candidates = self.ready_workers(service);
         let Some(candidate) = candidates.find(|candidate| candidate.key == worker) else {
             return true;
         };
-        let left = candidate.starts.assignable;
-        let has_one = left.is_none_or(|left| left.has_one(Pace::of_all(bound), now));
-        self.warmth_of(candidate, now) == Warmth::Warm || has_one
+        let bucket = candidate.known_permits.assignable;
+        let has_permit =
+            bucket.is_none_or(|bucket| bucket.has_permit(PermitRate::of_all(bound), now));
+        self.warmup_state_of(candidate, now) == WarmupState::Warm || has_permit
     }
 
     /// The owner of a worker's slots has assigned it.
-    pub fn assigned_one(&mut self, worker: WorkerKey, service: &str, now: Duration) {
+    pub fn record_assignment(&mut self, worker: WorkerKey, service: &str, now: Duration) {
         let Some(bound) = self.cold.get(service) else {
             return;
         };
-        let pace = Pace::of_all(bound);
+        let permit_rate = PermitRate::of_all(bound);
         let mut candidates = self.candidates.values_mut();
         let candidate = candidates.find(|candidate| candidate.key == worker);
         if let Some(candidate) = candidate {
-            let left = candidate.starts.assignable;
-            let mut left = left.unwrap_or_else(|| Left::full(pace, now));
+            let bucket = candidate.known_permits.assignable;
+            let mut bucket = bucket.unwrap_or_else(|| PermitBucket::full(permit_rate, now));
             // More than was left counts as all that was: it is a hint.
-            let _spent = left.take(pace, now);
-            candidate.starts.assignable = Some(left);
+            let _spent = bucket.try_take(permit_rate, now);
+            candidate.known_permits.assignable = Some(bucket);
         }
     }
 }
--- a/crates/swiftshunt-scheduler/src/cost.rs
+++ b/crates/swiftshunt-scheduler/src/cost.rs
@@ -40,7 +40,7 @@
 }
 
 /// How long engines of a service take to read `tokens`.
-pub(crate) fn reading_ms(times: Option<&ServiceTimes>, tokens: u64) -> f64 {
+pub(crate) fn prefill_ms(times: Option<&ServiceTimes>, tokens: u64) -> f64 {
     tokens as f64 / prefill_rate(times)
 }
 
@@ -50,14 +50,14 @@
 }
 
 /// How long a worker reads until it has read `missing` tokens behind what waits there.
-pub(crate) fn expected_reading(
+pub(crate) fn expected_prefill(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
     missing: u64,
     now: Duration,
 ) -> f64 {
-    let for_others = candidate.reading_for_others(now).as_secs_f64() * 1e3;
-    reading_ms(times, candidate.pending_tokens) + reading_ms(times, missing) + for_others
+    let for_others = candidate.peer_prefill_time(now).as_secs_f64() * 1e3;
+    prefill_ms(times, candidate.pending_tokens) + prefill_ms(times, missing) + for_others
 }
 
 /// The time until a worker has read `missing` tokens of a request, behind what waits there, with
@@ -66,21 +66,21 @@
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
     missing: u64,
-    usual_others: f64,
+    mean_others_load: f64,
     now: Duration,
 ) -> f64 {
-    let service_ms = service_ms(times);
+    let mean_slot_ms = mean_slot_ms(times);
     let slots = f64::from(candidate.slots());
-    let load = candidate.load(usual_others, now);
+    let load = candidate.load(mean_others_load, now);
     let ahead = (load - slots + 1.0).max(0.0);
-    let queue = ahead * service_ms / slots;
+    let queue = ahead * mean_slot_ms / slots;
     let occupancy = load / slots * OCCUPANCY_COST;
     let unexplained = unexplained_wait(candidate, times, now);
     queue.max(unexplained) + occupancy + wait_in_slot(candidate, times, missing, now)
 }
 
 /// How long a slot of a service is taken, in milliseconds.
-pub(crate) fn service_ms(times: Option<&ServiceTimes>) -> f64 {
+pub(crate) fn mean_slot_ms(times: Option<&ServiceTimes>) -> f64 {
     times.map_or(ASSUMED_DURATION, |times| times.duration_ms)
 }
 
@@ -91,7 +91,7 @@
     times: Option<&ServiceTimes>,
     now: Duration,
 ) -> f64 {
-    let pending = reading_ms(times, candidate.pending_tokens);
+    let pending = prefill_ms(times, candidate.pending_tokens);
     let waited = candidate.longest_wait(now).as_secs_f64() * 1e3;
     (waited - pending).max(0.0)
 }
@@ -103,19 +103,19 @@
     missing: u64,
     now: Duration,
 ) -> f64 {
-    expected_reading(candidate, times, missing, now) + standing_cost(candidate, times, now)
+    expected_prefill(candidate, times, missing, now) + load_independent_cost(candidate, times, now)
 }
 
 /// What speaks against a worker whatever it holds and reads: that it is slower than others, has been
 /// silent, failed or just started.
-pub(crate) fn standing_cost(
+pub(crate) fn load_independent_cost(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
     now: Duration,
 ) -> f64 {
-    let service_ms = service_ms(times);
-    let own_ms = candidate.duration_ms.unwrap_or(service_ms);
-    let slower = (own_ms - service_ms).max(0.0);
+    let mean_slot_ms = mean_slot_ms(times);
+    let own_ms = candidate.duration_ms.unwrap_or(mean_slot_ms);
+    let slower = (own_ms - mean_slot_ms).max(0.0);
     let silence = candidate.silence(now);
     let silence = if silence > USUAL_SILENCE {
         silence.as_secs_f64() * SILENCE_COST
--- a/crates/swiftshunt-scheduler/src/offers.rs
+++ b/crates/swiftshunt-scheduler/src/eligibility.rs
@@ -11,7 +11,7 @@
 use crate::candidate::Candidate;
 use crate::directory::Availability;
 use crate::selection::Selector;
-use crate::warmth::Warmth;
+use crate::warmup::WarmupState;
 
 /// Why a worker may not be offered a request.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
@@ -45,10 +45,11 @@
     /// Whether a worker may be offered a request that may be handled in these regions.
     pub fn may_offer(&self, incarnation: &str, residency: &Residency) -> Result<(), Withheld> {
         let candidate = self.candidates.get(incarnation).ok_or(Withheld::Unlisted)?;
-        self.withheld(candidate, residency).map_or(Ok(()), Err)
+        self.withhold_reason(candidate, residency)
+            .map_or(Ok(()), Err)
     }
 
-    pub(crate) fn withheld(
+    pub(crate) fn withhold_reason(
         &self,
         candidate: &Candidate,
         residency: &Residency,
@@ -72,27 +73,32 @@
     }
 
     /// Workers of a service that may be offered a request.
-    pub(crate) fn open<'s>(
+    pub(crate) fn eligible_workers<'s>(
         &'s self,
         service: &str,
         residency: &Residency,
     ) -> impl Iterator<Item = &'s Candidate> + use<'s> {
         let residency = residency.clone();
-        self.ready(service)
-            .filter(move |candidate| self.withheld(candidate, &residency).is_none())
+        self.ready_workers(service)
+            .filter(move |candidate| self.withhold_reason(candidate, &residency).is_none())
     }
 
     /// Whether any worker of a service may be offered a request.
-    pub fn is_open(&self, service: &str, residency: &Residency) -> bool {
-        self.open(service, residency).next().is_some()
+    pub fn has_eligible_worker(&self, service: &str, residency: &Residency) -> bool {
+        self.eligible_workers(service, residency).next().is_some()
     }
 
     /// Why no worker of a service may be offered a request though some take new work; none where one may be.
-    pub fn closed(&self, service: &str, residency: &Residency, now: Duration) -> Option<Obstacle> {
+    pub fn service_obstacle(
+        &self,
+        service: &str,
+        residency: &Residency,
+        now: Duration,
+    ) -> Option<Obstacle> {
         let mut is_elsewhere = false;
         let mut evacuated_since = None;
-        for candidate in self.ready(service) {
-            match self.withheld(candidate, residency) {
+        for candidate in self.ready_workers(service) {
+            match self.withhold_reason(candidate, residency) {
                 None => return None,
                 // Closed since the last of its zones was.
                 Some(Withheld::Evacuated { since, .. })
@@ -114,9 +120,11 @@
     }
 
     /// Whether a worker bears its usual load.
-    pub fn warmth(&self, incarnation: &str, now: Duration) -> Warmth {
+    pub fn warmup_state(&self, incarnation: &str, now: Duration) -> WarmupState {
         let candidate = self.candidates.get(incarnation);
-        candidate.map_or(Warmth::Unknown, |candidate| self.warmth_of(candidate, now))
+        candidate.map_or(WarmupState::Unknown, |candidate| {
+            self.warmup_state_of(candidate, now)
+        })
     }
 
     /// A zone's workers are to get nothing; gives whether that is new.
@@ -135,7 +143,7 @@
         let mut zones: BTreeMap<String, u32> = zones.collect();
         for candidate in self.candidates.values() {
             if let Some(in_progress) = zones.get_mut(&candidate.entry.zone) {
-                *in_progress += candidate.own();
+                *in_progress += candidate.own_requests();
             }
         }
         zones
@@ -143,13 +151,13 @@
 
     /// Workers that long items are to leave: their zones have been evacuated for `after` or longer, and others of
     /// their service and region are open.
-    pub fn left_by_items(&self, after: Duration, now: Duration) -> BTreeSet<String> {
+    pub fn workers_to_vacate(&self, after: Duration, now: Duration) -> BTreeSet<String> {
         let due = self.candidates.values().filter(|candidate| {
             let since = self.evacuations.since(&candidate.entry.zone);
             candidate.own_batch > 0 && since.is_some_and(|since| now >= since + after)
         });
         let due = due.filter(|candidate| {
-            let mut open = self.open(&candidate.entry.service, &Residency::anywhere());
+            let mut open = self.eligible_workers(&candidate.entry.service, &Residency::anywhere());
             open.any(|other| other.region == candidate.region)
         });
         due.map(|candidate| candidate.entry.incarnation.clone())
--- a/crates/swiftshunt-scheduler/src/limits.rs
+++ b/crates/swiftshunt-scheduler/src/limits.rs
@@ -19,7 +19,7 @@
     }
 
     /// Takes one token, or tells after how long one will be there.
-    pub fn take(&mut self, rate: f64, capacity: f64, now: Monotonic) -> Result<(), Monotonic> {
+    pub fn try_take(&mut self, rate: f64, capacity: f64, now: Monotonic) -> Result<(), Monotonic> {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed * rate).min(capacity);
         self.refilled_at = now;
--- a/crates/swiftshunt-scheduler/src/listed.rs
+++ b/crates/swiftshunt-scheduler/src/listed.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::candidate::Candidate;
-use crate::cold::known::ColdDoubt;
+use crate::cold::worker_state::ColdSuspicion;
 use crate::directory::WorkerEntry;
 use crate::selection::Selector;
 
@@ -15,7 +15,7 @@
 
 /// A worker that is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departed {
+pub struct RemovedWorker {
     /// Its incarnation.
     pub incarnation: String,
     /// Its zone.
@@ -24,16 +24,16 @@
 
 /// What became of workers that the directory no longer lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Unlisted {
+pub struct UnlistOutcome {
     /// Those that are gone.
-    pub gone: Vec<Departed>,
+    pub removed: Vec<RemovedWorker>,
     /// Those that serve on until their entries are back or the time for that is over.
     pub lapsed: Vec<String>,
 }
 
 impl Selector {
     /// Takes an entry of the directory; gives whether its availability or address is new.
-    pub fn apply(&mut self, mut entry: WorkerEntry, now: Duration) -> bool {
+    pub fn apply_entry(&mut self, mut entry: WorkerEntry, now: Duration) -> bool {
         if let Some(known) = self.known(&entry.life.id) {
             let WorkerEntry {
                 life, incarnation, ..
@@ -51,13 +51,13 @@
         if let Some(known) = self.candidates.get_mut(&entry.incarnation) {
             let changed = known.entry.availability != entry.availability
                 || known.entry.address != entry.address
-                || known.lapsed_until.is_some();
+                || known.grace_until.is_some();
             known.cold_until = now + entry.cold_left;
-            if known.lapsed_until.is_some() {
-                known.doubt = ColdDoubt::listed(now);
+            if known.grace_until.is_some() {
+                known.cold_suspicion = ColdSuspicion::listed(now);
             }
             known.entry = entry;
-            known.lapsed_until = None;
+            known.grace_until = None;
             return changed;
         }
         let key = entry.incarnation.clone();
@@ -79,18 +79,18 @@
     }
 
     /// How many workers are listed in a zone.
-    pub fn listed_in(&self, zone: &str) -> usize {
+    pub fn listed_count(&self, zone: &str) -> usize {
         let listed = self.candidates.values();
         listed
-            .filter(|candidate| candidate.entry.zone == zone && candidate.lapsed_until.is_none())
+            .filter(|candidate| candidate.entry.zone == zone && candidate.grace_until.is_none())
             .count()
     }
 
     /// Removes a worker, and all that is believed of it.
-    fn remove(&mut self, incarnation: &str) -> Option<Departed> {
+    fn remove(&mut self, incarnation: &str) -> Option<RemovedWorker> {
         let candidate = self.candidates.remove(incarnation)?;
         self.incarnations.remove(&candidate.entry.life.id);
-        Some(Departed {
+        Some(RemovedWorker {
             incarnation: candidate.entry.incarnation,
             zone: candidate.entry.zone,
         })
@@ -98,7 +98,7 @@
 
     /// Whether an entry says something that matters for a choice and is not known; entries are written
     /// anew every second or so, and most of them say nothing new.
-    pub fn is_news(&self, entry: &WorkerEntry) -> bool {
+    pub fn differs_from_known(&self, entry: &WorkerEntry) -> bool {
         let Some(known) = self.known(&entry.life.id) else {
             return true;
         };
@@ -114,11 +114,11 @@
             ..known.entry.clone()
         };
         let is_cold_as_before = known.entry.cold_left.is_zero() == entry.cold_left.is_zero();
-        known.lapsed_until.is_some() || before != *entry || !is_cold_as_before
+        known.grace_until.is_some() || before != *entry || !is_cold_as_before
     }
 
     /// Whether an entry says that a worker is cold for longer than is known: it has turned cold again.
-    pub fn is_colder(&self, entry: &WorkerEntry, now: Duration) -> bool {
+    pub fn extends_cold_period(&self, entry: &WorkerEntry, now: Duration) -> bool {
         let known = self.known(&entry.life.id);
         known.is_some_and(|known| now + entry.cold_left > known.cold_until + COLDER_BY)
     }
@@ -126,14 +126,18 @@
     /// Removes workers, by their identifiers, that one reading of the directory no longer lists.
     ///
     /// A log that was away has dropped the entries of workers that could not renew them, and they
-    /// list themselves again a moment after its return. `lapses_until` is the end of that moment,
+    /// list themselves again a moment after its return. `grace_until` is the end of that moment,
     /// while it lasts: until then the workers of a service serve on of which more than half vanished
     /// at once. Few of many that vanish are taken as gone.
-    pub fn unlist(&mut self, ids: &BTreeSet<String>, lapses_until: Option<Duration>) -> Unlisted {
-        let mut unlisted = Unlisted::default();
+    pub fn remove_unlisted(
+        &mut self,
+        ids: &BTreeSet<String>,
+        grace_until: Option<Duration>,
+    ) -> UnlistOutcome {
+        let mut unlisted = UnlistOutcome::default();
         let listed = ids.iter().filter_map(|id| self.incarnations.get(id));
         let incarnations: BTreeSet<String> = listed.cloned().collect();
-        let lapsing = match lapses_until {
+        let lapsing = match grace_until {
             Some(_) => self.mostly_in(&incarnations),
             None => BTreeSet::new(),
         };
@@ -142,19 +146,19 @@
                 continue;
             };
             if lapsing.contains(&candidate.entry.service) {
-                candidate.lapsed_until = lapses_until;
+                candidate.grace_until = grace_until;
                 unlisted.lapsed.push(incarnation);
             } else {
-                unlisted.gone.extend(self.remove(&incarnation));
+                unlisted.removed.extend(self.remove(&incarnation));
             }
         }
         unlisted
     }
 
     /// Removes workers whose entries lapsed and are not back in time; gives them.
-    pub fn remove_lapsed(&mut self, now: Duration) -> Vec<Departed> {
+    pub fn remove_lapsed(&mut self, now: Duration) -> Vec<RemovedWorker> {
         let over = self.candidates.iter().filter(|(_, candidate)| {
-            let until = candidate.lapsed_until;
+            let until = candidate.grace_until;
             until.is_some_and(|until| until <= now)
         });
         let removed: Vec<String> = over.map(|(incarnation, _)| incarnation.clone()).collect();
--- a/crates/swiftshunt-scheduler/src/observed.rs
+++ b/crates/swiftshunt-scheduler/src/observed.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::candidate::Candidate;
-use crate::prompt_memory::PromptPart;
-use crate::selection::{Chosen, Class, Demand, Ending, Selector, ToldLoad};
+use crate::prefix_cache::PromptPart;
+use crate::selection::{AttemptOutcome, ChosenWorker, Class, Demand, ReportedLoad, Selector};
 
 /// Weight of a new observation in a moving average.
 const SMOOTHING: f64 = 0.2;
@@ -19,12 +19,12 @@
     }
 
     /// Records that a request goes to a worker.
-    pub fn sent(&mut self, chosen: &Chosen, demand: &Demand, now: Duration) {
+    pub fn record_send(&mut self, chosen: &ChosenWorker, demand: &Demand, now: Duration) {
         let Some(candidate) = self.get_mut(&chosen.incarnation) else {
             return;
         };
-        if candidate.own() == 0 {
-            candidate.heard(now);
+        if candidate.own_requests() == 0 {
+            candidate.record_activity(now);
         }
         match demand.class {
             Class::Online => candidate.own_online += 1,
@@ -32,12 +32,12 @@
         }
         candidate.pending_tokens += chosen.missing_tokens;
         candidate.pending_since.push(now);
-        candidate.memory.touch(&demand.prompt);
+        candidate.prefix_cache.record_prompt(&demand.prompt);
     }
 
     /// Records that another node has sent a worker a prompt of which it is to read
     /// `missing_tokens`.
-    pub fn sent_by_another(
+    pub fn record_peer_send(
         &mut self,
         incarnation: &str,
         prompt: &[PromptPart],
@@ -47,37 +47,37 @@
         let Some(candidate) = self.candidates.get(incarnation) else {
             return;
         };
-        let reading = self.reading_time(&candidate.entry.service, missing_tokens);
+        let reading = self.prefill_time(&candidate.entry.service, missing_tokens);
         if let Some(candidate) = self.get_mut(incarnation) {
-            candidate.reads_for_another(reading, now);
-            candidate.memory.touch(prompt);
+            candidate.add_peer_prefill(reading, now);
+            candidate.prefix_cache.record_prompt(prompt);
         }
     }
 
     /// Records that a worker gave a sign of life.
-    pub fn heard(&mut self, incarnation: &str, now: Duration) {
+    pub fn record_activity(&mut self, incarnation: &str, now: Duration) {
         if let Some(candidate) = self.get_mut(incarnation) {
-            candidate.heard(now);
+            candidate.record_activity(now);
         }
     }
 
     /// Records the load that an answer carried.
-    pub fn told(&mut self, incarnation: &str, load: ToldLoad, now: Duration) {
+    pub fn record_load(&mut self, incarnation: &str, load: ReportedLoad, now: Duration) {
         if let Some(candidate) = self.get_mut(incarnation) {
-            let own = candidate.own();
-            candidate.told = Some((load, own, now));
+            let own = candidate.own_requests();
+            candidate.last_report = Some((load, own, now));
         }
     }
 
     /// Records that the first event of a request came after `waited`.
-    pub fn first_event(&mut self, chosen: &Chosen, waited: Duration, now: Duration) {
+    pub fn record_first_event(&mut self, chosen: &ChosenWorker, waited: Duration, now: Duration) {
         let Some(candidate) = self.candidates.get_mut(&chosen.incarnation) else {
             return;
         };
-        candidate.heard(now);
+        candidate.record_activity(now);
         let sent_at = now.saturating_sub(waited);
-        candidate.latest_begun = candidate.latest_begun.max(sent_at);
-        candidate.no_longer_pending(sent_at, chosen.missing_tokens);
+        candidate.latest_started_sent_at = candidate.latest_started_sent_at.max(sent_at);
+        candidate.remove_pending(sent_at, chosen.missing_tokens);
         if chosen.missing_tokens < RATE_SAMPLE_TOKENS {
             return;
         }
@@ -88,11 +88,11 @@
     }
 
     /// Records that a request has left a worker after `held`; `had_first_event` as told before.
-    pub fn left(
+    pub fn record_outcome(
         &mut self,
-        chosen: &Chosen,
+        chosen: &ChosenWorker,
         class: Class,
-        ending: Ending,
+        outcome: AttemptOutcome,
         had_first_event: bool,
         held: Duration,
         now: Duration,
@@ -106,16 +106,16 @@
         }
         let sent_at = now.saturating_sub(held);
         if !had_first_event {
-            candidate.no_longer_pending(sent_at, chosen.missing_tokens);
+            candidate.remove_pending(sent_at, chosen.missing_tokens);
         }
         let was_hanging = !had_first_event && held >= HANGING && candidate.has_overtaken(sent_at);
-        candidate.doubt.observe(ending, now);
-        match ending {
-            Ending::Answered => {
+        candidate.cold_suspicion.observe(outcome, now);
+        match outcome {
+            AttemptOutcome::Answered => {
                 candidate.observe_failure(false, now);
                 candidate.failures_in_row = 0;
                 candidate.ejected_until = Duration::ZERO;
-                candidate.heard(now);
+                candidate.record_activity(now);
                 if class == Class::Online {
                     let service = candidate.entry.service.clone();
                     let held_ms = held.as_secs_f64() * 1e3;
@@ -127,15 +127,15 @@
                     times.duration_ms += SMOOTHING / 4.0 * (held_ms - times.duration_ms);
                 }
             }
-            Ending::TurnedAway => candidate.heard(now),
-            Ending::Broken | Ending::Failed => candidate.observe_failure(true, now),
-            Ending::Unreachable => candidate.eject(now),
-            Ending::Silent => {
+            AttemptOutcome::Declined => candidate.record_activity(now),
+            AttemptOutcome::Broken | AttemptOutcome::Failed => candidate.observe_failure(true, now),
+            AttemptOutcome::Unreachable => candidate.eject(now),
+            AttemptOutcome::TimedOut => {
                 candidate.observe_failure(true, now);
                 candidate.eject(now);
             }
-            Ending::Withdrawn if was_hanging => candidate.observe_failure(true, now),
-            Ending::Withdrawn => {}
+            AttemptOutcome::Cancelled if was_hanging => candidate.observe_failure(true, now),
+            AttemptOutcome::Cancelled => {}
         }
     }
 }
--- a/crates/swiftshunt-scheduler/src/prompt_memory.rs
+++ b/crates/swiftshunt-scheduler/src/prefix_cache.rs
@@ -16,7 +16,7 @@
 
 /// The parts that one worker read lately, within its memory.
 #[derive(Debug)]
-pub struct PromptMemory {
+pub struct PrefixCacheEstimate {
     capacity: u64,
     held: u64,
     sequence: u64,
@@ -29,7 +29,7 @@
     used: u64,
 }
 
-impl PromptMemory {
+impl PrefixCacheEstimate {
     /// Nothing held yet, in a memory of `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
         Self {
@@ -41,7 +41,7 @@
     }
 
     /// Tokens at the beginning of a prompt that need not be read again.
-    pub fn resident_tokens(&self, prompt: &[PromptPart]) -> u64 {
+    pub fn cached_tokens(&self, prompt: &[PromptPart]) -> u64 {
         let held = prompt
             .iter()
             .take_while(|part| self.parts.contains_key(&part.id));
@@ -49,7 +49,7 @@
     }
 
     /// Records that the worker reads a prompt; what was unused longest gives way.
-    pub fn touch(&mut self, prompt: &[PromptPart]) {
+    pub fn record_prompt(&mut self, prompt: &[PromptPart]) {
         for part in prompt {
             self.sequence += 1;
             let used = self.sequence;
--- a/crates/swiftshunt-scheduler/src/retry.rs
+++ b/crates/swiftshunt-scheduler/src/retry.rs
@@ -23,12 +23,12 @@
     }
 
     /// Counts a first try.
-    pub fn first_try(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.available = (self.available + self.ratio).min(self.burst);
     }
 
     /// Takes a retry, if the budget holds one.
-    pub fn take_retry(&mut self) -> bool {
+    pub fn try_take_retry(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
         }
--- a/crates/swiftshunt-scheduler/src/selection.rs
+++ b/crates/swiftshunt-scheduler/src/selection.rs
@@ -10,15 +10,15 @@
 
 use crate::candidate::Candidate;
 use crate::cold::ColdBound;
-use crate::cost::{ServiceTimes, expected_reading, expected_wait, reading_ms};
+use crate::cost::{ServiceTimes, expected_prefill, expected_wait, prefill_ms};
 use crate::directory::Availability;
 use crate::evacuations::Evacuations;
-use crate::prompt_memory::PromptPart;
+use crate::prefix_cache::PromptPart;
 use crate::slots::prompts::Reading;
 
 /// Load that a worker told with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ToldLoad {
+pub struct ReportedLoad {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
@@ -53,7 +53,7 @@
 
 /// A chosen worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct ChosenWorker {
     /// Its service.
     pub service: String,
     /// Its identifier.
@@ -67,7 +67,7 @@
     /// Prompt tokens that it is expected to read.
     pub missing_tokens: u64,
     /// How long it is expected to read until the first event: what waits there, and these tokens.
-    pub expected_reading: Duration,
+    pub expected_prefill: Duration,
     /// Whether there is a prompt: the time of a stream is that of its length and tells nothing of
     /// the worker's speed.
     pub has_prompt: bool,
@@ -75,11 +75,11 @@
 
 /// How a request left a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// With a whole answer.
     Answered,
     /// The worker declared that it did not run it.
-    TurnedAway,
+    Declined,
     /// The connection could not be made.
     Unreachable,
     /// The connection or the answer broke off, or was spoiled.
@@ -87,9 +87,9 @@
     /// The worker answered that it failed.
     Failed,
     /// No answer in the time it had.
-    Silent,
+    TimedOut,
     /// The caller left, or the product took it back.
-    Withdrawn,
+    Cancelled,
 }
 
 /// Cost of a worker in another zone, in milliseconds.
@@ -100,7 +100,7 @@
 const SPREAD: f64 = 2.0;
 /// Cost of a worker at which a shared beginning is not looked for first, against the time of reading
 /// it: nodes that do not know yet where it was read choose the same worker.
-const AWAY_FROM_HOME: f64 = 0.1;
+const AFFINITY_MISS_FACTOR: f64 = 0.1;
 /// The workers that a node knows, and the choice among them.
 #[derive(Debug)]
 pub struct Selector {
@@ -118,11 +118,11 @@
 impl Selector {
     /// A selector of a node in `zone` of a deployment of one region.
     pub fn new(zone: &str) -> Self {
-        Self::at(Topology::one_region(zone))
+        Self::with_topology(Topology::one_region(zone))
     }
 
     /// A selector of a node at its place.
-    pub fn at(topology: Topology) -> Self {
+    pub fn with_topology(topology: Topology) -> Self {
         Self {
             topology,
             evacuations: Evacuations::default(),
@@ -134,7 +134,7 @@
     }
 
     /// Tells how much the memory of a service's engines holds.
-    pub fn set_memory(&mut self, service: &str, tokens: u64) {
+    pub fn set_prefix_cache_size(&mut self, service: &str, tokens: u64) {
         let times = self.services.entry(service.to_owned()).or_default();
         times.memory_tokens = tokens;
     }
@@ -152,10 +152,10 @@
 
     /// Whether a service has a worker that takes new work.
     pub fn is_served(&self, service: &str) -> bool {
-        self.is_open(service, &Residency::anywhere())
+        self.has_eligible_worker(service, &Residency::anywhere())
     }
 
-    pub(crate) fn ready<'s>(
+    pub(crate) fn ready_workers<'s>(
         &'s self,
         service: &str,
     ) -> impl Iterator<Item = &'s Candidate> + use<'s> {
@@ -174,19 +174,19 @@
     }
 
     /// Whether any worker gave a sign of life after `since`.
-    pub fn has_heard_since(&self, since: Duration) -> bool {
+    pub fn has_activity_since(&self, since: Duration) -> bool {
         let mut candidates = self.candidates.values();
-        candidates.any(|candidate| candidate.heard_at > since)
+        candidates.any(|candidate| candidate.last_activity_at > since)
     }
 
     /// How many workers of a service take new work.
     pub fn ready_count(&self, service: &str) -> usize {
-        self.ready(service).count()
+        self.ready_workers(service).count()
     }
 
     /// Slots together of a service's workers that may be offered something.
     pub fn slots(&self, service: &str) -> u32 {
-        let open = self.open(service, &Residency::anywhere());
+        let open = self.eligible_workers(service, &Residency::anywhere());
         open.map(Candidate::slots).sum()
     }
 
@@ -198,7 +198,7 @@
         demand: &Demand,
         tried: &[String],
         now: Duration,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenWorker> {
         self.choose_among(service, demand, now, |candidate| {
             !tried.contains(&candidate.entry.incarnation)
         })
@@ -211,20 +211,21 @@
         demand: &Demand,
         now: Duration,
         may: impl Fn(&Candidate) -> bool,
-    ) -> Option<Chosen> {
-        let home = self.home(service, demand);
-        let open = self.open(service, &demand.residency);
-        let open = open.filter(|candidate| may(candidate) && !self.lacks_starts(candidate, now));
+    ) -> Option<ChosenWorker> {
+        let affinity_target = self.affinity_target(service, demand);
+        let open = self.eligible_workers(service, &demand.residency);
+        let open =
+            open.filter(|candidate| may(candidate) && !self.lacks_start_permits(candidate, now));
         let times = self.services.get(service);
-        let usual_others = self.usual_others(service, now);
-        let away_from_home = self.away_from_home_cost(service, demand);
+        let mean_others_load = self.mean_others_load(service, now);
+        let affinity_miss_cost = self.affinity_miss_cost(service, demand);
         let scored = open.map(|candidate| {
             let missing = missing_tokens(candidate, demand);
-            let mut cost = expected_wait(candidate, times, missing, usual_others, now)
-                + self.place_cost(candidate);
-            cost += spread(demand.salt, &candidate.entry.incarnation);
-            if home != Some(candidate.entry.incarnation.as_str()) {
-                cost += away_from_home;
+            let mut cost = expected_wait(candidate, times, missing, mean_others_load, now)
+                + self.distance_cost(candidate);
+            cost += tie_break_cost(demand.salt, &candidate.entry.incarnation);
+            if affinity_target != Some(candidate.entry.incarnation.as_str()) {
+                cost += affinity_miss_cost;
             }
             let ejected = candidate.ejected_until > now;
             (ejected, cost, missing, candidate)
@@ -233,24 +234,24 @@
             scored.min_by(|left, right| left.0.cmp(&right.0).then(left.1.total_cmp(&right.1)));
         best.map(|(_, _, missing, candidate)| {
             let has_prompt = demand.prompt_tokens > 0;
-            self.chosen(candidate, missing, has_prompt, now)
+            self.to_chosen_worker(candidate, missing, has_prompt, now)
         })
     }
 
-    pub(crate) fn chosen(
+    pub(crate) fn to_chosen_worker(
         &self,
         candidate: &Candidate,
         missing_tokens: u64,
         has_prompt: bool,
         now: Duration,
-    ) -> Chosen {
+    ) -> ChosenWorker {
         let times = self.services.get(&candidate.entry.service);
-        let reading = expected_reading(candidate, times, missing_tokens, now);
+        let reading = expected_prefill(candidate, times, missing_tokens, now);
         let reading = Reading {
             missing_tokens,
             time: Duration::from_secs_f64(reading / 1e3),
         };
-        candidate.chosen(reading, has_prompt)
+        candidate.to_chosen_worker(reading, has_prompt)
     }
 
     /// How long a worker with requests of this node has given no sign of life; none if the worker
@@ -272,16 +273,16 @@
         let Some(candidate) = self.candidates.get(incarnation) else {
             return false;
         };
-        let usual_others = self.usual_others(&candidate.entry.service, now);
-        candidate.load(usual_others, now) >= f64::from(candidate.slots())
+        let mean_others_load = self.mean_others_load(&candidate.entry.service, now);
+        candidate.load(mean_others_load, now) >= f64::from(candidate.slots())
     }
 
     /// Requests of other nodes that a ready worker of the service holds in the mean, by what was
     /// told last.
-    fn usual_others(&self, service: &str, now: Duration) -> f64 {
+    fn mean_others_load(&self, service: &str, now: Duration) -> f64 {
         let told = self
-            .ready(service)
-            .filter_map(|candidate| candidate.told_others(now));
+            .ready_workers(service)
+            .filter_map(|candidate| candidate.others_load(now));
         let (sum, weights) = told.fold((0.0, 0.0), |(sum, weights), (others, weight)| {
             (sum + others * weight, weights + weight)
         });
@@ -290,9 +291,9 @@
     }
 
     /// Cost of a worker that is not the home of the prompt's shared beginning, in milliseconds.
-    pub(crate) fn away_from_home_cost(&self, service: &str, demand: &Demand) -> f64 {
+    pub(crate) fn affinity_miss_cost(&self, service: &str, demand: &Demand) -> f64 {
         let times = self.services.get(service);
-        reading_ms(times, shared_tokens(demand)) * AWAY_FROM_HOME
+        prefill_ms(times, shared_tokens(demand)) * AFFINITY_MISS_FACTOR
     }
 
     /// How far a zone is from this node.
@@ -300,7 +301,7 @@
         self.topology.distance_to(zone)
     }
 
-    pub(crate) fn place_cost(&self, candidate: &Candidate) -> f64 {
+    pub(crate) fn distance_cost(&self, candidate: &Candidate) -> f64 {
         match self.topology.distance_to(&candidate.entry.zone) {
             Distance::SameZone => 0.0,
             Distance::SameRegion => OTHER_ZONE_COST,
@@ -310,13 +311,13 @@
 
     /// The worker at which every node of a region first looks for a shared beginning of a prompt, so that it
     /// is read at few workers without a word between nodes.
-    pub(crate) fn home(&self, service: &str, demand: &Demand) -> Option<&str> {
-        let home = self.home_among(service, demand, |_| true);
-        home.map(|candidate| candidate.entry.incarnation.as_str())
+    pub(crate) fn affinity_target(&self, service: &str, demand: &Demand) -> Option<&str> {
+        let affinity_target = self.affinity_target_among(service, demand, |_| true);
+        affinity_target.map(|candidate| candidate.entry.incarnation.as_str())
     }
 
     /// The same among the workers that `may` accepts.
-    pub(crate) fn home_among(
+    pub(crate) fn affinity_target_among(
         &self,
         service: &str,
         demand: &Demand,
@@ -324,7 +325,7 @@
     ) -> Option<&Candidate> {
         let (_, shared) = demand.prompt.split_last()?;
         let last = shared.last()?;
-        let open = self.open(service, &demand.residency);
+        let open = self.eligible_workers(service, &demand.residency);
         let open = open.filter(|candidate| may(candidate));
         let weighted = open.map(|candidate| {
             let mut hasher = DefaultHasher::new();
@@ -338,14 +339,14 @@
     }
 
     /// How long a service's engines take to read `tokens`.
-    pub fn reading_time(&self, service: &str, tokens: u64) -> Duration {
+    pub fn prefill_time(&self, service: &str, tokens: u64) -> Duration {
         let times = self.services.get(service);
-        Duration::from_secs_f64(reading_ms(times, tokens) / 1e3)
+        Duration::from_secs_f64(prefill_ms(times, tokens) / 1e3)
     }
 }
 
 /// A small cost that differs between requests.
-pub(crate) fn spread(salt: u64, incarnation: &str) -> f64 {
+pub(crate) fn tie_break_cost(salt: u64, incarnation: &str) -> f64 {
     let mut hasher = DefaultHasher::new();
     salt.hash(&mut hasher);
     incarnation.hash(&mut hasher);
@@ -353,7 +354,7 @@
 }
 
 pub(crate) fn missing_tokens(candidate: &Candidate, demand: &Demand) -> u64 {
-    let resident = candidate.memory.resident_tokens(&demand.prompt);
+    let resident = candidate.prefix_cache.cached_tokens(&demand.prompt);
     demand.prompt_tokens.saturating_sub(resident)
 }
 
--- a/crates/swiftshunt-scheduler/src/slots/cell.rs
+++ b/crates/swiftshunt-scheduler/src/slots/cell.rs
@@ -8,7 +8,7 @@
 use swiftshunt_types::RegionName;
 
 use super::WorkerKey;
-use crate::readers::weight;
+use crate::readers::stable_hash;
 
 /// Workers of a cell in the mean, at most: with some dozen slots together the load of a cell is as
 /// even as that of the service, and its owner's part of the messages stays small.
@@ -49,12 +49,12 @@
 impl WorkerKey {
     /// The key of an incarnation.
     pub fn of(incarnation: &str) -> Self {
-        Self(weight(incarnation))
+        Self(stable_hash(incarnation))
     }
 
     /// The cell that the worker is in, of `count` cells of its service.
     pub fn cell_index(self, count: u32) -> u32 {
-        (weight(self.0) % u64::from(count.max(1))) as u32
+        (stable_hash(self.0) % u64::from(count.max(1))) as u32
     }
 }
 
@@ -63,5 +63,5 @@
 pub fn owner(cell: &Cell, gateways: impl IntoIterator<Item = SocketAddr>) -> Option<SocketAddr> {
     gateways
         .into_iter()
-        .max_by_key(|gateway| (weight((cell, gateway)), *gateway))
+        .max_by_key(|gateway| (stable_hash((cell, gateway)), *gateway))
 }
--- a/crates/swiftshunt-scheduler/src/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/src/slots/prompts.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::WorkerKey;
-use crate::prompt_memory::{PromptMemory, PromptPart};
+use crate::prefix_cache::{PrefixCacheEstimate, PromptPart};
 
 /// A prompt that is to be read.
 #[derive(Clone, Copy, Debug, Default)]
@@ -49,8 +49,8 @@
 /// What one worker holds and reads.
 #[derive(Debug)]
 struct Memory {
-    resident: PromptMemory,
-    reads_until: Duration,
+    resident: PrefixCacheEstimate,
+    peer_prefill_until: Duration,
 }
 
 /// What the workers of a cell hold and read.
@@ -78,9 +78,9 @@
         now: Duration,
     ) -> Reading {
         let memory = self.workers.get(&worker);
-        let held = memory.map_or(0, |memory| memory.resident.resident_tokens(prompt.parts));
+        let held = memory.map_or(0, |memory| memory.resident.cached_tokens(prompt.parts));
         let ahead = memory.map_or(Duration::ZERO, |memory| {
-            memory.reads_until.saturating_sub(now)
+            memory.peer_prefill_until.saturating_sub(now)
         });
         let missing_tokens = prompt.tokens.saturating_sub(held);
         Reading {
@@ -102,11 +102,11 @@
         }
         let reading = self.reading(worker, prompt, rates, now);
         let memory = self.workers.entry(worker).or_insert_with(|| Memory {
-            resident: PromptMemory::new(rates.memory_tokens),
-            reads_until: Duration::ZERO,
+            resident: PrefixCacheEstimate::new(rates.memory_tokens),
+            peer_prefill_until: Duration::ZERO,
         });
-        memory.reads_until = now + reading.time;
-        memory.resident.touch(prompt.parts);
+        memory.peer_prefill_until = now + reading.time;
+        memory.resident.record_prompt(prompt.parts);
     }
 
     /// Forgets workers that are no longer there.
--- a/crates/swiftshunt-scheduler/src/targets.rs
+++ b/crates/swiftshunt-scheduler/src/targets.rs
@@ -21,7 +21,7 @@
 
 /// What must be ready by when.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Demand {
+pub struct ReplicaTarget {
     /// The model.
     pub model: ModelName,
     /// Engines in each zone.
@@ -38,7 +38,7 @@
 /// The engines that must be ordered now. All loads go through the store's one rate, so planning
 /// backward from the deadline counts them one after the other.
 pub fn due_loads(
-    demand: &Demand,
+    demand: &ReplicaTarget,
     engines: &[EngineView],
     seconds_per_load: f64,
     now: u64,
@@ -57,7 +57,7 @@
 }
 
 /// For each zone, the least loaded engines that would fill its replicas.
-fn missing_engines(demand: &Demand, engines: &[EngineView]) -> Vec<WorkerId> {
+fn missing_engines(demand: &ReplicaTarget, engines: &[EngineView]) -> Vec<WorkerId> {
     let mut by_zone: BTreeMap<&ZoneName, Vec<&EngineView>> = BTreeMap::new();
     for engine in engines {
         by_zone.entry(&engine.zone).or_default().push(engine);
--- a/crates/swiftshunt-scheduler/src/warmth.rs
+++ b/crates/swiftshunt-scheduler/src/warmup.rs
@@ -4,7 +4,7 @@
 
 /// Whether a worker bears its usual load. A cold one bears few requests a second and fails well above that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Warmth {
+pub enum WarmupState {
     /// It does.
     Warm,
     /// It does not until then, on the own clock.
--- a/crates/swiftshunt-scheduler/src/workers.rs
+++ b/crates/swiftshunt-scheduler/src/workers.rs
@@ -74,7 +74,7 @@
 pub struct WorkerTable {
     version: u64,
     workers: BTreeMap<WorkerId, Worker>,
-    left: BTreeSet<(WorkerId, SocketAddr)>,
+    leaving: BTreeSet<(WorkerId, SocketAddr)>,
 }
 
 /// A worker that could not be connected to is passed over for this long, unless none is left.
@@ -114,7 +114,7 @@
     }
 
     /// Records a report that was asked for at `asked_at`.
-    pub fn report(
+    pub fn record_report(
         &mut self,
         id: &WorkerId,
         report: LoadReport,
@@ -128,22 +128,22 @@
         worker.report = Some((report, asked_at));
         worker.failed_at = None;
         if report.leaving {
-            self.left.insert((id.clone(), worker.machine.address));
+            self.leaving.insert((id.clone(), worker.machine.address));
         }
     }
 
     /// Records that a worker at an address takes nothing new, learnt from another node.
     pub fn mark_leaving(&mut self, id: WorkerId, address: SocketAddr) {
-        self.left.insert((id, address));
+        self.leaving.insert((id, address));
     }
 
     /// Workers known to be leaving by their own word, for passing on.
     pub fn self_declared_leaving(&self) -> impl Iterator<Item = &(WorkerId, SocketAddr)> {
-        self.left.iter()
+        self.leaving.iter()
     }
 
     /// Records that a connection to the worker failed.
-    pub fn connection_failed(&mut self, id: &WorkerId, now: Monotonic) {
+    pub fn record_connection_failure(&mut self, id: &WorkerId, now: Monotonic) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.failed_at = Some(now);
         }
@@ -152,7 +152,7 @@
     /// Whether the worker may be given new work, by the list and by its own word.
     pub fn is_accepting(&self, worker: &Worker) -> bool {
         let key = (worker.machine.id.clone(), worker.machine.address);
-        worker.machine.state == MachineState::Live && !self.left.contains(&key)
+        worker.machine.state == MachineState::Live && !self.leaving.contains(&key)
     }
 
     /// Workers of a pool that may be given new work, those of `zone` first if any is there.
--- a/crates/swiftshunt-scheduler/tests/admission.rs
+++ b/crates/swiftshunt-scheduler/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use swiftshunt_scheduler::admission::{
-    Decision, Obstacle, Situation, come_back_elsewhere, come_back_for_room, come_back_to_log,
-    come_back_to_start, decide,
+    Decision, Obstacle, Situation, decide, retry_after_elsewhere, retry_after_log_outage,
+    retry_after_route_limit, retry_after_startup,
 };
 use test_case::test_case;
 
@@ -58,14 +58,15 @@
 /// Callers who were refused come back ever later while an outage lasts, within their time.
 #[test]
 fn come_back_times_follow_the_age_of_an_outage() {
-    let times = [0, 500, 1_000, 2_000].map(|age| come_back_to_log(ms(age), ms(8_000), MIDDLE));
+    let times =
+        [0, 500, 1_000, 2_000].map(|age| retry_after_log_outage(ms(age), ms(8_000), MIDDLE));
     assert_eq!(times, [250, 500, 1_000, 2_000].map(ms));
     // A caller that has the time for it is refused as often as the age doubles.
     let refusals = |outage: u64| {
         let (mut age, mut refusals) = (200, 0);
         while age < outage {
             refusals += 1;
-            age += come_back_to_log(ms(age), ms(60_000), MIDDLE).as_millis() as u64;
+            age += retry_after_log_outage(ms(age), ms(60_000), MIDDLE).as_millis() as u64;
         }
         refusals
     };
@@ -74,9 +75,9 @@
 
 #[test]
 fn callers_of_a_gateway_that_starts_come_back_when_it_serves() {
-    assert_eq!(come_back_to_start(ms(100), MIDDLE), ms(800));
-    assert_eq!(come_back_to_start(ms(850), MIDDLE), ms(250));
-    assert_eq!(come_back_to_start(ms(4_900), MIDDLE), ms(4_000));
+    assert_eq!(retry_after_startup(ms(100), MIDDLE), ms(800));
+    assert_eq!(retry_after_startup(ms(850), MIDDLE), ms(250));
+    assert_eq!(retry_after_startup(ms(4_900), MIDDLE), ms(4_000));
 }
 
 proptest! {
@@ -85,10 +86,10 @@
     #[test]
     fn come_back_times_fit_and_spread(age in 0_u64..60_000, left in 0_u64..60_000, draws in (0.0..0.4_f64, 0.6..1.0_f64)) {
         let (one, other) = draws;
-        for time in [come_back_to_log(ms(age), ms(left), other), come_back_for_room(ms(left), other)] {
+        for time in [retry_after_log_outage(ms(age), ms(left), other), retry_after_route_limit(ms(left), other)] {
             prop_assert!(time <= ms(left) / 3);
         }
-        prop_assert!(come_back_elsewhere(one) < come_back_elsewhere(other));
-        prop_assert!(come_back_to_log(ms(age), ms(1 << 40), one) < come_back_to_log(ms(age), ms(1 << 40), other));
+        prop_assert!(retry_after_elsewhere(one) < retry_after_elsewhere(other));
+        prop_assert!(retry_after_log_outage(ms(age), ms(1 << 40), one) < retry_after_log_outage(ms(age), ms(1 << 40), other));
     }
 }
--- a/crates/swiftshunt-scheduler/tests/cold_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/cold_simulation.rs
@@ -8,8 +8,8 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use swiftshunt_scheduler::cold::keeper::{REMEMBERED, Starts, keepers};
-use swiftshunt_scheduler::cold::{ColdBound, START_LIFE};
+use swiftshunt_scheduler::cold::permit_issuer::{PermitIssuer, UNLISTED_NODE_TTL, permit_issuers};
+use swiftshunt_scheduler::cold::{ColdBound, START_PERMIT_TTL};
 
 const SEEDS: u64 = 3_000;
 const DAY: u64 = 20_000_000;
@@ -30,7 +30,7 @@
     restarts: Vec<u64>,
     /// When it reaches no other node.
     cuts: Vec<(u64, u64)>,
-    starts: Starts,
+    starts: PermitIssuer,
     lives: usize,
 }
 
@@ -136,10 +136,10 @@
     fn keepers(&self, seer: usize, now: u64) -> Vec<usize> {
         let sights = self.sights[seer].iter().zip(&self.nodes);
         let seen = sights.filter(|(sight, _)| {
-            let remembered = REMEMBERED.as_micros() as u64;
+            let remembered = UNLISTED_NODE_TTL.as_micros() as u64;
             (sight.comes..sight.goes.saturating_add(remembered)).contains(&now)
         });
-        let keepers = keepers(WORKER, seen.map(|(_, node)| node.address));
+        let keepers = permit_issuers(WORKER, seen.map(|(_, node)| node.address));
         let index = |address: &SocketAddr| {
             let mut nodes = self.nodes.iter();
             nodes.position(|node| node.address == *address)
@@ -196,16 +196,16 @@
         if life != lives.lives {
             lives.lives = life;
             let began = lives.restarts.iter().rev().find(|at| **at <= now);
-            lives.starts = Starts::new(time(began.copied().unwrap_or_default()));
+            lives.starts = PermitIssuer::new(time(began.copied().unwrap_or_default()));
         }
         let bound = self.bound;
-        let handed_out = lives.starts.hand_out(WORKER, &bound, rank, time(now));
+        let handed_out = lives.starts.issue_permit(WORKER, &bound, rank, time(now));
         if handed_out.is_err() {
             return;
         }
         let back = if keeper == node { 0 } else { self.way() };
         // It is sent at any moment of its life: at once, held up, or at its end.
-        let life = START_LIFE.as_micros() as u64;
+        let life = START_PERMIT_TTL.as_micros() as u64;
         let held_up = match self.random.random_range(0..3) {
             0 => 0,
             1 => self.random.random_range(0..life),
@@ -215,7 +215,7 @@
     }
 
     fn sends(&mut self, asked_at: u64, now: u64) {
-        if now >= asked_at + START_LIFE.as_micros() as u64 {
+        if now >= asked_at + START_PERMIT_TTL.as_micros() as u64 {
             return;
         }
         let arrives = now + self.way();
@@ -281,7 +281,7 @@
         goes,
         restarts,
         cuts,
-        starts: Starts::new(time(comes)),
+        starts: PermitIssuer::new(time(comes)),
         lives: 0,
     }
 }
@@ -293,7 +293,7 @@
         let mut world = World::new(seed);
         world.play();
         let most = world.most_in_a_second();
-        let bound = world.bound.in_a_second;
+        let bound = world.bound.max_in_one_second;
         assert!(
             most as f64 <= bound,
             "seed {seed}: {most} in a second, {bound} allowed"
@@ -306,13 +306,16 @@
 #[test]
 fn what_the_bound_allows_is_used() {
     let bound = ColdBound::new(Duration::from_secs(3), 5.5, 1.5, 5.0);
-    let mut keepers = [Starts::new(Duration::ZERO), Starts::new(Duration::ZERO)];
+    let mut keepers = [
+        PermitIssuer::new(Duration::ZERO),
+        PermitIssuer::new(Duration::ZERO),
+    ];
     let from = Duration::from_secs(10);
     let mut sent = 0_u32;
     for step in 0..3_000 {
         let now = from + Duration::from_millis(step);
         for (rank, keeper) in keepers.iter_mut().enumerate() {
-            sent += u32::from(keeper.hand_out(WORKER, &bound, rank, now).is_ok());
+            sent += u32::from(keeper.issue_permit(WORKER, &bound, rank, now).is_ok());
         }
     }
     let bears = 5.5 * 3.0;
@@ -325,16 +328,19 @@
 /// All that is handed out within a second and the life of a start may be sent within one second.
 #[test]
 fn no_more_than_the_bound_is_handed_out_for_any_one_second() {
-    let window = Duration::from_secs(1) + START_LIFE;
+    let window = Duration::from_secs(1) + START_PERMIT_TTL;
     for bears in [1.0, 5.5, 20.0, 60.0] {
         for requests in [0.0, 2.0, 5.0, 12.0] {
             let bound = ColdBound::new(Duration::from_secs(3), bears, 1.5, requests);
-            let mut keepers = [Starts::new(Duration::ZERO), Starts::new(Duration::ZERO)];
+            let mut keepers = [
+                PermitIssuer::new(Duration::ZERO),
+                PermitIssuer::new(Duration::ZERO),
+            ];
             let mut handed_out = Vec::new();
             for step in 0..6_000 {
                 let now = Duration::from_secs(10) + Duration::from_millis(step);
                 for (rank, keeper) in keepers.iter_mut().enumerate() {
-                    while keeper.hand_out(WORKER, &bound, rank, now).is_ok() {
+                    while keeper.issue_permit(WORKER, &bound, rank, now).is_ok() {
                         handed_out.push(now);
                     }
                 }
@@ -346,7 +352,7 @@
                     .count()
             };
             let most = handed_out.iter().map(within).max().unwrap_or_default();
-            let allowed = bound.in_a_second;
+            let allowed = bound.max_in_one_second;
             assert!(
                 most as f64 <= allowed,
                 "{most} within {window:?}, {allowed} allowed"
--- a/crates/swiftshunt-scheduler/tests/decisions.rs
+++ b/crates/swiftshunt-scheduler/tests/decisions.rs
@@ -9,7 +9,7 @@
 use swiftshunt_scheduler::limits::TokenBucket;
 use swiftshunt_scheduler::placement::{NoWorker, PlacementRequest, choose};
 use swiftshunt_scheduler::retry::RetryBudget;
-use swiftshunt_scheduler::targets::{Demand, EngineView, due_loads};
+use swiftshunt_scheduler::targets::{EngineView, ReplicaTarget, due_loads};
 use swiftshunt_scheduler::workers::{LoadReport, WorkerTable};
 use swiftshunt_types::{JobId, Machine, MachineKind, MachineList, MachineState, NodeId, WorkerId};
 use test_case::test_case;
@@ -121,7 +121,7 @@
         ..LoadReport::default()
     };
     let id = WorkerId(format!("engine-{engine}"));
-    table.report(&id, report, Vec::new(), NOW);
+    table.record_report(&id, report, Vec::new(), NOW);
 }
 
 fn place(table: &WorkerTable, prompt: &str) -> Result<WorkerId, NoWorker> {
@@ -201,7 +201,7 @@
         engine("c1", "c", true, false, 0),
         engine("d1", "d", false, true, 0),
     ];
-    let demand = Demand {
+    let demand = ReplicaTarget {
         model: "model".into(),
         replicas: 1,
         ready_by: 1060,
@@ -230,12 +230,12 @@
 #[test]
 fn a_bucket_tells_when_the_next_token_comes() {
     let mut bucket = TokenBucket::full(2.0, NOW);
-    assert_eq!(bucket.take(10.0, 2.0, NOW), Ok(()));
-    assert_eq!(bucket.take(10.0, 2.0, NOW), Ok(()));
-    let wait = bucket.take(10.0, 2.0, NOW).expect_err("empty");
-    assert_eq!(bucket.take(10.0, 2.0, NOW + wait), Ok(()));
+    assert_eq!(bucket.try_take(10.0, 2.0, NOW), Ok(()));
+    assert_eq!(bucket.try_take(10.0, 2.0, NOW), Ok(()));
+    let wait = bucket.try_take(10.0, 2.0, NOW).expect_err("empty");
+    assert_eq!(bucket.try_take(10.0, 2.0, NOW + wait), Ok(()));
     assert!(
-        bucket.take(0.0, 2.0, NOW + wait).is_err(),
+        bucket.try_take(0.0, 2.0, NOW + wait).is_err(),
         "no rate, no token"
     );
 }
@@ -245,8 +245,8 @@
     let mut budget = RetryBudget::new(0.1, 2.0);
     let mut retries = 0;
     for _ in 0..100 {
-        budget.first_try();
-        retries += u32::from(budget.take_retry());
+        budget.record_first_attempt();
+        retries += u32::from(budget.try_take_retry());
     }
     // The first try finds the budget full, so a tenth of the other 99 is added to the burst.
     assert_eq!(retries, 11);
--- a/crates/swiftshunt-scheduler/tests/listed.rs
+++ b/crates/swiftshunt-scheduler/tests/listed.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::directory::{Availability, WorkerEntry, WorkerLife};
-use swiftshunt_scheduler::listed::Departed;
-use swiftshunt_scheduler::selection::{Class, Demand, Ending, Selector, ToldLoad};
+use swiftshunt_scheduler::listed::RemovedWorker;
+use swiftshunt_scheduler::selection::{AttemptOutcome, Class, Demand, ReportedLoad, Selector};
 use swiftshunt_topology::Residency;
 
 const START: Duration = Duration::from_secs(10);
@@ -38,7 +38,7 @@
     let mut selector = Selector::new("z");
     let entries = (0..6).map(|number| entry("many", number));
     for entry in entries.chain((0..2).map(|number| entry("few", number))) {
-        selector.apply(entry, START);
+        selector.apply_entry(entry, START);
     }
     selector
 }
@@ -48,7 +48,7 @@
 }
 
 /// The incarnations of workers that are gone.
-fn names(departed: &[Departed]) -> Vec<&str> {
+fn names(departed: &[RemovedWorker]) -> Vec<&str> {
     let departed = departed.iter();
     departed.map(|worker| worker.incarnation.as_str()).collect()
 }
@@ -57,14 +57,14 @@
 fn workers_that_vanish_together_after_an_outage_serve_until_they_may_be_back() {
     let mut selector = selector();
     let vanished = named("many", 0..5);
-    let unlisted = selector.unlist(&vanished, Some(BACK_BY));
+    let unlisted = selector.remove_unlisted(&vanished, Some(BACK_BY));
     assert_eq!(
         unlisted.lapsed,
         vanished.iter().cloned().collect::<Vec<_>>()
     );
-    assert_eq!(unlisted.gone, []);
+    assert_eq!(unlisted.removed, []);
     assert_eq!(selector.ready_count("many"), 6);
-    selector.apply(entry("many", 0), START);
+    selector.apply_entry(entry("many", 0), START);
     let before = BACK_BY - Duration::from_millis(1);
     assert_eq!(selector.remove_lapsed(before), []);
     let removed = selector.remove_lapsed(BACK_BY);
@@ -75,8 +75,8 @@
 #[test]
 fn a_few_of_many_that_vanish_after_an_outage_are_gone() {
     let mut selector = selector();
-    let unlisted = selector.unlist(&named("many", 0..3), Some(BACK_BY));
-    assert_eq!(names(&unlisted.gone), ["many0", "many1", "many2"]);
+    let unlisted = selector.remove_unlisted(&named("many", 0..3), Some(BACK_BY));
+    assert_eq!(names(&unlisted.removed), ["many0", "many1", "many2"]);
     assert_eq!(unlisted.lapsed, Vec::<String>::new());
     assert_eq!(selector.ready_count("many"), 3);
 }
@@ -86,15 +86,15 @@
     let mut selector = selector();
     let mut vanished = named("many", 0..2);
     vanished.extend(named("few", 0..2));
-    let unlisted = selector.unlist(&vanished, Some(BACK_BY));
-    assert_eq!(names(&unlisted.gone), ["many0", "many1"]);
+    let unlisted = selector.remove_unlisted(&vanished, Some(BACK_BY));
+    assert_eq!(names(&unlisted.removed), ["many0", "many1"]);
     assert_eq!(unlisted.lapsed, ["few0", "few1"]);
 }
 
 #[test]
 fn without_an_outage_all_that_vanish_are_gone() {
     let mut selector = selector();
-    selector.unlist(&named("many", 0..6), None);
+    selector.remove_unlisted(&named("many", 0..6), None);
     assert_eq!(selector.ready_count("many"), 0);
 }
 
@@ -102,7 +102,7 @@
 fn a_worker_that_was_leaving_gets_nothing_when_its_entry_lapses() {
     let mut selector = selector();
     for number in 0..2 {
-        selector.apply(
+        selector.apply_entry(
             WorkerEntry {
                 availability: Availability::Draining,
                 ..entry("few", number)
@@ -110,7 +110,7 @@
             START,
         );
     }
-    selector.unlist(&named("few", 0..2), Some(BACK_BY));
+    selector.remove_unlisted(&named("few", 0..2), Some(BACK_BY));
     assert!(!selector.is_served("few"));
 }
 
@@ -121,28 +121,28 @@
         cold_left: Duration::from_secs(5),
         ..entry("many", 1)
     };
-    assert!(selector.is_news(&entry("many", 9)));
-    assert!(!selector.is_news(&entry("many", 1)));
-    assert!(selector.is_news(&cold));
-    selector.apply(cold.clone(), START);
+    assert!(selector.differs_from_known(&entry("many", 9)));
+    assert!(!selector.differs_from_known(&entry("many", 1)));
+    assert!(selector.differs_from_known(&cold));
+    selector.apply_entry(cold.clone(), START);
     let less_cold = WorkerEntry {
         cold_left: Duration::from_secs(4),
         ..cold
     };
-    assert!(!selector.is_news(&less_cold));
-    assert!(selector.is_news(&entry("many", 1)));
+    assert!(!selector.differs_from_known(&less_cold));
+    assert!(selector.differs_from_known(&entry("many", 1)));
     let leaving = WorkerEntry {
         availability: Availability::Draining,
         ..entry("many", 2)
     };
-    assert!(selector.is_news(&leaving));
+    assert!(selector.differs_from_known(&leaving));
 }
 
 #[test]
 fn an_entry_that_is_back_is_news() {
     let mut selector = selector();
-    selector.unlist(&named("few", 0..2), Some(BACK_BY));
-    assert!(selector.is_news(&entry("few", 0)));
+    selector.remove_unlisted(&named("few", 0..2), Some(BACK_BY));
+    assert!(selector.differs_from_known(&entry("few", 0)));
 }
 
 const DEMAND: Demand = Demand {
@@ -158,26 +158,26 @@
 #[test]
 fn a_later_life_of_a_worker_begins_with_nothing() {
     let mut selector = Selector::new("z");
-    selector.apply(started("s", 0, Some(1_000)), START);
+    selector.apply_entry(started("s", 0, Some(1_000)), START);
     let before = selector.choose("s", &DEMAND, &[], START).expect("a worker");
     for _ in 0..4 {
-        selector.sent(&before, &DEMAND, START);
+        selector.record_send(&before, &DEMAND, START);
     }
-    let told = ToldLoad {
+    let told = ReportedLoad {
         running: 4,
         waiting: 9,
         slots: 4,
     };
-    selector.told(&before.incarnation, told, START);
+    selector.record_load(&before.incarnation, told, START);
     assert!(selector.is_full(&before.incarnation, START));
     let leaving = WorkerEntry {
         availability: Availability::Draining,
         ..started("s", 0, Some(1_000))
     };
-    selector.apply(leaving, START);
+    selector.apply_entry(leaving, START);
     let later = started("s", 0, Some(2_000));
-    assert!(selector.is_news(&later));
-    assert!(selector.apply(later, START));
+    assert!(selector.differs_from_known(&later));
+    assert!(selector.apply_entry(later, START));
     let after = selector.choose("s", &DEMAND, &[], START).expect("a worker");
     assert_eq!(after.id, before.id);
     assert_ne!(after.incarnation, before.incarnation);
@@ -187,10 +187,10 @@
     // What ends late of the life before says nothing of this one.
     let held = Duration::from_secs(1);
     for _ in 0..4 {
-        selector.left(
+        selector.record_outcome(
             &before,
             Class::Online,
-            Ending::Broken,
+            AttemptOutcome::Broken,
             false,
             held,
             START + held,
@@ -203,13 +203,13 @@
 #[test]
 fn an_earlier_life_that_is_heard_of_late_changes_nothing() {
     let mut selector = Selector::new("z");
-    selector.apply(started("s", 0, Some(2_000)), START);
+    selector.apply_entry(started("s", 0, Some(2_000)), START);
     let earlier = WorkerEntry {
         availability: Availability::Draining,
         ..started("s", 0, Some(1_000))
     };
-    assert!(!selector.is_news(&earlier));
-    assert!(!selector.apply(earlier, START));
+    assert!(!selector.differs_from_known(&earlier));
+    assert!(!selector.apply_entry(earlier, START));
     assert_eq!(selector.ready_count("s"), 1);
 }
 
@@ -217,26 +217,26 @@
 #[test]
 fn an_entry_without_a_start_is_about_the_life_that_is_known() {
     let mut selector = Selector::new("z");
-    selector.apply(started("s", 0, Some(2_000)), START);
+    selector.apply_entry(started("s", 0, Some(2_000)), START);
     let leaving = WorkerEntry {
         availability: Availability::Draining,
         ..entry("s", 0)
     };
-    assert!(selector.apply(leaving, START));
+    assert!(selector.apply_entry(leaving, START));
     assert_eq!(selector.ready_count("s"), 0);
-    assert!(selector.apply(started("s", 0, Some(3_000)), START));
+    assert!(selector.apply_entry(started("s", 0, Some(3_000)), START));
     assert_eq!(selector.ready_count("s"), 1);
 }
 
 #[test]
 fn a_worker_that_is_no_longer_listed_is_gone_in_any_life() {
     let mut selector = Selector::new("z");
-    selector.apply(started("s", 0, Some(1_000)), START);
-    selector.apply(started("s", 0, Some(2_000)), START);
-    let unlisted = selector.unlist(&named("s", 0..1), None);
-    assert_eq!(names(&unlisted.gone), ["s0@2000"]);
+    selector.apply_entry(started("s", 0, Some(1_000)), START);
+    selector.apply_entry(started("s", 0, Some(2_000)), START);
+    let unlisted = selector.remove_unlisted(&named("s", 0..1), None);
+    assert_eq!(names(&unlisted.removed), ["s0@2000"]);
     assert!(selector.is_empty());
-    assert!(selector.apply(started("s", 0, Some(1_000)), START));
+    assert!(selector.apply_entry(started("s", 0, Some(1_000)), START));
 }
 
 /// Such an entry leaves the life its start: the next one that tells it is no restart, and an earlier life is
@@ -244,20 +244,20 @@
 #[test]
 fn an_entry_without_a_start_takes_none_away() {
     let mut selector = Selector::new("z");
-    selector.apply(started("s", 0, Some(2_000)), START);
+    selector.apply_entry(started("s", 0, Some(2_000)), START);
     let chosen = selector.choose("s", &DEMAND, &[], START).expect("a worker");
     for _ in 0..4 {
-        selector.sent(&chosen, &DEMAND, START);
+        selector.record_send(&chosen, &DEMAND, START);
     }
-    assert!(!selector.is_news(&entry("s", 0)));
-    assert!(!selector.apply(entry("s", 0), START));
+    assert!(!selector.differs_from_known(&entry("s", 0)));
+    assert!(!selector.apply_entry(entry("s", 0), START));
     assert_eq!(selector.incarnation("s0"), Some("s0@2000"));
-    assert!(!selector.is_news(&started("s", 0, Some(2_000))));
-    assert!(!selector.apply(started("s", 0, Some(2_000)), START));
+    assert!(!selector.differs_from_known(&started("s", 0, Some(2_000))));
+    assert!(!selector.apply_entry(started("s", 0, Some(2_000)), START));
     assert!(
         selector.is_full(&chosen.incarnation, START),
         "its requests are forgotten"
     );
-    assert!(!selector.apply(started("s", 0, Some(1_000)), START));
+    assert!(!selector.apply_entry(started("s", 0, Some(1_000)), START));
     assert_eq!(selector.incarnation("s0"), Some("s0@2000"));
 }
--- a/crates/swiftshunt-scheduler/tests/offers.rs
+++ b/crates/swiftshunt-scheduler/tests/offers.rs
@@ -5,12 +5,12 @@
 
 use swiftshunt_scheduler::admission::Obstacle;
 use swiftshunt_scheduler::directory::{Availability, WorkerEntry, WorkerLife};
-use swiftshunt_scheduler::offers::Withheld;
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::eligibility::Withheld;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 use swiftshunt_scheduler::selection::{Class, Demand, Selector};
 use swiftshunt_scheduler::slots::WorkerKey;
 use swiftshunt_scheduler::slots::prompts::Reading;
-use swiftshunt_scheduler::warmth::Warmth;
+use swiftshunt_scheduler::warmup::WarmupState;
 use swiftshunt_topology::{Residency, Topology};
 use swiftshunt_types::RegionName;
 use test_case::test_case;
@@ -43,9 +43,9 @@
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     let zones = zones.map(|(zone, name)| (zone.to_owned(), region(name)));
     let topology = Topology::new("a", BTreeMap::from(zones)).expect("sound");
-    let mut selector = Selector::at(topology);
+    let mut selector = Selector::with_topology(topology);
     for zone in ["a", "b", "c"] {
-        selector.apply(entry(zone, Availability::Ready), START);
+        selector.apply_entry(entry(zone, Availability::Ready), START);
     }
     selector
 }
@@ -87,7 +87,7 @@
         region: Some(region("north")),
     };
     assert_eq!(selector.may_offer("in-a", &south()), Err(outside));
-    selector.apply(entry("b", Availability::Draining), START);
+    selector.apply_entry(entry("b", Availability::Draining), START);
     assert_eq!(
         selector.may_offer("in-b", &anywhere),
         Err(Withheld::Leaving)
@@ -116,9 +116,12 @@
     selector.evacuate("c", START);
     assert_eq!(selector.choose("s", &all, &[], START), None);
     assert!(selector.bids(&cell, &all, &[], START).is_empty());
-    assert_eq!(selector.assigned("s", key, &all.residency, START), None);
     assert_eq!(
-        selector.assigned_to("s", key, &all, Reading::default()),
+        selector.assigned_worker("s", key, &all.residency, START),
+        None
+    );
+    assert_eq!(
+        selector.assigned_worker_for("s", key, &all, Reading::default()),
         None
     );
     let workers = selector.cell_workers(&cell, START);
@@ -126,8 +129,8 @@
         workers.iter().all(|worker| !worker.is_sound),
         "items are granted it"
     );
-    assert!(!selector.is_open("s", &all.residency));
-    assert!(selector.is_open("s", &Residency::anywhere()));
+    assert!(!selector.has_eligible_worker("s", &all.residency));
+    assert!(selector.has_eligible_worker("s", &Residency::anywhere()));
 }
 
 #[test]
@@ -136,7 +139,7 @@
     let regions: Vec<_> = selector.cells("s").map(|cell| cell.region).collect();
     assert_eq!(regions, [Some(region("north")), Some(region("south"))]);
     let mut alone = Selector::new("a");
-    alone.apply(entry("a", Availability::Ready), START);
+    alone.apply_entry(entry("a", Availability::Ready), START);
     let regions: Vec<_> = alone.cells("s").map(|cell| cell.region).collect();
     assert_eq!(regions, [None]);
 }
@@ -145,7 +148,7 @@
 fn a_worker_that_has_just_started_is_cold_for_a_while() {
     let mut selector = selector();
     let cold_left = Duration::from_secs(3);
-    selector.apply(
+    selector.apply_entry(
         WorkerEntry {
             cold_left,
             ..entry("a", Availability::Ready)
@@ -153,9 +156,12 @@
         START,
     );
     let until = START + cold_left;
-    assert_eq!(selector.warmth("in-a", START), Warmth::ColdUntil(until));
-    assert_eq!(selector.warmth("in-a", until), Warmth::Warm);
-    assert_eq!(selector.warmth("nobody", START), Warmth::Unknown);
+    assert_eq!(
+        selector.warmup_state("in-a", START),
+        WarmupState::ColdUntil(until)
+    );
+    assert_eq!(selector.warmup_state("in-a", until), WarmupState::Warm);
+    assert_eq!(selector.warmup_state("nobody", START), WarmupState::Unknown);
 }
 
 /// Why a service is closed to a request decides what its caller is told.
@@ -164,16 +170,16 @@
     let mut selector = selector();
     let anywhere = Residency::anywhere();
     let later = START + Duration::from_secs(9);
-    assert_eq!(selector.closed("s", &anywhere, START), None);
-    assert_eq!(selector.closed("unknown", &anywhere, START), None);
+    assert_eq!(selector.service_obstacle("s", &anywhere, START), None);
+    assert_eq!(selector.service_obstacle("unknown", &anywhere, START), None);
     let east = Residency::within([region("east")]);
     let outside = Some(Obstacle::OutsideResidency);
-    assert_eq!(selector.closed("s", &east, START), outside);
+    assert_eq!(selector.service_obstacle("s", &east, START), outside);
     selector.evacuate("c", START);
-    assert_eq!(selector.closed("s", &anywhere, later), None);
+    assert_eq!(selector.service_obstacle("s", &anywhere, later), None);
     let lasted = later - START;
     let evacuated = Some(Obstacle::Evacuated { lasted });
-    assert_eq!(selector.closed("s", &south(), later), evacuated);
+    assert_eq!(selector.service_obstacle("s", &south(), later), evacuated);
     assert_eq!(selector.slots("s"), 8);
     // The last of the zones closed it.
     let last = START + Duration::from_secs(4);
@@ -181,9 +187,9 @@
     selector.evacuate("b", last);
     let lasted = later - last;
     let evacuated = Some(Obstacle::Evacuated { lasted });
-    assert_eq!(selector.closed("s", &anywhere, later), evacuated);
+    assert_eq!(selector.service_obstacle("s", &anywhere, later), evacuated);
     selector.withdraw_evacuation("b", later);
-    assert_eq!(selector.closed("s", &anywhere, later), None);
+    assert_eq!(selector.service_obstacle("s", &anywhere, later), None);
 }
 
 /// Where a request goes whose own region has these workers tried and these cells full.
@@ -197,7 +203,7 @@
     let north = selector.cells("s").next().expect("a cell");
     let full: Vec<_> = is_full.then_some(north).into_iter().collect();
     let anywhere = demand(Residency::anywhere());
-    let chosen = selector.choose_outside("s", &anywhere, &tried, &full, START);
+    let chosen = selector.choose_outside_cells("s", &anywhere, &tried, &full, START);
     assert_eq!(chosen.map(|chosen| chosen.incarnation).as_deref(), worker);
 }
 
@@ -217,16 +223,16 @@
     let zones = zones.map(|(zone, name)| (zone.to_owned(), region(name)));
     let home_seen_from = |own: &str, id: u64| {
         let topology = Topology::new(own, BTreeMap::from(zones.clone())).expect("sound");
-        let mut selector = Selector::at(topology);
+        let mut selector = Selector::with_topology(topology);
         for zone in ["a", "b", "c", "d"] {
-            selector.apply(entry(zone, Availability::Ready), START);
+            selector.apply_entry(entry(zone, Availability::Ready), START);
         }
         let demand = Demand {
             prompt: vec![part(id), part(id + 1_000)],
             prompt_tokens: 200_000,
             ..demand(Residency::anywhere())
         };
-        let home = selector.choose_home("s", &demand, &[], &[], START);
+        let home = selector.choose_affinity_target("s", &demand, &[], &[], START);
         home.expect("a home").zone
     };
     for id in 0..20 {
@@ -246,7 +252,7 @@
     let cells: Vec<_> = selector.cells("s").collect();
     assert_eq!(selector.counterparts(&cells[0]), [cells[1].clone()]);
     let mut alone = Selector::new("a");
-    alone.apply(entry("a", Availability::Ready), START);
+    alone.apply_entry(entry("a", Availability::Ready), START);
     let cell = alone.cells("s").next().expect("a cell");
     assert_eq!(alone.counterparts(&cell), []);
 }
--- a/crates/swiftshunt-scheduler/tests/selection.rs
+++ b/crates/swiftshunt-scheduler/tests/selection.rs
@@ -4,8 +4,10 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::directory::{Availability, WorkerEntry, WorkerLife};
-use swiftshunt_scheduler::prompt_memory::{PromptMemory, PromptPart};
-use swiftshunt_scheduler::selection::{Chosen, Class, Demand, Ending, Selector, ToldLoad};
+use swiftshunt_scheduler::prefix_cache::{PrefixCacheEstimate, PromptPart};
+use swiftshunt_scheduler::selection::{
+    AttemptOutcome, ChosenWorker, Class, Demand, ReportedLoad, Selector,
+};
 use swiftshunt_topology::Residency;
 
 const START: Duration = Duration::from_secs(100);
@@ -30,7 +32,7 @@
 fn selector(workers: usize) -> Selector {
     let mut selector = Selector::new("z");
     for worker in 0..workers {
-        selector.apply(entry(&format!("w{worker}"), "z"), START);
+        selector.apply_entry(entry(&format!("w{worker}"), "z"), START);
     }
     selector
 }
@@ -60,28 +62,28 @@
     for salt in 0..count {
         let demand = demand(salt);
         let chosen = selector.choose("s", &demand, &[], now).expect("a worker");
-        selector.sent(&chosen, &demand, now);
+        selector.record_send(&chosen, &demand, now);
         *counts.entry(chosen.incarnation).or_default() += 1;
     }
     counts
 }
 
-fn fail(selector: &mut Selector, chosen: &Chosen, ending: Ending, now: Duration) {
+fn fail(selector: &mut Selector, chosen: &ChosenWorker, outcome: AttemptOutcome, now: Duration) {
     let demand = demand(0);
-    selector.sent(chosen, &demand, now);
+    selector.record_send(chosen, &demand, now);
     let held = Duration::from_millis(10);
-    selector.left(chosen, Class::Online, ending, false, held, now);
+    selector.record_outcome(chosen, Class::Online, outcome, false, held, now);
 }
 
-fn chosen(name: &str) -> Chosen {
-    Chosen {
+fn chosen(name: &str) -> ChosenWorker {
+    ChosenWorker {
         service: "s".to_owned(),
         id: name.to_owned(),
         incarnation: name.to_owned(),
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: "z".to_owned(),
         missing_tokens: 0,
-        expected_reading: Duration::ZERO,
+        expected_prefill: Duration::ZERO,
         has_prompt: false,
     }
 }
@@ -100,7 +102,7 @@
 fn an_old_entry_is_as_good_as_a_new_one() {
     let mut selector = selector(3);
     let later = START + Duration::from_secs(60);
-    selector.apply(entry("new", "z"), later);
+    selector.apply_entry(entry("new", "z"), later);
     let counts = spread(&mut selector, 40, later);
     assert!(counts["new"] <= 14, "{counts:?}");
 }
@@ -110,7 +112,7 @@
 fn failures_are_forgotten_by_time_alone() {
     let mut selector = selector(2);
     for _ in 0..20 {
-        fail(&mut selector, &chosen("w0"), Ending::Failed, START);
+        fail(&mut selector, &chosen("w0"), AttemptOutcome::Failed, START);
     }
     let at_once = spread(&mut selector, 6, START);
     assert_eq!(at_once.get("w0"), None);
@@ -122,9 +124,14 @@
 #[test]
 fn an_unreachable_worker_is_passed_over_while_another_is_there() {
     let mut selector = selector(2);
-    fail(&mut selector, &chosen("w0"), Ending::Unreachable, START);
+    fail(
+        &mut selector,
+        &chosen("w0"),
+        AttemptOutcome::Unreachable,
+        START,
+    );
     assert_eq!(spread(&mut selector, 6, START).get("w0"), None);
-    selector.unlist(&BTreeSet::from(["w1".to_owned()]), None);
+    selector.remove_unlisted(&BTreeSet::from(["w1".to_owned()]), None);
     let only = selector.choose("s", &demand(1), &[], START);
     assert_eq!(only.map(|chosen| chosen.incarnation), Some("w0".to_owned()));
 }
@@ -136,7 +143,7 @@
         availability: Availability::Draining,
         ..entry("w0", "z")
     };
-    selector.apply(leaving, START);
+    selector.apply_entry(leaving, START);
     assert_eq!(spread(&mut selector, 20, START).get("w0"), None);
     let tried = ["w1".to_owned()];
     assert_eq!(selector.choose("s", &demand(1), &tried, START), None);
@@ -147,17 +154,17 @@
 fn a_worker_at_which_requests_wait_is_passed_over_though_it_tells_nothing() {
     let mut selector = selector(2);
     let waiting = prompt(1, 2, 3);
-    selector.sent(&chosen("w0"), &waiting, START);
+    selector.record_send(&chosen("w0"), &waiting, START);
     let later = START + Duration::from_millis(800);
     // It does answer others, so it is not silent.
-    selector.heard("w0", later);
+    selector.record_activity("w0", later);
     assert_eq!(spread(&mut selector, 4, later).get("w0"), None);
 }
 
 #[test]
 fn a_silent_worker_with_requests_is_passed_over() {
     let mut selector = selector(2);
-    selector.sent(&chosen("w0"), &demand(0), START);
+    selector.record_send(&chosen("w0"), &demand(0), START);
     let later = START + Duration::from_millis(400);
     assert_eq!(spread(&mut selector, 4, later).get("w0"), None);
     assert_eq!(
@@ -170,15 +177,15 @@
 fn a_request_that_was_left_hanging_counts_against_its_worker() {
     let mut selector = selector(2);
     let hanging = chosen("w0");
-    selector.sent(&hanging, &demand(0), START);
+    selector.record_send(&hanging, &demand(0), START);
     let next = START + Duration::from_millis(10);
-    selector.sent(&hanging, &demand(1), next);
+    selector.record_send(&hanging, &demand(1), next);
     let begun = START + Duration::from_millis(50);
-    selector.first_event(&hanging, begun - next, begun);
-    selector.left(
+    selector.record_first_event(&hanging, begun - next, begun);
+    selector.record_outcome(
         &hanging,
         Class::Online,
-        Ending::Answered,
+        AttemptOutcome::Answered,
         true,
         begun - next,
         begun,
@@ -187,10 +194,10 @@
     assert!(!selector.has_overtaken("w0", next));
     let given_up = START + Duration::from_secs(2);
     let held = given_up - START;
-    selector.left(
+    selector.record_outcome(
         &hanging,
         Class::Online,
-        Ending::Withdrawn,
+        AttemptOutcome::Cancelled,
         false,
         held,
         given_up,
@@ -201,12 +208,12 @@
 #[test]
 fn told_load_counts_and_fades() {
     let mut selector = selector(2);
-    let full = ToldLoad {
+    let full = ReportedLoad {
         running: 8,
         waiting: 10,
         slots: 8,
     };
-    selector.told("w0", full, START);
+    selector.record_load("w0", full, START);
     assert!(selector.is_full("w0", START));
     assert_eq!(spread(&mut selector, 4, START).get("w0"), None);
     let later = START + Duration::from_secs(30);
@@ -239,8 +246,8 @@
     let demand = prompt(7, 1, 1);
     let chosen = first.choose("s", &demand, &[], START).expect("a worker");
     assert_eq!(chosen.missing_tokens, 10_500);
-    first.sent(&chosen, &demand, START);
-    second.sent_by_another(
+    first.record_send(&chosen, &demand, START);
+    second.record_peer_send(
         &chosen.incarnation,
         &demand.prompt,
         chosen.missing_tokens,
@@ -248,7 +255,7 @@
     );
     let waited = Duration::from_millis(300);
     let later = START + waited;
-    first.first_event(&chosen, waited, later);
+    first.record_first_event(&chosen, waited, later);
     for selector in [first, second] {
         let next = selector.choose("s", &prompt(7, 2, 2), &[], later);
         let next = next.expect("a worker");
@@ -262,12 +269,12 @@
     let mut selector = selector(4);
     let first = selector.choose("s", &prompt(7, 1, 1), &[], START);
     let home = first.expect("a worker").incarnation;
-    let full = ToldLoad {
+    let full = ReportedLoad {
         running: 8,
         waiting: 40,
         slots: 8,
     };
-    selector.told(&home, full, START);
+    selector.record_load(&home, full, START);
     let next = selector.choose("s", &prompt(7, 2, 2), &[], START);
     assert_ne!(next.expect("a worker").incarnation, home);
 }
@@ -275,14 +282,14 @@
 #[test]
 fn memory_holds_what_was_read_last() {
     let part = |id| PromptPart { id, tokens: 100 };
-    let mut memory = PromptMemory::new(1_000);
+    let mut memory = PrefixCacheEstimate::new(1_000);
     for id in 0..20 {
-        memory.touch(&[part(id)]);
+        memory.record_prompt(&[part(id)]);
     }
-    assert_eq!(memory.resident_tokens(&[part(19)]), 100);
-    assert_eq!(memory.resident_tokens(&[part(0)]), 0);
+    assert_eq!(memory.cached_tokens(&[part(19)]), 100);
+    assert_eq!(memory.cached_tokens(&[part(0)]), 0);
     // A part counts only if every part before it is held as well.
-    assert_eq!(memory.resident_tokens(&[part(0), part(19)]), 0);
+    assert_eq!(memory.cached_tokens(&[part(0), part(19)]), 0);
 }
 
 #[test]
@@ -292,12 +299,12 @@
         id: 7,
         tokens: 40_000,
     };
-    selector.sent_by_another("w0", &[part], 40_000, START);
+    selector.record_peer_send("w0", &[part], 40_000, START);
     for salt in 0..20 {
         let chosen = selector.choose("s", &demand(salt), &[], START);
         assert_eq!(chosen.expect("a worker").incarnation, "w1");
     }
-    let reading = selector.reading_time("s", 40_000);
+    let reading = selector.prefill_time("s", 40_000);
     let later = START + reading;
     let counts = spread(&mut selector, 20, later);
     assert!(counts.contains_key("w0"), "{counts:?}");
--- a/crates/swiftshunt-scheduler/tests/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/prompts.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use swiftshunt_scheduler::prompt_memory::PromptPart;
+use swiftshunt_scheduler::prefix_cache::PromptPart;
 use swiftshunt_scheduler::slots::book::{Book, NotPlaced, Placement, Question};
 use swiftshunt_scheduler::slots::prompts::Prompt;
 use swiftshunt_scheduler::slots::{Bid, CellWorker};
