--- a/crates/swiftshunt-gateway/src/starts.rs
+++ b/crates/swiftshunt-gateway/src/starts.rs
@@ -46,7 +46,7 @@
     beliefs: Arc<Beliefs>,
     metrics: Arc<Metrics>,
     clock: Clock,
-    permit_issuer: Mutex<PermitIssuer>,
+    issuer: Mutex<PermitIssuer>,
     asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     last_ask: AtomicU64,
 }
@@ -77,7 +77,7 @@
             beliefs,
             metrics,
             clock,
-            permit_issuer: Mutex::new(PermitIssuer::new(clock.now())),
+            issuer: Mutex::new(PermitIssuer::new(clock.now())),
             asks: Mutex::default(),
             last_ask: AtomicU64::new(0),
         }
@@ -181,9 +181,9 @@
         };
         let now = self.clock.now();
         let verdict = {
-            let mut permit_issuer = lock(&self.permit_issuer);
-            permit_issuer.settle_from(known_since);
-            permit_issuer.issue_permit(worker, &bound, rank, now)
+            let mut issuer = lock(&self.issuer);
+            issuer.settle_from(known_since);
+            issuer.issue_permit(worker, &bound, rank, now)
         };
         if verdict.is_ok() {
             self.metrics.starts_handed_out.inc();
--- a/crates/swiftshunt-scheduler/src/candidate.rs
+++ b/crates/swiftshunt-scheduler/src/candidate.rs
@@ -155,8 +155,8 @@
     }
 
     /// Another node sent a prompt that takes `reading` to read.
-    pub(crate) fn add_peer_prefill(&mut self, reading: Duration, now: Duration) {
-        self.peer_prefill_until = self.peer_prefill_until.max(now) + reading;
+    pub(crate) fn add_peer_prefill(&mut self, prefill: Duration, now: Duration) {
+        self.peer_prefill_until = self.peer_prefill_until.max(now) + prefill;
     }
 
     /// How long the worker still reads prompts that other nodes sent.
--- a/crates/swiftshunt-scheduler/src/observed.rs
+++ b/crates/swiftshunt-scheduler/src/observed.rs
@@ -47,9 +47,9 @@
         let Some(candidate) = self.candidates.get(incarnation) else {
             return;
         };
-        let reading = self.prefill_time(&candidate.entry.service, missing_tokens);
+        let prefill = self.prefill_time(&candidate.entry.service, missing_tokens);
         if let Some(candidate) = self.get_mut(incarnation) {
-            candidate.add_peer_prefill(reading, now);
+            candidate.add_peer_prefill(prefill, now);
             candidate.prefix_cache.record_prompt(prompt);
         }
     }
--- a/crates/swiftshunt-scheduler/tests/cold_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/cold_simulation.rs
@@ -47,7 +47,7 @@
     Wants { node: usize },
     /// A question reaches a keeper.
     Asks {
-        keeper: usize,
+        issuer: usize,
         node: usize,
         asked_at: u64,
     },
@@ -133,18 +133,18 @@
     }
 
     /// The keepers as a node sees them.
-    fn keepers(&self, seer: usize, now: u64) -> Vec<usize> {
+    fn issuers(&self, seer: usize, now: u64) -> Vec<usize> {
         let sights = self.sights[seer].iter().zip(&self.nodes);
         let seen = sights.filter(|(sight, _)| {
             let remembered = UNLISTED_NODE_TTL.as_micros() as u64;
             (sight.comes..sight.goes.saturating_add(remembered)).contains(&now)
         });
-        let keepers = permit_issuers(WORKER, seen.map(|(_, node)| node.address));
+        let issuers = permit_issuers(WORKER, seen.map(|(_, node)| node.address));
         let index = |address: &SocketAddr| {
             let mut nodes = self.nodes.iter();
             nodes.position(|node| node.address == *address)
         };
-        keepers.iter().filter_map(index).collect()
+        issuers.iter().filter_map(index).collect()
     }
 
     /// Ways are short but for some that are long.
@@ -162,17 +162,17 @@
         if !self.is_there(node, now) {
             return;
         }
-        for keeper in self.keepers(node, now) {
-            let is_cut = self.is_cut(node, now) || self.is_cut(keeper, now);
-            if keeper != node && (is_cut || self.random.random_bool(LOST)) {
+        for issuer in self.issuers(node, now) {
+            let is_cut = self.is_cut(node, now) || self.is_cut(issuer, now);
+            if issuer != node && (is_cut || self.random.random_bool(LOST)) {
                 continue;
             }
-            let way = if keeper == node { 0 } else { self.way() };
+            let way = if issuer == node { 0 } else { self.way() };
             let asked_at = now;
             self.add(
                 now + way,
                 Event::Asks {
-                    keeper,
+                    issuer,
                     node,
                     asked_at,
                 },
@@ -180,18 +180,18 @@
         }
     }
 
-    fn asks(&mut self, keeper: usize, node: usize, asked_at: u64, now: u64) {
-        if !self.is_there(keeper, now) {
+    fn asks(&mut self, issuer: usize, node: usize, asked_at: u64, now: u64) {
+        if !self.is_there(issuer, now) {
             return;
         }
         let rank = self
-            .keepers(keeper, now)
+            .issuers(issuer, now)
             .iter()
-            .position(|it| *it == keeper);
+            .position(|it| *it == issuer);
         let Some(rank) = rank else {
             return;
         };
-        let lives = &mut self.nodes[keeper];
+        let lives = &mut self.nodes[issuer];
         let life = lives.restarts.iter().filter(|at| **at <= now).count();
         if life != lives.lives {
             lives.lives = life;
@@ -203,7 +203,7 @@
         if handed_out.is_err() {
             return;
         }
-        let back = if keeper == node { 0 } else { self.way() };
+        let back = if issuer == node { 0 } else { self.way() };
         // It is sent at any moment of its life: at once, held up, or at its end.
         let life = START_PERMIT_TTL.as_micros() as u64;
         let held_up = match self.random.random_range(0..3) {
@@ -230,10 +230,10 @@
             match event {
                 Event::Wants { node } => self.wants(node, now),
                 Event::Asks {
-                    keeper,
+                    issuer,
                     node,
                     asked_at,
-                } => self.asks(keeper, node, asked_at, now),
+                } => self.asks(issuer, node, asked_at, now),
                 Event::Sends { asked_at } => self.sends(asked_at, now),
             }
         }
@@ -306,7 +306,7 @@
 #[test]
 fn what_the_bound_allows_is_used() {
     let bound = ColdBound::new(Duration::from_secs(3), 5.5, 1.5, 5.0);
-    let mut keepers = [
+    let mut issuers = [
         PermitIssuer::new(Duration::ZERO),
         PermitIssuer::new(Duration::ZERO),
     ];
@@ -314,8 +314,8 @@
     let mut sent = 0_u32;
     for step in 0..3_000 {
         let now = from + Duration::from_millis(step);
-        for (rank, keeper) in keepers.iter_mut().enumerate() {
-            sent += u32::from(keeper.issue_permit(WORKER, &bound, rank, now).is_ok());
+        for (rank, issuer) in issuers.iter_mut().enumerate() {
+            sent += u32::from(issuer.issue_permit(WORKER, &bound, rank, now).is_ok());
         }
     }
     let bears = 5.5 * 3.0;
@@ -332,15 +332,15 @@
     for bears in [1.0, 5.5, 20.0, 60.0] {
         for requests in [0.0, 2.0, 5.0, 12.0] {
             let bound = ColdBound::new(Duration::from_secs(3), bears, 1.5, requests);
-            let mut keepers = [
+            let mut issuers = [
                 PermitIssuer::new(Duration::ZERO),
                 PermitIssuer::new(Duration::ZERO),
             ];
             let mut handed_out = Vec::new();
             for step in 0..6_000 {
                 let now = Duration::from_secs(10) + Duration::from_millis(step);
-                for (rank, keeper) in keepers.iter_mut().enumerate() {
-                    while keeper.issue_permit(WORKER, &bound, rank, now).is_ok() {
+                for (rank, issuer) in issuers.iter_mut().enumerate() {
+                    while issuer.issue_permit(WORKER, &bound, rank, now).is_ok() {
                         handed_out.push(now);
                     }
                 }
