--- a/crates/swiftshunt-gateway/src/abandoned.rs
+++ b/crates/swiftshunt-gateway/src/abandon_guard.rs
@@ -1,24 +1,24 @@
 //! Callers that leave before their answer.
 
 use crate::attempt::Dispatcher;
-use crate::journey::Journey;
 use crate::metrics::RequestEnd;
+use crate::request_context::RequestContext;
 
 /// Counts a caller that left before its answer.
-pub(crate) struct Abandoned<'d> {
+pub(crate) struct AbandonGuard<'d> {
     dispatcher: &'d Dispatcher,
     route: String,
     id: String,
     answered: bool,
 }
 
-impl<'d> Abandoned<'d> {
+impl<'d> AbandonGuard<'d> {
     /// Counts from now on.
-    pub(crate) fn new(dispatcher: &'d Dispatcher, journey: &Journey) -> Self {
+    pub(crate) fn new(dispatcher: &'d Dispatcher, context: &RequestContext) -> Self {
         Self {
             dispatcher,
-            route: journey.route.name.clone(),
-            id: journey.id().to_owned(),
+            route: context.route.name.clone(),
+            id: context.id().to_owned(),
             answered: false,
         }
     }
@@ -29,7 +29,7 @@
     }
 }
 
-impl Drop for Abandoned<'_> {
+impl Drop for AbandonGuard<'_> {
     fn drop(&mut self) {
         let metrics = &self.dispatcher.metrics;
         metrics.in_flight.dec();
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -14,8 +14,8 @@
 use swiftshunt_scheduler::offers::Withheld;
 use swiftshunt_scheduler::selection::{Chosen, Demand, Ending};
 
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
+use crate::fleet_state::FleetState;
 use crate::in_flight::InFlight;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
@@ -29,7 +29,7 @@
 /// What every send needs.
 pub(crate) struct Dispatcher {
     pub(crate) protocol: Arc<dyn Protocol>,
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) fleet_state: Arc<FleetState>,
     pub(crate) upstream: Upstream,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) peers: Arc<Peers>,
@@ -73,7 +73,7 @@
     /// When the request is given up, on the gateway's clock.
     pub(crate) until: Duration,
     /// What the worker is told, if it is to be told a time.
-    pub(crate) told_until: Option<Duration>,
+    pub(crate) caller_deadline: Option<Duration>,
     /// Silence of the worker, on all requests of this gateway, after which the request is taken
     /// away from it; none if it may not go elsewhere.
     pub(crate) silence: Option<Duration>,
@@ -168,7 +168,7 @@
         let incarnation = &in_flight.chosen.incarnation;
         dispatcher
             .upstream
-            .give_back(incarnation, sender, facts.keep_alive, now);
+            .return_idle(incarnation, sender, facts.keep_alive, now);
     }
 
     /// Reads the whole body, up to `limit` bytes.
@@ -213,7 +213,7 @@
         let prompt = &outgoing.demand.prompt;
         let missing = chosen.missing_tokens;
         self.peers
-            .tell(&chosen.service, &chosen.incarnation, prompt, missing);
+            .notify_prompt(&chosen.service, &chosen.incarnation, prompt, missing);
         let sent = self.exchange(chosen, outgoing, last_event, patience);
         let outcome = tokio::select! {
             outcome = sent => outcome,
@@ -231,7 +231,7 @@
         let facts = self.protocol.answer(&head);
         let now = self.clock.now();
         if let Some(load) = facts.load {
-            let mut selector = self.beliefs.selector();
+            let mut selector = self.fleet_state.selector();
             selector.told(&chosen.incarnation, load, now);
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
@@ -266,7 +266,7 @@
             return None;
         }
         let now = self.clock.now();
-        self.upstream.saw_surplus(&chosen.incarnation, now);
+        self.upstream.require_single_use(&chosen.incarnation, now);
         log::warn!(request = outgoing.id.as_deref().unwrap_or(""),
             worker = chosen.incarnation.as_str(),
             answered = facts.request_id.as_deref().unwrap_or("");
@@ -286,7 +286,7 @@
         let start = Some(self.start(chosen, outgoing, None).await?);
         let resting = self
             .upstream
-            .take_resting(&chosen.incarnation, self.clock.now());
+            .take_idle(&chosen.incarnation, self.clock.now());
         if let Some(mut sender) = resting {
             let request = self.request(chosen, outgoing, last_event, patience);
             match sender.try_send_request(request).await {
@@ -331,14 +331,14 @@
         outgoing: &Outgoing,
         held: Option<Start>,
     ) -> Result<Start, SendFailure> {
-        let start = self.starts.take_or_keep(chosen, held).await;
+        let start = self.starts.ensure_permit(chosen, held).await;
         self.may_offer(chosen, outgoing)?;
         start.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
     }
 
     /// Whether the worker may still be offered the request: it was chosen a moment ago.
     fn may_offer(&self, chosen: &Chosen, outgoing: &Outgoing) -> Result<(), SendFailure> {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let offered = selector.may_offer(&chosen.incarnation, &outgoing.demand.residency);
         offered.map_err(|why| withheld(chosen, outgoing, why))
     }
@@ -354,7 +354,9 @@
         let now = self.clock.now();
         let facts = SendFacts {
             worker: &chosen.id,
-            deadline: patience.told_until.map(|until| until.saturating_sub(now)),
+            deadline: patience
+                .caller_deadline
+                .map(|until| until.saturating_sub(now)),
             last_event,
             identity: outgoing.subject.identity(),
         };
@@ -393,13 +395,13 @@
 
     /// Whether the worker has begun requests that were sent after `sent_at`.
     fn has_overtaken(&self, chosen: &Chosen, sent_at: Duration) -> bool {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         selector.has_overtaken(&chosen.incarnation, sent_at)
     }
 
     /// How long a worker has given no sign of life on any request of this gateway.
     pub(crate) fn silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
-        self.beliefs.selector().silence(incarnation, now)
+        self.fleet_state.selector().silence(incarnation, now)
     }
 }
 
--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -56,7 +56,7 @@
         if fit == Fit::Fits {
             return Ok(Some(job));
         }
-        if !self.dispatcher.job_regions.include_this() {
+        if !self.dispatcher.job_regions.includes_this_gateway() {
             let reason = "whether this job was taken before is not known here";
             return Err(plain(StatusCode::GATEWAY_TIMEOUT, reason));
         }
--- a/crates/swiftshunt-gateway/src/batch/appender.rs
+++ b/crates/swiftshunt-gateway/src/batch/appender.rs
@@ -12,8 +12,8 @@
 use swiftshunt_jobs::JobRecord;
 use swiftshunt_journal::{AppendOutcome, Log, Topic, frames};
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
 
--- a/crates/swiftshunt-gateway/src/batch/holdings.rs
+++ b/crates/swiftshunt-gateway/src/batch/holdings.rs
@@ -53,7 +53,7 @@
     }
 
     fn answer_call(&self, call: Call) {
-        let Some(configuration) = self.dispatcher.beliefs.configuration() else {
+        let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return;
         };
         let now = self.dispatcher.clock.now();
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -18,7 +18,7 @@
 
 use super::Batch;
 use crate::attempt::{Answer, Outgoing, Patience, SendFailure};
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::protocol::Identity;
 use crate::quarantine::{Held, Subject};
 use crate::running::ItemId;
@@ -85,7 +85,7 @@
         loop {
             let route = self
                 .dispatcher
-                .beliefs
+                .fleet_state
                 .configuration()
                 .and_then(|configuration| configuration.route(&spec.host, &spec.path).cloned());
             let Some(route) = route else {
@@ -111,15 +111,15 @@
             }
             output.is_held = false;
             let residency = self.residency_of(&route, spec.tenant.as_ref());
-            if !self.dispatcher.job_regions.may_send(&residency) {
+            if !self.dispatcher.job_regions.may_send_from_here(&residency) {
                 log::debug!(job = id.job.as_str(), item = item.id.as_str();
                     "an item may not be sent from here");
                 tokio::time::sleep(HELD_PAUSE).await;
                 continue;
             }
-            let service = self.dispatcher.beliefs.next_service(&route, &residency);
+            let service = self.dispatcher.fleet_state.next_service(&route, &residency);
             let needs = self.item_time.expected().saturating_sub(output.ran);
-            self.running.needs(id, needs);
+            self.running.set_remaining_time(id, needs);
             let times = ItemTimes { needs, ..times };
             let slots = &self.dispatcher.slots;
             let slot = slots.wait_for_slot(&service, times, &residency);
@@ -228,11 +228,11 @@
         output: &mut Output,
     ) -> Attempt {
         let item = outgoing.id.as_deref().unwrap_or("");
-        let interrupt = self.running.at_worker(id, Some(&chosen.incarnation));
+        let interrupt = self.running.set_worker(id, Some(&chosen.incarnation));
         let now = self.dispatcher.clock.now();
         let patience = Patience {
             until: now + LONGEST_ATTEMPT,
-            told_until: None,
+            caller_deadline: None,
             silence: Some(SILENCE),
         };
         let run = async {
@@ -256,7 +256,7 @@
             attempt = run => attempt,
             () = interrupt.cancelled() => Attempt::Interrupted,
         };
-        self.running.at_worker(id, None);
+        self.running.set_worker(id, None);
         if !matches!(attempt, Attempt::Whole) {
             log::info!(job = id.job.as_str(), item,
                 worker = chosen.incarnation.as_str(), attempt:? = attempt,
@@ -267,7 +267,7 @@
 
     /// Where the jobs of a tenant on a route may be handled, by the configuration in force.
     pub(super) fn residency_of(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
-        let configuration = self.dispatcher.beliefs.configuration();
+        let configuration = self.dispatcher.fleet_state.configuration();
         configuration.map_or_else(Residency::anywhere, |configuration| {
             configuration.residency_of(route, tenant)
         })
@@ -333,7 +333,7 @@
                 Attempt::Whole
             }
             Err(failure) => {
-                crate::relay::ends_by(&mut answer, &failure);
+                crate::relay::record_failure(&mut answer, &failure);
                 Attempt::BrokenOff
             }
         }
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -14,12 +14,12 @@
 
 use super::member::Member;
 use super::replay::Replay;
-use crate::beliefs::lock;
 use crate::clock::Clock;
-use crate::followed::Away;
+use crate::fleet_state::lock;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
+use crate::topic_follower::LogBackoff;
 
 /// Renewals within one lease.
 const RENEWALS: u32 = 3;
@@ -107,9 +107,9 @@
 
     /// Renews for as long as the process takes work, and has what is held followed.
     pub(crate) async fn keep(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics) {
-        let mut away = Away::new("leases", 0);
+        let mut away = LogBackoff::new("leases", 0);
         while !self.left.is_cancelled() {
-            if !regions.include_this() {
+            if !regions.includes_this_gateway() {
                 self.stand_aside().await;
                 metrics.leased_partitions.set(0);
                 replay.hold(&BTreeSet::new());
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -30,7 +30,7 @@
 use crate::attempt::Dispatcher;
 use crate::members::Members;
 use crate::protocol::Call;
-use crate::running::Running;
+use crate::running::RunningItems;
 use crate::settings::GatewaySettings;
 use crate::unreadable::UnreadableRecords;
 use crate::waiting_limits::WaitingLimits;
@@ -66,7 +66,7 @@
     region_readers: Arc<RegionReaders>,
     region_pages: Arc<RegionPages>,
     results: Results,
-    running: Arc<Running>,
+    running: Arc<RunningItems>,
     waiting_limits: Arc<WaitingLimits>,
     item_time: ItemTime,
     stops: CancellationToken,
@@ -78,7 +78,7 @@
         settings: Arc<GatewaySettings>,
         log: Arc<dyn Log>,
         members: Arc<Members>,
-        running: Arc<Running>,
+        running: Arc<RunningItems>,
         waiting_limits: Arc<WaitingLimits>,
         unreadable: Arc<UnreadableRecords>,
     ) -> Self {
@@ -165,7 +165,7 @@
         head: &request::Parts,
         tenant: Option<&TenantName>,
     ) -> CallerAnswer {
-        let call = call.of_tenant(tenant);
+        let call = call.for_tenant(tenant);
         let Some((job, wait)) = call.job() else {
             return plain(StatusCode::NOT_FOUND, "no such call");
         };
@@ -174,7 +174,7 @@
             Call::JobEnd { .. } => intake::APPEND_TIME,
             _ => wait,
         };
-        if !self.dispatcher.job_regions.include_this() {
+        if !self.dispatcher.job_regions.includes_this_gateway() {
             return self.answer_outside(partition, head, tenant, wait).await;
         }
         if !self.leases.holds(partition) && !self.replay.is_followed(partition) {
@@ -219,7 +219,7 @@
 
     /// Answers a gateway that asks for a page of a partition.
     pub(crate) async fn answer_page(&self, request: Request<Incoming>) -> CallerAnswer {
-        if self.dispatcher.job_regions.exclude_this() {
+        if self.dispatcher.job_regions.excludes_this_gateway() {
             let reason = "jobs may not be handled here";
             return plain(StatusCode::SERVICE_UNAVAILABLE, reason);
         }
@@ -229,11 +229,12 @@
     /// Answers a call that another gateway passed on; one that does not run the job's partition
     /// says so, unless it is asked to read it.
     pub(crate) async fn answer_peer(&self, call: Call, headers: &HeaderMap) -> CallerAnswer {
-        let call = call.of_tenant(owners::tenant_of(headers).as_ref());
+        let call = call.for_tenant(owners::tenant_of(headers).as_ref());
         let held = call
             .job()
             .is_some_and(|(job, _)| self.leases.holds(self.replay.partition_of(job)));
-        let reads = owners::asks_a_reader(headers) && !self.dispatcher.job_regions.exclude_this();
+        let reads =
+            owners::asks_a_reader(headers) && !self.dispatcher.job_regions.excludes_this_gateway();
         if held || reads {
             self.answer_here(call).await
         } else {
--- a/crates/swiftshunt-gateway/src/batch/outside.rs
+++ b/crates/swiftshunt-gateway/src/batch/outside.rs
@@ -52,7 +52,7 @@
         residency: &Residency,
         time_left: Duration,
     ) -> Option<CallerAnswer> {
-        if self.dispatcher.job_regions.may_take(residency) {
+        if self.dispatcher.job_regions.may_accept(residency) {
             return None;
         }
         log::warn!(route = route.name.as_str(), residency:? = residency;
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -15,8 +15,8 @@
 
 use super::member::Member;
 use crate::answers::{CallerAnswer, end_to_end, whole};
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::peer_http::{self, PeerClient};
 
 /// Age from which what is known of the owners is read anew.
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -23,8 +23,8 @@
 
 use super::region_readers::RegionReaders;
 use crate::answers::{CallerAnswer, plain};
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
 
 /// Where gateways take calls for pages from each other.
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -10,8 +10,8 @@
 
 use swiftshunt_scheduler::readers::{RegionReader, region_readers};
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::members::Members;
 
 /// Gateways that are asked for one thing: one that ended refuses at once, and is passed over from then on.
@@ -56,13 +56,13 @@
         }
         let now = self.clock.now();
         let doubted_until = lock(&self.doubted_until);
-        let is_in_doubt = |gateway| {
+        let is_suspected = |gateway| {
             let until = doubted_until.get(&gateway);
             until.is_some_and(|until| now < *until)
         };
         let region = self.members.of_own_region();
         let own = self.members.own();
-        region_readers(&partition, own, region, is_in_doubt, MOST_ASKED)
+        region_readers(&partition, own, region, is_suspected, MOST_ASKED)
     }
 
     /// A reader did not answer.
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -14,11 +14,11 @@
 use tokio::sync::{Notify, watch};
 
 use super::region_pages::{PageCall, RegionPages};
-use crate::beliefs::lock;
 use crate::clock::Clock;
-use crate::followed::Away;
+use crate::fleet_state::lock;
 use crate::listing::Listing;
 use crate::settings::GatewaySettings;
+use crate::topic_follower::LogBackoff;
 use crate::unreadable::UnreadableRecords;
 
 /// How long a read of the tail waits for a record, where items run here and elsewhere.
@@ -202,7 +202,7 @@
 
     /// Follows a partition for as long as the process lives, while it is wanted.
     pub(crate) async fn follow(&self, partition: u32) {
-        let mut away = Away::new("journal partition", partition);
+        let mut away = LogBackoff::new("journal partition", partition);
         let mut listing = Listing::default();
         loop {
             if !self.is_wanted(partition) {
@@ -336,7 +336,7 @@
                     log::debug!(partition, effect:? = effect; "a journal record was applied");
                 }
                 Ok(None) => {}
-                Err(error) => self.unreadable.passed_over(Topic::Jobs, &key, &error),
+                Err(error) => self.unreadable.record_unreadable(Topic::Jobs, &key, &error),
             }
         }
         self.tell(partition);
--- a/crates/swiftshunt-gateway/src/batch/results.rs
+++ b/crates/swiftshunt-gateway/src/batch/results.rs
@@ -9,7 +9,7 @@
 
 use super::Batch;
 use super::appender::Appended;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 
 /// Pause between writes, so that results that come together are written together.
 const GATHER: Duration = Duration::from_millis(100);
--- a/crates/swiftshunt-gateway/src/batch/runner.rs
+++ b/crates/swiftshunt-gateway/src/batch/runner.rs
@@ -83,7 +83,7 @@
         let now = self.dispatcher.clock.now();
         let unix_ms = Clock::unix_ms();
         let mut waiting = Vec::new();
-        let Some(configuration) = self.dispatcher.beliefs.configuration() else {
+        let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return waiting;
         };
         for partition in held.iter().copied() {
@@ -135,7 +135,7 @@
 
     /// Whether one more item of a service may look for a slot from here: as many as it has slots.
     fn may_start(&self, service: &str) -> bool {
-        let slots = self.dispatcher.beliefs.selector().slots(service) as usize;
+        let slots = self.dispatcher.fleet_state.selector().slots(service) as usize;
         self.running.count(service) < slots.max(1)
     }
 
--- a/crates/swiftshunt-gateway/src/datagrams.rs
+++ b/crates/swiftshunt-gateway/src/datagrams.rs
@@ -42,7 +42,7 @@
                 Ok(bytes) => {
                     self.metrics.notices_sent.inc();
                     let distance = self.members.distance_to(gateway);
-                    self.metrics.traffic.carried(content, distance, bytes);
+                    self.metrics.traffic.count_bytes(content, distance, bytes);
                 }
                 Err(_) => drop(self.metrics.notices_dropped.inc()),
             }
--- a/crates/swiftshunt-gateway/src/directory_news.rs
+++ b/crates/swiftshunt-gateway/src/directory_summary.rs
@@ -33,7 +33,7 @@
 
 /// What a reading changed.
 #[derive(Default)]
-pub(crate) struct DirectoryNews {
+pub(crate) struct DirectorySummary {
     ready: Turned,
     leaving: Turned,
     gone: Turned,
@@ -42,7 +42,7 @@
     offset: u64,
 }
 
-impl DirectoryNews {
+impl DirectorySummary {
     /// A worker is new, or its availability or address is.
     pub(crate) fn listed(&mut self, incarnation: &str, availability: Availability, offset: u64) {
         self.offset = self.offset.max(offset);
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -21,16 +21,16 @@
 };
 use swiftshunt_scheduler::selection::{Class, Demand};
 
-use crate::abandoned::Abandoned;
+use crate::abandon_guard::AbandonGuard;
 use crate::answers::{self, CallerAnswer, end_to_end, not_run, plain, too_many};
 use crate::attempt::Outgoing;
 use crate::batch::Submission;
-use crate::journey::Journey;
 use crate::metrics::Refusal;
 use crate::online::Online;
 use crate::protocol::{Call, Identity, RequestFacts};
 use crate::quarantine::Subject;
 use crate::rates::Refused;
+use crate::request_context::RequestContext;
 
 /// A request whose route and caller are known.
 struct Entered {
@@ -53,7 +53,7 @@
     /// Answers one request of a caller.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> CallerAnswer {
         let arrived = self.dispatcher.clock.now();
-        let Some(configuration) = self.dispatcher.beliefs.configuration() else {
+        let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return self.refuse_to_start(arrived);
         };
         let (head, body) = request.into_parts();
@@ -80,10 +80,10 @@
             return self.refuse_by_limit(&entered, tenant, refused);
         }
         let tenant = entered.caller.tenant().cloned();
-        let journey = self.journey(entered, body, configuration.version);
+        let context = self.context(entered, body, configuration.version);
         self.dispatcher.metrics.in_flight.inc();
-        let guard = Abandoned::new(&self.dispatcher, &journey);
-        let (answer, ran) = self.travel(journey).await;
+        let guard = AbandonGuard::new(&self.dispatcher, &context);
+        let (answer, ran) = self.serve(context).await;
         guard.answered();
         if let Some(tenant) = tenant.filter(|_| !ran) {
             self.rates.give_back(&tenant);
@@ -161,7 +161,7 @@
         self.dispatcher.metrics.key_rejected(rejected);
         let facts = self.dispatcher.protocol.request(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
-        let since = self.dispatcher.beliefs.confirmed_at();
+        let since = self.dispatcher.fleet_state.confirmed_at();
         let age = self.dispatcher.clock.now().saturating_sub(since);
         log::info!(request, path = head.uri.path(), reason:% = rejected, version,
             confirmed_ms_ago = age.as_millis() as u64; "a caller's key is not taken");
@@ -176,7 +176,7 @@
         let within = self.strict_within?;
         let tenant = caller.tenant()?;
         let now = self.dispatcher.clock.now();
-        let age = now.saturating_sub(self.dispatcher.beliefs.confirmed_at());
+        let age = now.saturating_sub(self.dispatcher.fleet_state.confirmed_at());
         if age <= within {
             return None;
         }
@@ -239,7 +239,7 @@
         self.batch.submit(submission).await
     }
 
-    fn journey(&self, entered: Entered, body: Bytes, bound_by: u64) -> Journey {
+    fn context(&self, entered: Entered, body: Bytes, bound_by: u64) -> RequestContext {
         let until = entered.until();
         let Entered {
             route,
@@ -249,7 +249,7 @@
             arrived,
         } = entered;
         let residency = Configuration::residency(&route, &caller);
-        let service = self.dispatcher.beliefs.next_service(&route, &residency);
+        let service = self.dispatcher.fleet_state.next_service(&route, &residency);
         let mut headers = end_to_end(&head.headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove("expect");
@@ -269,7 +269,7 @@
             subject: Subject::new(identity, &route.host, head.method, target, body),
             permit: SendPermit::always(),
         };
-        Journey {
+        RequestContext {
             route,
             service,
             bound_by,
--- a/crates/swiftshunt-gateway/src/emptying.rs
+++ b/crates/swiftshunt-gateway/src/evacuation_monitor.rs
@@ -9,31 +9,31 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
+use crate::fleet_state::FleetState;
 use crate::metrics::Metrics;
-use crate::running::Running;
+use crate::running::RunningItems;
 
 /// Pause between looks; an item of this gateway leaves at each of them at most.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Looks after evacuated zones.
-pub(crate) struct Emptying {
-    pub(crate) beliefs: Arc<Beliefs>,
-    pub(crate) running: Arc<Running>,
+pub(crate) struct EvacuationMonitor {
+    pub(crate) fleet_state: Arc<FleetState>,
+    pub(crate) running: Arc<RunningItems>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
     /// How long items run on in an evacuated zone.
     pub(crate) items_leave_after: Duration,
 }
 
-impl Emptying {
+impl EvacuationMonitor {
     /// Looks for as long as the process lives.
-    pub(crate) async fn keep(self) {
+    pub(crate) async fn run(self) {
         let mut before = BTreeMap::new();
         loop {
             tokio::time::sleep(LOOK_INTERVAL).await;
-            let zones = self.beliefs.selector().evacuated_zones();
+            let zones = self.fleet_state.selector().evacuated_zones();
             if !zones.is_empty() {
                 self.have_an_item_leave();
             }
@@ -58,7 +58,7 @@
     }
 
     fn items_left(&self, now: Duration) -> BTreeSet<String> {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         selector.left_by_items(self.items_leave_after, now)
     }
 }
--- a/crates/swiftshunt-gateway/src/events.rs
+++ b/crates/swiftshunt-gateway/src/events.rs
@@ -4,14 +4,14 @@
 
 /// Holds back what is not yet a whole event.
 #[derive(Debug, Default)]
-pub(crate) struct EventBorders {
+pub(crate) struct EventFramer {
     pending: BytesMut,
     last_id: Option<u64>,
 }
 
-impl EventBorders {
+impl EventFramer {
     /// Takes bytes; gives all whole events that are there now.
-    pub(crate) fn take(&mut self, bytes: &[u8]) -> Bytes {
+    pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let Some(end) = last_border(&self.pending) else {
             return Bytes::new();
@@ -29,12 +29,12 @@
     }
 
     /// Drops what a broken stream left behind.
-    pub(crate) fn drop_partial(&mut self) {
+    pub(crate) fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
     /// What stands behind the last border when a stream ends as complete.
-    pub(crate) fn rest(&mut self) -> Bytes {
+    pub(crate) fn take_remainder(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
--- a/crates/swiftshunt-gateway/src/followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -9,15 +9,15 @@
 use swiftshunt_scheduler::directory::WorkerEntry;
 use swiftshunt_scheduler::listed::Unlisted;
 
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
-use crate::directory_news::DirectoryNews;
-use crate::followed::{Away, Followed, Pace};
+use crate::directory_summary::DirectorySummary;
+use crate::fleet_state::FleetState;
 use crate::metrics::Metrics;
 use crate::protocol::{OperatorRecord, Protocol};
 use crate::quarantine::Quarantine;
 use crate::settings::DirectorySettings;
 use crate::tails::Tails;
+use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 use crate::unreadable::UnreadableRecords;
 
 /// Part of the time within which a change must be in force for which a change of the directory
@@ -31,10 +31,10 @@
 const LAPSED_WITHIN_OBEDIENCE: f64 = 0.9;
 
 /// Keeps the beliefs of a gateway up to date.
-pub(crate) struct Followers {
+pub(crate) struct FleetFollowers {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) protocol: Arc<dyn Protocol>,
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) fleet_state: Arc<FleetState>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) unreadable: Arc<UnreadableRecords>,
     pub(crate) quarantine: Arc<Quarantine>,
@@ -42,19 +42,19 @@
     pub(crate) clock: Clock,
 }
 
-impl Followers {
+impl FleetFollowers {
     /// Follows the configuration for as long as the process lives.
     pub(crate) async fn follow_configuration(self: Arc<Self>, obey_within: Duration) {
         let shared = self.tails.shared(Topic::Configuration, |_| true);
-        let mut followed = Followed::new(Topic::Configuration, self.clock).sharing(shared);
-        let mut away = Away::new("configuration", 0);
-        let pace = Pace::obeying(obey_within);
+        let mut follower = TopicFollower::new(Topic::Configuration, self.clock).sharing(shared);
+        let mut away = LogBackoff::new("configuration", 0);
+        let pace = TailTiming::for_propagation_limit(obey_within);
         loop {
-            let changes = followed.changes(self.log.as_ref(), pace).await;
+            let changes = follower.changes(self.log.as_ref(), pace).await;
             self.count(&changes);
             away.pause(&changes).await;
             if changes.is_ok() {
-                self.beliefs.confirm(self.clock.now());
+                self.fleet_state.confirm(self.clock.now());
             }
             let mut changes = changes.unwrap_or_default();
             // A gateway that starts serves from its first configuration on: by then it knows what is evacuated.
@@ -91,13 +91,13 @@
     }
 
     fn evacuate(&self, zone: &str) {
-        if self.beliefs.selector().evacuate(zone, self.clock.now()) {
+        if self.fleet_state.selector().evacuate(zone, self.clock.now()) {
             log::warn!(zone; "a zone is evacuated: its workers get nothing new");
         }
     }
 
     fn withdraw_evacuation(&self, zone: &str) {
-        let mut selector = self.beliefs.selector();
+        let mut selector = self.fleet_state.selector();
         if selector.withdraw_evacuation(zone, self.clock.now()) {
             log::warn!(zone; "the evacuation of a zone is withdrawn");
         }
@@ -109,17 +109,17 @@
             Ok(None) => return,
             Err(error) => {
                 let topic = Topic::Configuration;
-                return self.unreadable.passed_over(topic, key, &error);
+                return self.unreadable.record_unreadable(topic, key, &error);
             }
         };
-        self.unreadable.is_over(Topic::Configuration, key);
+        self.unreadable.mark_readable(Topic::Configuration, key);
         let version = configuration.version;
         if let Err(error) = configuration.validate() {
             log::error!(version; "a configuration is not taken: {error}");
             return;
         }
         let routes = configuration.routes.len();
-        let installed = self.beliefs.install(configuration);
+        let installed = self.fleet_state.install(configuration);
         if installed == Installed::Taken {
             self.metrics.configuration_version.set(version as i64);
         }
@@ -131,23 +131,23 @@
         let followers = Arc::clone(&self);
         let is_news = move |record: &KeyedRecord| followers.is_news(record);
         let shared = self.tails.shared(Topic::Workers, is_news);
-        let mut followed = Followed::new(Topic::Workers, self.clock).sharing(shared);
-        let mut away = Away::new("directory", 0);
-        let pace = Pace::obeying(settings.obey_within);
+        let mut follower = TopicFollower::new(Topic::Workers, self.clock).sharing(shared);
+        let mut away = LogBackoff::new("directory", 0);
+        let pace = TailTiming::for_propagation_limit(settings.obey_within);
         let gather = settings.obey_within / GATHERINGS_WITHIN_OBEDIENCE;
         let lapse = LISTED_AGAIN_WITHIN.min(settings.obey_within.mul_f64(LAPSED_WITHIN_OBEDIENCE));
         loop {
-            let changes = followed.changes(self.log.as_ref(), pace).await;
+            let changes = follower.changes(self.log.as_ref(), pace).await;
             self.count(&changes);
             away.pause(&changes).await;
             if let Ok(changes) = changes {
-                let returned_at = followed.returned_at();
+                let returned_at = follower.returned_at();
                 let lapses_until = returned_at.map_or(Duration::ZERO, |at| at + lapse);
-                if !followed.came_from_a_reader() {
+                if !follower.came_from_a_reader() {
                     self.quarantine.renewed(&self.renewed(&changes));
                 }
                 self.take_workers(changes, lapses_until);
-                if !followed.came_from_a_reader() {
+                if !follower.came_from_a_reader() {
                     tokio::time::sleep(gather).await;
                 }
             }
@@ -158,7 +158,7 @@
     fn is_news(&self, record: &KeyedRecord) -> bool {
         match self.protocol.worker(&record.key, &record.value) {
             Ok(entry) => {
-                let selector = self.beliefs.selector();
+                let selector = self.fleet_state.selector();
                 selector.is_news(&entry) || selector.is_colder(&entry, self.clock.now())
             }
             // Each gateway that takes it has to know once that it names no worker.
@@ -168,7 +168,7 @@
 
     /// Workers that have written their entries anew in the life that is known.
     fn renewed(&self, changes: &[Change]) -> Vec<String> {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let entries = changes.iter().filter_map(|change| match change {
             Change::Set(record) => self.protocol.worker(&record.key, &record.value).ok(),
             Change::Dropped(_) => None,
@@ -182,8 +182,8 @@
     /// Takes workers as gone whose entries lapsed and are not back in time.
     async fn end_lapse(self: Arc<Self>, until: Duration) {
         tokio::time::sleep(until.saturating_sub(self.clock.now())).await;
-        let gone = self.beliefs.selector().remove_lapsed(self.clock.now());
-        let mut news = DirectoryNews::default();
+        let gone = self.fleet_state.selector().remove_lapsed(self.clock.now());
+        let mut news = DirectorySummary::default();
         self.quarantine.departed(&gone);
         news.unlisted(&Unlisted {
             gone,
@@ -197,12 +197,12 @@
         entry: WorkerEntry,
         offset: u64,
         now: Duration,
-        news: &mut DirectoryNews,
+        news: &mut DirectorySummary,
     ) {
         let id = entry.life.id.clone();
         let (address, availability) = (entry.address, entry.availability);
         let (before, listed) = {
-            let mut selector = self.beliefs.selector();
+            let mut selector = self.fleet_state.selector();
             let before = selector.incarnation(&id).map(str::to_owned);
             let has_changed = selector.apply(entry, now);
             let incarnation = selector.incarnation(&id).filter(|_| has_changed);
@@ -224,31 +224,32 @@
     /// Takes what a reading changed; entries that are missing before `lapses_until` may have lapsed.
     fn take_workers(self: &Arc<Self>, changes: Vec<Change>, lapses_until: Duration) {
         let now = self.clock.now();
-        let mut news = DirectoryNews::default();
+        let mut news = DirectorySummary::default();
         let mut unlisted = BTreeSet::new();
         for change in changes {
             match change {
                 Change::Set(record) => match self.protocol.worker(&record.key, &record.value) {
                     Ok(entry) => {
-                        self.unreadable.is_over(Topic::Workers, &record.key);
+                        self.unreadable.mark_readable(Topic::Workers, &record.key);
                         unlisted.remove(&entry.life.id);
                         self.take_worker(entry, record.offset, now, &mut news);
                     }
                     Err(error) => {
                         // It names no worker to use: neither itself nor the one that it has replaced.
                         let topic = Topic::Workers;
-                        self.unreadable.passed_over(topic, &record.key, &error);
+                        self.unreadable
+                            .record_unreadable(topic, &record.key, &error);
                         unlisted.insert(String::from_utf8_lossy(&record.key).into_owned());
                     }
                 },
                 Change::Dropped(key) => {
-                    self.unreadable.is_over(Topic::Workers, &key);
+                    self.unreadable.mark_readable(Topic::Workers, &key);
                     unlisted.insert(String::from_utf8_lossy(&key).into_owned());
                 }
             }
         }
         let lapses_until = (now < lapses_until).then_some(lapses_until);
-        let unlisted = self.beliefs.selector().unlist(&unlisted, lapses_until);
+        let unlisted = self.fleet_state.selector().unlist(&unlisted, lapses_until);
         self.quarantine.departed(&unlisted.gone);
         news.unlisted(&unlisted);
         if let Some(until) = lapses_until.filter(|_| !unlisted.lapsed.is_empty()) {
--- a/crates/swiftshunt-gateway/src/beliefs.rs
+++ b/crates/swiftshunt-gateway/src/fleet_state.rs
@@ -12,7 +12,7 @@
 use crate::settings::ColdSettings;
 
 /// Shared beliefs.
-pub(crate) struct Beliefs {
+pub(crate) struct FleetState {
     cold: ColdSettings,
     versioned: Mutex<Versioned>,
     current: watch::Sender<Option<Arc<Configuration>>>,
@@ -24,7 +24,7 @@
     pub(crate) load_changed: Notify,
 }
 
-impl Beliefs {
+impl FleetState {
     pub(crate) fn new(selector: Selector, cold: ColdSettings) -> Self {
         Self {
             cold,
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -13,21 +13,21 @@
 
 use crate::attempt::Dispatcher;
 use crate::batch::Batch;
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
-use crate::emptying::Emptying;
-use crate::followers::Followers;
+use crate::evacuation_monitor::EvacuationMonitor;
+use crate::fleet_followers::FleetFollowers;
+use crate::fleet_state::FleetState;
 use crate::job_regions::JobRegions;
 use crate::log_relay::RelayedLog;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::online::Online;
-use crate::peers::{Peers, Receivers};
+use crate::peers::{NoticeHandlers, Peers};
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
 use crate::rates::Rates;
-use crate::running::Running;
+use crate::running::RunningItems;
 use crate::server::{Stop, listen, serve_callers, serve_metrics, serve_peers, serve_ready};
 use crate::settings::{GatewaySettings, StopSettings};
 use crate::slots::Slots;
@@ -106,7 +106,7 @@
         let metrics = Arc::new(Metrics::new());
         let topology = settings.topology().map_err(StartError::Topology)?;
         let selector = Selector::at(topology.clone());
-        let beliefs = Arc::new(Beliefs::new(selector, settings.cold));
+        let fleet_state = Arc::new(FleetState::new(selector, settings.cold));
         let notices = bind_datagrams(peers_address).map_err(|source| StartError::Listen {
             field: "listen.peers",
             address: peers_address,
@@ -123,12 +123,15 @@
             Arc::clone(&datagrams),
             Arc::clone(&members),
             &settings.gateways.seeds,
-            Arc::clone(&beliefs),
+            Arc::clone(&fleet_state),
             Arc::clone(&metrics),
             Arc::clone(&unreadable),
             clock,
         ));
-        let job_regions = Arc::new(JobRegions::new(Arc::clone(&beliefs), Arc::clone(&members)));
+        let job_regions = Arc::new(JobRegions::new(
+            Arc::clone(&fleet_state),
+            Arc::clone(&members),
+        ));
         let log = CountedLog::new(log, metrics.traffic.clone());
         let relayed = Arc::new(RelayedLog::new(
             Arc::new(log),
@@ -146,7 +149,7 @@
             relayed.is_away(),
             clock,
         ));
-        let running = Arc::new(Running::default());
+        let running = Arc::new(RunningItems::default());
         let waiting_limits = Arc::new(WaitingLimits::new(Surroundings {
             log: Arc::clone(&log),
             members: Arc::clone(&members),
@@ -167,7 +170,7 @@
             Arc::clone(&log),
             Arc::clone(&members),
             Arc::clone(&datagrams),
-            Arc::clone(&beliefs),
+            Arc::clone(&fleet_state),
             Arc::clone(&metrics),
             Arc::clone(&unreadable),
             clock,
@@ -175,14 +178,14 @@
         let starts = Arc::new(Starts::new(
             Arc::clone(&members),
             Arc::clone(&datagrams),
-            Arc::clone(&beliefs),
+            Arc::clone(&fleet_state),
             Arc::clone(&metrics),
             clock,
         ));
         let slots = Arc::new(Slots::new(
             Arc::clone(&members),
             datagrams,
-            Arc::clone(&beliefs),
+            Arc::clone(&fleet_state),
             Arc::clone(&running),
             Arc::clone(&metrics),
             clock,
@@ -190,7 +193,7 @@
         ));
         let dispatcher = Arc::new(Dispatcher {
             protocol: Arc::clone(&protocol),
-            beliefs: Arc::clone(&beliefs),
+            fleet_state: Arc::clone(&fleet_state),
             upstream: Upstream::default(),
             metrics: Arc::clone(&metrics),
             peers: Arc::clone(&others),
@@ -216,10 +219,10 @@
             late_line: tokio::sync::Mutex::default(),
             strict_within: settings.tenants.strict_within(),
         });
-        let followers = Arc::new(Followers {
+        let fleet_followers = Arc::new(FleetFollowers {
             log: Arc::clone(&log),
             protocol: Arc::clone(&protocol),
-            beliefs: Arc::clone(&beliefs),
+            fleet_state: Arc::clone(&fleet_state),
             metrics: Arc::clone(&metrics),
             unreadable: Arc::clone(&unreadable),
             quarantine: Arc::clone(&quarantine),
@@ -231,23 +234,23 @@
         let ready_address = ready.local_addr().unwrap_or(settings.listen.ready);
         let directory = settings.directory.clone();
         let obey_operators = directory.obey_within.min(settings.evacuation.obey_within);
-        let emptying = Emptying {
-            beliefs: Arc::clone(&beliefs),
+        let evacuation_monitor = EvacuationMonitor {
+            fleet_state: Arc::clone(&fleet_state),
             running: Arc::clone(&running),
             metrics: Arc::clone(&metrics),
             clock,
             items_leave_after: settings.evacuation.items_leave_after,
         };
         let mut tasks = vec![
-            tokio::spawn(Arc::clone(&followers).follow_configuration(obey_operators)),
-            tokio::spawn(followers.follow_directory(directory)),
+            tokio::spawn(Arc::clone(&fleet_followers).follow_configuration(obey_operators)),
+            tokio::spawn(fleet_followers.follow_directory(directory)),
             tokio::spawn(serve_callers(
                 callers,
                 online,
-                Arc::clone(&beliefs),
+                Arc::clone(&fleet_state),
                 stop.clone(),
             )),
-            tokio::spawn(serve_ready(ready, Arc::clone(&beliefs), stop.clone())),
+            tokio::spawn(serve_ready(ready, Arc::clone(&fleet_state), stop.clone())),
             tokio::spawn(serve_peers(
                 peers,
                 Arc::clone(&protocol),
@@ -256,7 +259,7 @@
                 Arc::clone(&tails),
             )),
             tokio::spawn(relayed.probe()),
-            tokio::spawn(Arc::clone(&others).listen(Receivers {
+            tokio::spawn(Arc::clone(&others).listen(NoticeHandlers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
                 rates: Arc::clone(&rates),
@@ -272,7 +275,7 @@
             tokio::spawn(Arc::clone(&others).keep_listed(Arc::clone(&log))),
             tokio::spawn(Arc::clone(&others).follow(Arc::clone(&log))),
             tokio::spawn(sweep(dispatcher)),
-            tokio::spawn(emptying.keep()),
+            tokio::spawn(evacuation_monitor.run()),
         ];
         if let Some(listener) = metrics_listener {
             tasks.push(tokio::spawn(serve_metrics(listener, metrics)));
@@ -354,9 +357,9 @@
         if late >= STANDSTILL {
             log::warn!(late_ms = late.as_millis() as u64; "this process stood still");
         }
-        let beliefs = &dispatcher.beliefs;
-        dispatcher
-            .upstream
-            .sweep(now, |incarnation| beliefs.selector().is_ready(incarnation));
+        let fleet_state = &dispatcher.fleet_state;
+        dispatcher.upstream.close_expired(now, |incarnation| {
+            fleet_state.selector().is_ready(incarnation)
+        });
     }
 }
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -7,15 +7,15 @@
 use swiftshunt_topology::Distance;
 
 use crate::attempt::{Dispatcher, Outgoing};
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
+use crate::fleet_state::FleetState;
 use crate::quarantine::{Quarantine, Subject};
 use crate::slots::Slots;
 use crate::traffic::{Content, Traffic};
 
 /// A request at a worker. Dropping it tells the view of the workers.
 pub(crate) struct InFlight {
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     slots: Arc<Slots>,
     quarantine: Arc<Quarantine>,
     pub(crate) subject: Subject,
@@ -34,16 +34,16 @@
         let now = dispatcher.clock.now();
         let demand = &outgoing.demand;
         let distance = {
-            let mut selector = dispatcher.beliefs.selector();
+            let mut selector = dispatcher.fleet_state.selector();
             selector.sent(chosen, demand, now);
             selector.distance_to(&chosen.zone)
         };
         let traffic = dispatcher.metrics.traffic.clone();
         let body = outgoing.subject.body().len();
-        traffic.carried(Content::Requests, distance, body);
-        dispatcher.beliefs.load_changed.notify_one();
+        traffic.count_bytes(Content::Requests, distance, body);
+        dispatcher.fleet_state.load_changed.notify_one();
         Self {
-            beliefs: Arc::clone(&dispatcher.beliefs),
+            fleet_state: Arc::clone(&dispatcher.fleet_state),
             slots: Arc::clone(&dispatcher.slots),
             quarantine: Arc::clone(&dispatcher.quarantine),
             subject: outgoing.subject.clone(),
@@ -61,7 +61,7 @@
     /// Bytes of the answer came.
     pub(crate) fn heard(&mut self) {
         let now = self.clock.now();
-        let mut selector = self.beliefs.selector();
+        let mut selector = self.fleet_state.selector();
         if self.had_first_event {
             selector.heard(&self.chosen.incarnation, now);
             return;
@@ -72,7 +72,8 @@
 
     /// So many bytes of the answer came.
     pub(crate) fn received(&self, bytes: usize) {
-        self.traffic.carried(Content::Answers, self.distance, bytes);
+        self.traffic
+            .count_bytes(Content::Answers, self.distance, bytes);
     }
 
     /// How the request leaves the worker, unless it is dropped before this.
@@ -85,7 +86,7 @@
     fn drop(&mut self) {
         let now = self.clock.now();
         let held = now.saturating_sub(self.sent_at);
-        self.beliefs.selector().left(
+        self.fleet_state.selector().left(
             &self.chosen,
             self.class,
             self.ending,
@@ -93,7 +94,7 @@
             held,
             now,
         );
-        self.beliefs.load_changed.notify_one();
+        self.fleet_state.load_changed.notify_one();
         if let Ending::Unreachable | Ending::Broken | Ending::Silent = self.ending {
             self.slots.send_failed(&self.chosen);
         }
--- a/crates/swiftshunt-gateway/src/job_regions.rs
+++ b/crates/swiftshunt-gateway/src/job_regions.rs
@@ -11,7 +11,7 @@
 use swiftshunt_topology::Residency;
 use swiftshunt_types::RegionName;
 
-use crate::beliefs::Beliefs;
+use crate::fleet_state::FleetState;
 use crate::members::Members;
 
 /// What is known of these regions.
@@ -26,13 +26,16 @@
 
 /// Where jobs may be handled.
 pub(crate) struct JobRegions {
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     members: Arc<Members>,
 }
 
 impl JobRegions {
-    pub(crate) fn new(beliefs: Arc<Beliefs>, members: Arc<Members>) -> Self {
-        Self { beliefs, members }
+    pub(crate) fn new(fleet_state: Arc<FleetState>, members: Arc<Members>) -> Self {
+        Self {
+            fleet_state,
+            members,
+        }
     }
 
     fn regions(&self) -> Regions {
@@ -40,7 +43,7 @@
         if !topology.spans_regions() {
             return Regions::All;
         }
-        let Some(configuration) = self.beliefs.configuration() else {
+        let Some(configuration) = self.fleet_state.configuration() else {
             return Regions::Unknown;
         };
         let deployment = topology.regions();
@@ -53,7 +56,7 @@
     }
 
     /// Whether this gateway may run jobs and read their records.
-    pub(crate) fn include_this(&self) -> bool {
+    pub(crate) fn includes_this_gateway(&self) -> bool {
         match self.regions() {
             Regions::All => true,
             Regions::Unknown => false,
@@ -65,12 +68,12 @@
     }
 
     /// Whether this gateway knows that it may neither run jobs nor read their records.
-    pub(crate) fn exclude_this(&self) -> bool {
-        matches!(self.regions(), Regions::Within(_)) && !self.include_this()
+    pub(crate) fn excludes_this_gateway(&self) -> bool {
+        matches!(self.regions(), Regions::Within(_)) && !self.includes_this_gateway()
     }
 
     /// Those gateways that may see jobs; one whose region is not known may not, where that matters.
-    pub(crate) fn among(&self, gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
+    pub(crate) fn filter_gateways(&self, gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let regions = match self.regions() {
             Regions::All => return gateways,
             Regions::Unknown => return Vec::new(),
@@ -86,7 +89,7 @@
     }
 
     /// Whether a job that may be handled in these regions can be taken: whoever may come to run it must be in one.
-    pub(crate) fn may_take(&self, residency: &Residency) -> bool {
+    pub(crate) fn may_accept(&self, residency: &Residency) -> bool {
         if residency.is_anywhere() {
             return true;
         }
@@ -98,7 +101,7 @@
     }
 
     /// Whether what may be handled in these regions may be sent to workers from here.
-    pub(crate) fn may_send(&self, residency: &Residency) -> bool {
+    pub(crate) fn may_send_from_here(&self, residency: &Residency) -> bool {
         residency.allows(self.members.topology().own_region())
     }
 }
--- a/crates/swiftshunt-gateway/src/lib.rs
+++ b/crates/swiftshunt-gateway/src/lib.rs
@@ -4,32 +4,30 @@
 //! Everything that belongs to one platform stands behind [`protocol::Protocol`] and
 //! [`swiftshunt_journal::Log`]; this crate decides, keeps and recovers.
 
-mod abandoned;
+mod abandon_guard;
 mod answers;
 mod attempt;
 mod batch;
-mod beliefs;
 mod clock;
 mod datagrams;
-mod directory_news;
+mod directory_summary;
 #[cfg(test)]
 mod earlier_builds;
-mod emptying;
 mod entry;
+mod evacuation_monitor;
 mod events;
-mod followed;
-mod followers;
+mod fleet_followers;
+mod fleet_state;
 mod gateway;
 mod in_flight;
 mod job_regions;
-mod journey;
 mod listing;
+mod local_faults;
 mod log_relay;
 mod members;
 mod messages;
 mod metrics;
 mod online;
-mod own_failures;
 mod pauses;
 mod peer_http;
 mod peers;
@@ -37,17 +35,19 @@
 mod quarantine;
 mod rates;
 mod relay;
+mod request_context;
 mod running;
 mod server;
 pub mod settings;
 mod slots;
 mod starts;
 mod tails;
+mod topic_follower;
 mod traffic;
 mod unreadable;
 mod upstream;
 mod waiting_limits;
-mod ways;
+mod zone_latencies;
 
 pub use gateway::{Gateway, StartError};
 pub use settings::{GatewaySettings, SettingsError};
--- a/crates/swiftshunt-gateway/src/own_failures.rs
+++ b/crates/swiftshunt-gateway/src/local_faults.rs
@@ -14,11 +14,11 @@
 
 /// Workers at which sends of this gateway failed a moment ago.
 #[derive(Default)]
-pub(crate) struct OwnFailures {
+pub(crate) struct LocalFaultDetector {
     recent: VecDeque<(Duration, String)>,
 }
 
-impl OwnFailures {
+impl LocalFaultDetector {
     /// Records that a send to a worker failed.
     pub(crate) fn add(&mut self, incarnation: &str, now: Duration) {
         self.recent.retain(|(at, _)| now < *at + TOGETHER);
@@ -33,7 +33,7 @@
     }
 
     /// Whether these are too many of a service's `workers` for the cause to be theirs.
-    pub(crate) fn are_own(&self, workers: usize) -> bool {
+    pub(crate) fn indicate_local_fault(&self, workers: usize) -> bool {
         self.workers() > FEWEST_FAILING.max(workers / MOST_FAILING_SHARE)
     }
 }
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -25,8 +25,8 @@
 use tokio::sync::watch;
 
 use crate::answers::{CallerAnswer, plain};
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
 use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
@@ -122,7 +122,7 @@
             Ok(call) => call,
             Err(refusal) => return refusal,
         };
-        if call.carries_jobs() && self.job_regions.exclude_this() {
+        if call.carries_jobs() && self.job_regions.excludes_this_gateway() {
             let reason = "jobs may not be handled here";
             return plain(StatusCode::SERVICE_UNAVAILABLE, reason);
         }
@@ -185,7 +185,7 @@
         for _ in 0..HELPERS {
             let mut others = self.peers.reachable();
             if call.carries_jobs() {
-                others = self.job_regions.among(others);
+                others = self.job_regions.filter_gateways(others);
             }
             others.shuffle(&mut rand::rng());
             let now = self.clock.now();
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -12,9 +12,9 @@
 use swiftshunt_topology::{Distance, Topology};
 use swiftshunt_types::{RegionName, TenantName};
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
-use crate::ways::Ways;
+use crate::fleet_state::lock;
+use crate::zone_latencies::ZoneLatencies;
 
 /// Time after which a gateway that no longer lists itself is forgotten: three times the pause
 /// between two listings, and some.
@@ -86,7 +86,7 @@
     own: SocketAddr,
     topology: Topology,
     clock: Clock,
-    ways: Ways,
+    zone_latencies: ZoneLatencies,
     known: Mutex<Known>,
 }
 
@@ -96,7 +96,7 @@
             own,
             topology,
             clock,
-            ways: Ways::default(),
+            zone_latencies: ZoneLatencies::default(),
             known: Mutex::default(),
         }
     }
@@ -117,7 +117,7 @@
     }
 
     /// The list of gateways was read.
-    pub(crate) fn list_is_read(&self) {
+    pub(crate) fn mark_list_loaded(&self) {
         let now = self.clock.now();
         lock(&self.known).read_at.get_or_insert(now);
     }
@@ -128,7 +128,7 @@
     }
 
     /// A gateway is listed, or is not any more; tells whether that is new.
-    pub(crate) fn list(&self, gateway: SocketAddr, is_there: bool) -> bool {
+    pub(crate) fn set_listed(&self, gateway: SocketAddr, is_there: bool) -> bool {
         if gateway == self.own {
             return false;
         }
@@ -158,7 +158,7 @@
     }
 
     /// A listed gateway tells its zone.
-    pub(crate) fn stands_in(&self, gateway: SocketAddr, zone: &str) {
+    pub(crate) fn set_zone(&self, gateway: SocketAddr, zone: &str) {
         if let Some(listed) = lock(&self.known).listed.get_mut(&gateway) {
             listed.zone = Some(zone.to_owned());
         }
@@ -184,7 +184,7 @@
     }
 
     /// Forgets gateways that have not listed themselves for long.
-    pub(crate) fn forget_old(&self) {
+    pub(crate) fn remove_expired(&self) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         let silent = known
@@ -198,7 +198,7 @@
     }
 
     /// The others of the own region; all where there is one region. One whose zone is not known yet is left out.
-    pub(crate) fn others_near(&self) -> Vec<SocketAddr> {
+    pub(crate) fn others_in_region(&self) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let others = known.listed.keys().copied();
         let own_region = self.topology.dividing_region_of(self.topology.own_zone());
@@ -208,26 +208,28 @@
     }
 
     /// How long an answer of a gateway is waited for that within a region is waited for `within_region`.
-    pub(crate) fn patience(&self, gateway: SocketAddr, within_region: Duration) -> Duration {
+    pub(crate) fn answer_timeout(&self, gateway: SocketAddr, within_region: Duration) -> Duration {
         let zone = self.zone_of(gateway).unwrap_or_default();
-        self.ways.patience(&self.topology, &zone, within_region)
+        self.zone_latencies
+            .answer_timeout(&self.topology, &zone, within_region)
     }
 
     /// The same for answers of any gateway.
-    pub(crate) fn patience_with_all(&self, within_region: Duration) -> Duration {
-        self.ways.patience_with_all(&self.topology, within_region)
+    pub(crate) fn max_answer_timeout(&self, within_region: Duration) -> Duration {
+        self.zone_latencies
+            .max_answer_timeout(&self.topology, within_region)
     }
 
     /// The round trip to a gateway of another region.
     pub(crate) fn round_trip(&self, gateway: SocketAddr) -> Duration {
         let zone = self.zone_of(gateway).unwrap_or_default();
-        self.ways.round_trip(&self.topology, &zone)
+        self.zone_latencies.round_trip(&self.topology, &zone)
     }
 
     /// A gateway answered `took` after it was asked.
-    pub(crate) fn answered(&self, gateway: SocketAddr, took: Duration) {
+    pub(crate) fn record_answer(&self, gateway: SocketAddr, took: Duration) {
         if let Some(zone) = self.zone_of(gateway) {
-            self.ways.answered(&zone, took);
+            self.zone_latencies.record_answer(&zone, took);
         }
     }
 
@@ -297,13 +299,13 @@
 
     /// The gateways of this one's region, this one included; all where there is one region alone.
     pub(crate) fn of_own_region(&self) -> Vec<SocketAddr> {
-        let mut gateways = self.others_near();
+        let mut gateways = self.others_in_region();
         gateways.push(self.own);
         gateways
     }
 
     /// Whether a gateway counts as gone.
-    pub(crate) fn is_in_doubt(&self, gateway: SocketAddr) -> bool {
+    pub(crate) fn is_suspected(&self, gateway: SocketAddr) -> bool {
         let now = self.clock.now();
         let known = lock(&self.known);
         let doubt = known.doubts.get(&gateway);
@@ -311,8 +313,8 @@
     }
 
     /// Another gateway says that one is there.
-    pub(crate) fn vouched_for(&self, gateway: SocketAddr) {
-        self.list(gateway, true);
+    pub(crate) fn confirm_alive(&self, gateway: SocketAddr) {
+        self.set_listed(gateway, true);
         lock(&self.known).doubts.remove(&gateway);
     }
 
@@ -352,11 +354,11 @@
     }
 
     /// A gateway did not answer in time; tells whether it counts as gone by that.
-    pub(crate) fn missed(&self, gateway: SocketAddr) -> bool {
+    pub(crate) fn record_timeout(&self, gateway: SocketAddr) -> bool {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         if let Some(zone) = known.zone_of(&gateway) {
-            self.ways.missed(zone);
+            self.zone_latencies.record_timeout(zone);
         }
         let doubt = known.doubts.entry(gateway).or_default();
         doubt.misses += 1;
@@ -368,7 +370,7 @@
     }
 
     /// A gateway counts as gone.
-    pub(crate) fn mark_gone(&self, gateway: SocketAddr) {
+    pub(crate) fn mark_suspected(&self, gateway: SocketAddr) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         known.doubts.entry(gateway).or_default().begin(gateway, now);
--- a/crates/swiftshunt-gateway/src/metrics/mod.rs
+++ b/crates/swiftshunt-gateway/src/metrics/mod.rs
@@ -15,7 +15,7 @@
 use swiftshunt_routing::Rejected;
 use swiftshunt_scheduler::slots::book::Use;
 
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::traffic::Traffic;
 pub(crate) use labels::{Basis, RateAnswer, Refusal, RequestEnd, SlotAnswer};
 use labels::{
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -13,11 +13,11 @@
 use crate::answers::{CallerAnswer, end_to_end, not_run, plain, whole};
 use crate::attempt::{Answer, Dispatcher, Patience, SendFailure};
 use crate::batch::Batch;
-use crate::journey::Journey;
 use crate::metrics::{Refusal, RequestEnd};
 use crate::quarantine::Held;
 use crate::rates::Rates;
 use crate::relay;
+use crate::request_context::RequestContext;
 use crate::slots::{Place, Placing};
 
 /// Serves callers.
@@ -44,62 +44,62 @@
 
 impl Online {
     /// Sends until there is an answer or nothing is left to try; also tells whether it may have run.
-    pub(crate) async fn travel(&self, mut journey: Journey) -> (CallerAnswer, bool) {
-        let answer = self.send_until_answered(&mut journey).await;
-        if journey.runs > 0 && answer.status().is_server_error() {
+    pub(crate) async fn serve(&self, mut context: RequestContext) -> (CallerAnswer, bool) {
+        let answer = self.send_until_answered(&mut context).await;
+        if context.runs > 0 && answer.status().is_server_error() {
             let quarantine = &self.dispatcher.quarantine;
-            quarantine.until_told(&journey.outgoing.subject).await;
+            quarantine.until_told(&context.outgoing.subject).await;
         }
-        let ran = journey.runs > 0 || !promises_not_run(answer.status());
+        let ran = context.runs > 0 || !promises_not_run(answer.status());
         (answer, ran)
     }
 
-    async fn send_until_answered(&self, journey: &mut Journey) -> CallerAnswer {
+    async fn send_until_answered(&self, context: &mut RequestContext) -> CallerAnswer {
         loop {
             let now = self.dispatcher.clock.now();
-            if now >= journey.until {
-                return self.out_of_time(journey);
+            if now >= context.until {
+                return self.out_of_time(context);
             }
-            let subject = &journey.outgoing.subject;
+            let subject = &context.outgoing.subject;
             if let Some(held) = self.dispatcher.quarantine.holds(subject).await {
-                return self.hold_back(journey, held);
+                return self.hold_back(context, held);
             }
-            self.bind(journey);
-            self.leave_closed(journey);
-            let chosen = self.place(journey).await;
+            self.bind(context);
+            self.leave_closed(context);
+            let chosen = self.place(context).await;
             // The configuration may have changed while it waited.
-            self.bind(journey);
+            self.bind(context);
             let Some(chosen) = chosen else {
-                let (obstacle, decision) = self.admit(journey);
+                let (obstacle, decision) = self.admit(context);
                 match decision {
                     Decision::AskAgain(pause) => {
                         self.dispatcher.metrics.asked_again.inc();
                         tokio::time::sleep(pause).await;
-                        journey.tried.clear();
-                        journey.was_declined = false;
+                        context.tried.clear();
+                        context.was_declined = false;
                         continue;
                     }
                     Decision::Refuse(come_back) => {
                         let refusal = Refusal::from(obstacle);
-                        return self.give_up(journey, refusal, "no worker takes it", come_back);
+                        return self.give_up(context, refusal, "no worker takes it", come_back);
                     }
                 }
             };
-            journey.sent(&chosen, self.dispatcher.clock.now());
-            let patience = self.patience(journey, &chosen);
-            let last_event = journey.facts.last_event;
+            context.sent(&chosen, self.dispatcher.clock.now());
+            let patience = self.patience(context, &chosen);
+            let last_event = context.facts.last_event;
             let sent = self
                 .dispatcher
-                .send(&chosen, &journey.outgoing, last_event, patience)
+                .send(&chosen, &context.outgoing, last_event, patience)
                 .await;
             match sent {
-                Ok(answer) => match self.pass_on(journey, answer).await {
+                Ok(answer) => match self.pass_on(context, answer).await {
                     Some(answer) => return answer,
                     None => continue,
                 },
                 Err(failure) => {
-                    journey.log_failure(&chosen, &failure);
-                    if let Some(answer) = self.after_failure(journey, &failure) {
+                    context.log_failure(&chosen, &failure);
+                    if let Some(answer) = self.after_failure(context, &failure) {
                         return answer;
                     }
                 }
@@ -108,48 +108,48 @@
     }
 
     /// Binds a request to the regions of the configuration in force.
-    fn bind(&self, journey: &mut Journey) {
-        let Some(configuration) = self.dispatcher.beliefs.configuration() else {
+    fn bind(&self, context: &mut RequestContext) {
+        let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return;
         };
-        if configuration.version == journey.bound_by {
+        if configuration.version == context.bound_by {
             return;
         }
-        journey.bound_by = configuration.version;
-        journey.outgoing.bind(&configuration);
+        context.bound_by = configuration.version;
+        context.outgoing.bind(&configuration);
     }
 
     /// Goes to another part of a split if the one that was drawn is closed by now, and nothing ran there.
-    fn leave_closed(&self, journey: &mut Journey) {
-        let beliefs = &self.dispatcher.beliefs;
-        let residency = &journey.outgoing.demand.residency;
-        let is_open = beliefs.selector().is_open(&journey.service, residency);
-        if journey.runs == 0 && !is_open {
-            journey.service = beliefs.next_service(&journey.route, residency);
+    fn leave_closed(&self, context: &mut RequestContext) {
+        let fleet_state = &self.dispatcher.fleet_state;
+        let residency = &context.outgoing.demand.residency;
+        let is_open = fleet_state.selector().is_open(&context.service, residency);
+        if context.runs == 0 && !is_open {
+            context.service = fleet_state.next_service(&context.route, residency);
         }
     }
 
     /// The worker for a request. One that would be late wherever it goes waits behind those that can be in
     /// time.
-    async fn place(&self, journey: &Journey) -> Option<Chosen> {
+    async fn place(&self, context: &RequestContext) -> Option<Chosen> {
         let now = self.dispatcher.clock.now();
-        let in_time = (journey.arrived + journey.route.objective).saturating_sub(now);
-        match self.place_within(journey, Some(in_time)).await {
+        let in_time = (context.arrived + context.route.objective).saturating_sub(now);
+        match self.place_within(context, Some(in_time)).await {
             Place::At(chosen) => Some(chosen),
             Place::Nowhere => None,
-            Place::Late => self.place_late(journey).await,
+            Place::Late => self.place_late(context).await,
         }
     }
 
-    async fn place_late(&self, journey: &Journey) -> Option<Chosen> {
+    async fn place_late(&self, context: &RequestContext) -> Option<Chosen> {
         let clock = self.dispatcher.clock;
         let came = clock.now();
-        let patient = journey.until.saturating_sub(journey.arrived);
-        let patient_until = journey.arrived + patient.mul_f64(LATE_PATIENCE);
+        let patient = context.until.saturating_sub(context.arrived);
+        let patient_until = context.arrived + patient.mul_f64(LATE_PATIENCE);
         let in_line = async {
             let _turn = self.late_line.lock().await;
             loop {
-                match self.place_within(journey, Some(Duration::ZERO)).await {
+                match self.place_within(context, Some(Duration::ZERO)).await {
                     Place::At(chosen) => return Some(chosen),
                     Place::Nowhere => return None,
                     Place::Late => tokio::time::sleep(LATE_PAUSE).await,
@@ -159,176 +159,188 @@
         let left = patient_until.saturating_sub(came);
         let placed = tokio::time::timeout(left, in_line).await;
         let waited = clock.now().saturating_sub(came);
-        log::info!(request = journey.id(), waited_ms = waited.as_millis() as u64,
+        log::info!(request = context.id(), waited_ms = waited.as_millis() as u64,
             is_placed = placed.is_ok(); "late at a peak: waited behind requests that could be in time");
         self.dispatcher.metrics.late_in_line.inc();
         match placed {
             Ok(chosen) => chosen,
-            Err(_) => match self.place_within(journey, None).await {
+            Err(_) => match self.place_within(context, None).await {
                 Place::At(chosen) => Some(chosen),
                 Place::Nowhere | Place::Late => None,
             },
         }
     }
 
-    async fn place_within(&self, journey: &Journey, in_time: Option<Duration>) -> Place {
+    async fn place_within(&self, context: &RequestContext, in_time: Option<Duration>) -> Place {
         let placing = Placing {
-            request: journey.id(),
-            service: &journey.service,
-            demand: &journey.outgoing.demand,
-            tried: &journey.tried,
-            may_repeat: journey.may_run_again(),
+            request: context.id(),
+            service: &context.service,
+            demand: &context.outgoing.demand,
+            tried: &context.tried,
+            may_repeat: context.may_run_again(),
             in_time,
         };
         self.dispatcher.slots.place(placing).await
     }
 
     /// What becomes of a request that found no worker, and why it found none.
-    fn admit(&self, journey: &Journey) -> (Obstacle, Decision) {
+    fn admit(&self, context: &RequestContext) -> (Obstacle, Decision) {
         let now = self.dispatcher.clock.now();
-        let selector = self.dispatcher.beliefs.selector();
+        let selector = self.dispatcher.fleet_state.selector();
         let reaches_workers = selector.has_heard_since(now.saturating_sub(HEARD_LATELY));
-        let residency = &journey.outgoing.demand.residency;
-        let closed = selector.closed(&journey.service, residency, now);
+        let residency = &context.outgoing.demand.residency;
+        let closed = selector.closed(&context.service, residency, now);
         let obstacle = if let Some(closed) = closed {
             closed
-        } else if journey.was_declined || selector.awaits_starts(&journey.service, residency, now) {
+        } else if context.was_declined || selector.awaits_starts(&context.service, residency, now) {
             Obstacle::Full
-        } else if journey.tried.is_empty() || reaches_workers {
+        } else if context.tried.is_empty() || reaches_workers {
             Obstacle::NoWorker
         } else {
             Obstacle::Unreachable
         };
         let situation = Situation {
             obstacle,
-            waited: now.saturating_sub(journey.arrived),
-            time_left: journey.until.saturating_sub(now),
-            slot_time: selector.engine_rates(&journey.service).slot_time(),
-            slots: selector.slots(&journey.service),
+            waited: now.saturating_sub(context.arrived),
+            time_left: context.until.saturating_sub(now),
+            slot_time: selector.engine_rates(&context.service).slot_time(),
+            slots: selector.slots(&context.service),
         };
         let decision = admission::decide(&situation, rand::random());
-        log::info!(request = journey.id(), situation:? = situation, decision:? = decision,
-            tried = journey.tried.len(), runs = journey.runs; "no worker takes a request");
+        log::info!(request = context.id(), situation:? = situation, decision:? = decision,
+            tried = context.tried.len(), runs = context.runs; "no worker takes a request");
         let decision = match decision {
             // It may have run where it was tried: asked again, those would be asked, too.
-            Decision::AskAgain(pause) if journey.runs > 0 => Decision::Refuse(pause),
+            Decision::AskAgain(pause) if context.runs > 0 => Decision::Refuse(pause),
             decision => decision,
         };
         (obstacle, decision)
     }
 
-    fn patience(&self, journey: &Journey, chosen: &Chosen) -> Patience {
-        let limit = journey.silence_limit() + chosen.expected_reading;
-        let silence = journey.may_run_again().then_some(limit);
+    fn patience(&self, context: &RequestContext, chosen: &Chosen) -> Patience {
+        let limit = context.silence_limit() + chosen.expected_reading;
+        let silence = context.may_run_again().then_some(limit);
         Patience {
-            until: journey.until,
-            told_until: journey.told_until(),
+            until: context.until,
+            caller_deadline: context.caller_deadline(),
             silence,
         }
     }
 
     /// What follows a failed send; none if the request goes on.
-    fn after_failure(&self, journey: &mut Journey, failure: &SendFailure) -> Option<CallerAnswer> {
+    fn after_failure(
+        &self,
+        context: &mut RequestContext,
+        failure: &SendFailure,
+    ) -> Option<CallerAnswer> {
         if failure.did_not_run() {
-            journey.was_declined |= matches!(failure, SendFailure::Declined { .. });
+            context.was_declined |= matches!(failure, SendFailure::Declined { .. });
             return None;
         }
-        journey.runs += 1;
+        context.runs += 1;
         if let SendFailure::OutOfTime = failure {
-            return Some(self.out_of_time(journey));
+            return Some(self.out_of_time(context));
         }
-        if journey.may_repeat() {
+        if context.may_repeat() {
             return None;
         }
-        Some(self.fail(journey, "it may have run and may not be repeated"))
+        Some(self.fail(context, "it may have run and may not be repeated"))
     }
 
     /// Passes an answer on; none if the request goes to another worker instead.
-    async fn pass_on(&self, journey: &mut Journey, mut answer: Answer) -> Option<CallerAnswer> {
+    async fn pass_on(
+        &self,
+        context: &mut RequestContext,
+        mut answer: Answer,
+    ) -> Option<CallerAnswer> {
         if answer.head.status.is_success() && !answer.is_vouched_success() {
-            return self.spoiled(journey, answer, "the worker does not vouch for it");
+            return self.spoiled(context, answer, "the worker does not vouch for it");
         }
-        if journey.route.kind == RouteKind::Stream && answer.head.status.is_success() {
-            return self.open_stream(journey, answer).await;
+        if context.route.kind == RouteKind::Stream && answer.head.status.is_success() {
+            return self.open_stream(context, answer).await;
         }
-        let until = journey.until.saturating_sub(self.dispatcher.clock.now());
+        let until = context.until.saturating_sub(self.dispatcher.clock.now());
         let body = tokio::time::timeout(until, answer.read_body(WHOLE_ANSWER_LIMIT)).await;
         let body = match body {
             Err(_) => {
-                journey.runs += 1;
-                return Some(self.out_of_time(journey));
+                context.runs += 1;
+                return Some(self.out_of_time(context));
             }
-            Ok(Err(reason)) => return self.spoiled(journey, answer, &reason),
+            Ok(Err(reason)) => return self.spoiled(context, answer, &reason),
             Ok(Ok(body)) => body,
         };
         let status = answer.head.status;
         if status.is_server_error() || promises_not_run(status) {
-            journey.runs += 1;
+            context.runs += 1;
             let foreign = promises_not_run(status);
-            if journey.may_repeat() || foreign {
-                log::info!(request = journey.id(),
+            if context.may_repeat() || foreign {
+                log::info!(request = context.id(),
                     worker = answer.in_flight.chosen.incarnation.as_str(),
                     status = status.as_u16(); "a worker failed the request");
                 answer
                     .in_flight
                     .ends(swiftshunt_scheduler::selection::Ending::Failed);
                 drop(answer);
-                if journey.may_repeat() {
+                if context.may_repeat() {
                     return None;
                 }
-                return Some(self.fail(journey, "a worker failed it"));
+                return Some(self.fail(context, "a worker failed it"));
             }
         }
         let head = answer.head.clone();
         answer.finish(&self.dispatcher);
-        self.succeed(journey, status);
+        self.succeed(context, status);
         Some(passed(&head, body))
     }
 
-    async fn open_stream(&self, journey: &mut Journey, mut answer: Answer) -> Option<CallerAnswer> {
-        let first = relay::first_bytes(&self.dispatcher, journey, &mut answer).await;
+    async fn open_stream(
+        &self,
+        context: &mut RequestContext,
+        mut answer: Answer,
+    ) -> Option<CallerAnswer> {
+        let first = relay::first_bytes(&self.dispatcher, context, &mut answer).await;
         match first {
             Ok(first) => {
-                self.succeed(journey, answer.head.status);
+                self.succeed(context, answer.head.status);
                 let head = answer.head.clone();
-                let body = relay::body(Arc::clone(&self.dispatcher), journey, answer, first);
+                let body = relay::body(Arc::clone(&self.dispatcher), context, answer, first);
                 let mut passed = Response::new(body);
                 *passed.status_mut() = head.status;
                 *passed.headers_mut() = end_to_end(&head.headers);
                 Some(passed)
             }
             Err(failure) => {
-                journey.log_failure(&answer.in_flight.chosen, &failure);
-                relay::ends_by(&mut answer, &failure);
+                context.log_failure(&answer.in_flight.chosen, &failure);
+                relay::record_failure(&mut answer, &failure);
                 drop(answer);
-                self.after_failure(journey, &failure)
+                self.after_failure(context, &failure)
             }
         }
     }
 
     fn spoiled(
         &self,
-        journey: &mut Journey,
+        context: &mut RequestContext,
         mut answer: Answer,
         reason: &str,
     ) -> Option<CallerAnswer> {
         let failure = SendFailure::Broken {
             reason: reason.to_owned(),
         };
-        journey.log_failure(&answer.in_flight.chosen, &failure);
-        relay::ends_by(&mut answer, &failure);
+        context.log_failure(&answer.in_flight.chosen, &failure);
+        relay::record_failure(&mut answer, &failure);
         drop(answer);
-        self.after_failure(journey, &failure)
+        self.after_failure(context, &failure)
     }
 
-    fn succeed(&self, journey: &Journey, status: StatusCode) {
-        let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
+    fn succeed(&self, context: &RequestContext, status: StatusCode) {
+        let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         let metrics = &self.dispatcher.metrics;
         metrics.first_event_seconds.observe(waited.as_secs_f64());
-        metrics.request_ended(&journey.route.name, RequestEnd::Answered);
-        let unusual = journey.tried.len() > 1 || waited > journey.route.objective;
+        metrics.request_ended(&context.route.name, RequestEnd::Answered);
+        let unusual = context.tried.len() > 1 || waited > context.route.objective;
         if unusual || !status.is_success() {
-            journey.log_answered(status, waited);
+            context.log_answered(status, waited);
         }
     }
 
@@ -336,54 +348,54 @@
     /// back after `come_back`.
     fn give_up(
         &self,
-        journey: &Journey,
+        context: &RequestContext,
         refusal: Refusal,
         reason: &'static str,
         come_back: Duration,
     ) -> CallerAnswer {
-        if journey.runs > 0 {
-            return self.fail(journey, reason);
+        if context.runs > 0 {
+            return self.fail(context, reason);
         }
-        let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
+        let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         self.dispatcher.metrics.refused(refusal, come_back, waited);
-        self.ended(journey, RequestEnd::Refused, reason);
+        self.ended(context, RequestEnd::Refused, reason);
         not_run(reason, come_back)
     }
 
     /// The final answer to a request that has ended too many workers: at once, as it would end more of them,
     /// and their other requests with each. The caller of one that did not run in this try may come back when
     /// it is sent again; a status of the caller's own fault would be final, also for one that was wronged.
-    fn hold_back(&self, journey: &Journey, held: Held) -> CallerAnswer {
-        log::info!(request = journey.id(), fingerprint:% = journey.outgoing.subject.fingerprint(),
-            ends = held.ends, held_for_ms = held.time_left.as_millis() as u64, runs = journey.runs;
+    fn hold_back(&self, context: &RequestContext, held: Held) -> CallerAnswer {
+        log::info!(request = context.id(), fingerprint:% = context.outgoing.subject.fingerprint(),
+            ends = held.ends, held_for_ms = held.time_left.as_millis() as u64, runs = context.runs;
             "a request is held back, since it ended its workers");
         let reason =
             "workers ended while they ran this request, and it is not sent to more of them";
-        self.give_up(journey, Refusal::Held, reason, held.time_left)
+        self.give_up(context, Refusal::Held, reason, held.time_left)
     }
 
     /// The final answer to a request that may have run.
-    fn fail(&self, journey: &Journey, reason: &'static str) -> CallerAnswer {
-        self.ended(journey, RequestEnd::Failed, reason);
+    fn fail(&self, context: &RequestContext, reason: &'static str) -> CallerAnswer {
+        self.ended(context, RequestEnd::Failed, reason);
         plain(StatusCode::BAD_GATEWAY, reason)
     }
 
-    fn out_of_time(&self, journey: &Journey) -> CallerAnswer {
-        if journey.runs == 0 {
+    fn out_of_time(&self, context: &RequestContext) -> CallerAnswer {
+        if context.runs == 0 {
             let refusal = Refusal::OutOfTime;
-            return self.give_up(journey, refusal, "its time is over", Duration::ZERO);
+            return self.give_up(context, refusal, "its time is over", Duration::ZERO);
         }
-        self.ended(journey, RequestEnd::Failed, "its time is over");
+        self.ended(context, RequestEnd::Failed, "its time is over");
         plain(StatusCode::GATEWAY_TIMEOUT, "its time is over")
     }
 
-    fn ended(&self, journey: &Journey, end: RequestEnd, reason: &str) {
-        let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
-        log::info!(request = journey.id(), route = journey.route.name.as_str(),
-            end:? = end, reason, runs = journey.runs, tried:? = journey.tried,
+    fn ended(&self, context: &RequestContext, end: RequestEnd, reason: &str) {
+        let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
+        log::info!(request = context.id(), route = context.route.name.as_str(),
+            end:? = end, reason, runs = context.runs, tried:? = context.tried,
             waited_ms = waited.as_millis() as u64; "given up");
         let metrics = &self.dispatcher.metrics;
-        metrics.request_ended(&journey.route.name, end);
+        metrics.request_ended(&context.route.name, end);
     }
 }
 
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -17,10 +17,9 @@
 use swiftshunt_scheduler::limits::TokenBucket;
 use swiftshunt_scheduler::prompt_memory::PromptPart;
 
-use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
 use crate::datagrams::{DATAGRAM_BYTES, Datagrams};
-use crate::followed::{Away, Followed, Pace};
+use crate::fleet_state::{FleetState, lock};
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::metrics::Metrics;
@@ -28,6 +27,7 @@
 use crate::rates::Rates;
 use crate::slots::Slots;
 use crate::starts::Starts as ColdStarts;
+use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 use crate::unreadable::UnreadableRecords;
 use crate::waiting_limits::WaitingLimits;
 
@@ -47,7 +47,7 @@
 /// Pause before the listing is tried again.
 const LIST_AGAIN: Duration = Duration::from_secs(2);
 /// How the list is read: it changes seldom, and one that is old does little harm.
-const LIST_PACE: Pace = Pace {
+const LIST_PACE: TailTiming = TailTiming {
     wait: Duration::from_secs(20),
     hedge_after: Duration::from_secs(5),
 };
@@ -62,7 +62,7 @@
 const SOCKET_PAUSE: Duration = Duration::from_millis(100);
 
 /// Who takes which messages.
-pub(crate) struct Receivers {
+pub(crate) struct NoticeHandlers {
     pub(crate) slots: Arc<Slots>,
     pub(crate) waiting_limits: Arc<WaitingLimits>,
     pub(crate) rates: Arc<Rates>,
@@ -105,7 +105,7 @@
     members: Arc<Members>,
     /// Where others may be reached until the list was read.
     seeds: Vec<SocketAddr>,
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
     unreadable: Arc<UnreadableRecords>,
     clock: Clock,
@@ -118,7 +118,7 @@
         datagrams: Arc<Datagrams>,
         members: Arc<Members>,
         seeds: &[SocketAddr],
-        beliefs: Arc<Beliefs>,
+        fleet_state: Arc<FleetState>,
         metrics: Arc<Metrics>,
         unreadable: Arc<UnreadableRecords>,
         clock: Clock,
@@ -128,7 +128,7 @@
             datagrams,
             members,
             seeds: seeds.iter().copied().filter(|seed| *seed != own).collect(),
-            beliefs,
+            fleet_state,
             metrics,
             unreadable,
             clock,
@@ -139,7 +139,7 @@
 
     /// Tells the others that a prompt goes to a worker, if it is long. Never waits: what does not
     /// fit into the socket's buffer is dropped.
-    pub(crate) fn tell(
+    pub(crate) fn notify_prompt(
         &self,
         service: &str,
         worker: &str,
@@ -147,7 +147,7 @@
         missing_tokens: u64,
     ) {
         let reading = self
-            .beliefs
+            .fleet_state
             .selector()
             .reading_time(service, missing_tokens);
         if reading < WORTH_TELLING {
@@ -159,7 +159,7 @@
             parts: prompt.iter().take(MOST_PARTS).copied().collect(),
         };
         // Each gateway chooses alone only within its region.
-        let near = self.recipients(self.members.others_near());
+        let near = self.recipients(self.members.others_in_region());
         self.datagrams.send(&notice, near);
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Takes in what others tell, for as long as the process lives.
-    pub(crate) async fn listen(self: Arc<Self>, receivers: Receivers) {
+    pub(crate) async fn listen(self: Arc<Self>, receivers: NoticeHandlers) {
         let mut datagram = [0; DATAGRAM_BYTES];
         loop {
             match self.datagrams.receive(&mut datagram).await {
@@ -212,7 +212,7 @@
         }
     }
 
-    fn take(&self, datagram: &[u8], from: SocketAddr, receivers: &Receivers) {
+    fn take(&self, datagram: &[u8], from: SocketAddr, receivers: &NoticeHandlers) {
         let Ok(notice) = ciborium::from_reader::<Notice, _>(datagram) else {
             self.metrics.notices_dropped.inc();
             return;
@@ -226,13 +226,13 @@
                 parts,
             } => {
                 let now = self.clock.now();
-                let mut selector = self.beliefs.selector();
+                let mut selector = self.fleet_state.selector();
                 selector.sent_by_another(&worker, &parts, missing, now);
             }
             Notice::Here { from, zone } => {
-                self.members.list(from, true);
+                self.members.set_listed(from, true);
                 if let Some(zone) = zone {
-                    self.members.stands_in(from, &zone);
+                    self.members.set_zone(from, &zone);
                 }
                 self.tell_of_start(from);
             }
@@ -289,15 +289,15 @@
 
     /// Follows the list of gateways for as long as the process lives.
     pub(crate) async fn follow(self: Arc<Self>, log: Arc<dyn Log>) {
-        let mut followed = Followed::new(Topic::Gateways, self.clock);
-        let mut away = Away::new("gateways", 0);
+        let mut follower = TopicFollower::new(Topic::Gateways, self.clock);
+        let mut away = LogBackoff::new("gateways", 0);
         let mut is_known = false;
         loop {
-            let changes = followed.changes(log.as_ref(), LIST_PACE).await;
+            let changes = follower.changes(log.as_ref(), LIST_PACE).await;
             away.pause(&changes).await;
             if let Ok(changes) = changes {
                 let is_news = self.apply(changes);
-                self.members.list_is_read();
+                self.members.mark_list_loaded();
                 if !is_known {
                     self.tell_start();
                     is_known = true;
@@ -317,15 +317,17 @@
             };
             match String::from_utf8_lossy(&key).parse::<SocketAddr>() {
                 Ok(address) => {
-                    is_news |= self.members.list(address, value.is_some());
+                    is_news |= self.members.set_listed(address, value.is_some());
                     if let Some(record) = value.as_deref().and_then(GatewayRecord::decoded) {
-                        self.members.stands_in(address, &record.zone);
+                        self.members.set_zone(address, &record.zone);
                     }
                 }
-                Err(error) => self.unreadable.passed_over(Topic::Gateways, &key, &error),
+                Err(error) => self
+                    .unreadable
+                    .record_unreadable(Topic::Gateways, &key, &error),
             }
         }
-        self.members.forget_old();
+        self.members.remove_expired();
         is_news
     }
 }
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -55,7 +55,7 @@
     }
 
     /// The same call about the job of that identifier that a tenant handed in.
-    pub fn of_tenant(mut self, tenant: Option<&TenantName>) -> Self {
+    pub fn for_tenant(mut self, tenant: Option<&TenantName>) -> Self {
         match &mut self {
             Self::JobResults { job, .. } | Self::JobItem { job, .. } | Self::JobEnd { job } => {
                 *job = qualified(tenant, job);
--- a/crates/swiftshunt-gateway/src/quarantine/directory.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/directory.rs
@@ -8,8 +8,8 @@
 use swiftshunt_scheduler::slots::WorkerKey;
 
 use super::Quarantine;
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::messages::quarantine::QuarantineMessage;
 
 impl Quarantine {
@@ -52,7 +52,7 @@
 
     fn judge_departures(&self, incarnations: &[String]) {
         let ended = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             let listed = |zone: &str| selector.listed_in(zone);
             lock(&self.departures).ended(listed, self.clock.now())
         };
--- a/crates/swiftshunt-gateway/src/quarantine/ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/ends.rs
@@ -16,8 +16,8 @@
 
 use super::sight::look;
 use super::{Quarantine, Subject};
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::messages::quarantine::Sight;
 
 /// Pause before a worker that takes connections is looked at once more.
@@ -85,10 +85,10 @@
     /// Whether requests break off at so many workers together that the cause is likely to be here.
     fn is_own_fault(&self, chosen: &Chosen) -> bool {
         let now = self.clock.now();
-        let workers = self.beliefs.selector().ready_count(&chosen.service);
-        let mut failures = lock(&self.own_failures);
+        let workers = self.fleet_state.selector().ready_count(&chosen.service);
+        let mut failures = lock(&self.local_faults);
         failures.add(&chosen.incarnation, now);
-        failures.are_own(workers)
+        failures.indicate_local_fault(workers)
     }
 
     async fn check(self: Arc<Self>, chosen: Chosen) {
--- a/crates/swiftshunt-gateway/src/quarantine/mod.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/mod.rs
@@ -25,14 +25,14 @@
 };
 use tokio::sync::{Notify, mpsc, watch};
 
-use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::{FleetState, lock};
+use crate::local_faults::LocalFaultDetector;
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::quarantine::{QuarantineMessage, Sight};
 use crate::metrics::Metrics;
-use crate::own_failures::OwnFailures;
 use crate::unreadable::UnreadableRecords;
 use ends::{Check, Doubted};
 use records::Unrecorded;
@@ -62,7 +62,7 @@
     log: Arc<dyn Log>,
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
     unreadable: Arc<UnreadableRecords>,
     clock: Clock,
@@ -79,7 +79,7 @@
     /// Gateways that were asked to look at a worker, and who waits for their answers.
     looks: Mutex<HashMap<u64, mpsc::UnboundedSender<Sight>>>,
     last_look: AtomicU64,
-    own_failures: Mutex<OwnFailures>,
+    local_faults: Mutex<LocalFaultDetector>,
     unrecorded: Unrecorded,
     /// Whether the log's records were read since the start.
     is_read: watch::Sender<bool>,
@@ -90,7 +90,7 @@
         log: Arc<dyn Log>,
         members: Arc<Members>,
         datagrams: Arc<Datagrams>,
-        beliefs: Arc<Beliefs>,
+        fleet_state: Arc<FleetState>,
         metrics: Arc<Metrics>,
         unreadable: Arc<UnreadableRecords>,
         clock: Clock,
@@ -99,7 +99,7 @@
             log,
             members,
             datagrams,
-            beliefs,
+            fleet_state,
             metrics,
             unreadable,
             clock,
@@ -111,7 +111,7 @@
             signs_of_life: Mutex::default(),
             looks: Mutex::default(),
             last_look: AtomicU64::new(0),
-            own_failures: Mutex::default(),
+            local_faults: Mutex::default(),
             unrecorded: Unrecorded::default(),
             is_read: watch::Sender::new(false),
         }
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -12,13 +12,13 @@
 use tokio::sync::Notify;
 
 use super::Quarantine;
-use crate::beliefs::lock;
-use crate::followed::{Away, Followed, Pace};
+use crate::fleet_state::lock;
 use crate::tails::Tails;
+use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 
 /// How the records are followed: datagrams are quicker, and a lost read costs the time of both. Three
 /// seconds and a half are half of the time in which a caller's tries follow each other.
-const PACE: Pace = Pace {
+const PACE: TailTiming = TailTiming {
     wait: Duration::from_millis(2_500),
     hedge_after: Duration::from_secs(1),
 };
@@ -126,10 +126,10 @@
     /// Follows the records of all gateways for as long as the process lives.
     pub(crate) async fn follow(self: Arc<Self>, tails: Arc<Tails>) {
         let shared = tails.shared(Topic::Quarantine, |_| true);
-        let mut followed = Followed::new(Topic::Quarantine, self.clock).sharing(shared);
-        let mut away = Away::new("quarantine", 0);
+        let mut follower = TopicFollower::new(Topic::Quarantine, self.clock).sharing(shared);
+        let mut away = LogBackoff::new("quarantine", 0);
         loop {
-            let changes = followed.changes(self.log.as_ref(), PACE).await;
+            let changes = follower.changes(self.log.as_ref(), PACE).await;
             away.pause(&changes).await;
             let Ok(changes) = changes else {
                 continue;
@@ -145,12 +145,13 @@
         match change {
             Change::Set(record) => match read(&record.key, &record.value) {
                 Ok((fingerprint, end)) => self.learn(&fingerprint, end),
-                Err(error) => self
-                    .unreadable
-                    .passed_over(Topic::Quarantine, &record.key, &error),
+                Err(error) => {
+                    self.unreadable
+                        .record_unreadable(Topic::Quarantine, &record.key, &error)
+                }
             },
             Change::Dropped(key) => {
-                self.unreadable.is_over(Topic::Quarantine, &key);
+                self.unreadable.mark_readable(Topic::Quarantine, &key);
                 // What could not be read when it came is not known, and need not be forgotten.
                 if let Ok(place) = read_key(&key) {
                     let mut table = lock(&self.table);
--- a/crates/swiftshunt-gateway/src/quarantine/sight.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/sight.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 
 use super::Quarantine;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::quarantine::{QuarantineMessage, Sight};
 
 /// Time within which a connection is refused or taken: a few times the way to and fro within a region.
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -14,9 +14,9 @@
 
 use super::COUNTERS;
 use super::surroundings::{Surroundings, View};
-use crate::beliefs::lock;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::rates::{CounterAnswer, RateMessage, VersionedLimit};
@@ -184,7 +184,7 @@
             self.ping([gateway]);
             return Precedent::Asked;
         };
-        let gone_after = self.members.patience(gateway, GONE_AFTER);
+        let gone_after = self.members.answer_timeout(gateway, GONE_AFTER);
         let was_heard = self.members.heard_at(gateway) >= probe.first;
         let is_gone = !was_heard && now >= probe.first + gone_after;
         let pause = if was_heard || is_gone {
@@ -214,7 +214,7 @@
     }
 
     /// Forgets buckets and gateways about which nobody asks any more.
-    pub(super) fn forget_old(&self, after: Duration) {
+    pub(super) fn remove_expired(&self, after: Duration) {
         let now = self.clock.now();
         let is_new = |at: Duration| now < at + after;
         lock(&self.counted).retain(|_, counted| is_new(counted.bucket.asked_at()));
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -17,9 +17,9 @@
 use swiftshunt_types::{RateLimit, TenantName};
 use tokio::sync::Notify;
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::messages::rates::VersionedLimit;
 use crate::metrics::{Metrics, RateAnswer};
@@ -119,7 +119,7 @@
         }
         let versioned = VersionedLimit::new(limit, version);
         let name = &tenant.name;
-        let patience = self.clock.now() + self.members.patience_with_all(LONGEST_WAIT);
+        let patience = self.clock.now() + self.members.max_answer_timeout(LONGEST_WAIT);
         while self.clock.now() < patience {
             match self.decide(name, limit) {
                 Step::Admitted => {
@@ -138,7 +138,7 @@
                 Word::NotYet => tokio::time::sleep(NOT_YET_PAUSE).await,
                 Word::Missed(counter) => {
                     self.metrics.rate_asked(RateAnswer::Silent);
-                    self.members.missed(counter);
+                    self.members.record_timeout(counter);
                 }
                 Word::Nobody => break,
             }
@@ -218,7 +218,7 @@
             lock(&self.tenants)
                 .retain(|_, state| state.waiting > 0 || is_new(state.account.used_at()));
             lock(&self.asked).retain(|_, asked| now < asked.at + CREDIT_LIFE);
-            self.counters.forget_old(FORGOTTEN_AFTER);
+            self.counters.remove_expired(FORGOTTEN_AFTER);
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/rates/questions.rs
+++ b/crates/swiftshunt-gateway/src/rates/questions.rs
@@ -10,7 +10,7 @@
 use swiftshunt_types::TenantName;
 
 use super::{COUNTERS, Rates};
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::Notice;
 use crate::messages::rates::{CounterAnswer, RateMessage, VersionedLimit};
 use crate::metrics::RateAnswer;
@@ -54,7 +54,7 @@
     pub(super) async fn word_of_counter(&self, tenant: &TenantName, limit: VersionedLimit) -> Word {
         let within_region = ASK_PATIENCE;
         let patience = self.counter(tenant).map_or(within_region, |counter| {
-            self.members.patience(counter, within_region)
+            self.members.answer_timeout(counter, within_region)
         });
         let (answered, is_to_ask) = {
             let now = self.clock.now();
@@ -112,7 +112,7 @@
         let order = self.members.counters(tenant, COUNTERS);
         let mut there = order
             .into_iter()
-            .filter(|gateway| !self.members.is_in_doubt(*gateway));
+            .filter(|gateway| !self.members.is_suspected(*gateway));
         there.next()
     }
 
@@ -137,7 +137,7 @@
                     Asking::Answered
                 }
                 CounterAnswer::CountedBy(counter) => {
-                    self.members.vouched_for(counter);
+                    self.members.confirm_alive(counter);
                     Asking::NotYet
                 }
                 CounterAnswer::NotYet => Asking::NotYet,
@@ -188,7 +188,7 @@
 
     fn take_answer(&self, asked: Asked, answer: CounterAnswer, from: SocketAddr) {
         let took = self.clock.now().saturating_sub(asked.at);
-        self.members.answered(from, took);
+        self.members.record_answer(from, took);
         match answer {
             CounterAnswer::Counted(verdict) => {
                 self.metrics.rate_asked(answer_of(verdict));
@@ -196,7 +196,7 @@
             }
             CounterAnswer::CountedBy(counter) => {
                 self.metrics.rate_asked(RateAnswer::NotCounter);
-                self.members.vouched_for(counter);
+                self.members.confirm_alive(counter);
                 self.wake(&asked.tenant);
             }
             CounterAnswer::NotYet => self.metrics.rate_asked(RateAnswer::NotCounter),
--- a/crates/swiftshunt-gateway/src/rates/surroundings.rs
+++ b/crates/swiftshunt-gateway/src/rates/surroundings.rs
@@ -59,7 +59,7 @@
         must_be_known: bool,
         now: Duration,
     ) -> Vec<SocketAddr> {
-        let wait = members.patience_with_all(WAIT);
+        let wait = members.max_answer_timeout(WAIT);
         if let Some(look) = self.under_way.take_if(|look| now >= look.at + wait) {
             self.end(look, members, now);
         }
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -11,9 +11,9 @@
 
 use crate::answers::{AnswerBody, BodyError};
 use crate::attempt::{Answer, Dispatcher, Outgoing, Patience, SendFailure};
-use crate::events::EventBorders;
-use crate::journey::Journey;
+use crate::events::EventFramer;
 use crate::pauses::Pauses;
+use crate::request_context::RequestContext;
 use crate::slots::{Place, Placing};
 
 /// Pause between looks at a worker whose stream is silent.
@@ -28,20 +28,20 @@
 /// Waits for the first bytes of a stream's body.
 pub(crate) async fn first_bytes(
     dispatcher: &Dispatcher,
-    journey: &Journey,
+    context: &RequestContext,
     answer: &mut Answer,
 ) -> Result<Bytes, SendFailure> {
-    let again = journey.route.resumable && journey.runs + 1 < journey.route.max_attempts;
+    let again = context.route.resumable && context.runs + 1 < context.route.max_attempts;
     let reading = answer.in_flight.chosen.expected_reading;
-    let silence = again.then(|| journey.silence_limit() + reading);
-    match next(dispatcher, answer, journey.until, silence).await? {
+    let silence = again.then(|| context.silence_limit() + reading);
+    match next(dispatcher, answer, context.until, silence).await? {
         Next::Bytes(bytes) => Ok(bytes),
         Next::End => Ok(Bytes::new()),
     }
 }
 
 /// Records with the worker how its stream failed.
-pub(crate) fn ends_by(answer: &mut Answer, failure: &SendFailure) {
+pub(crate) fn record_failure(answer: &mut Answer, failure: &SendFailure) {
     answer.in_flight.ends(match failure {
         SendFailure::Silent => Ending::Silent,
         SendFailure::OutOfTime => Ending::Withdrawn,
@@ -112,38 +112,38 @@
     service: String,
     tried: Vec<String>,
     runs_left: u32,
-    told_until: Option<Duration>,
+    caller_deadline: Option<Duration>,
     silence: Duration,
-    borders: EventBorders,
+    framer: EventFramer,
     last_event: Option<u64>,
 }
 
 /// The body of a stream whose first bytes are there.
 pub(crate) fn body(
     dispatcher: Arc<Dispatcher>,
-    journey: &mut Journey,
+    context: &mut RequestContext,
     answer: Answer,
     first: Bytes,
 ) -> AnswerBody {
-    let id = journey.outgoing.id.clone().unwrap_or_default();
-    let resume = journey.route.resumable.then(|| Resume {
-        outgoing: journey.outgoing.clone(),
-        service: journey.service.clone(),
-        tried: journey.tried.clone(),
-        runs_left: (journey.route.max_attempts).saturating_sub(journey.runs + 1),
-        told_until: journey.told_until(),
-        silence: journey.silence_limit(),
-        borders: EventBorders::default(),
-        last_event: journey.facts.last_event,
+    let id = context.outgoing.id.clone().unwrap_or_default();
+    let resume = context.route.resumable.then(|| Resume {
+        outgoing: context.outgoing.clone(),
+        service: context.service.clone(),
+        tried: context.tried.clone(),
+        runs_left: (context.route.max_attempts).saturating_sub(context.runs + 1),
+        caller_deadline: context.caller_deadline(),
+        silence: context.silence_limit(),
+        framer: EventFramer::default(),
+        last_event: context.facts.last_event,
     });
     let relay = Relay {
         dispatcher,
         resume,
         answer: Some(answer),
         first: Some(first),
-        until: journey.until,
+        until: context.until,
         id,
-        pauses: Pauses::new(journey.route.pause_target),
+        pauses: Pauses::new(context.route.pause_target),
     };
     let frames = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -172,7 +172,7 @@
             match came {
                 Ok(Next::Bytes(bytes)) => {
                     let whole = match &mut self.resume {
-                        Some(resume) => resume.borders.take(&bytes),
+                        Some(resume) => resume.framer.push(&bytes),
                         None => bytes,
                     };
                     if !whole.is_empty() {
@@ -185,7 +185,10 @@
                         self.log_pauses(&answer);
                         answer.finish(&self.dispatcher);
                     }
-                    let rest = self.resume.as_mut().map(|resume| resume.borders.rest());
+                    let rest = self
+                        .resume
+                        .as_mut()
+                        .map(|resume| resume.framer.take_remainder());
                     return Ok(rest.filter(|rest| !rest.is_empty()));
                 }
                 Err(failure) => self.go_on_elsewhere(failure).await?,
@@ -209,7 +212,7 @@
             log::info!(request = self.id.as_str(), failure:% = failure, last_event:? = last,
                 worker = answer.in_flight.chosen.incarnation.as_str(),
                 fingerprint:% = answer.in_flight.subject.fingerprint(); "a stream broke off");
-            ends_by(&mut answer, &failure);
+            record_failure(&mut answer, &failure);
         }
         let broken = || -> BodyError { format!("the stream broke off: {failure:?}").into() };
         if matches!(failure, SendFailure::OutOfTime) {
@@ -220,7 +223,7 @@
         let Some(resume) = &mut self.resume else {
             return Err(broken());
         };
-        resume.borders.drop_partial();
+        resume.framer.discard_partial();
         let answer = resume.take_up(&dispatcher, until).await;
         let Some(answer) = answer else {
             return Err(broken());
@@ -235,7 +238,7 @@
 impl Resume {
     /// The last event that the caller has.
     fn position(&self) -> Option<u64> {
-        self.borders.last_id().or(self.last_event)
+        self.framer.last_id().or(self.last_event)
     }
 
     /// Finds a worker that goes on behind the last event passed on.
@@ -251,7 +254,7 @@
                     "a stream does not go on, since its request ended its workers");
                 return None;
             }
-            if let Some(configuration) = dispatcher.beliefs.configuration() {
+            if let Some(configuration) = dispatcher.fleet_state.configuration() {
                 self.outgoing.bind(&configuration);
             }
             let placing = Placing {
@@ -269,7 +272,7 @@
             self.tried.push(chosen.incarnation.clone());
             let patience = Patience {
                 until,
-                told_until: self.told_until,
+                caller_deadline: self.caller_deadline,
                 // Silence is no reason to end an answer that can go nowhere else.
                 silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_reading),
             };
--- a/crates/swiftshunt-gateway/src/journey.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -25,7 +25,7 @@
 }
 
 /// A request on its way.
-pub(crate) struct Journey {
+pub(crate) struct RequestContext {
     pub(crate) route: Arc<Route>,
     pub(crate) service: String,
     /// The version of the configuration by which it may be handled where it may.
@@ -42,14 +42,14 @@
     pub(crate) was_declined: bool,
 }
 
-impl Journey {
+impl RequestContext {
     /// Its identifier, for the log.
     pub(crate) fn id(&self) -> &str {
         self.outgoing.id.as_deref().unwrap_or("")
     }
 
     /// When the caller gives up, if it said so: what workers are told.
-    pub(crate) fn told_until(&self) -> Option<Duration> {
+    pub(crate) fn caller_deadline(&self) -> Option<Duration> {
         let deadline = self.facts.deadline;
         deadline.map(|deadline| self.arrived + deadline)
     }
--- a/crates/swiftshunt-gateway/src/running.rs
+++ b/crates/swiftshunt-gateway/src/running.rs
@@ -7,7 +7,7 @@
 use swiftshunt_scheduler::slots::ItemTimes;
 use tokio_util::sync::CancellationToken;
 
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 
 /// An item that runs here.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -29,11 +29,11 @@
 
 /// Items that run here.
 #[derive(Default)]
-pub(crate) struct Running {
+pub(crate) struct RunningItems {
     items: Mutex<HashMap<ItemId, RunningItem>>,
 }
 
-impl Running {
+impl RunningItems {
     pub(crate) fn insert(
         &self,
         id: ItemId,
@@ -73,14 +73,14 @@
     }
 
     /// Records how long an item is expected to run yet.
-    pub(crate) fn needs(&self, id: &ItemId, needs: Duration) {
+    pub(crate) fn set_remaining_time(&self, id: &ItemId, needs: Duration) {
         if let Some(item) = lock(&self.items).get_mut(id) {
             item.times.needs = needs;
         }
     }
 
     /// Records where an item runs; gives the token that interrupts it there.
-    pub(crate) fn at_worker(&self, id: &ItemId, worker: Option<&str>) -> CancellationToken {
+    pub(crate) fn set_worker(&self, id: &ItemId, worker: Option<&str>) -> CancellationToken {
         let interrupt = CancellationToken::new();
         if let Some(item) = lock(&self.items).get_mut(id) {
             item.worker = worker.map(str::to_owned);
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -19,7 +19,7 @@
 
 use crate::answers::{CallerAnswer, plain, whole};
 use crate::batch::{self, Batch};
-use crate::beliefs::Beliefs;
+use crate::fleet_state::FleetState;
 use crate::log_relay::{self, RelayedLog};
 use crate::metrics::Metrics;
 use crate::online::Online;
@@ -86,7 +86,7 @@
 pub(crate) async fn serve_callers(
     listener: TcpListener,
     online: Arc<Online>,
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     stop: Stop,
 ) {
     accept_all(listener, |stream| {
@@ -94,7 +94,7 @@
             .with_time(PROBE_INTERVAL)
             .with_interval(PROBE_INTERVAL);
         drop(SockRef::from(&stream).set_tcp_keepalive(&probes));
-        let serving = serve_caller(stream, Arc::clone(&online), &beliefs, stop.clone());
+        let serving = serve_caller(stream, Arc::clone(&online), &fleet_state, stop.clone());
         stop.connections.spawn(serving);
         std::future::ready(())
     })
@@ -104,10 +104,10 @@
 fn serve_caller(
     stream: TcpStream,
     online: Arc<Online>,
-    beliefs: &Beliefs,
+    fleet_state: &FleetState,
     stop: Stop,
 ) -> impl Future<Output = ()> + use<> {
-    let limits = beliefs
+    let limits = fleet_state
         .configuration()
         .map(|configuration| configuration.limits)
         .unwrap_or_default();
@@ -196,9 +196,9 @@
 }
 
 /// Tells whether the gateway is ready, for as long as the process lives.
-pub(crate) async fn serve_ready(listener: TcpListener, beliefs: Arc<Beliefs>, stop: Stop) {
+pub(crate) async fn serve_ready(listener: TcpListener, fleet_state: Arc<FleetState>, stop: Stop) {
     serve_small(listener, move || {
-        let ready = beliefs.is_complete() && !stop.draining.is_cancelled();
+        let ready = fleet_state.is_complete() && !stop.draining.is_cancelled();
         if ready {
             plain(StatusCode::OK, "ready")
         } else {
--- a/crates/swiftshunt-gateway/src/slots/elsewhere.rs
+++ b/crates/swiftshunt-gateway/src/slots/elsewhere.rs
@@ -9,7 +9,7 @@
 use swiftshunt_scheduler::slots::cell::Cell;
 
 use super::{MOST_PARTS, Placing, Slots};
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::slots::{SlotMessage as Message, SlotRequest};
 
 /// Ways to and fro that a request which crosses takes more: that of the question and its own.
@@ -71,11 +71,11 @@
 
     /// The cells that this gateway owns, also those of which nobody has reported anything.
     fn own_cells(&self) -> Vec<Cell> {
-        let Some(configuration) = self.beliefs.configuration() else {
+        let Some(configuration) = self.fleet_state.configuration() else {
             return Vec::new();
         };
         let services = configuration.batch_services();
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let cells = services
             .into_iter()
             .flat_map(|service| selector.cells(service));
@@ -88,7 +88,7 @@
     fn tell_room(&self, cell: &Cell) {
         let now = self.clock.now();
         let (workers, counterparts) = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             (
                 selector.cell_workers(cell, now),
                 selector.counterparts(cell),
@@ -132,7 +132,7 @@
         } = *placing;
         let owner = self.members.owner(&cell);
         let bids = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             selector.bids(&cell, demand, tried, self.clock.now())
         };
         if bids.is_empty() {
@@ -151,7 +151,7 @@
         let chosen = match verdict {
             Some(Ok(assigned)) => {
                 self.saw(&cell, assigned.number);
-                let selector = self.beliefs.selector();
+                let selector = self.fleet_state.selector();
                 selector.assigned_to(placing.service, assigned.worker, demand, assigned.reading)
             }
             Some(Err(_)) | None => None,
--- a/crates/swiftshunt-gateway/src/slots/failures.rs
+++ b/crates/swiftshunt-gateway/src/slots/failures.rs
@@ -7,28 +7,28 @@
 use swiftshunt_scheduler::slots::cell::Cell;
 
 use super::Slots;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::slots::SlotMessage as Message;
 
 impl Slots {
     /// A send of this gateway to a worker broke, found no connection, or was met by silence.
     pub(crate) fn send_failed(&self, chosen: &Chosen) {
-        if !self.beliefs.has_batch(&chosen.service) {
+        if !self.fleet_state.has_batch(&chosen.service) {
             return;
         }
         let now = self.clock.now();
         let worker = WorkerKey::of(&chosen.incarnation);
         let (cell, workers) = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             (
                 selector.cell_of(chosen),
                 selector.ready_count(&chosen.service),
             )
         };
         let (failing, is_own_fault) = {
-            let mut failures = lock(&self.own_failures);
+            let mut failures = lock(&self.local_faults);
             failures.add(&chosen.incarnation, now);
-            (failures.workers(), failures.are_own(workers))
+            (failures.workers(), failures.indicate_local_fault(workers))
         };
         if is_own_fault {
             log::info!(worker = chosen.incarnation.as_str(), failing, workers;
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -22,15 +22,15 @@
 use swiftshunt_topology::Residency;
 use tokio::sync::oneshot;
 
-use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::{FleetState, lock};
+use crate::local_faults::LocalFaultDetector;
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, Verdict};
 use crate::metrics::{Metrics, SlotAnswer};
-use crate::own_failures::OwnFailures;
-use crate::running::Running;
+use crate::running::RunningItems;
 use elsewhere::Crossing;
 use queue::{Granted, Queue};
 use reporting::Told;
@@ -84,8 +84,8 @@
     life: u64,
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
-    beliefs: Arc<Beliefs>,
-    running: Arc<Running>,
+    fleet_state: Arc<FleetState>,
+    running: Arc<RunningItems>,
     metrics: Arc<Metrics>,
     clock: Clock,
     /// Share of a cell's slots that is kept free of batch items.
@@ -99,7 +99,7 @@
     last_ask: AtomicU64,
     last_report: AtomicU64,
     queue: Queue,
-    own_failures: Mutex<OwnFailures>,
+    local_faults: Mutex<LocalFaultDetector>,
 }
 
 /// A request that looks for a worker.
@@ -132,8 +132,8 @@
     pub(crate) fn new(
         members: Arc<Members>,
         datagrams: Arc<Datagrams>,
-        beliefs: Arc<Beliefs>,
-        running: Arc<Running>,
+        fleet_state: Arc<FleetState>,
+        running: Arc<RunningItems>,
         metrics: Arc<Metrics>,
         clock: Clock,
         headroom: f64,
@@ -142,7 +142,7 @@
             life: rand::rng().next_u64(),
             members,
             datagrams,
-            beliefs,
+            fleet_state,
             running,
             metrics,
             clock,
@@ -155,7 +155,7 @@
             last_ask: AtomicU64::new(0),
             last_report: AtomicU64::new(0),
             queue: Queue::default(),
-            own_failures: Mutex::default(),
+            local_faults: Mutex::default(),
         }
     }
 
@@ -247,8 +247,8 @@
         full: &[Cell],
     ) -> Option<Offer> {
         let now = self.clock.now();
-        let selector = self.beliefs.selector();
-        if !self.beliefs.has_batch(service) {
+        let selector = self.fleet_state.selector();
+        if !self.fleet_state.has_batch(service) {
             let chosen = selector.choose(service, demand, tried, now)?;
             let shared = None;
             return Some(Offer { chosen, shared });
@@ -281,7 +281,7 @@
         let Assigned {
             worker, reading, ..
         } = assigned;
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         selector
             .assigned_to(placing.service, worker, placing.demand, reading)
             .unwrap_or(chosen)
@@ -305,7 +305,11 @@
     /// full.
     fn make_room_here(&self, chosen: &Chosen) {
         let now = self.clock.now();
-        if self.beliefs.selector().is_full(&chosen.incarnation, now) {
+        if self
+            .fleet_state
+            .selector()
+            .is_full(&chosen.incarnation, now)
+        {
             self.step_aside(|worker| worker == chosen.incarnation, now);
         }
     }
@@ -340,11 +344,11 @@
         };
         self.send(message, owner);
         let asked_at = self.clock.now();
-        let patience = self.members.patience(owner, ASK_PATIENCE);
+        let patience = self.members.answer_timeout(owner, ASK_PATIENCE);
         match tokio::time::timeout(patience, receiver).await {
             Ok(Ok(answered)) => {
                 let took = self.clock.now().saturating_sub(asked_at);
-                self.members.answered(owner, took);
+                self.members.record_answer(owner, took);
                 let answer = match answered.verdict {
                     Ok(_) => SlotAnswer::Assigned,
                     Err(NotPlaced::Full) => SlotAnswer::Full,
@@ -355,7 +359,7 @@
             }
             _ => {
                 lock(&self.asks).remove(&ask);
-                if self.members.missed(owner) {
+                if self.members.record_timeout(owner) {
                     self.metrics.slot_owners_lost.inc();
                 }
                 Asked::undecided(SlotAnswer::Late)
@@ -378,10 +382,10 @@
         residency: &Residency,
     ) -> Chosen {
         loop {
-            let regions = self.beliefs.selector().regions(service, residency);
+            let regions = self.fleet_state.selector().regions(service, residency);
             let now = self.clock.now();
             let (ticket, granted) = self.queue.enter(service, regions, times, now);
-            self.beliefs.load_changed.notify_one();
+            self.fleet_state.load_changed.notify_one();
             let granted = granted.await;
             drop(ticket);
             let Ok(granted) = granted else {
@@ -389,7 +393,7 @@
             };
             self.saw(&granted.cell, granted.number);
             let now = self.clock.now();
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             if let Some(chosen) = selector.assigned(service, granted.worker, residency, now) {
                 return chosen;
             }
@@ -401,7 +405,7 @@
         if let Some(told) = lock(&self.told).get_mut(cell) {
             told.seen = told.seen.max(number);
         }
-        self.beliefs.load_changed.notify_one();
+        self.fleet_state.load_changed.notify_one();
     }
 
     fn send(&self, message: Message, to: SocketAddr) {
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -10,7 +10,7 @@
 
 use super::Slots;
 use super::queue::Granted;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, Verdict};
 
 impl Slots {
@@ -18,7 +18,7 @@
     /// that wait.
     pub(super) fn take_report(&self, cell: &Cell, from: SocketAddr, report: Report) {
         let now = self.clock.now();
-        let workers = self.beliefs.selector().cell_workers(cell, now);
+        let workers = self.fleet_state.selector().cell_workers(cell, now);
         let (orders, grants) = {
             let mut books = lock(&self.books);
             let book = self.book(&mut books, cell);
@@ -48,7 +48,7 @@
     ) -> Verdict {
         let now = self.clock.now();
         let (workers, rates) = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             let workers = selector.cell_workers(cell, now);
             (workers, selector.engine_rates(&cell.service))
         };
@@ -107,7 +107,7 @@
 
     /// The workers to which something may go now: warm ones, and cold ones with starts left.
     fn assignable(&self, workers: &[CellWorker], cell: &Cell, now: Duration) -> Vec<CellWorker> {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let workers = workers.iter().copied();
         let assignable =
             workers.filter(|worker| selector.is_assignable(worker.key, &cell.service, now));
@@ -115,7 +115,7 @@
     }
 
     fn assigned_one(&self, worker: WorkerKey, cell: &Cell, now: Duration) {
-        let mut selector = self.beliefs.selector();
+        let mut selector = self.fleet_state.selector();
         selector.assigned_one(worker, &cell.service, now);
     }
 
@@ -152,7 +152,7 @@
             }
             is_open
         });
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let mut usage = Use::default();
         for (cell, book) in books.iter_mut() {
             book.expire(now);
--- a/crates/swiftshunt-gateway/src/slots/queue.rs
+++ b/crates/swiftshunt-gateway/src/slots/queue.rs
@@ -10,7 +10,7 @@
 use swiftshunt_types::RegionName;
 use tokio::sync::oneshot;
 
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 
 /// Time after which an item that waits for a slot of one cell waits for one of another: a few times
 /// the way to its owner and back, and short against the time of an item.
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -10,7 +10,7 @@
 use swiftshunt_scheduler::slots::{Held, Report, Waiting, WorkerKey};
 
 use super::Slots;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::slots::SlotMessage as Message;
 
 /// Pause after a change before it is reported, so that changes that come together go together.
@@ -55,7 +55,7 @@
     /// What this gateway holds in a cell now.
     pub(super) fn holding(&self, cell: &Cell) -> Holding {
         Holding {
-            held: self.beliefs.selector().held_in(cell),
+            held: self.fleet_state.selector().held_in(cell),
             waiting: self.queue.waiting(cell, self.clock.now()),
         }
     }
@@ -89,7 +89,7 @@
     pub(crate) async fn keep_reporting(self: Arc<Self>) {
         let mut looked_at = Duration::ZERO;
         loop {
-            let changed = self.beliefs.load_changed.notified();
+            let changed = self.fleet_state.load_changed.notified();
             if self.has_told_something() {
                 // Either a change or the refresh leads to the next report.
                 drop(tokio::time::timeout(REFRESH, changed).await);
@@ -113,11 +113,11 @@
     }
 
     fn report_changes(&self) {
-        let Some(configuration) = self.beliefs.configuration() else {
+        let Some(configuration) = self.fleet_state.configuration() else {
             return;
         };
         for service in configuration.batch_services() {
-            let cells: Vec<Cell> = self.beliefs.selector().cells(service).collect();
+            let cells: Vec<Cell> = self.fleet_state.selector().cells(service).collect();
             for cell in cells {
                 self.report_cell(&cell);
             }
@@ -172,11 +172,13 @@
         }
         let heard_at = self.members.heard_at(owner);
         match told.asked_at.filter(|asked_at| heard_at < *asked_at) {
-            Some(asked_at) if now >= asked_at + self.members.patience(owner, OWNER_GONE) => {
+            Some(asked_at) if now >= asked_at + self.members.answer_timeout(owner, OWNER_GONE) => {
                 Due::Gone
             }
             Some(_) => Due::Question,
-            None if now >= heard_at + self.members.patience(owner, OWNER_QUIET) => Due::Question,
+            None if now >= heard_at + self.members.answer_timeout(owner, OWNER_QUIET) => {
+                Due::Question
+            }
             None => Due::Report,
         }
     }
@@ -193,8 +195,8 @@
 
     /// An owner has given no sign of life though something is held or waits in its cell.
     fn give_up_owner(&self, owner: SocketAddr) {
-        self.members.mark_gone(owner);
+        self.members.mark_suspected(owner);
         self.metrics.slot_owners_lost.inc();
-        self.beliefs.load_changed.notify_one();
+        self.fleet_state.load_changed.notify_one();
     }
 }
--- a/crates/swiftshunt-gateway/src/starts.rs
+++ b/crates/swiftshunt-gateway/src/starts.rs
@@ -12,9 +12,9 @@
 use swiftshunt_scheduler::selection::Chosen;
 use tokio::sync::oneshot;
 
-use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::{FleetState, lock};
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::starts::StartMessage as Message;
@@ -43,7 +43,7 @@
 pub(crate) struct Starts {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
     clock: Clock,
     handed_out: Mutex<HandedOut>,
@@ -67,14 +67,14 @@
     pub(crate) fn new(
         members: Arc<Members>,
         datagrams: Arc<Datagrams>,
-        beliefs: Arc<Beliefs>,
+        fleet_state: Arc<FleetState>,
         metrics: Arc<Metrics>,
         clock: Clock,
     ) -> Self {
         Self {
             members,
             datagrams,
-            beliefs,
+            fleet_state,
             metrics,
             clock,
             handed_out: Mutex::new(HandedOut::new(clock.now())),
@@ -85,13 +85,17 @@
 
     /// The start for a send now: `held` if it has not lapsed, none needed at a warm worker, or a new one; none
     /// if there is none to be had.
-    pub(crate) async fn take_or_keep(&self, chosen: &Chosen, held: Option<Start>) -> Option<Start> {
+    pub(crate) async fn ensure_permit(
+        &self,
+        chosen: &Chosen,
+        held: Option<Start>,
+    ) -> Option<Start> {
         let now = self.clock.now();
         let lapses_at = held.and_then(|held| held.lapses_at);
         if lapses_at.is_some_and(|lapses_at| now < lapses_at) {
             return held;
         }
-        let bound = self.beliefs.selector().needs_start(chosen, now);
+        let bound = self.fleet_state.selector().needs_start(chosen, now);
         let Some(bound) = bound else {
             return Some(Start { lapses_at: None });
         };
@@ -105,7 +109,7 @@
             Ok(()) => None,
             Err(again_in) => {
                 let until = now + again_in.max(NONE_FOR);
-                let mut selector = self.beliefs.selector();
+                let mut selector = self.fleet_state.selector();
                 selector.no_start_until(&chosen.incarnation, until);
                 self.metrics.starts_missing.inc();
                 None
@@ -136,7 +140,7 @@
         if keeper == self.members.own() {
             return Some(self.hand_out(&chosen.service, &chosen.id, &chosen.zone));
         }
-        if self.members.is_in_doubt(keeper) {
+        if self.members.is_suspected(keeper) {
             return None;
         }
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
@@ -152,12 +156,12 @@
         self.datagrams.send(&Notice::Start(message), [keeper]);
         let patience = self
             .members
-            .patience(keeper, ASK_PATIENCE)
+            .answer_timeout(keeper, ASK_PATIENCE)
             .min(MOST_PATIENCE);
         match tokio::time::timeout(patience, receiver).await {
             Ok(Ok(verdict)) => Some(verdict),
             Ok(Err(_)) | Err(_) => {
-                self.members.missed(keeper);
+                self.members.record_timeout(keeper);
                 None
             }
         }
@@ -168,7 +172,7 @@
         let own = Some(self.members.own());
         let keepers = self.members.keepers(worker, zone);
         let rank = keepers.iter().position(|keeper| *keeper == own);
-        let bound = self.beliefs.selector().cold_bound(service).copied();
+        let bound = self.fleet_state.selector().cold_bound(service).copied();
         let (Some(rank), Some(bound)) = (rank, bound) else {
             return Err(SILENT_FOR);
         };
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -23,10 +23,10 @@
 
 use crate::answers::{CallerAnswer, plain};
 use crate::clock::Clock;
-use crate::followed::Pace;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::peer_http::{answer_with, read_call};
+use crate::topic_follower::TailTiming;
 use message::TailCall;
 use published::Published;
 use readers::Readers;
@@ -120,7 +120,7 @@
 
 impl SharedTail {
     /// What has changed from an offset on, by a reader; none if this gateway is to read the log.
-    pub(crate) async fn by_a_reader(&self, from: u64, pace: Pace) -> Option<TailPart> {
+    pub(crate) async fn by_a_reader(&self, from: u64, pace: TailTiming) -> Option<TailPart> {
         let call = TailCall {
             topic: self.topic,
             from,
@@ -137,7 +137,7 @@
         &self,
         from: u64,
         records: &[KeyedRecord],
-        pace: Pace,
+        pace: TailTiming,
         returned_at: Option<Duration>,
     ) {
         let Some(published) = self.tails.published(self.topic) else {
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -13,8 +13,8 @@
 use swiftshunt_scheduler::readers::{readers, weight};
 
 use super::message::TailCall;
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::peer_http::{self, PeerClient, encoded};
@@ -127,7 +127,7 @@
         let body = body.await.map_err(|error| error.to_string())?.to_bytes();
         let distance = self.members.distance_to(reader);
         let traffic = &self.metrics.traffic;
-        traffic.carried(Content::Tails, distance, body.len());
+        traffic.count_bytes(Content::Tails, distance, body.len());
         ciborium::from_reader(body.as_ref()).map_err(|error| error.to_string())
     }
 
--- a/crates/swiftshunt-gateway/src/followed.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -24,13 +24,13 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(600);
 
 /// Pauses while the log is away, and logs when that begins and ends.
-pub(crate) struct Away {
+pub(crate) struct LogBackoff {
     what: &'static str,
     partition: u32,
     failures: u32,
 }
 
-impl Away {
+impl LogBackoff {
     pub(crate) fn new(what: &'static str, partition: u32) -> Self {
         Self {
             what,
@@ -60,16 +60,16 @@
 
 /// How the tail of a topic is read.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
+pub(crate) struct TailTiming {
     /// How long a read waits for a change.
     pub(crate) wait: Duration,
     /// How long an answer may be overdue before the read is made again beside it.
     pub(crate) hedge_after: Duration,
 }
 
-impl Pace {
+impl TailTiming {
     /// A pace at which what is new is known within `obey_within`, also where a read was lost.
-    pub(crate) fn obeying(obey_within: Duration) -> Self {
+    pub(crate) fn for_propagation_limit(obey_within: Duration) -> Self {
         Self {
             wait: obey_within / WAITS_WITHIN_OBEDIENCE,
             hedge_after: obey_within / HEDGES_WITHIN_OBEDIENCE,
@@ -96,7 +96,7 @@
     log: &dyn Log,
     topic: Topic,
     from: u64,
-    pace: Pace,
+    pace: TailTiming,
     overdue: impl Fn(),
 ) -> Result<HedgedRead, LogError> {
     let mut reads = FuturesUnordered::new();
@@ -120,7 +120,7 @@
 }
 
 /// A keyed topic of one partition that is followed.
-pub(crate) struct Followed {
+pub(crate) struct TopicFollower {
     topic: Topic,
     clock: Clock,
     view: KeyedView,
@@ -134,7 +134,7 @@
     returned_at: Option<Duration>,
 }
 
-impl Followed {
+impl TopicFollower {
     pub(crate) fn new(topic: Topic, clock: Clock) -> Self {
         Self {
             topic,
@@ -171,7 +171,7 @@
     pub(crate) async fn changes(
         &mut self,
         log: &dyn Log,
-        pace: Pace,
+        pace: TailTiming,
     ) -> Result<Vec<Change>, LogError> {
         if let Some(part) = self.by_a_reader(pace).await {
             return Ok(self.take_part(part));
@@ -185,7 +185,7 @@
         changes
     }
 
-    async fn by_a_reader(&self, pace: Pace) -> Option<TailPart> {
+    async fn by_a_reader(&self, pace: TailTiming) -> Option<TailPart> {
         let shared = self.shared.as_ref().filter(|_| self.is_listed)?;
         let from = self.view.next_offset();
         shared.by_a_reader(from, pace).await
@@ -202,7 +202,7 @@
         changes
     }
 
-    async fn read(&mut self, log: &dyn Log, pace: Pace) -> Result<Vec<Change>, LogError> {
+    async fn read(&mut self, log: &dyn Log, pace: TailTiming) -> Result<Vec<Change>, LogError> {
         if !self.is_listed {
             return self.list(log).await;
         }
@@ -230,7 +230,7 @@
         }
     }
 
-    fn publish(&self, from: u64, records: &[KeyedRecord], pace: Pace) {
+    fn publish(&self, from: u64, records: &[KeyedRecord], pace: TailTiming) {
         if let Some(shared) = &self.shared {
             shared.publish(from, records, pace, self.returned_at);
         }
--- a/crates/swiftshunt-gateway/src/traffic.rs
+++ b/crates/swiftshunt-gateway/src/traffic.rs
@@ -130,7 +130,7 @@
     }
 
     /// Bytes went to a place at this distance, or came from there.
-    pub(crate) fn carried(&self, content: Content, distance: Distance, bytes: usize) {
+    pub(crate) fn count_bytes(&self, content: Content, distance: Distance, bytes: usize) {
         let way = distance.into();
         self.bytes
             .get_or_create(&TrafficLabels { content, way })
--- a/crates/swiftshunt-gateway/src/unreadable.rs
+++ b/crates/swiftshunt-gateway/src/unreadable.rs
@@ -8,8 +8,8 @@
 
 use swiftshunt_journal::Topic;
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::metrics::Metrics;
 
 /// Records that are remembered at most. What comes beyond is counted and told of no more.
@@ -40,7 +40,7 @@
     }
 
     /// A record cannot be read.
-    pub(crate) fn passed_over(&self, topic: Topic, key: &[u8], reason: &impl Display) {
+    pub(crate) fn record_unreadable(&self, topic: Topic, key: &[u8], reason: &impl Display) {
         self.metrics.records_unreadable.inc();
         let now = self.clock.now();
         let mut known = lock(&self.known);
@@ -70,7 +70,7 @@
     }
 
     /// A record can be read, or is gone.
-    pub(crate) fn is_over(&self, topic: Topic, key: &[u8]) {
+    pub(crate) fn mark_readable(&self, topic: Topic, key: &[u8]) {
         let mut known = lock(&self.known);
         if known.is_empty() {
             return;
--- a/crates/swiftshunt-gateway/src/upstream.rs
+++ b/crates/swiftshunt-gateway/src/upstream.rs
@@ -12,7 +12,7 @@
 use swiftshunt_http::PermittedBody;
 use tokio::net::TcpStream;
 
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 
 /// A connection that is ready for a request.
 pub(crate) type Sender = SendRequest<PermittedBody>;
@@ -58,7 +58,7 @@
 impl Upstream {
     /// A resting connection, the one that has rested longest first: what a worker sent too much
     /// has then most likely shown itself.
-    pub(crate) fn take_resting(&self, incarnation: &str, now: Duration) -> Option<Sender> {
+    pub(crate) fn take_idle(&self, incarnation: &str, now: Duration) -> Option<Sender> {
         let mut resting = lock(&self.resting);
         let of_worker = resting.get_mut(incarnation)?;
         while let Some(connection) = of_worker.pop_front() {
@@ -70,7 +70,7 @@
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub(crate) fn give_back(
+    pub(crate) fn return_idle(
         &self,
         incarnation: &str,
         sender: Sender,
@@ -95,7 +95,7 @@
     }
 
     /// A worker sent an answer that nobody waited for.
-    pub(crate) fn saw_surplus(&self, incarnation: &str, now: Duration) {
+    pub(crate) fn require_single_use(&self, incarnation: &str, now: Duration) {
         lock(&self.resting).remove(incarnation);
         lock(&self.single_use_until).insert(incarnation.to_owned(), now + SINGLE_USE_TIME);
     }
@@ -106,7 +106,7 @@
     }
 
     /// Closes resting connections that are over their time, and those of workers that are gone.
-    pub(crate) fn sweep(&self, now: Duration, is_known: impl Fn(&str) -> bool) {
+    pub(crate) fn close_expired(&self, now: Duration, is_known: impl Fn(&str) -> bool) {
         let mut resting = lock(&self.resting);
         resting.retain(|incarnation, of_worker| {
             of_worker.retain(|connection| {
--- a/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
@@ -11,7 +11,7 @@
 use super::WaitingLimits;
 use super::registers::Reading;
 use crate::batch::Member;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::waiting::{Allowance, LimitedJob, Verdict, WaitingMessage};
 use crate::metrics::Basis;
 
@@ -163,16 +163,16 @@
         };
         let asked_at = self.clock.now();
         self.send(question, counter);
-        let patience = self.members.patience(counter, ANSWER_PATIENCE);
+        let patience = self.members.answer_timeout(counter, ANSWER_PATIENCE);
         let patience = patience.min(LONGEST_PATIENCE);
         let answer = tokio::time::timeout(patience, receiver).await;
         lock(&self.asks).remove(&ask);
         if let Ok(Ok(verdict)) = answer {
             let took = self.clock.now().saturating_sub(asked_at);
-            self.members.answered(counter, took);
+            self.members.record_answer(counter, took);
             return Some(verdict);
         }
-        self.members.missed(counter);
+        self.members.record_timeout(counter);
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(),
             counter = register.counter.as_str(), version = register.version;
             "the gateway that counts a route's waiting tokens did not answer");
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -10,7 +10,7 @@
 use swiftshunt_scheduler::waiting_tokens::{Counter, Decision, Holding, Request, VERIFIED_FOR};
 
 use super::{Call, WaitingLimits};
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
 use crate::metrics::Basis;
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -23,9 +23,9 @@
 pub(crate) use asking::{Fit, LONGEST_PATIENCE};
 
 use crate::batch::{Member, partition_of};
-use crate::beliefs::lock;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -11,8 +11,8 @@
 use swiftshunt_journal::{Change, KeyedView, Log, LogError, ReadOutcome, Topic};
 use swiftshunt_scheduler::waiting_tokens::Register;
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::listing::Listing;
 use crate::messages::waiting::Allowance;
 use crate::unreadable::UnreadableRecords;
@@ -202,12 +202,13 @@
             match change {
                 Change::Set(record) => match read_record(&record.key, &record.value) {
                     Ok((name, register)) => partition.stands(name, register, record.key),
-                    Err(error) => self
-                        .unreadable
-                        .passed_over(Topic::Limits, &record.key, &error),
+                    Err(error) => {
+                        self.unreadable
+                            .record_unreadable(Topic::Limits, &record.key, &error)
+                    }
                 },
                 Change::Dropped(key) => {
-                    self.unreadable.is_over(Topic::Limits, &key);
+                    self.unreadable.mark_readable(Topic::Limits, &key);
                     partition.is_dropped(&key);
                 }
             }
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -9,7 +9,7 @@
 use swiftshunt_scheduler::waiting_tokens::Register;
 
 use super::WaitingLimits;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::waiting::Allowance;
 
 /// Time for which what was admitted is waited for: most appends take a few tens of milliseconds, and whoever takes
--- a/crates/swiftshunt-gateway/src/ways.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -8,7 +8,7 @@
 
 use swiftshunt_topology::{Bounds, Distance, RoundTrips, Topology};
 
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 
 /// How long the way to another region is waited for until one was observed.
 const UNOBSERVED: Duration = Duration::from_millis(150);
@@ -21,18 +21,18 @@
 
 /// The ways from this gateway's zone to others.
 #[derive(Default)]
-pub(crate) struct Ways {
+pub(crate) struct ZoneLatencies {
     round_trips: Mutex<RoundTrips<String>>,
 }
 
-impl Ways {
+impl ZoneLatencies {
     /// An answer came from a zone.
-    pub(crate) fn answered(&self, zone: &str, took: Duration) {
+    pub(crate) fn record_answer(&self, zone: &str, took: Duration) {
         lock(&self.round_trips).observe(zone.to_owned(), took);
     }
 
     /// An answer from a zone did not come in time.
-    pub(crate) fn missed(&self, zone: &str) {
+    pub(crate) fn record_timeout(&self, zone: &str) {
         lock(&self.round_trips).missed(&zone.to_owned());
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// How long an answer from a zone is waited for that within a region is waited for `within_region`.
-    pub(crate) fn patience(
+    pub(crate) fn answer_timeout(
         &self,
         topology: &Topology,
         zone: &str,
@@ -61,13 +61,13 @@
     }
 
     /// The same for answers from all zones.
-    pub(crate) fn patience_with_all(
+    pub(crate) fn max_answer_timeout(
         &self,
         topology: &Topology,
         within_region: Duration,
     ) -> Duration {
         let zones = topology.zones();
-        let patience = zones.map(|zone| self.patience(topology, zone, within_region));
+        let patience = zones.map(|zone| self.answer_timeout(topology, zone, within_region));
         patience.max().unwrap_or(within_region)
     }
 }
