--- a/crates/swiftshunt-gateway/src/abandon_guard.rs
+++ b/crates/swiftshunt-gateway/src/abandon_guard.rs
@@ -24,7 +24,7 @@
     }
 
     /// The caller has its answer.
-    pub(crate) fn answered(mut self) {
+    pub(crate) fn mark_answered(mut self) {
         self.answered = true;
     }
 }
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -23,7 +23,7 @@
 use crate::protocol::{AnswerFacts, Identity, Protocol, SendFacts};
 use crate::quarantine::{Quarantine, Subject};
 use crate::slots::Slots;
-use crate::starts::{Start, Starts};
+use crate::start_permits::{StartPermit, StartPermits};
 use crate::upstream::{Sender, Upstream};
 
 /// What every send needs.
@@ -34,7 +34,7 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) slots: Arc<Slots>,
-    pub(crate) starts: Arc<Starts>,
+    pub(crate) start_permits: Arc<StartPermits>,
     pub(crate) quarantine: Arc<Quarantine>,
     pub(crate) job_regions: Arc<JobRegions>,
     pub(crate) clock: Clock,
@@ -69,7 +69,7 @@
 
 /// How long a send may take.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct SendLimits {
     /// When the request is given up, on the gateway's clock.
     pub(crate) until: Duration,
     /// What the worker is told, if it is to be told a time.
@@ -145,7 +145,7 @@
 impl Answer {
     /// Whether it is a success that counts: the worker vouches for it, and the body is as the
     /// worker made it.
-    pub(crate) fn is_vouched_success(&self) -> bool {
+    pub(crate) fn is_signed_success(&self) -> bool {
         self.head.status.is_success()
             && self.facts.signed
             && !self.head.headers.contains_key("content-encoding")
@@ -160,7 +160,7 @@
             sender,
             ..
         } = self;
-        in_flight.ends(ending_by_status(head.status));
+        in_flight.set_ending(ending_by_status(head.status));
         if head.status.is_success() {
             dispatcher.quarantine.ran_well(&in_flight.subject);
         }
@@ -179,8 +179,8 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.in_flight.heard();
-            self.in_flight.received(data.len());
+            self.in_flight.record_progress();
+            self.in_flight.record_received(data.len());
             if whole.len() + data.len() > limit {
                 return Err("the answer is too long".to_owned());
             }
@@ -203,7 +203,7 @@
         chosen: &Chosen,
         outgoing: &Outgoing,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Result<Answer, SendFailure> {
         if let Some(held) = self.quarantine.holds(&outgoing.subject).await {
             return Err(SendFailure::Held { ends: held.ends });
@@ -214,15 +214,15 @@
         let missing = chosen.missing_tokens;
         self.peers
             .notify_prompt(&chosen.service, &chosen.incarnation, prompt, missing);
-        let sent = self.exchange(chosen, outgoing, last_event, patience);
+        let sent = self.exchange(chosen, outgoing, last_event, limits);
         let outcome = tokio::select! {
             outcome = sent => outcome,
-            failure = self.lost_patience(chosen, patience) => Err(failure),
+            failure = self.wait_until_limit(chosen, limits) => Err(failure),
         };
         let (response, sender) = match outcome {
             Ok(answered) => answered,
             Err(failure) => {
-                in_flight.ends(ending_of(&failure));
+                in_flight.set_ending(ending_of(&failure));
                 self.metrics.attempt_ended(name_of(&failure));
                 return Err(failure);
             }
@@ -236,7 +236,7 @@
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
-            in_flight.ends(ending_of(&failure));
+            in_flight.set_ending(ending_of(&failure));
             self.metrics.attempt_ended(name_of(&failure));
             return Err(failure);
         }
@@ -281,14 +281,14 @@
         chosen: &Chosen,
         outgoing: &Outgoing,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Result<(hyper::Response<Incoming>, Sender), SendFailure> {
         let start = Some(self.start(chosen, outgoing, None).await?);
         let resting = self
             .upstream
             .take_idle(&chosen.incarnation, self.clock.now());
         if let Some(mut sender) = resting {
-            let request = self.request(chosen, outgoing, last_event, patience);
+            let request = self.request(chosen, outgoing, last_event, limits);
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 // If nothing of it was sent, a new connection serves as well.
@@ -303,13 +303,13 @@
         let mut sender = connected.map_err(|error| SendFailure::NotSent {
             reason: error.to_string(),
         })?;
-        if self.clock.now() >= patience.until {
+        if self.clock.now() >= limits.until {
             return Err(SendFailure::NotSent {
                 reason: "the time was over before it was sent".to_owned(),
             });
         }
         self.start(chosen, outgoing, start).await?;
-        let request = self.request(chosen, outgoing, last_event, patience);
+        let request = self.request(chosen, outgoing, last_event, limits);
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, sender)),
             Err(mut error) => {
@@ -329,9 +329,9 @@
         &self,
         chosen: &Chosen,
         outgoing: &Outgoing,
-        held: Option<Start>,
-    ) -> Result<Start, SendFailure> {
-        let start = self.starts.ensure_permit(chosen, held).await;
+        held: Option<StartPermit>,
+    ) -> Result<StartPermit, SendFailure> {
+        let start = self.start_permits.ensure_permit(chosen, held).await;
         self.may_offer(chosen, outgoing)?;
         start.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
     }
@@ -348,13 +348,13 @@
         chosen: &Chosen,
         outgoing: &Outgoing,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Request<PermittedBody> {
         let mut headers = outgoing.headers.clone();
         let now = self.clock.now();
         let facts = SendFacts {
             worker: &chosen.id,
-            deadline: patience
+            deadline: limits
                 .caller_deadline
                 .map(|until| until.saturating_sub(now)),
             last_event,
@@ -370,17 +370,17 @@
     }
 
     /// Ends when the request is to be taken away from the worker.
-    async fn lost_patience(&self, chosen: &Chosen, patience: Patience) -> SendFailure {
+    async fn wait_until_limit(&self, chosen: &Chosen, limits: SendLimits) -> SendFailure {
         let started = self.clock.now();
         let now = started;
-        let Some(silence) = patience.silence else {
-            tokio::time::sleep(patience.until.saturating_sub(now)).await;
+        let Some(silence) = limits.silence else {
+            tokio::time::sleep(limits.until.saturating_sub(now)).await;
             return SendFailure::OutOfTime;
         };
-        tokio::time::sleep(silence.min(patience.until.saturating_sub(now))).await;
+        tokio::time::sleep(silence.min(limits.until.saturating_sub(now))).await;
         loop {
             let now = self.clock.now();
-            if now >= patience.until {
+            if now >= limits.until {
                 return SendFailure::OutOfTime;
             }
             let quiet = self.silence(&chosen.incarnation, now);
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -17,7 +17,7 @@
 use swiftshunt_types::TenantName;
 
 use super::Batch;
-use crate::attempt::{Answer, Outgoing, Patience, SendFailure};
+use crate::attempt::{Answer, Outgoing, SendFailure, SendLimits};
 use crate::fleet_state::lock;
 use crate::protocol::Identity;
 use crate::quarantine::{Held, Subject};
@@ -230,7 +230,7 @@
         let item = outgoing.id.as_deref().unwrap_or("");
         let interrupt = self.running.set_worker(id, Some(&chosen.incarnation));
         let now = self.dispatcher.clock.now();
-        let patience = Patience {
+        let limits = SendLimits {
             until: now + LONGEST_ATTEMPT,
             caller_deadline: None,
             silence: Some(SILENCE),
@@ -238,7 +238,7 @@
         let run = async {
             let sent = self
                 .dispatcher
-                .send(chosen, outgoing, output.last_event, patience)
+                .send(chosen, outgoing, output.last_event, limits)
                 .await;
             match sent {
                 Ok(answer) => self.read(answer, output).await,
@@ -317,14 +317,14 @@
                 500 => Attempt::Failed,
                 _ => Attempt::BrokenOff,
             };
-            answer.in_flight.ends(match attempt {
+            answer.in_flight.set_ending(match attempt {
                 Attempt::Impossible => Ending::Answered,
                 _ => Ending::Failed,
             });
             return attempt;
         }
-        if !answer.is_vouched_success() {
-            answer.in_flight.ends(Ending::Broken);
+        if !answer.is_signed_success() {
+            answer.in_flight.set_ending(Ending::Broken);
             return Attempt::BrokenOff;
         }
         match self.read_events(&mut answer, output).await {
@@ -371,8 +371,8 @@
                 }
                 Some(Ok(event)) => event,
             };
-            in_flight.heard();
-            in_flight.received(event.data.len());
+            in_flight.record_progress();
+            in_flight.record_received(event.data.len());
             output.take(&event)?;
         }
     }
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -107,7 +107,7 @@
 
     /// Renews for as long as the process takes work, and has what is held followed.
     pub(crate) async fn keep(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics) {
-        let mut away = LogBackoff::new("leases", 0);
+        let mut backoff = LogBackoff::new("leases", 0);
         while !self.left.is_cancelled() {
             if !regions.includes_this_gateway() {
                 self.stand_aside().await;
@@ -121,7 +121,7 @@
             let held = self.partitions();
             metrics.leased_partitions.set(held.len() as i64);
             replay.hold(&held);
-            away.pause(&renewed).await;
+            backoff.backoff_on_error(&renewed).await;
             if renewed.is_ok() {
                 tokio::time::sleep(self.time / RENEWALS).await;
             }
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -84,7 +84,7 @@
     ) -> Self {
         let metrics = Arc::clone(&dispatcher.metrics);
         let clock = dispatcher.clock;
-        let peers = members.own();
+        let peers = members.own_address();
         let region_readers = Arc::new(RegionReaders::new(members, clock));
         let readers = Arc::clone(&region_readers);
         let region_pages = Arc::new(RegionPages::new(Arc::clone(&log), readers, clock));
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -66,7 +66,7 @@
             clock,
             known: Mutex::default(),
             reading: tokio::sync::Mutex::default(),
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
         }
     }
 
@@ -238,7 +238,7 @@
     tenant: Option<&TenantName>,
 ) -> Option<Request<Empty<Bytes>>> {
     let path = head.uri.path_and_query()?;
-    let uri = peer_http::uri(owner, path.clone())?;
+    let uri = peer_http::peer_uri(owner, path.clone())?;
     let mut request = Request::new(Empty::new());
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = uri;
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -85,7 +85,7 @@
             log,
             readers,
             clock,
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
             kept: Mutex::default(),
             window: Mutex::default(),
             freed: Notify::new(),
@@ -145,7 +145,7 @@
     }
 
     async fn ask(&self, reader: SocketAddr, call: &PageCall) -> Asked {
-        let uri = peer_http::uri(reader, PathAndQuery::from_static(PATH));
+        let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(PATH));
         let (Some(uri), Some(body)) = (uri, encoded(call)) else {
             return Asked::Nothing;
         };
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -42,7 +42,7 @@
 
     /// Whether it is known who they are.
     pub(super) fn are_known(&self) -> bool {
-        !self.are_shared() || self.members.is_known()
+        !self.are_shared() || self.members.is_list_loaded()
     }
 
     /// Who reads a partition for this gateway, in the order in which they are asked; nobody while it is not known
@@ -51,7 +51,7 @@
         if !self.are_shared() {
             return vec![RegionReader::Own];
         }
-        if !self.members.is_known() {
+        if !self.members.is_list_loaded() {
             return Vec::new();
         }
         let now = self.clock.now();
@@ -61,7 +61,7 @@
             until.is_some_and(|until| now < *until)
         };
         let region = self.members.of_own_region();
-        let own = self.members.own();
+        let own = self.members.own_address();
         region_readers(&partition, own, region, is_suspected, MOST_ASKED)
     }
 
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -202,7 +202,7 @@
 
     /// Follows a partition for as long as the process lives, while it is wanted.
     pub(crate) async fn follow(&self, partition: u32) {
-        let mut away = LogBackoff::new("journal partition", partition);
+        let mut backoff = LogBackoff::new("journal partition", partition);
         let mut listing = Listing::default();
         loop {
             if !self.is_wanted(partition) {
@@ -214,7 +214,7 @@
             }
             let is_listing = !self.state(partition).is_listed;
             let step = self.step(partition, &mut listing).await;
-            away.pause(&step).await;
+            backoff.backoff_on_error(&step).await;
             if step.is_ok() && !is_listing {
                 tokio::time::sleep(GATHER).await;
             }
--- a/crates/swiftshunt-gateway/src/directory_summary.rs
+++ b/crates/swiftshunt-gateway/src/directory_summary.rs
@@ -44,7 +44,12 @@
 
 impl DirectorySummary {
     /// A worker is new, or its availability or address is.
-    pub(crate) fn listed(&mut self, incarnation: &str, availability: Availability, offset: u64) {
+    pub(crate) fn add_listed(
+        &mut self,
+        incarnation: &str,
+        availability: Availability,
+        offset: u64,
+    ) {
         self.offset = self.offset.max(offset);
         match availability {
             Availability::Ready => self.ready.add(incarnation),
@@ -53,7 +58,7 @@
     }
 
     /// Workers are no longer listed.
-    pub(crate) fn unlisted(&mut self, unlisted: &Unlisted) {
+    pub(crate) fn add_unlisted(&mut self, unlisted: &Unlisted) {
         for departed in &unlisted.gone {
             self.gone.add(&departed.incarnation);
         }
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -26,7 +26,7 @@
 use crate::attempt::Outgoing;
 use crate::batch::Submission;
 use crate::metrics::Refusal;
-use crate::online::Online;
+use crate::online::OnlineHandler;
 use crate::protocol::{Call, Identity, RequestFacts};
 use crate::quarantine::Subject;
 use crate::rates::Refused;
@@ -49,7 +49,7 @@
     }
 }
 
-impl Online {
+impl OnlineHandler {
     /// Answers one request of a caller.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> CallerAnswer {
         let arrived = self.dispatcher.clock.now();
@@ -84,7 +84,7 @@
         self.dispatcher.metrics.in_flight.inc();
         let guard = AbandonGuard::new(&self.dispatcher, &context);
         let (answer, ran) = self.serve(context).await;
-        guard.answered();
+        guard.mark_answered();
         if let Some(tenant) = tenant.filter(|_| !ran) {
             self.rates.give_back(&tenant);
         }
@@ -173,7 +173,7 @@
 
     /// The answer to a tenant where keys count only as long as the configuration is confirmed.
     fn refuse_unconfirmed(&self, caller: &Caller) -> Option<CallerAnswer> {
-        let within = self.strict_within?;
+        let within = self.max_config_age?;
         let tenant = caller.tenant()?;
         let now = self.dispatcher.clock.now();
         let age = now.saturating_sub(self.dispatcher.fleet_state.confirmed_at());
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -46,13 +46,14 @@
     /// Follows the configuration for as long as the process lives.
     pub(crate) async fn follow_configuration(self: Arc<Self>, obey_within: Duration) {
         let shared = self.tails.shared(Topic::Configuration, |_| true);
-        let mut follower = TopicFollower::new(Topic::Configuration, self.clock).sharing(shared);
-        let mut away = LogBackoff::new("configuration", 0);
-        let pace = TailTiming::for_propagation_limit(obey_within);
+        let mut follower =
+            TopicFollower::new(Topic::Configuration, self.clock).with_shared_tail(shared);
+        let mut backoff = LogBackoff::new("configuration", 0);
+        let timing = TailTiming::for_propagation_limit(obey_within);
         loop {
-            let changes = follower.changes(self.log.as_ref(), pace).await;
+            let changes = follower.next_changes(self.log.as_ref(), timing).await;
             self.count(&changes);
-            away.pause(&changes).await;
+            backoff.backoff_on_error(&changes).await;
             if changes.is_ok() {
                 self.fleet_state.confirm(self.clock.now());
             }
@@ -131,23 +132,23 @@
         let followers = Arc::clone(&self);
         let is_news = move |record: &KeyedRecord| followers.is_news(record);
         let shared = self.tails.shared(Topic::Workers, is_news);
-        let mut follower = TopicFollower::new(Topic::Workers, self.clock).sharing(shared);
-        let mut away = LogBackoff::new("directory", 0);
-        let pace = TailTiming::for_propagation_limit(settings.obey_within);
+        let mut follower = TopicFollower::new(Topic::Workers, self.clock).with_shared_tail(shared);
+        let mut backoff = LogBackoff::new("directory", 0);
+        let timing = TailTiming::for_propagation_limit(settings.obey_within);
         let gather = settings.obey_within / GATHERINGS_WITHIN_OBEDIENCE;
         let lapse = LISTED_AGAIN_WITHIN.min(settings.obey_within.mul_f64(LAPSED_WITHIN_OBEDIENCE));
         loop {
-            let changes = follower.changes(self.log.as_ref(), pace).await;
+            let changes = follower.next_changes(self.log.as_ref(), timing).await;
             self.count(&changes);
-            away.pause(&changes).await;
+            backoff.backoff_on_error(&changes).await;
             if let Ok(changes) = changes {
                 let returned_at = follower.returned_at();
                 let lapses_until = returned_at.map_or(Duration::ZERO, |at| at + lapse);
-                if !follower.came_from_a_reader() {
+                if !follower.came_from_peer() {
                     self.quarantine.renewed(&self.renewed(&changes));
                 }
                 self.take_workers(changes, lapses_until);
-                if !follower.came_from_a_reader() {
+                if !follower.came_from_peer() {
                     tokio::time::sleep(gather).await;
                 }
             }
@@ -183,13 +184,13 @@
     async fn end_lapse(self: Arc<Self>, until: Duration) {
         tokio::time::sleep(until.saturating_sub(self.clock.now())).await;
         let gone = self.fleet_state.selector().remove_lapsed(self.clock.now());
-        let mut news = DirectorySummary::default();
+        let mut summary = DirectorySummary::default();
         self.quarantine.departed(&gone);
-        news.unlisted(&Unlisted {
+        summary.add_unlisted(&Unlisted {
             gone,
             ..Unlisted::default()
         });
-        news.log();
+        summary.log();
     }
 
     fn take_worker(
@@ -197,7 +198,7 @@
         entry: WorkerEntry,
         offset: u64,
         now: Duration,
-        news: &mut DirectorySummary,
+        summary: &mut DirectorySummary,
     ) {
         let id = entry.life.id.clone();
         let (address, availability) = (entry.address, entry.availability);
@@ -211,7 +212,7 @@
         if let Some(incarnation) = listed {
             let quarantine = &self.quarantine;
             quarantine.listed(&incarnation, address, before.as_deref());
-            news.listed(&incarnation, availability, offset);
+            summary.add_listed(&incarnation, availability, offset);
         }
     }
 
@@ -224,7 +225,7 @@
     /// Takes what a reading changed; entries that are missing before `lapses_until` may have lapsed.
     fn take_workers(self: &Arc<Self>, changes: Vec<Change>, lapses_until: Duration) {
         let now = self.clock.now();
-        let mut news = DirectorySummary::default();
+        let mut summary = DirectorySummary::default();
         let mut unlisted = BTreeSet::new();
         for change in changes {
             match change {
@@ -232,7 +233,7 @@
                     Ok(entry) => {
                         self.unreadable.mark_readable(Topic::Workers, &record.key);
                         unlisted.remove(&entry.life.id);
-                        self.take_worker(entry, record.offset, now, &mut news);
+                        self.take_worker(entry, record.offset, now, &mut summary);
                     }
                     Err(error) => {
                         // It names no worker to use: neither itself nor the one that it has replaced.
@@ -251,10 +252,10 @@
         let lapses_until = (now < lapses_until).then_some(lapses_until);
         let unlisted = self.fleet_state.selector().unlist(&unlisted, lapses_until);
         self.quarantine.departed(&unlisted.gone);
-        news.unlisted(&unlisted);
+        summary.add_unlisted(&unlisted);
         if let Some(until) = lapses_until.filter(|_| !unlisted.lapsed.is_empty()) {
             tokio::spawn(Arc::clone(self).end_lapse(until));
         }
-        news.log();
+        summary.log();
     }
 }
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -22,7 +22,7 @@
 use crate::log_relay::RelayedLog;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::online::Online;
+use crate::online::OnlineHandler;
 use crate::peers::{NoticeHandlers, Peers};
 use crate::protocol::Protocol;
 use crate::quarantine::Quarantine;
@@ -31,7 +31,7 @@
 use crate::server::{Stop, listen, serve_callers, serve_metrics, serve_peers, serve_ready};
 use crate::settings::{GatewaySettings, StopSettings};
 use crate::slots::Slots;
-use crate::starts::Starts;
+use crate::start_permits::StartPermits;
 use crate::tails::Tails;
 use crate::traffic::CountedLog;
 use crate::unreadable::UnreadableRecords;
@@ -175,7 +175,7 @@
             Arc::clone(&unreadable),
             clock,
         ));
-        let starts = Arc::new(Starts::new(
+        let start_permits = Arc::new(StartPermits::new(
             Arc::clone(&members),
             Arc::clone(&datagrams),
             Arc::clone(&fleet_state),
@@ -198,7 +198,7 @@
             metrics: Arc::clone(&metrics),
             peers: Arc::clone(&others),
             slots: Arc::clone(&slots),
-            starts: Arc::clone(&starts),
+            start_permits: Arc::clone(&start_permits),
             quarantine: Arc::clone(&quarantine),
             job_regions,
             clock,
@@ -212,12 +212,12 @@
             Arc::clone(&waiting_limits),
             Arc::clone(&unreadable),
         ));
-        let online = Arc::new(Online {
+        let online = Arc::new(OnlineHandler {
             dispatcher: Arc::clone(&dispatcher),
             batch: Arc::clone(&batch),
             rates: Arc::clone(&rates),
-            late_line: tokio::sync::Mutex::default(),
-            strict_within: settings.tenants.strict_within(),
+            late_queue: tokio::sync::Mutex::default(),
+            max_config_age: settings.tenants.max_config_age(),
         });
         let fleet_followers = Arc::new(FleetFollowers {
             log: Arc::clone(&log),
@@ -264,7 +264,7 @@
                 waiting_limits,
                 rates: Arc::clone(&rates),
                 quarantine: Arc::clone(&quarantine),
-                starts,
+                start_permits,
             })),
             tokio::spawn(Arc::clone(&quarantine).follow(tails)),
             tokio::spawn(Arc::clone(&quarantine).keep_recording()),
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -59,7 +59,7 @@
     }
 
     /// Bytes of the answer came.
-    pub(crate) fn heard(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         let now = self.clock.now();
         let mut selector = self.fleet_state.selector();
         if self.had_first_event {
@@ -71,13 +71,13 @@
     }
 
     /// So many bytes of the answer came.
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn record_received(&self, bytes: usize) {
         self.traffic
             .count_bytes(Content::Answers, self.distance, bytes);
     }
 
     /// How the request leaves the worker, unless it is dropped before this.
-    pub(crate) fn ends(&mut self, ending: Ending) {
+    pub(crate) fn set_ending(&mut self, ending: Ending) {
         self.ending = ending;
     }
 }
--- a/crates/swiftshunt-gateway/src/lib.rs
+++ b/crates/swiftshunt-gateway/src/lib.rs
@@ -40,7 +40,7 @@
 mod server;
 pub mod settings;
 mod slots;
-mod starts;
+mod start_permits;
 mod tails;
 mod topic_follower;
 mod traffic;
--- a/crates/swiftshunt-gateway/src/local_faults.rs
+++ b/crates/swiftshunt-gateway/src/local_faults.rs
@@ -20,7 +20,7 @@
 
 impl LocalFaultDetector {
     /// Records that a send to a worker failed.
-    pub(crate) fn add(&mut self, incarnation: &str, now: Duration) {
+    pub(crate) fn record_failure(&mut self, incarnation: &str, now: Duration) {
         self.recent.retain(|(at, _)| now < *at + TOGETHER);
         if !self.recent.iter().any(|(_, known)| known == incarnation) {
             self.recent.push_back((now, incarnation.to_owned()));
@@ -28,12 +28,12 @@
     }
 
     /// At how many workers sends have failed of late.
-    pub(crate) fn workers(&self) -> usize {
+    pub(crate) fn failing_workers(&self) -> usize {
         self.recent.len()
     }
 
     /// Whether these are too many of a service's `workers` for the cause to be theirs.
-    pub(crate) fn indicate_local_fault(&self, workers: usize) -> bool {
-        self.workers() > FEWEST_FAILING.max(workers / MOST_FAILING_SHARE)
+    pub(crate) fn is_local_fault(&self, workers: usize) -> bool {
+        self.failing_workers() > FEWEST_FAILING.max(workers / MOST_FAILING_SHARE)
     }
 }
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -90,7 +90,7 @@
             call_timeout,
             standing: Mutex::default(),
             away: watch::Sender::new(false),
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
         }
     }
 
@@ -221,7 +221,7 @@
     }
 
     async fn ask(&self, other: SocketAddr, body: Bytes) -> Relayed {
-        let Some(uri) = peer_http::uri(other, PathAndQuery::from_static(PATH)) else {
+        let Some(uri) = peer_http::peer_uri(other, PathAndQuery::from_static(PATH)) else {
             return Relayed::Refused;
         };
         let mut request = Request::new(Full::new(body));
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -102,17 +102,17 @@
     }
 
     /// Where this gateway is listed.
-    pub(crate) fn own(&self) -> SocketAddr {
+    pub(crate) fn own_address(&self) -> SocketAddr {
         self.own
     }
 
     /// Whether it is known which gateways there are.
-    pub(crate) fn is_known(&self) -> bool {
+    pub(crate) fn is_list_loaded(&self) -> bool {
         lock(&self.known).read_at.is_some()
     }
 
     /// Since when it is known which gateways there are.
-    pub(crate) fn known_since(&self) -> Option<Duration> {
+    pub(crate) fn list_loaded_at(&self) -> Option<Duration> {
         lock(&self.known).read_at
     }
 
@@ -266,12 +266,12 @@
     }
 
     /// The first `count` gateways in the order in which they count for a tenant, whether they answer or not.
-    pub(crate) fn counters(&self, tenant: &TenantName, count: usize) -> Vec<SocketAddr> {
-        self.ranked(tenant, count)
+    pub(crate) fn tenant_counters(&self, tenant: &TenantName, count: usize) -> Vec<SocketAddr> {
+        self.ranked_gateways(tenant, count)
     }
 
     /// The first `count` gateways in the order that is a subject's own, whether they answer or not.
-    pub(crate) fn ranked(&self, subject: &impl Hash, count: usize) -> Vec<SocketAddr> {
+    pub(crate) fn ranked_gateways(&self, subject: &impl Hash, count: usize) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let all = known.listed.keys().copied().chain([self.own]);
         first_ranked(subject, all, count)
@@ -280,7 +280,7 @@
     /// The keepers of the starts at a worker, by their rank: the first in the order that is the worker's own,
     /// among those of its region, whether they answer or not. None for a rank whose gateway is not listed any
     /// more; it is taken over when that gateway is forgotten.
-    pub(crate) fn keepers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
+    pub(crate) fn permit_issuers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
         let region = self.topology.dividing_region_of(zone);
         let remembered_from = self.clock.now().saturating_sub(REMEMBERED);
         let mut known = lock(&self.known);
@@ -338,7 +338,7 @@
     }
 
     /// A gateway gave a sign of life.
-    pub(crate) fn heard(&self, gateway: SocketAddr) {
+    pub(crate) fn record_contact(&self, gateway: SocketAddr) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         known.doubts.remove(&gateway);
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -11,7 +11,7 @@
 use swiftshunt_scheduler::selection::Chosen;
 
 use crate::answers::{CallerAnswer, end_to_end, not_run, plain, whole};
-use crate::attempt::{Answer, Dispatcher, Patience, SendFailure};
+use crate::attempt::{Answer, Dispatcher, SendFailure, SendLimits};
 use crate::batch::Batch;
 use crate::metrics::{Refusal, RequestEnd};
 use crate::quarantine::Held;
@@ -21,15 +21,15 @@
 use crate::slots::{Place, Placing};
 
 /// Serves callers.
-pub(crate) struct Online {
+pub(crate) struct OnlineHandler {
     pub(crate) dispatcher: Arc<Dispatcher>,
     pub(crate) batch: Arc<Batch>,
     pub(crate) rates: Arc<Rates>,
     /// Requests that are late in any case, in the order in which they became so: one at a time looks for a
     /// slot.
-    pub(crate) late_line: tokio::sync::Mutex<()>,
+    pub(crate) late_queue: tokio::sync::Mutex<()>,
     /// Age of the configuration up to which callers with keys are served, if there is one.
-    pub(crate) strict_within: Option<Duration>,
+    pub(crate) max_config_age: Option<Duration>,
 }
 
 /// Largest answer that is read whole before it is passed on.
@@ -42,7 +42,7 @@
 /// Time within which a sign of life of any worker shows that this gateway reaches workers.
 const HEARD_LATELY: Duration = Duration::from_secs(1);
 
-impl Online {
+impl OnlineHandler {
     /// Sends until there is an answer or nothing is left to try; also tells whether it may have run.
     pub(crate) async fn serve(&self, mut context: RequestContext) -> (CallerAnswer, bool) {
         let answer = self.send_until_answered(&mut context).await;
@@ -86,11 +86,11 @@
                 }
             };
             context.sent(&chosen, self.dispatcher.clock.now());
-            let patience = self.patience(context, &chosen);
+            let limits = self.send_limits(context, &chosen);
             let last_event = context.facts.last_event;
             let sent = self
                 .dispatcher
-                .send(&chosen, &context.outgoing, last_event, patience)
+                .send(&chosen, &context.outgoing, last_event, limits)
                 .await;
             match sent {
                 Ok(answer) => match self.pass_on(context, answer).await {
@@ -147,7 +147,7 @@
         let patient = context.until.saturating_sub(context.arrived);
         let patient_until = context.arrived + patient.mul_f64(LATE_PATIENCE);
         let in_line = async {
-            let _turn = self.late_line.lock().await;
+            let _turn = self.late_queue.lock().await;
             loop {
                 match self.place_within(context, Some(Duration::ZERO)).await {
                     Place::At(chosen) => return Some(chosen),
@@ -217,10 +217,10 @@
         (obstacle, decision)
     }
 
-    fn patience(&self, context: &RequestContext, chosen: &Chosen) -> Patience {
+    fn send_limits(&self, context: &RequestContext, chosen: &Chosen) -> SendLimits {
         let limit = context.silence_limit() + chosen.expected_reading;
         let silence = context.may_run_again().then_some(limit);
-        Patience {
+        SendLimits {
             until: context.until,
             caller_deadline: context.caller_deadline(),
             silence,
@@ -253,7 +253,7 @@
         context: &mut RequestContext,
         mut answer: Answer,
     ) -> Option<CallerAnswer> {
-        if answer.head.status.is_success() && !answer.is_vouched_success() {
+        if answer.head.status.is_success() && !answer.is_signed_success() {
             return self.spoiled(context, answer, "the worker does not vouch for it");
         }
         if context.route.kind == RouteKind::Stream && answer.head.status.is_success() {
@@ -279,7 +279,7 @@
                     status = status.as_u16(); "a worker failed the request");
                 answer
                     .in_flight
-                    .ends(swiftshunt_scheduler::selection::Ending::Failed);
+                    .set_ending(swiftshunt_scheduler::selection::Ending::Failed);
                 drop(answer);
                 if context.may_repeat() {
                     return None;
--- a/crates/swiftshunt-gateway/src/peer_http.rs
+++ b/crates/swiftshunt-gateway/src/peer_http.rs
@@ -25,7 +25,7 @@
 pub(crate) type PeerClient<B> = Client<HttpConnector, B>;
 
 /// A client that keeps up to `most_resting` connections to each gateway.
-pub(crate) fn client<B>(most_resting: usize) -> PeerClient<B>
+pub(crate) fn new_client<B>(most_resting: usize) -> PeerClient<B>
 where
     B: hyper::body::Body<Data = Bytes> + Send,
 {
@@ -40,7 +40,7 @@
 }
 
 /// A path at another gateway.
-pub(crate) fn uri(peer: SocketAddr, path: PathAndQuery) -> Option<Uri> {
+pub(crate) fn peer_uri(peer: SocketAddr, path: PathAndQuery) -> Option<Uri> {
     Uri::builder()
         .scheme("http")
         .authority(peer.to_string())
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -26,7 +26,7 @@
 use crate::quarantine::Quarantine;
 use crate::rates::Rates;
 use crate::slots::Slots;
-use crate::starts::Starts as ColdStarts;
+use crate::start_permits::StartPermits;
 use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 use crate::unreadable::UnreadableRecords;
 use crate::waiting_limits::WaitingLimits;
@@ -67,7 +67,7 @@
     pub(crate) waiting_limits: Arc<WaitingLimits>,
     pub(crate) rates: Arc<Rates>,
     pub(crate) quarantine: Arc<Quarantine>,
-    pub(crate) starts: Arc<ColdStarts>,
+    pub(crate) start_permits: Arc<StartPermits>,
 }
 
 /// What a gateway lists of itself.
@@ -94,7 +94,7 @@
 
 /// Gateways that said that they have started, since the last line on them.
 #[derive(Default)]
-struct Starts {
+struct GatewayStarts {
     untold: usize,
     told_at: Option<Duration>,
 }
@@ -110,7 +110,7 @@
     unreadable: Arc<UnreadableRecords>,
     clock: Clock,
     budget: Mutex<TokenBucket>,
-    starts: Mutex<Starts>,
+    starts: Mutex<GatewayStarts>,
 }
 
 impl Peers {
@@ -123,7 +123,7 @@
         unreadable: Arc<UnreadableRecords>,
         clock: Clock,
     ) -> Self {
-        let own = members.own();
+        let own = members.own_address();
         Self {
             datagrams,
             members,
@@ -166,7 +166,7 @@
     /// Tells the others that this gateway has started: who owns what is to be known everywhere.
     fn tell_start(&self) {
         let notice = Notice::Here {
-            from: self.members.own(),
+            from: self.members.own_address(),
             zone: Some(self.members.topology().own_zone().to_owned()),
         };
         let others = self.recipients(self.members.others());
@@ -218,7 +218,7 @@
             return;
         };
         self.metrics.notices_received.inc();
-        self.members.heard(from);
+        self.members.record_contact(from);
         match notice {
             Notice::Reading {
                 worker,
@@ -240,7 +240,7 @@
             Notice::Waiting(message) => receivers.waiting_limits.take(message, from),
             Notice::Rate(message) => receivers.rates.take(message, from),
             Notice::Quarantine(message) => receivers.quarantine.take(message, from),
-            Notice::Start(message) => receivers.starts.take(message, from),
+            Notice::Start(message) => receivers.start_permits.handle_message(message, from),
         }
     }
 
@@ -255,7 +255,7 @@
         }
         log::info!(newest = newest.to_string().as_str(), count = starts.untold;
             "other gateways have started");
-        *starts = Starts {
+        *starts = GatewayStarts {
             untold: 0,
             told_at: Some(now),
         };
@@ -283,18 +283,18 @@
     }
 
     fn record(&self, value: Bytes) -> (Vec<u8>, Bytes) {
-        let key = self.members.own().to_string().into_bytes();
+        let key = self.members.own_address().to_string().into_bytes();
         (key, value)
     }
 
     /// Follows the list of gateways for as long as the process lives.
     pub(crate) async fn follow(self: Arc<Self>, log: Arc<dyn Log>) {
         let mut follower = TopicFollower::new(Topic::Gateways, self.clock);
-        let mut away = LogBackoff::new("gateways", 0);
+        let mut backoff = LogBackoff::new("gateways", 0);
         let mut is_known = false;
         loop {
-            let changes = follower.changes(log.as_ref(), LIST_PACE).await;
-            away.pause(&changes).await;
+            let changes = follower.next_changes(log.as_ref(), LIST_PACE).await;
+            backoff.backoff_on_error(&changes).await;
             if let Ok(changes) = changes {
                 let is_news = self.apply(changes);
                 self.members.mark_list_loaded();
--- a/crates/swiftshunt-gateway/src/quarantine/ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/ends.rs
@@ -87,8 +87,8 @@
         let now = self.clock.now();
         let workers = self.fleet_state.selector().ready_count(&chosen.service);
         let mut failures = lock(&self.local_faults);
-        failures.add(&chosen.incarnation, now);
-        failures.indicate_local_fault(workers)
+        failures.record_failure(&chosen.incarnation, now);
+        failures.is_local_fault(workers)
     }
 
     async fn check(self: Arc<Self>, chosen: Chosen) {
--- a/crates/swiftshunt-gateway/src/quarantine/mod.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/mod.rs
@@ -209,7 +209,10 @@
         self.metrics.requests_held.inc();
         log::warn!(fingerprint:% = fingerprint, ends = held.ends,
             for_s = held.time_left.as_secs(); "a request ended its workers, and is not sent any more");
-        if self.collectors(fingerprint).contains(&self.members.own()) {
+        if self
+            .collectors(fingerprint)
+            .contains(&self.members.own_address())
+        {
             let ends = lock(&self.table).ends(fingerprint).collect();
             let message = QuarantineMessage::Held {
                 fingerprint: *fingerprint,
@@ -220,12 +223,12 @@
     }
 
     fn collectors(&self, fingerprint: &Fingerprint) -> Vec<SocketAddr> {
-        self.members.ranked(fingerprint, COLLECTORS)
+        self.members.ranked_gateways(fingerprint, COLLECTORS)
     }
 
     fn tell_collectors(&self, fingerprint: Fingerprint, message: QuarantineMessage) {
         let mut collectors = self.collectors(&fingerprint);
-        collectors.retain(|gateway| *gateway != self.members.own());
+        collectors.retain(|gateway| *gateway != self.members.own_address());
         self.tell(message, collectors);
     }
 
@@ -262,7 +265,7 @@
             tokio::time::sleep(LAPSE_EVERY).await;
             let lapsed = lock(&self.table).lapse(self.clock.now());
             for (fingerprint, end) in lapsed {
-                if self.collectors(&fingerprint).first() == Some(&self.members.own()) {
+                if self.collectors(&fingerprint).first() == Some(&self.members.own_address()) {
                     self.unrecorded.dropped(fingerprint, &end);
                 }
             }
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -126,11 +126,12 @@
     /// Follows the records of all gateways for as long as the process lives.
     pub(crate) async fn follow(self: Arc<Self>, tails: Arc<Tails>) {
         let shared = tails.shared(Topic::Quarantine, |_| true);
-        let mut follower = TopicFollower::new(Topic::Quarantine, self.clock).sharing(shared);
-        let mut away = LogBackoff::new("quarantine", 0);
+        let mut follower =
+            TopicFollower::new(Topic::Quarantine, self.clock).with_shared_tail(shared);
+        let mut backoff = LogBackoff::new("quarantine", 0);
         loop {
-            let changes = follower.changes(self.log.as_ref(), PACE).await;
-            away.pause(&changes).await;
+            let changes = follower.next_changes(self.log.as_ref(), PACE).await;
+            backoff.backoff_on_error(&changes).await;
             let Ok(changes) = changes else {
                 continue;
             };
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -86,8 +86,8 @@
         question: Question,
         limit: VersionedLimit,
     ) -> CounterAnswer {
-        let own = self.members.own();
-        let order = self.members.counters(tenant, COUNTERS);
+        let own = self.members.own_address();
+        let order = self.members.tenant_counters(tenant, COUNTERS);
         for gateway in order.iter().take_while(|gateway| **gateway != own) {
             match self.precedent(*gateway) {
                 Precedent::Gone => {}
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -113,7 +113,7 @@
         let Some(limit) = tenant.rate else {
             return Ok(());
         };
-        if !self.members.is_known() {
+        if !self.members.is_list_loaded() {
             // Whoever knows of no other gateway would count for itself alone.
             return Err(Refused::Unsure);
         }
--- a/crates/swiftshunt-gateway/src/rates/questions.rs
+++ b/crates/swiftshunt-gateway/src/rates/questions.rs
@@ -109,7 +109,7 @@
 
     /// The first gateway in the tenant's order that is not in doubt; none if all are.
     fn counter(&self, tenant: &TenantName) -> Option<SocketAddr> {
-        let order = self.members.counters(tenant, COUNTERS);
+        let order = self.members.tenant_counters(tenant, COUNTERS);
         let mut there = order
             .into_iter()
             .filter(|gateway| !self.members.is_suspected(*gateway));
@@ -128,7 +128,7 @@
             let need = state.waiting.max(need);
             state.account.question(need, number_of(counter), now)
         };
-        let own = self.members.own();
+        let own = self.members.own_address();
         if counter == own {
             self.metrics.rate_asked(RateAnswer::Own);
             return match self.counters.answer(own, tenant, question, limit) {
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -10,7 +10,7 @@
 use swiftshunt_scheduler::selection::Ending;
 
 use crate::answers::{AnswerBody, BodyError};
-use crate::attempt::{Answer, Dispatcher, Outgoing, Patience, SendFailure};
+use crate::attempt::{Answer, Dispatcher, Outgoing, SendFailure, SendLimits};
 use crate::events::EventFramer;
 use crate::pauses::Pauses;
 use crate::request_context::RequestContext;
@@ -42,7 +42,7 @@
 
 /// Records with the worker how its stream failed.
 pub(crate) fn record_failure(answer: &mut Answer, failure: &SendFailure) {
-    answer.in_flight.ends(match failure {
+    answer.in_flight.set_ending(match failure {
         SendFailure::Silent => Ending::Silent,
         SendFailure::OutOfTime => Ending::Withdrawn,
         _ => Ending::Broken,
@@ -85,9 +85,9 @@
                 });
             }
             Some(Ok(frame)) => {
-                answer.in_flight.heard();
+                answer.in_flight.record_progress();
                 if let Ok(bytes) = frame.into_data() {
-                    answer.in_flight.received(bytes.len());
+                    answer.in_flight.record_received(bytes.len());
                     return Ok(Next::Bytes(bytes));
                 }
             }
@@ -270,17 +270,17 @@
                 return None;
             };
             self.tried.push(chosen.incarnation.clone());
-            let patience = Patience {
+            let limits = SendLimits {
                 until,
                 caller_deadline: self.caller_deadline,
                 // Silence is no reason to end an answer that can go nowhere else.
                 silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_reading),
             };
             match dispatcher
-                .send(&chosen, &self.outgoing, position, patience)
+                .send(&chosen, &self.outgoing, position, limits)
                 .await
             {
-                Ok(answer) if answer.is_vouched_success() => {
+                Ok(answer) if answer.is_signed_success() => {
                     self.runs_left -= 1;
                     return Some(answer);
                 }
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -22,7 +22,7 @@
 use crate::fleet_state::FleetState;
 use crate::log_relay::{self, RelayedLog};
 use crate::metrics::Metrics;
-use crate::online::Online;
+use crate::online::OnlineHandler;
 use crate::protocol::Protocol;
 use crate::tails::{self, Tails};
 
@@ -85,7 +85,7 @@
 /// Serves callers for as long as the process lives.
 pub(crate) async fn serve_callers(
     listener: TcpListener,
-    online: Arc<Online>,
+    online: Arc<OnlineHandler>,
     fleet_state: Arc<FleetState>,
     stop: Stop,
 ) {
@@ -103,7 +103,7 @@
 
 fn serve_caller(
     stream: TcpStream,
-    online: Arc<Online>,
+    online: Arc<OnlineHandler>,
     fleet_state: &FleetState,
     stop: Stop,
 ) -> impl Future<Output = ()> + use<> {
--- a/crates/swiftshunt-gateway/src/settings.rs
+++ b/crates/swiftshunt-gateway/src/settings.rs
@@ -175,7 +175,7 @@
     }
 
     /// Age of the configuration up to which callers with keys are served, if there is one.
-    pub(crate) fn strict_within(&self) -> Option<Duration> {
+    pub(crate) fn max_config_age(&self) -> Option<Duration> {
         self.strict.then_some(self.confirm_within)
     }
 }
--- a/crates/swiftshunt-gateway/src/slots/elsewhere.rs
+++ b/crates/swiftshunt-gateway/src/slots/elsewhere.rs
@@ -79,7 +79,7 @@
         let cells = services
             .into_iter()
             .flat_map(|service| selector.cells(service));
-        let own = self.members.own();
+        let own = self.members.own_address();
         cells
             .filter(|cell| self.members.owner(cell) == own)
             .collect()
--- a/crates/swiftshunt-gateway/src/slots/failures.rs
+++ b/crates/swiftshunt-gateway/src/slots/failures.rs
@@ -27,8 +27,8 @@
         };
         let (failing, is_own_fault) = {
             let mut failures = lock(&self.local_faults);
-            failures.add(&chosen.incarnation, now);
-            (failures.workers(), failures.indicate_local_fault(workers))
+            failures.record_failure(&chosen.incarnation, now);
+            (failures.failing_workers(), failures.is_local_fault(workers))
         };
         if is_own_fault {
             log::info!(worker = chosen.incarnation.as_str(), failing, workers;
@@ -36,7 +36,7 @@
             return;
         }
         let owner = self.members.owner(&cell);
-        if owner == self.members.own() {
+        if owner == self.members.own_address() {
             self.worker_failed(&cell, worker, owner);
         } else {
             self.send(Message::SendFailed { cell, worker }, owner);
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -324,7 +324,7 @@
     /// Asks the owner of a cell; no verdict if it does not answer in time.
     async fn ask(&self, owner: SocketAddr, cell: &Cell, request: SlotRequest) -> Asked {
         let report = self.report(cell, owner, self.holding(cell));
-        if owner == self.members.own() {
+        if owner == self.members.own_address() {
             if self.knows_only_itself(cell) {
                 return Asked::undecided(SlotAnswer::Alone);
             }
@@ -414,7 +414,7 @@
 
     /// Takes a message of another gateway.
     pub(crate) fn take(&self, message: Message, from: SocketAddr) {
-        self.members.heard(from);
+        self.members.record_contact(from);
         match message {
             Message::Report {
                 cell,
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -77,7 +77,7 @@
     /// Whether no other gateway has reported about a cell though there are others: this one has just
     /// started or is about to stop, and its book is worse than what answers told.
     pub(super) fn knows_only_itself(&self, cell: &Cell) -> bool {
-        let own = self.members.own();
+        let own = self.members.own_address();
         let knows_others = lock(&self.books)
             .get(cell)
             .is_some_and(|book| book.knows_another_than(own));
@@ -97,7 +97,7 @@
     }
 
     fn order_aside(&self, gateway: SocketAddr, worker: WorkerKey) {
-        if gateway == self.members.own() {
+        if gateway == self.members.own_address() {
             let now = self.clock.now();
             self.step_aside(|incarnation| WorkerKey::of(incarnation) == worker, now);
         } else {
@@ -123,7 +123,7 @@
         let Grant { number, to, worker } = grant;
         self.assigned_one(worker, cell, self.clock.now());
         let cell = cell.clone();
-        if to == self.members.own() {
+        if to == self.members.own_address() {
             self.granted(Granted {
                 cell,
                 worker,
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -136,7 +136,7 @@
             Due::Gone => return self.give_up_owner(owner),
         };
         let report = self.report(cell, owner, holding);
-        if owner == self.members.own() {
+        if owner == self.members.own_address() {
             self.take_report(cell, owner, report);
             return;
         }
@@ -167,7 +167,7 @@
         if !is_new && (is_idle || now < told.at + REFRESH) {
             return Due::Nothing;
         }
-        if is_idle || owner == self.members.own() {
+        if is_idle || owner == self.members.own_address() {
             return Due::Report;
         }
         let heard_at = self.members.heard_at(owner);
--- a/crates/swiftshunt-gateway/src/starts.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use swiftshunt_scheduler::cold::keeper::{Starts as HandedOut, asks_second_first};
+use swiftshunt_scheduler::cold::keeper::{Starts as PermitIssuer, asks_second_first};
 use swiftshunt_scheduler::cold::{ColdBound, START_LIFE};
 use swiftshunt_scheduler::selection::Chosen;
 use tokio::sync::oneshot;
@@ -34,36 +34,36 @@
 
 /// The right to send one request to a cold worker, until it lapses.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Start {
+pub(crate) struct StartPermit {
     /// None where the worker is warm and none is needed.
     lapses_at: Option<Duration>,
 }
 
 /// The starts that this gateway asks for and hands out.
-pub(crate) struct Starts {
+pub(crate) struct StartPermits {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
     fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
     clock: Clock,
-    handed_out: Mutex<HandedOut>,
+    issuer: Mutex<PermitIssuer>,
     asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     last_ask: AtomicU64,
 }
 
 /// A question that is open until this is dropped, also where whoever asked is gone.
 struct Asked<'s> {
-    starts: &'s Starts,
+    permits: &'s StartPermits,
     ask: u64,
 }
 
 impl Drop for Asked<'_> {
     fn drop(&mut self) {
-        lock(&self.starts.asks).remove(&self.ask);
+        lock(&self.permits.asks).remove(&self.ask);
     }
 }
 
-impl Starts {
+impl StartPermits {
     pub(crate) fn new(
         members: Arc<Members>,
         datagrams: Arc<Datagrams>,
@@ -77,7 +77,7 @@
             fleet_state,
             metrics,
             clock,
-            handed_out: Mutex::new(HandedOut::new(clock.now())),
+            issuer: Mutex::new(PermitIssuer::new(clock.now())),
             asks: Mutex::default(),
             last_ask: AtomicU64::new(0),
         }
@@ -88,8 +88,8 @@
     pub(crate) async fn ensure_permit(
         &self,
         chosen: &Chosen,
-        held: Option<Start>,
-    ) -> Option<Start> {
+        held: Option<StartPermit>,
+    ) -> Option<StartPermit> {
         let now = self.clock.now();
         let lapses_at = held.and_then(|held| held.lapses_at);
         if lapses_at.is_some_and(|lapses_at| now < lapses_at) {
@@ -97,13 +97,13 @@
         }
         let bound = self.fleet_state.selector().needs_start(chosen, now);
         let Some(bound) = bound else {
-            return Some(Start { lapses_at: None });
+            return Some(StartPermit { lapses_at: None });
         };
         let lapses_at = now + START_LIFE;
         let verdict = self.ask_keepers(chosen, &bound).await;
         let now = self.clock.now();
         match verdict {
-            Ok(()) if now < lapses_at => Some(Start {
+            Ok(()) if now < lapses_at => Some(StartPermit {
                 lapses_at: Some(lapses_at),
             }),
             Ok(()) => None,
@@ -119,7 +119,7 @@
 
     /// Asks the keepers of a worker one after the other.
     async fn ask_keepers(&self, chosen: &Chosen, bound: &ColdBound) -> Verdict {
-        let mut keepers = self.members.keepers(&chosen.id, &chosen.zone);
+        let mut keepers = self.members.permit_issuers(&chosen.id, &chosen.zone);
         if asks_second_first(bound, rand::random()) {
             keepers.reverse();
         }
@@ -137,7 +137,7 @@
 
     /// Asks one keeper; no verdict if it does not answer in time.
     async fn ask(&self, keeper: SocketAddr, chosen: &Chosen) -> Option<Verdict> {
-        if keeper == self.members.own() {
+        if keeper == self.members.own_address() {
             return Some(self.hand_out(&chosen.service, &chosen.id, &chosen.zone));
         }
         if self.members.is_suspected(keeper) {
@@ -146,7 +146,7 @@
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
         lock(&self.asks).insert(ask, sender);
-        let _asked = Asked { starts: self, ask };
+        let _asked = Asked { permits: self, ask };
         let message = Message::Ask {
             ask,
             service: chosen.service.clone(),
@@ -169,21 +169,21 @@
 
     /// Hands out a start if this gateway is a keeper of the worker.
     fn hand_out(&self, service: &str, worker: &str, zone: &str) -> Verdict {
-        let own = Some(self.members.own());
-        let keepers = self.members.keepers(worker, zone);
+        let own = Some(self.members.own_address());
+        let keepers = self.members.permit_issuers(worker, zone);
         let rank = keepers.iter().position(|keeper| *keeper == own);
         let bound = self.fleet_state.selector().cold_bound(service).copied();
         let (Some(rank), Some(bound)) = (rank, bound) else {
             return Err(SILENT_FOR);
         };
-        let Some(known_since) = self.members.known_since() else {
+        let Some(known_since) = self.members.list_loaded_at() else {
             return Err(SILENT_FOR);
         };
         let now = self.clock.now();
         let verdict = {
-            let mut handed_out = lock(&self.handed_out);
-            handed_out.settles_from(known_since);
-            handed_out.hand_out(worker, &bound, rank, now)
+            let mut issuer = lock(&self.issuer);
+            issuer.settles_from(known_since);
+            issuer.hand_out(worker, &bound, rank, now)
         };
         if verdict.is_ok() {
             self.metrics.starts_handed_out.inc();
@@ -192,7 +192,7 @@
     }
 
     /// Takes a message of another gateway.
-    pub(crate) fn take(&self, message: Message, from: SocketAddr) {
+    pub(crate) fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Ask {
                 ask,
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -120,16 +120,19 @@
 
 impl SharedTail {
     /// What has changed from an offset on, by a reader; none if this gateway is to read the log.
-    pub(crate) async fn by_a_reader(&self, from: u64, pace: TailTiming) -> Option<TailPart> {
+    pub(crate) async fn by_a_reader(&self, from: u64, timing: TailTiming) -> Option<TailPart> {
         let call = TailCall {
             topic: self.topic,
             from,
-            wait: pace.wait,
+            wait: timing.wait,
         };
         let reader = self.tails.readers.own_reader()?;
         // Others may still take this gateway for a reader.
         self.not_sure();
-        self.tails.readers.ask(reader, &call, pace.longest()).await
+        self.tails
+            .readers
+            .ask(reader, &call, timing.overdue_after())
+            .await
     }
 
     /// The log answered this gateway with the records from an offset on.
@@ -137,7 +140,7 @@
         &self,
         from: u64,
         records: &[KeyedRecord],
-        pace: TailTiming,
+        timing: TailTiming,
         returned_at: Option<Duration>,
     ) {
         let Some(published) = self.tails.published(self.topic) else {
@@ -149,7 +152,7 @@
             return published.not_sure();
         }
         let next = records.last().map_or(from, |record| record.offset + 1);
-        let next_answer = pace.longest().mul_f64(1.0 + PAUSE_SHARE);
+        let next_answer = timing.overdue_after().mul_f64(1.0 + PAUSE_SHARE);
         let sure_until = self.tails.clock.now() + next_answer;
         let records = news(records, &self.is_news);
         published.read(from, records, next, sure_until, returned_at);
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -59,14 +59,14 @@
             gateways_per_reader,
             metrics,
             clock,
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
             doubts: Mutex::default(),
         }
     }
 
     /// Whether this gateway reads for others.
     pub(super) fn is_reader(&self) -> bool {
-        self.all().contains(&self.members.own())
+        self.all().contains(&self.members.own_address())
     }
 
     /// The gateways that read for others: none where there are few gateways. Each region has its own, so that
@@ -77,7 +77,7 @@
 
     /// The reader at which this gateway waits; none if it is to read the log itself.
     pub(super) fn own_reader(&self) -> Option<SocketAddr> {
-        let own = self.members.own();
+        let own = self.members.own_address();
         let readers = self.all();
         if readers.contains(&own) {
             return None;
@@ -111,7 +111,7 @@
     }
 
     async fn exchange(&self, reader: SocketAddr, call: &TailCall) -> Result<TailPart, String> {
-        let uri = peer_http::uri(reader, PathAndQuery::from_static(super::PATH));
+        let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(super::PATH));
         let (Some(uri), Some(body)) = (uri, encoded(call)) else {
             return Err("the call has no form".to_owned());
         };
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    pub(crate) async fn pause<T>(&mut self, outcome: &Result<T, LogError>) {
+    pub(crate) async fn backoff_on_error<T>(&mut self, outcome: &Result<T, LogError>) {
         let Err(error) = outcome else {
             if self.failures > 1 {
                 log::info!(what = self.what, partition = self.partition, failures = self.failures;
@@ -77,7 +77,7 @@
     }
 
     /// Time within which a read is answered that was not lost.
-    pub(crate) fn longest(self) -> Duration {
+    pub(crate) fn overdue_after(self) -> Duration {
         self.wait + self.hedge_after
     }
 }
@@ -96,12 +96,12 @@
     log: &dyn Log,
     topic: Topic,
     from: u64,
-    pace: TailTiming,
+    timing: TailTiming,
     overdue: impl Fn(),
 ) -> Result<HedgedRead, LogError> {
     let mut reads = FuturesUnordered::new();
-    reads.push(log.read(topic, 0, from, pace.wait));
-    let mut pause = pace.longest();
+    reads.push(log.read(topic, 0, from, timing.wait));
+    let mut pause = timing.overdue_after();
     let mut was_overdue = false;
     loop {
         match tokio::time::timeout(pause, reads.next()).await {
@@ -115,7 +115,7 @@
         }
         was_overdue = true;
         overdue();
-        pause = pace.hedge_after;
+        pause = timing.hedge_after;
     }
 }
 
@@ -127,7 +127,7 @@
     listing: Listing,
     is_listed: bool,
     shared: Option<SharedTail>,
-    came_from_a_reader: bool,
+    came_from_peer: bool,
     /// Whether the last call to the log gave nothing.
     has_failed: bool,
     /// When the log was back after it had not answered.
@@ -143,14 +143,14 @@
             listing: Listing::default(),
             is_listed: false,
             shared: None,
-            came_from_a_reader: false,
+            came_from_peer: false,
             has_failed: false,
             returned_at: None,
         }
     }
 
     /// The same, with its tail shared between gateways.
-    pub(crate) fn sharing(self, shared: SharedTail) -> Self {
+    pub(crate) fn with_shared_tail(self, shared: SharedTail) -> Self {
         Self {
             shared: Some(shared),
             ..self
@@ -163,21 +163,21 @@
     }
 
     /// Whether the last changes came from another gateway.
-    pub(crate) fn came_from_a_reader(&self) -> bool {
-        self.came_from_a_reader
+    pub(crate) fn came_from_peer(&self) -> bool {
+        self.came_from_peer
     }
 
-    /// What has changed; waits for something as `pace` says.
-    pub(crate) async fn changes(
+    /// What has changed; waits for something as `timing` says.
+    pub(crate) async fn next_changes(
         &mut self,
         log: &dyn Log,
-        pace: TailTiming,
+        timing: TailTiming,
     ) -> Result<Vec<Change>, LogError> {
-        if let Some(part) = self.by_a_reader(pace).await {
+        if let Some(part) = self.by_a_reader(timing).await {
             return Ok(self.take_part(part));
         }
-        self.came_from_a_reader = false;
-        let changes = self.read(log, pace).await;
+        self.came_from_peer = false;
+        let changes = self.read(log, timing).await;
         self.has_failed = changes.is_err();
         if let (Err(_), Some(shared)) = (&changes, &self.shared) {
             shared.not_sure();
@@ -185,14 +185,14 @@
         changes
     }
 
-    async fn by_a_reader(&self, pace: TailTiming) -> Option<TailPart> {
+    async fn by_a_reader(&self, timing: TailTiming) -> Option<TailPart> {
         let shared = self.shared.as_ref().filter(|_| self.is_listed)?;
         let from = self.view.next_offset();
-        shared.by_a_reader(from, pace).await
+        shared.by_a_reader(from, timing).await
     }
 
     fn take_part(&mut self, part: TailPart) -> Vec<Change> {
-        self.came_from_a_reader = true;
+        self.came_from_peer = true;
         self.has_failed = false;
         let ago = part.returned_ago;
         let returned_at = ago.map(|ago| self.clock.now().saturating_sub(ago));
@@ -202,7 +202,7 @@
         changes
     }
 
-    async fn read(&mut self, log: &dyn Log, pace: TailTiming) -> Result<Vec<Change>, LogError> {
+    async fn read(&mut self, log: &dyn Log, timing: TailTiming) -> Result<Vec<Change>, LogError> {
         if !self.is_listed {
             return self.list(log).await;
         }
@@ -212,11 +212,11 @@
                 shared.not_sure();
             }
         };
-        let read = read_hedged(log, self.topic, from, pace, overdue).await?;
+        let read = read_hedged(log, self.topic, from, timing, overdue).await?;
         self.answered(read.was_overdue);
         match read.outcome {
             ReadOutcome::Records { records, .. } => {
-                self.publish(from, &records, pace);
+                self.publish(from, &records, timing);
                 Ok(self.view.apply_tail(records))
             }
             ReadOutcome::Dropped => self.list(log).await,
@@ -230,9 +230,9 @@
         }
     }
 
-    fn publish(&self, from: u64, records: &[KeyedRecord], pace: TailTiming) {
+    fn publish(&self, from: u64, records: &[KeyedRecord], timing: TailTiming) {
         if let Some(shared) = &self.shared {
-            shared.publish(from, records, pace, self.returned_at);
+            shared.publish(from, records, timing, self.returned_at);
         }
     }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -242,7 +242,7 @@
         };
         let now = self.clock.now();
         let round = lock(&self.rounds).begin(&due.allowance, now);
-        let own = self.members.own();
+        let own = self.members.own_address();
         self.call(Call {
             from: own,
             round,
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -97,7 +97,7 @@
         } = surroundings;
         let (calls, calls_to_answer) = mpsc::channel(MOST_CALLS);
         Self {
-            own_life: Member::new(members.own()).to_string(),
+            own_life: Member::new(members.own_address()).to_string(),
             registers: Registers::new(log, partitions, unreadable, clock),
             members,
             datagrams,
@@ -132,7 +132,7 @@
             allowance,
             ..
         } = call;
-        if from == self.members.own() {
+        if from == self.members.own_address() {
             self.collected(&allowance, round, partitions);
             return;
         }
@@ -148,7 +148,7 @@
 
     /// Takes a message of another gateway.
     pub(crate) fn take(self: &Arc<Self>, message: WaitingMessage, from: SocketAddr) {
-        self.members.heard(from);
+        self.members.record_contact(from);
         match message {
             WaitingMessage::Question { ask, counter, job } => {
                 let verdict = if counter == self.own_life {
