--- a/crates/swiftshunt-gateway/src/answers.rs
+++ b/crates/swiftshunt-gateway/src/answers.rs
@@ -29,7 +29,7 @@
 ];
 
 /// A whole body.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
@@ -37,26 +37,30 @@
 
 /// An answer with a short text.
 pub(crate) fn plain(status: StatusCode, text: &'static str) -> CallerAnswer {
-    let mut answer = Response::new(whole(Bytes::from_static(text.as_bytes())));
+    let mut answer = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     let content_type = HeaderValue::from_static("text/plain");
     answer.headers_mut().insert(CONTENT_TYPE, content_type);
     answer
 }
 
-/// The request did not run and will not; the caller may come back after `come_back`.
-pub(crate) fn not_run(text: &'static str, come_back: Duration) -> CallerAnswer {
-    come_back_with(StatusCode::SERVICE_UNAVAILABLE, text, come_back)
+/// The request did not run and will not; the caller may come back after `retry_after`.
+pub(crate) fn not_run(text: &'static str, retry_after: Duration) -> CallerAnswer {
+    answer_with_retry_after(StatusCode::SERVICE_UNAVAILABLE, text, retry_after)
 }
 
 /// A limit is reached; nothing was recorded.
-pub(crate) fn too_many(text: &'static str, come_back: Duration) -> CallerAnswer {
-    come_back_with(StatusCode::TOO_MANY_REQUESTS, text, come_back)
+pub(crate) fn too_many(text: &'static str, retry_after: Duration) -> CallerAnswer {
+    answer_with_retry_after(StatusCode::TOO_MANY_REQUESTS, text, retry_after)
 }
 
-fn come_back_with(status: StatusCode, text: &'static str, come_back: Duration) -> CallerAnswer {
+fn answer_with_retry_after(
+    status: StatusCode,
+    text: &'static str,
+    retry_after: Duration,
+) -> CallerAnswer {
     let mut answer = plain(status, text);
-    let seconds = format!("{:.3}", come_back.as_secs_f64());
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     match HeaderValue::from_str(&seconds) {
         Ok(seconds) => {
             answer.headers_mut().insert(RETRY_AFTER, seconds);
@@ -67,7 +71,7 @@
 }
 
 /// Copies what is meant for the other end.
-pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all("connection")
         .iter()
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -42,7 +42,7 @@
 
 /// A request as it goes to any worker.
 #[derive(Clone)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) id: Option<String>,
     pub(crate) headers: HeaderMap,
     pub(crate) demand: Demand,
@@ -52,9 +52,9 @@
     pub(crate) permit: SendPermit,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Binds the request to the regions that a configuration allows for it.
-    pub(crate) fn bind(&mut self, configuration: &Configuration) {
+    pub(crate) fn bind_residency(&mut self, configuration: &Configuration) {
         let path = self.subject.target().path();
         let Some(route) = configuration.route(self.subject.host(), path) else {
             return;
@@ -201,7 +201,7 @@
     pub(crate) async fn send(
         &self,
         chosen: &Chosen,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
         limits: SendLimits,
     ) -> Result<Answer, SendFailure> {
@@ -228,7 +228,7 @@
             }
         };
         let (head, body) = response.into_parts();
-        let facts = self.protocol.answer(&head);
+        let facts = self.protocol.answer_facts(&head);
         let now = self.clock.now();
         if let Some(load) = facts.load {
             let mut selector = self.fleet_state.selector();
@@ -253,7 +253,7 @@
     fn refuse_answer(
         &self,
         chosen: &Chosen,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         head: &response::Parts,
         facts: &AnswerFacts,
     ) -> Option<SendFailure> {
@@ -279,7 +279,7 @@
     async fn exchange(
         &self,
         chosen: &Chosen,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
         limits: SendLimits,
     ) -> Result<(hyper::Response<Incoming>, Sender), SendFailure> {
@@ -328,7 +328,7 @@
     async fn start(
         &self,
         chosen: &Chosen,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         held: Option<StartPermit>,
     ) -> Result<StartPermit, SendFailure> {
         let start = self.start_permits.ensure_permit(chosen, held).await;
@@ -337,7 +337,7 @@
     }
 
     /// Whether the worker may still be offered the request: it was chosen a moment ago.
-    fn may_offer(&self, chosen: &Chosen, outgoing: &Outgoing) -> Result<(), SendFailure> {
+    fn may_offer(&self, chosen: &Chosen, outgoing: &OutgoingRequest) -> Result<(), SendFailure> {
         let selector = self.fleet_state.selector();
         let offered = selector.may_offer(&chosen.incarnation, &outgoing.demand.residency);
         offered.map_err(|why| withheld(chosen, outgoing, why))
@@ -346,7 +346,7 @@
     fn request(
         &self,
         chosen: &Chosen,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
         limits: SendLimits,
     ) -> Request<PermittedBody> {
@@ -354,13 +354,13 @@
         let now = self.clock.now();
         let facts = SendFacts {
             worker: &chosen.id,
-            deadline: limits
+            time_left: limits
                 .caller_deadline
                 .map(|until| until.saturating_sub(now)),
             last_event,
             identity: outgoing.subject.identity(),
         };
-        self.protocol.address_worker(&mut headers, &facts);
+        self.protocol.set_worker_headers(&mut headers, &facts);
         let body = PermittedBody::new(outgoing.subject.body().clone(), outgoing.permit.clone());
         let mut request = Request::new(body);
         *request.method_mut() = outgoing.subject.method().clone();
@@ -383,7 +383,7 @@
             if now >= limits.until {
                 return SendFailure::OutOfTime;
             }
-            let quiet = self.silence(&chosen.incarnation, now);
+            let quiet = self.worker_silence(&chosen.incarnation, now);
             let waited = now.saturating_sub(started);
             let hangs = waited >= silence * HANGING && self.has_overtaken(chosen, started);
             if hangs || quiet.unwrap_or(waited) >= silence {
@@ -400,13 +400,13 @@
     }
 
     /// How long a worker has given no sign of life on any request of this gateway.
-    pub(crate) fn silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
+    pub(crate) fn worker_silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
         self.fleet_state.selector().silence(incarnation, now)
     }
 }
 
 /// The failure of a send that the worker may not be offered, logged.
-fn withheld(chosen: &Chosen, outgoing: &Outgoing, why: Withheld) -> SendFailure {
+fn withheld(chosen: &Chosen, outgoing: &OutgoingRequest, why: Withheld) -> SendFailure {
     log::info!(request = outgoing.id.as_deref().unwrap_or(""),
         worker = chosen.incarnation.as_str(), why:% = why; "a send is withheld");
     SendFailure::Withheld { why }
--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -21,13 +21,13 @@
     /// `time_left`.
     pub(super) fn journal_away(&self, job: &str, time_left: Duration) -> CallerAnswer {
         let outage = self.leases.outage();
-        let come_back = come_back_to_log(outage, time_left, rand::random());
+        let retry_after = come_back_to_log(outage, time_left, rand::random());
         log::info!(job, outage_ms = outage.as_millis() as u64, time_left_ms = time_left.as_millis() as u64,
-            come_back_ms = come_back.as_millis() as u64; "refused while the journal is away");
+            come_back_ms = retry_after.as_millis() as u64; "refused while the journal is away");
         self.dispatcher
             .metrics
-            .refused(Refusal::LogAway, come_back, Duration::ZERO);
-        not_run("the journal is away", come_back)
+            .refused(Refusal::LogAway, retry_after, Duration::ZERO);
+        not_run("the journal is away", retry_after)
     }
 
     /// Finds room for a job within the limit of its route, and gives what is told of its record; none where there
@@ -74,22 +74,22 @@
     fn no_room(&self, job: &LimitedJob, fit: Fit, until: Duration) -> CallerAnswer {
         let time_left = until.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
-        let (come_back, reason) = match fit {
+        let (retry_after, reason) = match fit {
             Fit::Unsure(settles_in) => {
-                let come_back = come_back_within_limit(settles_in, time_left, draw);
-                (come_back, Refusal::LimitUnsure)
+                let retry_after = come_back_within_limit(settles_in, time_left, draw);
+                (retry_after, Refusal::LimitUnsure)
             }
             Fit::Full | Fit::Fits => (come_back_for_room(time_left, draw), Refusal::Limit),
         };
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
-            limit = job.limit, reason:? = reason, come_back_ms = come_back.as_millis() as u64;
+            limit = job.limit, reason:? = reason, come_back_ms = retry_after.as_millis() as u64;
             "a job finds no room in what may wait");
         self.dispatcher
             .metrics
-            .refused(reason, come_back, Duration::ZERO);
+            .refused(reason, retry_after, Duration::ZERO);
         if reason == Refusal::LimitUnsure {
-            return not_run("whether the job fits is not known yet", come_back);
+            return not_run("whether the job fits is not known yet", retry_after);
         }
-        too_many("too many tokens wait on this route", come_back)
+        too_many("too many tokens wait on this route", retry_after)
     }
 }
--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -10,7 +10,7 @@
 
 use super::appender::Appended;
 use super::{Batch, CALL_PATIENCE};
-use crate::answers::{CallerAnswer, plain, whole};
+use crate::answers::{CallerAnswer, full_body, plain};
 use crate::clock::Clock;
 use crate::messages::waiting::LimitedJob;
 use crate::waiting_limits::LONGEST_PATIENCE;
@@ -61,7 +61,11 @@
         if let Some(refusal) = self.refuse_unbound(route, &residency, time_left) {
             return refusal;
         }
-        let spec = match self.dispatcher.protocol.job(id, &route.host, path, body) {
+        let spec = match self
+            .dispatcher
+            .protocol
+            .parse_job(id, &route.host, path, body)
+        {
             Ok(spec) => JobSpec {
                 taken_unix_ms: Clock::unix_ms(),
                 tenant: tenant.cloned(),
@@ -139,7 +143,7 @@
 }
 
 fn accepted() -> CallerAnswer {
-    let mut answer = Response::new(whole(bytes::Bytes::new()));
+    let mut answer = Response::new(full_body(bytes::Bytes::new()));
     *answer.status_mut() = StatusCode::ACCEPTED;
     answer
 }
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -17,7 +17,7 @@
 use swiftshunt_types::TenantName;
 
 use super::Batch;
-use crate::attempt::{Answer, Outgoing, SendFailure, SendLimits};
+use crate::attempt::{Answer, OutgoingRequest, SendFailure, SendLimits};
 use crate::fleet_state::lock;
 use crate::protocol::Identity;
 use crate::quarantine::{Held, Subject};
@@ -223,7 +223,7 @@
     async fn attempt(
         &self,
         id: &ItemId,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         chosen: &Chosen,
         output: &mut Output,
     ) -> Attempt {
@@ -280,12 +280,12 @@
         item: &ItemSpec,
         subject: &Subject,
         residency: Residency,
-    ) -> Option<Outgoing> {
+    ) -> Option<OutgoingRequest> {
         let protocol = &self.dispatcher.protocol;
         let facts = protocol.item_facts(item);
         let mut headers = protocol.item_headers(item);
         headers.insert("host", spec.host.parse().ok()?);
-        Some(Outgoing {
+        Some(OutgoingRequest {
             id: Some(item.id.clone()),
             headers,
             demand: Demand {
@@ -355,7 +355,7 @@
                 Ok(event) => event,
                 Err(_) => {
                     let now = self.dispatcher.clock.now();
-                    let quiet = self.dispatcher.silence(&incarnation, now);
+                    let quiet = self.dispatcher.worker_silence(&incarnation, now);
                     if quiet.unwrap_or(SILENCE) >= SILENCE {
                         return Err(SendFailure::Silent);
                     }
--- a/crates/swiftshunt-gateway/src/batch/outside.rs
+++ b/crates/swiftshunt-gateway/src/batch/outside.rs
@@ -71,12 +71,12 @@
             slot_time: Duration::ZERO,
             slots: 0,
         };
-        let come_back = match decide(&situation, rand::random()) {
-            Decision::Refuse(come_back) | Decision::AskAgain(come_back) => come_back,
+        let retry_after = match decide(&situation, rand::random()) {
+            Decision::Refuse(retry_after) | Decision::AskAgain(retry_after) => retry_after,
         };
-        log::info!(reason, come_back_ms = come_back.as_millis() as u64; "refused outside of the regions of jobs");
+        log::info!(reason, come_back_ms = retry_after.as_millis() as u64; "refused outside of the regions of jobs");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::OutsideResidency, come_back, Duration::ZERO);
-        not_run(reason, come_back)
+        metrics.refused(Refusal::OutsideResidency, retry_after, Duration::ZERO);
+        not_run(reason, retry_after)
     }
 }
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -14,7 +14,7 @@
 use swiftshunt_types::TenantName;
 
 use super::member::Member;
-use crate::answers::{CallerAnswer, end_to_end, whole};
+use crate::answers::{CallerAnswer, end_to_end_headers, full_body};
 use crate::clock::Clock;
 use crate::fleet_state::lock;
 use crate::peer_http::{self, PeerClient};
@@ -121,9 +121,9 @@
         };
         let exchanged = tokio::time::timeout(wait + ANSWER_TIMEOUT, exchange).await;
         let (head, body) = exchanged.ok().flatten()?;
-        let mut answer = Response::new(whole(body));
+        let mut answer = Response::new(full_body(body));
         *answer.status_mut() = head.status;
-        *answer.headers_mut() = end_to_end(&head.headers);
+        *answer.headers_mut() = end_to_end_headers(&head.headers);
         Some(answer)
     }
 
@@ -242,7 +242,7 @@
     let mut request = Request::new(Empty::new());
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = uri;
-    let mut headers = end_to_end(&head.headers);
+    let mut headers = end_to_end_headers(&head.headers);
     headers.remove("content-length");
     headers.remove("host");
     headers.remove(AUTHORIZATION);
--- a/crates/swiftshunt-gateway/src/batch/reads.rs
+++ b/crates/swiftshunt-gateway/src/batch/reads.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use super::{Batch, CALL_PATIENCE};
-use crate::answers::{CallerAnswer, plain, whole};
+use crate::answers::{CallerAnswer, full_body, plain};
 
 /// Bytes of results in one answer at most.
 const PAGE_BYTES: usize = 1_000_000;
@@ -76,8 +76,11 @@
         let page = job.page(from, PAGE_BYTES);
         let is_empty = page.results.is_empty();
         let is_whole = from == job.results.len() && job.results.len() == job.spec.items.len();
-        let encoded = self.dispatcher.protocol.job_page(&job.spec, &page, from);
-        let mut answer = Response::new(whole(encoded.body));
+        let encoded = self
+            .dispatcher
+            .protocol
+            .encode_job_page(&job.spec, &page, from);
+        let mut answer = Response::new(full_body(encoded.body));
         let content_type = HeaderValue::from_static(encoded.content_type);
         answer.headers_mut().insert(CONTENT_TYPE, content_type);
         if is_empty && !is_whole {
@@ -99,7 +102,7 @@
         let Some(found) = found else {
             return plain(StatusCode::NOT_FOUND, "no such item");
         };
-        let mut answer = Response::new(whole(found.body.clone()));
+        let mut answer = Response::new(full_body(found.body.clone()));
         let content_type = HeaderValue::from_static("application/octet-stream");
         answer.headers_mut().insert(CONTENT_TYPE, content_type);
         answer
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -25,7 +25,7 @@
 use crate::answers::{CallerAnswer, plain};
 use crate::clock::Clock;
 use crate::fleet_state::lock;
-use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
+use crate::peer_http::{self, PeerClient, encode_answer, encode_message, read_call};
 
 /// Where gateways take calls for pages from each other.
 pub(crate) const PATH: &str = "/peer/page";
@@ -123,7 +123,7 @@
             Err(refusal) => return refusal,
         };
         match tokio::time::timeout(WORD_WITHIN, self.read(&call)).await {
-            Ok(Ok(page)) => answer_with(&page),
+            Ok(Ok(page)) => encode_answer(&page),
             Ok(Err(error)) => {
                 log::info!(partition = call.partition; "a page is not read: {error}");
                 plain(StatusCode::SERVICE_UNAVAILABLE, "the page is not read")
@@ -146,7 +146,7 @@
 
     async fn ask(&self, reader: SocketAddr, call: &PageCall) -> Asked {
         let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(PATH));
-        let (Some(uri), Some(body)) = (uri, encoded(call)) else {
+        let (Some(uri), Some(body)) = (uri, encode_message(call)) else {
             return Asked::Nothing;
         };
         let mut request = Request::new(Full::new(body));
--- a/crates/swiftshunt-gateway/src/datagrams.rs
+++ b/crates/swiftshunt-gateway/src/datagrams.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 
 /// Largest datagram.
-pub(crate) const DATAGRAM_BYTES: usize = 1_400;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// The socket.
 pub(crate) struct Datagrams {
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -22,8 +22,8 @@
 use swiftshunt_scheduler::selection::{Class, Demand};
 
 use crate::abandon_guard::AbandonGuard;
-use crate::answers::{self, CallerAnswer, end_to_end, not_run, plain, too_many};
-use crate::attempt::Outgoing;
+use crate::answers::{self, CallerAnswer, end_to_end_headers, not_run, plain, too_many};
+use crate::attempt::OutgoingRequest;
 use crate::batch::Submission;
 use crate::metrics::Refusal;
 use crate::online::OnlineHandler;
@@ -45,7 +45,7 @@
     /// When the caller gives up, or the request is given up for it.
     fn until(&self) -> Duration {
         let timeout = self.route.timeout;
-        self.arrived + self.facts.deadline.unwrap_or(timeout).min(timeout)
+        self.arrived + self.facts.caller_timeout.unwrap_or(timeout).min(timeout)
     }
 }
 
@@ -58,7 +58,7 @@
         };
         let (head, body) = request.into_parts();
         let protocol = &self.dispatcher.protocol;
-        match protocol.call(&head.method, &head.uri, &head.headers) {
+        match protocol.classify_request(&head.method, &head.uri, &head.headers) {
             Call::Routed => {}
             Call::Malformed => return plain(StatusCode::BAD_REQUEST, "malformed call"),
             call => return self.answer_job_call(&configuration, call, &head).await,
@@ -94,19 +94,19 @@
     /// The answer to a request that comes so late in a stop that it might not end within the grace
     /// period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
-        let come_back = come_back_elsewhere(rand::random());
+        let retry_after = come_back_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Stopping, come_back, Duration::ZERO);
-        log::info!(come_back_ms = come_back.as_millis() as u64; "refused, since this gateway stops");
-        not_run("this gateway stops", come_back)
+        metrics.refused(Refusal::Stopping, retry_after, Duration::ZERO);
+        log::info!(come_back_ms = retry_after.as_millis() as u64; "refused, since this gateway stops");
+        not_run("this gateway stops", retry_after)
     }
 
     fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
-        let come_back = come_back_to_start(arrived, rand::random());
+        let retry_after = come_back_to_start(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::NoConfiguration, come_back, Duration::ZERO);
-        log::info!(come_back_ms = come_back.as_millis() as u64; "no configuration is known yet");
-        not_run("no configuration is known yet", come_back)
+        metrics.refused(Refusal::NoConfiguration, retry_after, Duration::ZERO);
+        log::info!(come_back_ms = retry_after.as_millis() as u64; "no configuration is known yet");
+        not_run("no configuration is known yet", retry_after)
     }
 
     /// A job outlives its route: the journal alone says whether it is there.
@@ -116,7 +116,7 @@
         call: Call,
         head: &request::Parts,
     ) -> CallerAnswer {
-        let credentials = self.dispatcher.protocol.credentials(&head.headers);
+        let credentials = self.dispatcher.protocol.read_credentials(&head.headers);
         let caller = match configuration.job_caller(&credentials) {
             Ok(caller) => caller,
             Err(rejected) => return self.reject(rejected, head, configuration.version),
@@ -140,7 +140,7 @@
             return Err(Box::new(plain(StatusCode::NOT_FOUND, "no such route")));
         };
         let protocol = &self.dispatcher.protocol;
-        let credentials = protocol.credentials(&head.headers);
+        let credentials = protocol.read_credentials(&head.headers);
         let caller = configuration
             .caller(&route, &credentials)
             .map_err(|rejected| Box::new(self.reject(rejected, &head, configuration.version)))?;
@@ -148,7 +148,7 @@
             return Err(Box::new(refusal));
         }
         Ok(Entered {
-            facts: protocol.request(&head.headers),
+            facts: protocol.request_facts(&head.headers),
             route,
             caller,
             head,
@@ -159,7 +159,7 @@
     /// The answer to a caller that shows no known key.
     fn reject(&self, rejected: Rejected, head: &request::Parts, version: u64) -> CallerAnswer {
         self.dispatcher.metrics.key_rejected(rejected);
-        let facts = self.dispatcher.protocol.request(&head.headers);
+        let facts = self.dispatcher.protocol.request_facts(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
         let since = self.dispatcher.fleet_state.confirmed_at();
         let age = self.dispatcher.clock.now().saturating_sub(since);
@@ -180,13 +180,13 @@
         if age <= within {
             return None;
         }
-        let come_back = come_back_elsewhere(rand::random());
+        let retry_after = come_back_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Unconfirmed, come_back, Duration::ZERO);
+        metrics.refused(Refusal::Unconfirmed, retry_after, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
-            come_back_ms = come_back.as_millis() as u64;
+            come_back_ms = retry_after.as_millis() as u64;
             "refused, since the configuration is not confirmed");
-        Some(not_run("keys cannot be confirmed here", come_back))
+        Some(not_run("keys cannot be confirmed here", retry_after))
     }
 
     fn refuse_by_limit(
@@ -197,10 +197,10 @@
     ) -> CallerAnswer {
         let now = self.dispatcher.clock.now();
         let time_left = entered.until().saturating_sub(now);
-        let (refusal, come_back) = match refused {
+        let (refusal, retry_after) = match refused {
             Refused::Limit(again_after) => {
-                let come_back = come_back_within_limit(again_after, time_left, rand::random());
-                (Refusal::RateLimit, come_back)
+                let retry_after = come_back_within_limit(again_after, time_left, rand::random());
+                (Refusal::RateLimit, retry_after)
             }
             Refused::Unsure => (Refusal::RateUnsure, come_back_elsewhere(rand::random())),
         };
@@ -211,16 +211,16 @@
             tenant = tenant.name.as_str(), refused:? = refused, limit:? = limit,
             recent_here = told.figures.here, recent_by_all:? = told.figures.by_all,
             age_ms:? = told.figures.age.map(|age| age.as_millis() as u64),
-            counter:? = counter, come_back_ms = come_back.as_millis() as u64;
+            counter:? = counter, come_back_ms = retry_after.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(refusal, come_back, now.saturating_sub(entered.arrived));
+        metrics.refused(refusal, retry_after, now.saturating_sub(entered.arrived));
         match refused {
             Refused::Limit(_) => {
                 metrics.beyond_limit(tenant.name.as_str());
-                too_many("too many requests of this tenant", come_back)
+                too_many("too many requests of this tenant", retry_after)
             }
-            Refused::Unsure => not_run("the limit of this tenant is not known here", come_back),
+            Refused::Unsure => not_run("the limit of this tenant is not known here", retry_after),
         }
     }
 
@@ -239,7 +239,7 @@
         self.batch.submit(submission).await
     }
 
-    fn context(&self, entered: Entered, body: Bytes, bound_by: u64) -> RequestContext {
+    fn context(&self, entered: Entered, body: Bytes, residency_version: u64) -> RequestContext {
         let until = entered.until();
         let Entered {
             route,
@@ -250,7 +250,7 @@
         } = entered;
         let residency = Configuration::residency(&route, &caller);
         let service = self.dispatcher.fleet_state.next_service(&route, &residency);
-        let mut headers = end_to_end(&head.headers);
+        let mut headers = end_to_end_headers(&head.headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove("expect");
         let demand = Demand {
@@ -262,7 +262,7 @@
         };
         let identity = Identity::from(&caller);
         let target = origin_form(&head.uri);
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             id: facts.id.clone(),
             headers,
             demand,
@@ -272,7 +272,7 @@
         RequestContext {
             route,
             service,
-            bound_by,
+            residency_version,
             outgoing,
             facts,
             arrived,
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -72,7 +72,7 @@
             Change::Dropped(key) => key,
         };
         matches!(
-            self.protocol.operator_record(key),
+            self.protocol.classify_record(key),
             OperatorRecord::Evacuation { .. }
         )
     }
@@ -83,7 +83,7 @@
             Change::Set(record) => (&record.key, Some(&record.value)),
             Change::Dropped(key) => (key, None),
         };
-        match (self.protocol.operator_record(key), value) {
+        match (self.protocol.classify_record(key), value) {
             (OperatorRecord::Configuration, Some(value)) => self.take_configuration(key, value),
             (OperatorRecord::Evacuation { zone }, Some(_)) => self.evacuate(&zone),
             (OperatorRecord::Evacuation { zone }, None) => self.withdraw_evacuation(&zone),
@@ -105,7 +105,7 @@
     }
 
     fn take_configuration(&self, key: &[u8], value: &[u8]) {
-        let configuration = match self.protocol.configuration(key, value) {
+        let configuration = match self.protocol.parse_configuration(key, value) {
             Ok(Some(configuration)) => configuration,
             Ok(None) => return,
             Err(error) => {
@@ -157,7 +157,7 @@
 
     /// Whether a record of the directory says something that is not known here.
     fn is_news(&self, record: &KeyedRecord) -> bool {
-        match self.protocol.worker(&record.key, &record.value) {
+        match self.protocol.parse_worker(&record.key, &record.value) {
             Ok(entry) => {
                 let selector = self.fleet_state.selector();
                 selector.is_news(&entry) || selector.is_colder(&entry, self.clock.now())
@@ -171,7 +171,7 @@
     fn renewed(&self, changes: &[Change]) -> Vec<String> {
         let selector = self.fleet_state.selector();
         let entries = changes.iter().filter_map(|change| match change {
-            Change::Set(record) => self.protocol.worker(&record.key, &record.value).ok(),
+            Change::Set(record) => self.protocol.parse_worker(&record.key, &record.value).ok(),
             Change::Dropped(_) => None,
         });
         let renewed = entries.filter(|entry| {
@@ -229,7 +229,8 @@
         let mut unlisted = BTreeSet::new();
         for change in changes {
             match change {
-                Change::Set(record) => match self.protocol.worker(&record.key, &record.value) {
+                Change::Set(record) => match self.protocol.parse_worker(&record.key, &record.value)
+                {
                     Ok(entry) => {
                         self.unreadable.mark_readable(Topic::Workers, &record.key);
                         unlisted.remove(&entry.life.id);
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -259,7 +259,7 @@
                 Arc::clone(&tails),
             )),
             tokio::spawn(relayed.probe()),
-            tokio::spawn(Arc::clone(&others).listen(NoticeHandlers {
+            tokio::spawn(Arc::clone(&others).receive_notices(NoticeHandlers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
                 rates: Arc::clone(&rates),
@@ -272,8 +272,8 @@
             tokio::spawn(rates.keep_tidy()),
             tokio::spawn(Arc::clone(&slots).keep_reporting()),
             tokio::spawn(slots.keep_telling_room()),
-            tokio::spawn(Arc::clone(&others).keep_listed(Arc::clone(&log))),
-            tokio::spawn(Arc::clone(&others).follow(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&others).run_registration(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&others).follow_membership(Arc::clone(&log))),
             tokio::spawn(sweep(dispatcher)),
             tokio::spawn(evacuation_monitor.run()),
         ];
@@ -330,7 +330,7 @@
         self.stop.draining.cancel();
         let hand_over = self.batch.stop();
         let unlisted = tokio::time::sleep(self.stop_settings.unlisted_after);
-        let farewell = self.peers.unlist(self.log.as_ref());
+        let farewell = self.peers.unregister(self.log.as_ref());
         tokio::join!(hand_over, farewell, unlisted);
         self.stop.closing.cancel();
         self.stop.connections.close();
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -6,7 +6,7 @@
 use swiftshunt_scheduler::selection::{Chosen, Class, Ending};
 use swiftshunt_topology::Distance;
 
-use crate::attempt::{Dispatcher, Outgoing};
+use crate::attempt::{Dispatcher, OutgoingRequest};
 use crate::clock::Clock;
 use crate::fleet_state::FleetState;
 use crate::quarantine::{Quarantine, Subject};
@@ -30,7 +30,11 @@
 }
 
 impl InFlight {
-    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &Chosen, outgoing: &Outgoing) -> Self {
+    pub(crate) fn new(
+        dispatcher: &Dispatcher,
+        chosen: &Chosen,
+        outgoing: &OutgoingRequest,
+    ) -> Self {
         let now = dispatcher.clock.now();
         let demand = &outgoing.demand;
         let distance = {
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -29,7 +29,7 @@
 use crate::fleet_state::lock;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
-use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
+use crate::peer_http::{self, PeerClient, encode_answer, encode_message, read_call};
 use crate::peers::Peers;
 use message::{LogAnswer, LogCall};
 use standing::Standing;
@@ -127,7 +127,7 @@
             return plain(StatusCode::SERVICE_UNAVAILABLE, reason);
         }
         let answer = self.directly(call).await;
-        answer_with(&answer)
+        encode_answer(&answer)
     }
 
     async fn call(&self, call: LogCall) -> LogAnswer {
@@ -181,7 +181,7 @@
 
     /// Has another gateway make the call; none if nobody did and it may be made here.
     async fn through_another(&self, call: &LogCall) -> Option<LogAnswer> {
-        let body = encoded(call)?;
+        let body = encode_message(call)?;
         for _ in 0..HELPERS {
             let mut others = self.peers.reachable();
             if call.carries_jobs() {
--- a/crates/swiftshunt-gateway/src/metrics/mod.rs
+++ b/crates/swiftshunt-gateway/src/metrics/mod.rs
@@ -318,10 +318,10 @@
         self.requests.get_or_create(&labels).inc();
     }
 
-    /// A caller was refused `waited` after it asked, and may come back after `come_back`.
-    pub(crate) fn refused(&self, reason: Refusal, come_back: Duration, waited: Duration) {
+    /// A caller was refused `waited` after it asked, and may come back after `retry_after`.
+    pub(crate) fn refused(&self, reason: Refusal, retry_after: Duration, waited: Duration) {
         self.refusals.get_or_create(&RefusalLabels { reason }).inc();
-        self.come_back_seconds.observe(come_back.as_secs_f64());
+        self.come_back_seconds.observe(retry_after.as_secs_f64());
         self.refused_after_seconds.observe(waited.as_secs_f64());
     }
 
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -10,7 +10,7 @@
 use swiftshunt_scheduler::admission::{self, Decision, Obstacle, Situation};
 use swiftshunt_scheduler::selection::Chosen;
 
-use crate::answers::{CallerAnswer, end_to_end, not_run, plain, whole};
+use crate::answers::{CallerAnswer, end_to_end_headers, full_body, not_run, plain};
 use crate::attempt::{Answer, Dispatcher, SendFailure, SendLimits};
 use crate::batch::Batch;
 use crate::metrics::{Refusal, RequestEnd};
@@ -64,11 +64,11 @@
             if let Some(held) = self.dispatcher.quarantine.holds(subject).await {
                 return self.hold_back(context, held);
             }
-            self.bind(context);
+            self.bind_residency(context);
             self.leave_closed(context);
             let chosen = self.place(context).await;
             // The configuration may have changed while it waited.
-            self.bind(context);
+            self.bind_residency(context);
             let Some(chosen) = chosen else {
                 let (obstacle, decision) = self.admit(context);
                 match decision {
@@ -79,13 +79,13 @@
                         context.was_declined = false;
                         continue;
                     }
-                    Decision::Refuse(come_back) => {
+                    Decision::Refuse(retry_after) => {
                         let refusal = Refusal::from(obstacle);
-                        return self.give_up(context, refusal, "no worker takes it", come_back);
+                        return self.give_up(context, refusal, "no worker takes it", retry_after);
                     }
                 }
             };
-            context.sent(&chosen, self.dispatcher.clock.now());
+            context.record_send(&chosen, self.dispatcher.clock.now());
             let limits = self.send_limits(context, &chosen);
             let last_event = context.facts.last_event;
             let sent = self
@@ -108,15 +108,15 @@
     }
 
     /// Binds a request to the regions of the configuration in force.
-    fn bind(&self, context: &mut RequestContext) {
+    fn bind_residency(&self, context: &mut RequestContext) {
         let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return;
         };
-        if configuration.version == context.bound_by {
+        if configuration.version == context.residency_version {
             return;
         }
-        context.bound_by = configuration.version;
-        context.outgoing.bind(&configuration);
+        context.residency_version = configuration.version;
+        context.outgoing.bind_residency(&configuration);
     }
 
     /// Goes to another part of a split if the one that was drawn is closed by now, and nothing ran there.
@@ -303,10 +303,10 @@
             Ok(first) => {
                 self.succeed(context, answer.head.status);
                 let head = answer.head.clone();
-                let body = relay::body(Arc::clone(&self.dispatcher), context, answer, first);
+                let body = relay::relay_body(Arc::clone(&self.dispatcher), context, answer, first);
                 let mut passed = Response::new(body);
                 *passed.status_mut() = head.status;
-                *passed.headers_mut() = end_to_end(&head.headers);
+                *passed.headers_mut() = end_to_end_headers(&head.headers);
                 Some(passed)
             }
             Err(failure) => {
@@ -345,21 +345,23 @@
     }
 
     /// The final answer to a request that is given up; a caller whose request did not run may come
-    /// back after `come_back`.
+    /// back after `retry_after`.
     fn give_up(
         &self,
         context: &RequestContext,
         refusal: Refusal,
         reason: &'static str,
-        come_back: Duration,
+        retry_after: Duration,
     ) -> CallerAnswer {
         if context.runs > 0 {
             return self.fail(context, reason);
         }
         let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
-        self.dispatcher.metrics.refused(refusal, come_back, waited);
+        self.dispatcher
+            .metrics
+            .refused(refusal, retry_after, waited);
         self.ended(context, RequestEnd::Refused, reason);
-        not_run(reason, come_back)
+        not_run(reason, retry_after)
     }
 
     /// The final answer to a request that has ended too many workers: at once, as it would end more of them,
@@ -405,9 +407,9 @@
 }
 
 fn passed(head: &hyper::http::response::Parts, body: Bytes) -> CallerAnswer {
-    let mut answer = Response::new(whole(body));
+    let mut answer = Response::new(full_body(body));
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = end_to_end(&head.headers);
+    *answer.headers_mut() = end_to_end_headers(&head.headers);
     answer.headers_mut().remove(CONTENT_LENGTH);
     answer
 }
--- a/crates/swiftshunt-gateway/src/pauses.rs
+++ b/crates/swiftshunt-gateway/src/pauses.rs
@@ -5,14 +5,14 @@
 
 /// The pauses of one stream.
 #[derive(Debug)]
-pub(crate) struct Pauses {
+pub(crate) struct StreamPauses {
     /// The longest pause that the route allows; none if it does not say.
     allowed: Option<Duration>,
     passed_at: Option<Duration>,
     longest: Duration,
 }
 
-impl Pauses {
+impl StreamPauses {
     pub(crate) fn new(allowed: Option<Duration>) -> Self {
         Self {
             allowed,
@@ -22,7 +22,7 @@
     }
 
     /// A piece is passed on.
-    pub(crate) fn passed(&mut self, now: Duration) {
+    pub(crate) fn record_chunk(&mut self, now: Duration) {
         if let Some(before) = self.passed_at {
             self.longest = self.longest.max(now.saturating_sub(before));
         }
@@ -30,7 +30,7 @@
     }
 
     /// The longest pause, if it was longer than the route allows.
-    pub(crate) fn too_long(&self) -> Option<Duration> {
+    pub(crate) fn longest_over_limit(&self) -> Option<Duration> {
         let allowed = self.allowed?;
         (self.longest > allowed).then_some(self.longest)
     }
--- a/crates/swiftshunt-gateway/src/peer_http.rs
+++ b/crates/swiftshunt-gateway/src/peer_http.rs
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::answers::{CallerAnswer, plain, whole};
+use crate::answers::{CallerAnswer, full_body, plain};
 
 /// Time within which a connection to another gateway is made.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -63,15 +63,15 @@
 }
 
 /// A message as the answer to another gateway.
-pub(crate) fn answer_with(message: &impl Serialize) -> CallerAnswer {
-    match encoded(message) {
-        Some(body) => Response::new(whole(body)),
+pub(crate) fn encode_answer(message: &impl Serialize) -> CallerAnswer {
+    match encode_message(message) {
+        Some(body) => Response::new(full_body(body)),
         None => plain(StatusCode::INTERNAL_SERVER_ERROR, "the answer has no form"),
     }
 }
 
 /// A message as a body; none if it has no form.
-pub(crate) fn encoded(message: &impl Serialize) -> Option<Bytes> {
+pub(crate) fn encode_message(message: &impl Serialize) -> Option<Bytes> {
     let mut body = Vec::new();
     ciborium::into_writer(message, &mut body).ok()?;
     Some(body.into())
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -18,7 +18,7 @@
 use swiftshunt_scheduler::prompt_memory::PromptPart;
 
 use crate::clock::Clock;
-use crate::datagrams::{DATAGRAM_BYTES, Datagrams};
+use crate::datagrams::{Datagrams, MAX_DATAGRAM_BYTES};
 use crate::fleet_state::{FleetState, lock};
 use crate::members::Members;
 use crate::messages::Notice;
@@ -199,8 +199,8 @@
     }
 
     /// Takes in what others tell, for as long as the process lives.
-    pub(crate) async fn listen(self: Arc<Self>, receivers: NoticeHandlers) {
-        let mut datagram = [0; DATAGRAM_BYTES];
+    pub(crate) async fn receive_notices(self: Arc<Self>, receivers: NoticeHandlers) {
+        let mut datagram = [0; MAX_DATAGRAM_BYTES];
         loop {
             match self.datagrams.receive(&mut datagram).await {
                 Ok((length, from)) => self.take(&datagram[..length], from, &receivers),
@@ -262,7 +262,7 @@
     }
 
     /// Lists this gateway for as long as the process lives.
-    pub(crate) async fn keep_listed(self: Arc<Self>, log: Arc<dyn Log>) {
+    pub(crate) async fn run_registration(self: Arc<Self>, log: Arc<dyn Log>) {
         loop {
             let record = GatewayRecord {
                 zone: self.members.topology().own_zone().to_owned(),
@@ -277,7 +277,7 @@
     }
 
     /// Takes this gateway from the list; without success it is forgotten by its silence.
-    pub(crate) async fn unlist(&self, log: &dyn Log) {
+    pub(crate) async fn unregister(&self, log: &dyn Log) {
         let appended = log.append(Topic::Gateways, 0, vec![self.record(Bytes::new())]);
         log::debug!(outcome:? = appended.await; "this gateway is no longer listed");
     }
@@ -288,7 +288,7 @@
     }
 
     /// Follows the list of gateways for as long as the process lives.
-    pub(crate) async fn follow(self: Arc<Self>, log: Arc<dyn Log>) {
+    pub(crate) async fn follow_membership(self: Arc<Self>, log: Arc<dyn Log>) {
         let mut follower = TopicFollower::new(Topic::Gateways, self.clock);
         let mut backoff = LogBackoff::new("gateways", 0);
         let mut is_known = false;
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -93,7 +93,7 @@
     /// Identifier of this attempt of the caller.
     pub id: Option<String>,
     /// How long the caller waits, as of sending.
-    pub deadline: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The parts of the prompt.
     pub prompt: Vec<PromptPart>,
     /// Tokens of the prompt.
@@ -110,7 +110,7 @@
     /// Identifier of the worker that alone may run it.
     pub worker: &'s str,
     /// Time left.
-    pub deadline: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The last event that is already here, for a stream that goes on.
     pub last_event: Option<u64>,
     /// For whom it runs.
@@ -167,31 +167,41 @@
 /// A platform's protocol.
 pub trait Protocol: Send + Sync {
     /// Sorts a caller's request.
-    fn call(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Call;
+    fn classify_request(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Call;
     /// Reads what a request says of itself.
-    fn request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn request_facts(&self, headers: &HeaderMap) -> RequestFacts;
     /// Reads what a caller shows of itself.
-    fn credentials(&self, headers: &HeaderMap) -> Credentials;
+    fn read_credentials(&self, headers: &HeaderMap) -> Credentials;
     /// The scheme under which callers show their keys.
     fn key_scheme(&self) -> &'static str;
     /// Sets what a worker needs to be told, and takes off what it must not learn.
-    fn address_worker(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
+    fn set_worker_headers(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
     /// Reads the head of a worker's answer.
-    fn answer(&self, head: &response::Parts) -> AnswerFacts;
+    fn answer_facts(&self, head: &response::Parts) -> AnswerFacts;
     /// Reads a batch job.
-    fn job(&self, id: &str, host: &str, path: &str, body: &[u8]) -> Result<JobSpec, Malformed>;
+    fn parse_job(
+        &self,
+        id: &str,
+        host: &str,
+        path: &str,
+        body: &[u8],
+    ) -> Result<JobSpec, Malformed>;
     /// Headers of an item's request.
     fn item_headers(&self, item: &ItemSpec) -> HeaderMap;
     /// What an item's request says of itself.
     fn item_facts(&self, item: &ItemSpec) -> RequestFacts {
-        self.request(&self.item_headers(item))
+        self.request_facts(&self.item_headers(item))
     }
     /// Writes a page of results that begins at position `from`.
-    fn job_page(&self, job: &JobSpec, page: &Page<'_>, from: usize) -> Encoded;
+    fn encode_job_page(&self, job: &JobSpec, page: &Page<'_>, from: usize) -> Encoded;
     /// What a record of the operators is about.
-    fn operator_record(&self, key: &[u8]) -> OperatorRecord;
+    fn classify_record(&self, key: &[u8]) -> OperatorRecord;
     /// Reads a configuration.
-    fn configuration(&self, key: &[u8], value: &[u8]) -> Result<Option<Configuration>, Malformed>;
+    fn parse_configuration(
+        &self,
+        key: &[u8],
+        value: &[u8],
+    ) -> Result<Option<Configuration>, Malformed>;
     /// Reads an entry of the directory.
-    fn worker(&self, key: &[u8], value: &[u8]) -> Result<WorkerEntry, Malformed>;
+    fn parse_worker(&self, key: &[u8], value: &[u8]) -> Result<WorkerEntry, Malformed>;
 }
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -10,9 +10,9 @@
 use swiftshunt_scheduler::selection::Ending;
 
 use crate::answers::{AnswerBody, BodyError};
-use crate::attempt::{Answer, Dispatcher, Outgoing, SendFailure, SendLimits};
+use crate::attempt::{Answer, Dispatcher, OutgoingRequest, SendFailure, SendLimits};
 use crate::events::EventFramer;
-use crate::pauses::Pauses;
+use crate::pauses::StreamPauses;
 use crate::request_context::RequestContext;
 use crate::slots::{Place, Placing};
 
@@ -65,7 +65,7 @@
         let pause = match silence {
             Some(silence) => {
                 let own = now.saturating_sub(started);
-                let quiet = dispatcher.silence(&incarnation, now).unwrap_or(own);
+                let quiet = dispatcher.worker_silence(&incarnation, now).unwrap_or(own);
                 if own >= silence && quiet >= silence {
                     return Err(SendFailure::Silent);
                 }
@@ -103,12 +103,12 @@
     first: Option<Bytes>,
     until: Duration,
     id: String,
-    pauses: Pauses,
+    pauses: StreamPauses,
 }
 
 /// What is needed to go on elsewhere.
 struct Resume {
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     service: String,
     tried: Vec<String>,
     runs_left: u32,
@@ -119,7 +119,7 @@
 }
 
 /// The body of a stream whose first bytes are there.
-pub(crate) fn body(
+pub(crate) fn relay_body(
     dispatcher: Arc<Dispatcher>,
     context: &mut RequestContext,
     answer: Answer,
@@ -143,7 +143,7 @@
         first: Some(first),
         until: context.until,
         id,
-        pauses: Pauses::new(context.route.pause_target),
+        pauses: StreamPauses::new(context.route.pause_target),
     };
     let frames = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -176,7 +176,7 @@
                         None => bytes,
                     };
                     if !whole.is_empty() {
-                        self.pauses.passed(self.dispatcher.clock.now());
+                        self.pauses.record_chunk(self.dispatcher.clock.now());
                         return Ok(Some(whole));
                     }
                 }
@@ -198,7 +198,7 @@
 
     /// Logs that the stream was late by its pauses, if it was.
     fn log_pauses(&self, answer: &Answer) {
-        let Some(longest) = self.pauses.too_long() else {
+        let Some(longest) = self.pauses.longest_over_limit() else {
             return;
         };
         self.dispatcher.metrics.streams_paused.inc();
@@ -255,7 +255,7 @@
                 return None;
             }
             if let Some(configuration) = dispatcher.fleet_state.configuration() {
-                self.outgoing.bind(&configuration);
+                self.outgoing.bind_residency(&configuration);
             }
             let placing = Placing {
                 request: self.outgoing.id.as_deref().unwrap_or(""),
--- a/crates/swiftshunt-gateway/src/request_context.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -7,7 +7,7 @@
 use swiftshunt_routing::{Repeat, Route};
 use swiftshunt_scheduler::selection::Chosen;
 
-use crate::attempt::{Outgoing, SendFailure};
+use crate::attempt::{OutgoingRequest, SendFailure};
 use crate::protocol::RequestFacts;
 
 /// Silence of a worker that is never a reason to take a request away.
@@ -29,8 +29,8 @@
     pub(crate) route: Arc<Route>,
     pub(crate) service: String,
     /// The version of the configuration by which it may be handled where it may.
-    pub(crate) bound_by: u64,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) residency_version: u64,
+    pub(crate) outgoing: OutgoingRequest,
     pub(crate) facts: RequestFacts,
     pub(crate) arrived: Duration,
     pub(crate) until: Duration,
@@ -50,8 +50,8 @@
 
     /// When the caller gives up, if it said so: what workers are told.
     pub(crate) fn caller_deadline(&self) -> Option<Duration> {
-        let deadline = self.facts.deadline;
-        deadline.map(|deadline| self.arrived + deadline)
+        let timeout = self.facts.caller_timeout;
+        timeout.map(|timeout| self.arrived + timeout)
     }
 
     /// Whether the route lets it run again at all.
@@ -73,7 +73,7 @@
     }
 
     /// It goes to a worker now.
-    pub(crate) fn sent(&mut self, chosen: &Chosen, now: Duration) {
+    pub(crate) fn record_send(&mut self, chosen: &Chosen, now: Duration) {
         self.tried.push(chosen.incarnation.clone());
         self.last_send = Some(LastSend {
             at: now,
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::answers::{CallerAnswer, plain, whole};
+use crate::answers::{CallerAnswer, full_body, plain};
 use crate::batch::{self, Batch};
 use crate::fleet_state::FleetState;
 use crate::log_relay::{self, RelayedLog};
@@ -180,7 +180,7 @@
                     batch::PAGES_PATH => batch.answer_page(request).await,
                     _ => {
                         let (method, uri) = (request.method(), request.uri());
-                        let call = protocol.call(method, uri, request.headers());
+                        let call = protocol.classify_request(method, uri, request.headers());
                         batch.answer_peer(call, request.headers()).await
                     }
                 };
@@ -211,7 +211,7 @@
 /// Tells the metrics, for as long as the process lives.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     serve_small(listener, move || {
-        hyper::Response::new(whole(metrics.text().into()))
+        hyper::Response::new(full_body(metrics.text().into()))
     })
     .await;
 }
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -25,7 +25,7 @@
 use crate::clock::Clock;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::peer_http::{answer_with, read_call};
+use crate::peer_http::{encode_answer, read_call};
 use crate::topic_follower::TailTiming;
 use message::TailCall;
 use published::Published;
@@ -102,7 +102,7 @@
         };
         let part = published.after(call.from, call.wait, self.clock).await;
         match part {
-            Some(part) => answer_with(&part),
+            Some(part) => encode_answer(&part),
             None => plain(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "not read here, or not of late",
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -17,7 +17,7 @@
 use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::peer_http::{self, PeerClient, encoded};
+use crate::peer_http::{self, PeerClient, encode_message};
 use crate::traffic::Content;
 
 /// Connections that rest for one reader: one a topic.
@@ -112,7 +112,7 @@
 
     async fn exchange(&self, reader: SocketAddr, call: &TailCall) -> Result<TailPart, String> {
         let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(super::PATH));
-        let (Some(uri), Some(body)) = (uri, encoded(call)) else {
+        let (Some(uri), Some(body)) = (uri, encode_message(call)) else {
             return Err("the call has no form".to_owned());
         };
         let mut request = Request::new(Full::new(body));
