--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendLimits {
     /// When the request is given up, on the gateway's clock.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     /// What the worker is told, if it is to be told a time.
     pub(crate) caller_deadline: Option<Duration>,
     /// Silence of the worker, on all requests of this gateway, after which the request is taken
@@ -303,7 +303,7 @@
         let mut sender = connected.map_err(|error| SendFailure::NotSent {
             reason: error.to_string(),
         })?;
-        if self.clock.now() >= limits.until {
+        if self.clock.now() >= limits.deadline {
             return Err(SendFailure::NotSent {
                 reason: "the time was over before it was sent".to_owned(),
             });
@@ -356,7 +356,7 @@
             worker: &chosen.id,
             time_left: limits
                 .caller_deadline
-                .map(|until| until.saturating_sub(now)),
+                .map(|deadline| deadline.saturating_sub(now)),
             last_event,
             identity: outgoing.subject.identity(),
         };
@@ -374,13 +374,13 @@
         let started = self.clock.now();
         let now = started;
         let Some(silence) = limits.silence else {
-            tokio::time::sleep(limits.until.saturating_sub(now)).await;
+            tokio::time::sleep(limits.deadline.saturating_sub(now)).await;
             return SendFailure::OutOfTime;
         };
-        tokio::time::sleep(silence.min(limits.until.saturating_sub(now))).await;
+        tokio::time::sleep(silence.min(limits.deadline.saturating_sub(now))).await;
         loop {
             let now = self.clock.now();
-            if now >= limits.until {
+            if now >= limits.deadline {
                 return SendFailure::OutOfTime;
             }
             let quiet = self.worker_silence(&chosen.incarnation, now);
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -231,7 +231,7 @@
         let interrupt = self.running.set_worker(id, Some(&chosen.incarnation));
         let now = self.dispatcher.clock.now();
         let limits = SendLimits {
-            until: now + LONGEST_ATTEMPT,
+            deadline: now + LONGEST_ATTEMPT,
             caller_deadline: None,
             silence: Some(SILENCE),
         };
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -43,7 +43,7 @@
 
 impl Entered {
     /// When the caller gives up, or the request is given up for it.
-    fn until(&self) -> Duration {
+    fn deadline(&self) -> Duration {
         let timeout = self.route.timeout;
         self.arrived + self.facts.caller_timeout.unwrap_or(timeout).min(timeout)
     }
@@ -196,7 +196,7 @@
         refused: Refused,
     ) -> CallerAnswer {
         let now = self.dispatcher.clock.now();
-        let time_left = entered.until().saturating_sub(now);
+        let time_left = entered.deadline().saturating_sub(now);
         let (refusal, retry_after) = match refused {
             Refused::Limit(again_after) => {
                 let retry_after = come_back_within_limit(again_after, time_left, rand::random());
@@ -234,13 +234,13 @@
             route: &entered.route,
             path: entered.head.uri.path(),
             body,
-            until: entered.until(),
+            until: entered.deadline(),
         };
         self.batch.submit(submission).await
     }
 
     fn context(&self, entered: Entered, body: Bytes, residency_version: u64) -> RequestContext {
-        let until = entered.until();
+        let deadline = entered.deadline();
         let Entered {
             route,
             caller,
@@ -276,7 +276,7 @@
             outgoing,
             facts,
             arrived,
-            until,
+            deadline,
             tried: Vec::new(),
             last_send: None,
             runs: 0,
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -57,7 +57,7 @@
     async fn send_until_answered(&self, context: &mut RequestContext) -> CallerAnswer {
         loop {
             let now = self.dispatcher.clock.now();
-            if now >= context.until {
+            if now >= context.deadline {
                 return self.out_of_time(context);
             }
             let subject = &context.outgoing.subject;
@@ -144,7 +144,7 @@
     async fn place_late(&self, context: &RequestContext) -> Option<Chosen> {
         let clock = self.dispatcher.clock;
         let came = clock.now();
-        let patient = context.until.saturating_sub(context.arrived);
+        let patient = context.deadline.saturating_sub(context.arrived);
         let patient_until = context.arrived + patient.mul_f64(LATE_PATIENCE);
         let in_line = async {
             let _turn = self.late_queue.lock().await;
@@ -202,7 +202,7 @@
         let situation = Situation {
             obstacle,
             waited: now.saturating_sub(context.arrived),
-            time_left: context.until.saturating_sub(now),
+            time_left: context.deadline.saturating_sub(now),
             slot_time: selector.engine_rates(&context.service).slot_time(),
             slots: selector.slots(&context.service),
         };
@@ -221,7 +221,7 @@
         let limit = context.silence_limit() + chosen.expected_reading;
         let silence = context.may_run_again().then_some(limit);
         SendLimits {
-            until: context.until,
+            deadline: context.deadline,
             caller_deadline: context.caller_deadline(),
             silence,
         }
@@ -259,8 +259,8 @@
         if context.route.kind == RouteKind::Stream && answer.head.status.is_success() {
             return self.open_stream(context, answer).await;
         }
-        let until = context.until.saturating_sub(self.dispatcher.clock.now());
-        let body = tokio::time::timeout(until, answer.read_body(WHOLE_ANSWER_LIMIT)).await;
+        let time_left = context.deadline.saturating_sub(self.dispatcher.clock.now());
+        let body = tokio::time::timeout(time_left, answer.read_body(WHOLE_ANSWER_LIMIT)).await;
         let body = match body {
             Err(_) => {
                 context.runs += 1;
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -34,7 +34,7 @@
     let again = context.route.resumable && context.runs + 1 < context.route.max_attempts;
     let reading = answer.in_flight.chosen.expected_reading;
     let silence = again.then(|| context.silence_limit() + reading);
-    match next(dispatcher, answer, context.until, silence).await? {
+    match next(dispatcher, answer, context.deadline, silence).await? {
         Next::Bytes(bytes) => Ok(bytes),
         Next::End => Ok(Bytes::new()),
     }
@@ -52,14 +52,14 @@
 async fn next(
     dispatcher: &Dispatcher,
     answer: &mut Answer,
-    until: Duration,
+    deadline: Duration,
     silence: Option<Duration>,
 ) -> Result<Next, SendFailure> {
     let incarnation = answer.in_flight.chosen.incarnation.clone();
     let started = dispatcher.clock.now();
     loop {
         let now = dispatcher.clock.now();
-        if now >= until {
+        if now >= deadline {
             return Err(SendFailure::OutOfTime);
         }
         let pause = match silence {
@@ -71,9 +71,9 @@
                 }
                 silence.saturating_sub(own).max(SILENCE_CHECK)
             }
-            None => until - now,
+            None => deadline - now,
         };
-        let pause = pause.min(until - now);
+        let pause = pause.min(deadline - now);
         let Ok(frame) = tokio::time::timeout(pause, answer.body.frame()).await else {
             continue;
         };
@@ -101,7 +101,7 @@
     resume: Option<Resume>,
     answer: Option<Answer>,
     first: Option<Bytes>,
-    until: Duration,
+    deadline: Duration,
     id: String,
     pauses: StreamPauses,
 }
@@ -141,7 +141,7 @@
         resume,
         answer: Some(answer),
         first: Some(first),
-        until: context.until,
+        deadline: context.deadline,
         id,
         pauses: StreamPauses::new(context.route.pause_target),
     };
@@ -167,7 +167,7 @@
             let silence = resumable.map(|resume| resume.silence);
             let came = match self.first.take() {
                 Some(first) => Ok(Next::Bytes(first)),
-                None => next(&self.dispatcher, answer, self.until, silence).await,
+                None => next(&self.dispatcher, answer, self.deadline, silence).await,
             };
             match came {
                 Ok(Next::Bytes(bytes)) => {
@@ -219,12 +219,12 @@
             return Err(broken());
         }
         let dispatcher = Arc::clone(&self.dispatcher);
-        let until = self.until;
+        let deadline = self.deadline;
         let Some(resume) = &mut self.resume else {
             return Err(broken());
         };
         resume.framer.discard_partial();
-        let answer = resume.take_up(&dispatcher, until).await;
+        let answer = resume.take_up(&dispatcher, deadline).await;
         let Some(answer) = answer else {
             return Err(broken());
         };
@@ -242,11 +242,11 @@
     }
 
     /// Finds a worker that goes on behind the last event passed on.
-    async fn take_up(&mut self, dispatcher: &Dispatcher, until: Duration) -> Option<Answer> {
+    async fn take_up(&mut self, dispatcher: &Dispatcher, deadline: Duration) -> Option<Answer> {
         let position = self.position();
         loop {
             let now = dispatcher.clock.now();
-            if self.runs_left == 0 || now >= until {
+            if self.runs_left == 0 || now >= deadline {
                 return None;
             }
             if let Some(held) = dispatcher.quarantine.holds(&self.outgoing.subject).await {
@@ -271,7 +271,7 @@
             };
             self.tried.push(chosen.incarnation.clone());
             let limits = SendLimits {
-                until,
+                deadline,
                 caller_deadline: self.caller_deadline,
                 // Silence is no reason to end an answer that can go nowhere else.
                 silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_reading),
--- a/crates/swiftshunt-gateway/src/request_context.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -33,7 +33,7 @@
     pub(crate) outgoing: OutgoingRequest,
     pub(crate) facts: RequestFacts,
     pub(crate) arrived: Duration,
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     pub(crate) tried: Vec<String>,
     pub(crate) last_send: Option<LastSend>,
     /// Sends after which the request may have run.
