--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -14,8 +14,8 @@
 use swiftshunt_scheduler::eligibility::Withheld;
 use swiftshunt_scheduler::selection::{AttemptOutcome, ChosenWorker, Demand};
 
-use crate::beliefs::Beliefs;
 use crate::clock::Clock;
+use crate::fleet_state::FleetState;
 use crate::in_flight::InFlight;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
@@ -23,18 +23,18 @@
 use crate::protocol::{AnswerFacts, Identity, Protocol, SendFacts};
 use crate::quarantine::{Quarantine, Subject};
 use crate::slots::Slots;
-use crate::starts::{Start, Starts};
+use crate::start_permits::{StartPermit, StartPermits};
 use crate::upstream::{Sender, Upstream};
 
 /// What every send needs.
 pub(crate) struct Dispatcher {
     pub(crate) protocol: Arc<dyn Protocol>,
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) fleet_state: Arc<FleetState>,
     pub(crate) upstream: Upstream,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) peers: Arc<Peers>,
     pub(crate) slots: Arc<Slots>,
-    pub(crate) starts: Arc<Starts>,
+    pub(crate) start_permits: Arc<StartPermits>,
     pub(crate) quarantine: Arc<Quarantine>,
     pub(crate) job_regions: Arc<JobRegions>,
     pub(crate) clock: Clock,
@@ -42,7 +42,7 @@
 
 /// A request as it goes to any worker.
 #[derive(Clone)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingRequest {
     pub(crate) id: Option<String>,
     pub(crate) headers: HeaderMap,
     pub(crate) demand: Demand,
@@ -52,9 +52,9 @@
     pub(crate) permit: SendPermit,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Binds the request to the regions that a configuration allows for it.
-    pub(crate) fn bind(&mut self, configuration: &Configuration) {
+    pub(crate) fn bind_residency(&mut self, configuration: &Configuration) {
         let path = self.subject.target().path();
         let Some(route) = configuration.route(self.subject.host(), path) else {
             return;
@@ -69,11 +69,11 @@
 
 /// How long a send may take.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Patience {
+pub(crate) struct SendLimits {
     /// When the request is given up, on the gateway's clock.
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     /// What the worker is told, if it is to be told a time.
-    pub(crate) told_until: Option<Duration>,
+    pub(crate) caller_deadline: Option<Duration>,
     /// Silence of the worker, on all requests of this gateway, after which the request is taken
     /// away from it; none if it may not go elsewhere.
     pub(crate) silence: Option<Duration>,
@@ -145,7 +145,7 @@
 impl Answer {
     /// Whether it is a success that counts: the worker vouches for it, and the body is as the
     /// worker made it.
-    pub(crate) fn is_vouched_success(&self) -> bool {
+    pub(crate) fn is_signed_success(&self) -> bool {
         self.head.status.is_success()
             && self.facts.signed
             && !self.head.headers.contains_key("content-encoding")
@@ -160,7 +160,7 @@
             sender,
             ..
         } = self;
-        in_flight.ends(ending_by_status(head.status));
+        in_flight.set_ending(ending_by_status(head.status));
         if head.status.is_success() {
             dispatcher.quarantine.ran_well(&in_flight.subject);
         }
@@ -168,7 +168,7 @@
         let incarnation = &in_flight.chosen.incarnation;
         dispatcher
             .upstream
-            .give_back(incarnation, sender, facts.keep_alive, now);
+            .return_idle(incarnation, sender, facts.keep_alive, now);
     }
 
     /// Reads the whole body, up to `limit` bytes.
@@ -179,8 +179,8 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.in_flight.heard();
-            self.in_flight.received(data.len());
+            self.in_flight.record_progress();
+            self.in_flight.record_received(data.len());
             if whole.len() + data.len() > limit {
                 return Err("the answer is too long".to_owned());
             }
@@ -201,9 +201,9 @@
     pub(crate) async fn send(
         &self,
         chosen: &ChosenWorker,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Result<Answer, SendFailure> {
         if let Some(held) = self.quarantine.holds(&outgoing.subject).await {
             return Err(SendFailure::Held { ends: held.ends });
@@ -213,30 +213,30 @@
         let prompt = &outgoing.demand.prompt;
         let missing = chosen.missing_tokens;
         self.peers
-            .tell(&chosen.service, &chosen.incarnation, prompt, missing);
-        let sent = self.exchange(chosen, outgoing, last_event, patience);
+            .notify_prompt(&chosen.service, &chosen.incarnation, prompt, missing);
+        let sent = self.exchange(chosen, outgoing, last_event, limits);
         let outcome = tokio::select! {
             outcome = sent => outcome,
-            failure = self.lost_patience(chosen, patience) => Err(failure),
+            failure = self.wait_until_limit(chosen, limits) => Err(failure),
         };
         let (response, sender) = match outcome {
             Ok(answered) => answered,
             Err(failure) => {
-                in_flight.ends(ending_of(&failure));
+                in_flight.set_ending(ending_of(&failure));
                 self.metrics.attempt_ended(name_of(&failure));
                 return Err(failure);
             }
         };
         let (head, body) = response.into_parts();
-        let facts = self.protocol.answer(&head);
+        let facts = self.protocol.answer_facts(&head);
         let now = self.clock.now();
         if let Some(load) = facts.load {
-            let mut selector = self.beliefs.selector();
+            let mut selector = self.fleet_state.selector();
             selector.record_load(&chosen.incarnation, load, now);
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
-            in_flight.ends(ending_of(&failure));
+            in_flight.set_ending(ending_of(&failure));
             self.metrics.attempt_ended(name_of(&failure));
             return Err(failure);
         }
@@ -253,7 +253,7 @@
     fn refuse_answer(
         &self,
         chosen: &ChosenWorker,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         head: &response::Parts,
         facts: &AnswerFacts,
     ) -> Option<SendFailure> {
@@ -266,7 +266,7 @@
             return None;
         }
         let now = self.clock.now();
-        self.upstream.saw_surplus(&chosen.incarnation, now);
+        self.upstream.require_single_use(&chosen.incarnation, now);
         log::warn!(request = outgoing.id.as_deref().unwrap_or(""),
             worker = chosen.incarnation.as_str(),
             answered = facts.request_id.as_deref().unwrap_or("");
@@ -279,16 +279,16 @@
     async fn exchange(
         &self,
         chosen: &ChosenWorker,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Result<(hyper::Response<Incoming>, Sender), SendFailure> {
         let start = Some(self.start(chosen, outgoing, None).await?);
         let resting = self
             .upstream
-            .take_resting(&chosen.incarnation, self.clock.now());
+            .take_idle(&chosen.incarnation, self.clock.now());
         if let Some(mut sender) = resting {
-            let request = self.request(chosen, outgoing, last_event, patience);
+            let request = self.request(chosen, outgoing, last_event, limits);
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 // If nothing of it was sent, a new connection serves as well.
@@ -303,13 +303,13 @@
         let mut sender = connected.map_err(|error| SendFailure::NotSent {
             reason: error.to_string(),
         })?;
-        if self.clock.now() >= patience.until {
+        if self.clock.now() >= limits.deadline {
             return Err(SendFailure::NotSent {
                 reason: "the time was over before it was sent".to_owned(),
             });
         }
         self.start(chosen, outgoing, start).await?;
-        let request = self.request(chosen, outgoing, last_event, patience);
+        let request = self.request(chosen, outgoing, last_event, limits);
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, sender)),
             Err(mut error) => {
@@ -328,17 +328,17 @@
     async fn start(
         &self,
         chosen: &ChosenWorker,
-        outgoing: &Outgoing,
-        held: Option<Start>,
-    ) -> Result<Start, SendFailure> {
-        let start = self.starts.take_or_keep(chosen, held).await;
+        outgoing: &OutgoingRequest,
+        held: Option<StartPermit>,
+    ) -> Result<StartPermit, SendFailure> {
+        let start = self.start_permits.ensure_permit(chosen, held).await;
         self.may_offer(chosen, outgoing)?;
         start.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
     }
 
     /// Whether the worker may still be offered the request: it was chosen a moment ago.
-    fn may_offer(&self, chosen: &ChosenWorker, outgoing: &Outgoing) -> Result<(), SendFailure> {
-        let selector = self.beliefs.selector();
+    fn may_offer(&self, chosen: &ChosenWorker, outgoing: &OutgoingRequest) -> Result<(), SendFailure> {
+        let selector = self.fleet_state.selector();
         let offered = selector.may_offer(&chosen.incarnation, &outgoing.demand.residency);
         offered.map_err(|why| withheld(chosen, outgoing, why))
     }
@@ -346,19 +346,21 @@
     fn request(
         &self,
         chosen: &ChosenWorker,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         last_event: Option<u64>,
-        patience: Patience,
+        limits: SendLimits,
     ) -> Request<PermittedBody> {
         let mut headers = outgoing.headers.clone();
         let now = self.clock.now();
         let facts = SendFacts {
             worker: &chosen.id,
-            deadline: patience.told_until.map(|until| until.saturating_sub(now)),
+            time_left: limits
+                .caller_deadline
+                .map(|deadline| deadline.saturating_sub(now)),
             last_event,
             identity: outgoing.subject.identity(),
         };
-        self.protocol.address_worker(&mut headers, &facts);
+        self.protocol.set_worker_headers(&mut headers, &facts);
         let body = PermittedBody::new(outgoing.subject.body().clone(), outgoing.permit.clone());
         let mut request = Request::new(body);
         *request.method_mut() = outgoing.subject.method().clone();
@@ -368,20 +370,20 @@
     }
 
     /// Ends when the request is to be taken away from the worker.
-    async fn lost_patience(&self, chosen: &ChosenWorker, patience: Patience) -> SendFailure {
+    async fn wait_until_limit(&self, chosen: &ChosenWorker, limits: SendLimits) -> SendFailure {
         let started = self.clock.now();
         let now = started;
-        let Some(silence) = patience.silence else {
-            tokio::time::sleep(patience.until.saturating_sub(now)).await;
+        let Some(silence) = limits.silence else {
+            tokio::time::sleep(limits.deadline.saturating_sub(now)).await;
             return SendFailure::OutOfTime;
         };
-        tokio::time::sleep(silence.min(patience.until.saturating_sub(now))).await;
+        tokio::time::sleep(silence.min(limits.deadline.saturating_sub(now))).await;
         loop {
             let now = self.clock.now();
-            if now >= patience.until {
+            if now >= limits.deadline {
                 return SendFailure::OutOfTime;
             }
-            let quiet = self.silence(&chosen.incarnation, now);
+            let quiet = self.worker_silence(&chosen.incarnation, now);
             let waited = now.saturating_sub(started);
             let hangs = waited >= silence * HANGING && self.has_overtaken(chosen, started);
             if hangs || quiet.unwrap_or(waited) >= silence {
@@ -393,18 +395,18 @@
 
     /// Whether the worker has begun requests that were sent after `sent_at`.
     fn has_overtaken(&self, chosen: &ChosenWorker, sent_at: Duration) -> bool {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         selector.has_overtaken(&chosen.incarnation, sent_at)
     }
 
     /// How long a worker has given no sign of life on any request of this gateway.
-    pub(crate) fn silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
-        self.beliefs.selector().silence(incarnation, now)
+    pub(crate) fn worker_silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
+        self.fleet_state.selector().silence(incarnation, now)
     }
 }
 
 /// The failure of a send that the worker may not be offered, logged.
-fn withheld(chosen: &ChosenWorker, outgoing: &Outgoing, why: Withheld) -> SendFailure {
+fn withheld(chosen: &ChosenWorker, outgoing: &OutgoingRequest, why: Withheld) -> SendFailure {
     log::info!(request = outgoing.id.as_deref().unwrap_or(""),
         worker = chosen.incarnation.as_str(), why:% = why; "a send is withheld");
     SendFailure::Withheld { why }
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -17,8 +17,8 @@
 use swiftshunt_types::TenantName;
 
 use super::Batch;
-use crate::attempt::{Answer, Outgoing, Patience, SendFailure};
-use crate::beliefs::lock;
+use crate::attempt::{Answer, OutgoingRequest, SendFailure, SendLimits};
+use crate::fleet_state::lock;
 use crate::protocol::Identity;
 use crate::quarantine::{Held, Subject};
 use crate::running::ItemId;
@@ -85,7 +85,7 @@
         loop {
             let route = self
                 .dispatcher
-                .beliefs
+                .fleet_state
                 .configuration()
                 .and_then(|configuration| configuration.route(&spec.host, &spec.path).cloned());
             let Some(route) = route else {
@@ -111,15 +111,15 @@
             }
             output.is_held = false;
             let residency = self.residency_of(&route, spec.tenant.as_ref());
-            if !self.dispatcher.job_regions.may_send(&residency) {
+            if !self.dispatcher.job_regions.may_send_from_here(&residency) {
                 log::debug!(job = id.job.as_str(), item = item.id.as_str();
                     "an item may not be sent from here");
                 tokio::time::sleep(HELD_PAUSE).await;
                 continue;
             }
-            let service = self.dispatcher.beliefs.next_service(&route, &residency);
+            let service = self.dispatcher.fleet_state.next_service(&route, &residency);
             let needs = self.item_time.expected().saturating_sub(output.ran);
-            self.running.needs(id, needs);
+            self.running.set_remaining_time(id, needs);
             let times = ItemTimes { needs, ..times };
             let slots = &self.dispatcher.slots;
             let slot = slots.wait_for_slot(&service, times, &residency);
@@ -223,22 +223,22 @@
     async fn attempt(
         &self,
         id: &ItemId,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         chosen: &ChosenWorker,
         output: &mut Output,
     ) -> Attempt {
         let item = outgoing.id.as_deref().unwrap_or("");
-        let interrupt = self.running.at_worker(id, Some(&chosen.incarnation));
+        let interrupt = self.running.set_worker(id, Some(&chosen.incarnation));
         let now = self.dispatcher.clock.now();
-        let patience = Patience {
-            until: now + LONGEST_ATTEMPT,
-            told_until: None,
+        let limits = SendLimits {
+            deadline: now + LONGEST_ATTEMPT,
+            caller_deadline: None,
             silence: Some(SILENCE),
         };
         let run = async {
             let sent = self
                 .dispatcher
-                .send(chosen, outgoing, output.last_event, patience)
+                .send(chosen, outgoing, output.last_event, limits)
                 .await;
             match sent {
                 Ok(answer) => self.read(answer, output).await,
@@ -256,7 +256,7 @@
             attempt = run => attempt,
             () = interrupt.cancelled() => Attempt::Interrupted,
         };
-        self.running.at_worker(id, None);
+        self.running.set_worker(id, None);
         if !matches!(attempt, Attempt::Whole) {
             log::info!(job = id.job.as_str(), item,
                 worker = chosen.incarnation.as_str(), attempt:? = attempt,
@@ -267,7 +267,7 @@
 
     /// Where the jobs of a tenant on a route may be handled, by the configuration in force.
     pub(super) fn residency_of(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
-        let configuration = self.dispatcher.beliefs.configuration();
+        let configuration = self.dispatcher.fleet_state.configuration();
         configuration.map_or_else(Residency::anywhere, |configuration| {
             configuration.residency_of(route, tenant)
         })
@@ -280,12 +280,12 @@
         item: &ItemSpec,
         subject: &Subject,
         residency: Residency,
-    ) -> Option<Outgoing> {
+    ) -> Option<OutgoingRequest> {
         let protocol = &self.dispatcher.protocol;
         let facts = protocol.item_facts(item);
         let mut headers = protocol.item_headers(item);
         headers.insert("host", spec.host.parse().ok()?);
-        Some(Outgoing {
+        Some(OutgoingRequest {
             id: Some(item.id.clone()),
             headers,
             demand: Demand {
@@ -317,14 +317,14 @@
                 500 => Attempt::Failed,
                 _ => Attempt::BrokenOff,
             };
-            answer.in_flight.ends(match attempt {
+            answer.in_flight.set_ending(match attempt {
                 Attempt::Impossible => AttemptOutcome::Answered,
                 _ => AttemptOutcome::Failed,
             });
             return attempt;
         }
-        if !answer.is_vouched_success() {
-            answer.in_flight.ends(AttemptOutcome::Broken);
+        if !answer.is_signed_success() {
+            answer.in_flight.set_ending(AttemptOutcome::Broken);
             return Attempt::BrokenOff;
         }
         match self.read_events(&mut answer, output).await {
@@ -333,7 +333,7 @@
                 Attempt::Whole
             }
             Err(failure) => {
-                crate::relay::ends_by(&mut answer, &failure);
+                crate::relay::record_failure(&mut answer, &failure);
                 Attempt::BrokenOff
             }
         }
@@ -355,7 +355,7 @@
                 Ok(event) => event,
                 Err(_) => {
                     let now = self.dispatcher.clock.now();
-                    let quiet = self.dispatcher.silence(&incarnation, now);
+                    let quiet = self.dispatcher.worker_silence(&incarnation, now);
                     if quiet.unwrap_or(SILENCE) >= SILENCE {
                         return Err(SendFailure::Silent);
                     }
@@ -371,8 +371,8 @@
                 }
                 Some(Ok(event)) => event,
             };
-            in_flight.heard();
-            in_flight.received(event.data.len());
+            in_flight.record_progress();
+            in_flight.record_received(event.data.len());
             output.take(&event)?;
         }
     }
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -14,12 +14,12 @@
 
 use super::member::Member;
 use super::replay::Replay;
-use crate::beliefs::lock;
 use crate::clock::Clock;
-use crate::followed::Away;
+use crate::fleet_state::lock;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
 use crate::settings::GatewaySettings;
+use crate::topic_follower::LogBackoff;
 
 /// Renewals within one lease.
 const RENEWALS: u32 = 3;
@@ -107,9 +107,9 @@
 
     /// Renews for as long as the process takes work, and has what is held followed.
     pub(crate) async fn keep(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics) {
-        let mut away = Away::new("leases", 0);
+        let mut backoff = LogBackoff::new("leases", 0);
         while !self.left.is_cancelled() {
-            if !regions.include_this() {
+            if !regions.includes_this_gateway() {
                 self.stand_aside().await;
                 metrics.leased_partitions.set(0);
                 replay.hold(&BTreeSet::new());
@@ -121,7 +121,7 @@
             let held = self.partitions();
             metrics.leased_partitions.set(held.len() as i64);
             replay.hold(&held);
-            away.pause(&renewed).await;
+            backoff.backoff_on_error(&renewed).await;
             if renewed.is_ok() {
                 tokio::time::sleep(self.time / RENEWALS).await;
             }
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -14,9 +14,9 @@
 use swiftshunt_types::TenantName;
 
 use super::member::Member;
-use crate::answers::{CallerAnswer, end_to_end, whole};
-use crate::beliefs::lock;
+use crate::answers::{CallerAnswer, end_to_end_headers, full_body};
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::peer_http::{self, PeerClient};
 
 /// Age from which what is known of the owners is read anew.
@@ -66,7 +66,7 @@
             clock,
             known: Mutex::default(),
             reading: tokio::sync::Mutex::default(),
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
         }
     }
 
@@ -121,9 +121,9 @@
         };
         let exchanged = tokio::time::timeout(wait + ANSWER_TIMEOUT, exchange).await;
         let (head, body) = exchanged.ok().flatten()?;
-        let mut answer = Response::new(whole(body));
+        let mut answer = Response::new(full_body(body));
         *answer.status_mut() = head.status;
-        *answer.headers_mut() = end_to_end(&head.headers);
+        *answer.headers_mut() = end_to_end_headers(&head.headers);
         Some(answer)
     }
 
@@ -238,11 +238,11 @@
     tenant: Option<&TenantName>,
 ) -> Option<Request<Empty<Bytes>>> {
     let path = head.uri.path_and_query()?;
-    let uri = peer_http::uri(owner, path.clone())?;
+    let uri = peer_http::peer_uri(owner, path.clone())?;
     let mut request = Request::new(Empty::new());
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = uri;
-    let mut headers = end_to_end(&head.headers);
+    let mut headers = end_to_end_headers(&head.headers);
     headers.remove("content-length");
     headers.remove("host");
     headers.remove(AUTHORIZATION);
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -23,9 +23,9 @@
 
 use super::region_readers::RegionReaders;
 use crate::answers::{CallerAnswer, plain};
-use crate::beliefs::lock;
 use crate::clock::Clock;
-use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
+use crate::fleet_state::lock;
+use crate::peer_http::{self, PeerClient, encode_answer, encode_message, read_call};
 
 /// Where gateways take calls for pages from each other.
 pub(crate) const PATH: &str = "/peer/page";
@@ -85,7 +85,7 @@
             log,
             readers,
             clock,
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
             kept: Mutex::default(),
             window: Mutex::default(),
             freed: Notify::new(),
@@ -123,7 +123,7 @@
             Err(refusal) => return refusal,
         };
         match tokio::time::timeout(WORD_WITHIN, self.read(&call)).await {
-            Ok(Ok(page)) => answer_with(&page),
+            Ok(Ok(page)) => encode_answer(&page),
             Ok(Err(error)) => {
                 log::info!(partition = call.partition; "a page is not read: {error}");
                 plain(StatusCode::SERVICE_UNAVAILABLE, "the page is not read")
@@ -145,8 +145,8 @@
     }
 
     async fn ask(&self, reader: SocketAddr, call: &PageCall) -> Asked {
-        let uri = peer_http::uri(reader, PathAndQuery::from_static(PATH));
-        let (Some(uri), Some(body)) = (uri, encoded(call)) else {
+        let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(PATH));
+        let (Some(uri), Some(body)) = (uri, encode_message(call)) else {
             return Asked::Nothing;
         };
         let mut request = Request::new(Full::new(body));
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -10,8 +10,8 @@
 
 use swiftshunt_scheduler::readers::{RegionReader, rank_region_readers};
 
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::members::Members;
 
 /// Gateways that are asked for one thing: one that ended refuses at once, and is passed over from then on.
@@ -42,7 +42,7 @@
 
     /// Whether it is known who they are.
     pub(super) fn are_known(&self) -> bool {
-        !self.are_shared() || self.members.is_known()
+        !self.are_shared() || self.members.is_list_loaded()
     }
 
     /// Who reads a partition for this gateway, in the order in which they are asked; nobody while it is not known
@@ -51,18 +51,18 @@
         if !self.are_shared() {
             return vec![RegionReader::Own];
         }
-        if !self.members.is_known() {
+        if !self.members.is_list_loaded() {
             return Vec::new();
         }
         let now = self.clock.now();
         let doubted_until = lock(&self.doubted_until);
-        let is_in_doubt = |gateway| {
+        let is_suspected = |gateway| {
             let until = doubted_until.get(&gateway);
             until.is_some_and(|until| now < *until)
         };
         let region = self.members.of_own_region();
-        let own = self.members.own();
-        rank_region_readers(&partition, own, region, is_in_doubt, MOST_ASKED)
+        let own = self.members.own_address();
+        rank_region_readers(&partition, own, region, is_suspected, MOST_ASKED)
     }
 
     /// A reader did not answer.
--- a/crates/swiftshunt-gateway/src/datagrams.rs
+++ b/crates/swiftshunt-gateway/src/datagrams.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 
 /// Largest datagram.
-pub(crate) const DATAGRAM_BYTES: usize = 1_400;
+pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// The socket.
 pub(crate) struct Datagrams {
@@ -42,7 +42,7 @@
                 Ok(bytes) => {
                     self.metrics.notices_sent.inc();
                     let distance = self.members.distance_to(gateway);
-                    self.metrics.traffic.carried(content, distance, bytes);
+                    self.metrics.traffic.count_bytes(content, distance, bytes);
                 }
                 Err(_) => drop(self.metrics.notices_dropped.inc()),
             }
--- a/crates/swiftshunt-gateway/src/directory_news.rs
+++ b/crates/swiftshunt-gateway/src/directory_summary.rs
@@ -33,7 +33,7 @@
 
 /// What a reading changed.
 #[derive(Default)]
-pub(crate) struct DirectoryNews {
+pub(crate) struct DirectorySummary {
     ready: Turned,
     leaving: Turned,
     gone: Turned,
@@ -42,9 +42,14 @@
     offset: u64,
 }
 
-impl DirectoryNews {
+impl DirectorySummary {
     /// A worker is new, or its availability or address is.
-    pub(crate) fn listed(&mut self, incarnation: &str, availability: Availability, offset: u64) {
+    pub(crate) fn add_listed(
+        &mut self,
+        incarnation: &str,
+        availability: Availability,
+        offset: u64,
+    ) {
         self.offset = self.offset.max(offset);
         match availability {
             Availability::Ready => self.ready.add(incarnation),
@@ -53,7 +58,7 @@
     }
 
     /// Workers are no longer listed.
-    pub(crate) fn unlisted(&mut self, unlisted: &UnlistOutcome) {
+    pub(crate) fn add_unlisted(&mut self, unlisted: &UnlistOutcome) {
         for departed in &unlisted.removed {
             self.gone.add(&departed.incarnation);
         }
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -21,16 +21,16 @@
 };
 use swiftshunt_scheduler::selection::{Class, Demand};
 
-use crate::abandoned::Abandoned;
-use crate::answers::{self, CallerAnswer, end_to_end, not_run, plain, too_many};
-use crate::attempt::Outgoing;
+use crate::abandon_guard::AbandonGuard;
+use crate::answers::{self, CallerAnswer, end_to_end_headers, not_run, plain, too_many};
+use crate::attempt::OutgoingRequest;
 use crate::batch::Submission;
-use crate::journey::Journey;
 use crate::metrics::Refusal;
-use crate::online::Online;
+use crate::online::OnlineHandler;
 use crate::protocol::{Call, Identity, RequestFacts};
 use crate::quarantine::Subject;
 use crate::rates::Refused;
+use crate::request_context::RequestContext;
 
 /// A request whose route and caller are known.
 struct Entered {
@@ -43,22 +43,22 @@
 
 impl Entered {
     /// When the caller gives up, or the request is given up for it.
-    fn until(&self) -> Duration {
+    fn deadline(&self) -> Duration {
         let timeout = self.route.timeout;
-        self.arrived + self.facts.deadline.unwrap_or(timeout).min(timeout)
+        self.arrived + self.facts.caller_timeout.unwrap_or(timeout).min(timeout)
     }
 }
 
-impl Online {
+impl OnlineHandler {
     /// Answers one request of a caller.
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> CallerAnswer {
         let arrived = self.dispatcher.clock.now();
-        let Some(configuration) = self.dispatcher.beliefs.configuration() else {
+        let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return self.refuse_to_start(arrived);
         };
         let (head, body) = request.into_parts();
         let protocol = &self.dispatcher.protocol;
-        match protocol.call(&head.method, &head.uri, &head.headers) {
+        match protocol.classify_request(&head.method, &head.uri, &head.headers) {
             Call::Routed => {}
             Call::Malformed => return plain(StatusCode::BAD_REQUEST, "malformed call"),
             call => return self.answer_job_call(&configuration, call, &head).await,
@@ -80,11 +80,11 @@
             return self.refuse_by_limit(&entered, tenant, refused);
         }
         let tenant = entered.caller.tenant().cloned();
-        let journey = self.journey(entered, body, configuration.version);
+        let context = self.context(entered, body, configuration.version);
         self.dispatcher.metrics.in_flight.inc();
-        let guard = Abandoned::new(&self.dispatcher, &journey);
-        let (answer, ran) = self.travel(journey).await;
-        guard.answered();
+        let guard = AbandonGuard::new(&self.dispatcher, &context);
+        let (answer, ran) = self.serve(context).await;
+        guard.mark_answered();
         if let Some(tenant) = tenant.filter(|_| !ran) {
             self.rates.give_back(&tenant);
         }
@@ -94,19 +94,19 @@
     /// The answer to a request that comes so late in a stop that it might not end within the grace
     /// period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
-        let come_back = retry_after_elsewhere(rand::random());
+        let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Stopping, come_back, Duration::ZERO);
-        log::info!(come_back_ms = come_back.as_millis() as u64; "refused, since this gateway stops");
-        not_run("this gateway stops", come_back)
+        metrics.refused(Refusal::Stopping, retry_after, Duration::ZERO);
+        log::info!(come_back_ms = retry_after.as_millis() as u64; "refused, since this gateway stops");
+        not_run("this gateway stops", retry_after)
     }
 
     fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
-        let come_back = retry_after_startup(arrived, rand::random());
+        let retry_after = retry_after_startup(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::NoConfiguration, come_back, Duration::ZERO);
-        log::info!(come_back_ms = come_back.as_millis() as u64; "no configuration is known yet");
-        not_run("no configuration is known yet", come_back)
+        metrics.refused(Refusal::NoConfiguration, retry_after, Duration::ZERO);
+        log::info!(come_back_ms = retry_after.as_millis() as u64; "no configuration is known yet");
+        not_run("no configuration is known yet", retry_after)
     }
 
     /// A job outlives its route: the journal alone says whether it is there.
@@ -116,7 +116,7 @@
         call: Call,
         head: &request::Parts,
     ) -> CallerAnswer {
-        let credentials = self.dispatcher.protocol.credentials(&head.headers);
+        let credentials = self.dispatcher.protocol.read_credentials(&head.headers);
         let caller = match configuration.job_caller(&credentials) {
             Ok(caller) => caller,
             Err(rejected) => return self.reject(rejected, head, configuration.version),
@@ -140,7 +140,7 @@
             return Err(Box::new(plain(StatusCode::NOT_FOUND, "no such route")));
         };
         let protocol = &self.dispatcher.protocol;
-        let credentials = protocol.credentials(&head.headers);
+        let credentials = protocol.read_credentials(&head.headers);
         let caller = configuration
             .caller(&route, &credentials)
             .map_err(|rejected| Box::new(self.reject(rejected, &head, configuration.version)))?;
@@ -148,7 +148,7 @@
             return Err(Box::new(refusal));
         }
         Ok(Entered {
-            facts: protocol.request(&head.headers),
+            facts: protocol.request_facts(&head.headers),
             route,
             caller,
             head,
@@ -159,9 +159,9 @@
     /// The answer to a caller that shows no known key.
     fn reject(&self, rejected: Rejected, head: &request::Parts, version: u64) -> CallerAnswer {
         self.dispatcher.metrics.key_rejected(rejected);
-        let facts = self.dispatcher.protocol.request(&head.headers);
+        let facts = self.dispatcher.protocol.request_facts(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
-        let since = self.dispatcher.beliefs.confirmed_at();
+        let since = self.dispatcher.fleet_state.confirmed_at();
         let age = self.dispatcher.clock.now().saturating_sub(since);
         log::info!(request, path = head.uri.path(), reason:% = rejected, version,
             confirmed_ms_ago = age.as_millis() as u64; "a caller's key is not taken");
@@ -173,20 +173,20 @@
 
     /// The answer to a tenant where keys count only as long as the configuration is confirmed.
     fn refuse_unconfirmed(&self, caller: &Caller) -> Option<CallerAnswer> {
-        let within = self.strict_within?;
+        let within = self.max_config_age?;
         let tenant = caller.tenant()?;
         let now = self.dispatcher.clock.now();
-        let age = now.saturating_sub(self.dispatcher.beliefs.confirmed_at());
+        let age = now.saturating_sub(self.dispatcher.fleet_state.confirmed_at());
         if age <= within {
             return None;
         }
-        let come_back = retry_after_elsewhere(rand::random());
+        let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Unconfirmed, come_back, Duration::ZERO);
+        metrics.refused(Refusal::Unconfirmed, retry_after, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
-            come_back_ms = come_back.as_millis() as u64;
+            come_back_ms = retry_after.as_millis() as u64;
             "refused, since the configuration is not confirmed");
-        Some(not_run("keys cannot be confirmed here", come_back))
+        Some(not_run("keys cannot be confirmed here", retry_after))
     }
 
     fn refuse_by_limit(
@@ -196,11 +196,11 @@
         refused: Refused,
     ) -> CallerAnswer {
         let now = self.dispatcher.clock.now();
-        let time_left = entered.until().saturating_sub(now);
-        let (refusal, come_back) = match refused {
+        let time_left = entered.deadline().saturating_sub(now);
+        let (refusal, retry_after) = match refused {
             Refused::Limit(again_after) => {
-                let come_back = retry_after_tenant_limit(again_after, time_left, rand::random());
-                (Refusal::RateLimit, come_back)
+                let retry_after = retry_after_tenant_limit(again_after, time_left, rand::random());
+                (Refusal::RateLimit, retry_after)
             }
             Refused::Unsure => (Refusal::RateUnsure, retry_after_elsewhere(rand::random())),
         };
@@ -211,16 +211,16 @@
             tenant = tenant.name.as_str(), refused:? = refused, limit:? = limit,
             recent_here = told.figures.here, recent_by_all:? = told.figures.by_all,
             age_ms:? = told.figures.age.map(|age| age.as_millis() as u64),
-            counter:? = counter, come_back_ms = come_back.as_millis() as u64;
+            counter:? = counter, come_back_ms = retry_after.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(refusal, come_back, now.saturating_sub(entered.arrived));
+        metrics.refused(refusal, retry_after, now.saturating_sub(entered.arrived));
         match refused {
             Refused::Limit(_) => {
                 metrics.beyond_limit(tenant.name.as_str());
-                too_many("too many requests of this tenant", come_back)
+                too_many("too many requests of this tenant", retry_after)
             }
-            Refused::Unsure => not_run("the limit of this tenant is not known here", come_back),
+            Refused::Unsure => not_run("the limit of this tenant is not known here", retry_after),
         }
     }
 
@@ -234,13 +234,13 @@
             route: &entered.route,
             path: entered.head.uri.path(),
             body,
-            until: entered.until(),
+            until: entered.deadline(),
         };
         self.batch.submit(submission).await
     }
 
-    fn journey(&self, entered: Entered, body: Bytes, bound_by: u64) -> Journey {
-        let until = entered.until();
+    fn context(&self, entered: Entered, body: Bytes, residency_version: u64) -> RequestContext {
+        let deadline = entered.deadline();
         let Entered {
             route,
             caller,
@@ -249,8 +249,8 @@
             arrived,
         } = entered;
         let residency = Configuration::residency(&route, &caller);
-        let service = self.dispatcher.beliefs.next_service(&route, &residency);
-        let mut headers = end_to_end(&head.headers);
+        let service = self.dispatcher.fleet_state.next_service(&route, &residency);
+        let mut headers = end_to_end_headers(&head.headers);
         headers.remove(CONTENT_LENGTH);
         headers.remove("expect");
         let demand = Demand {
@@ -262,21 +262,21 @@
         };
         let identity = Identity::from(&caller);
         let target = origin_form(&head.uri);
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             id: facts.id.clone(),
             headers,
             demand,
             subject: Subject::new(identity, &route.host, head.method, target, body),
             permit: SendPermit::always(),
         };
-        Journey {
+        RequestContext {
             route,
             service,
-            bound_by,
+            residency_version,
             outgoing,
             facts,
             arrived,
-            until,
+            deadline,
             tried: Vec::new(),
             last_send: None,
             runs: 0,
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -6,16 +6,16 @@
 use swiftshunt_scheduler::selection::{AttemptOutcome, ChosenWorker, Class};
 use swiftshunt_topology::Distance;
 
-use crate::attempt::{Dispatcher, Outgoing};
-use crate::beliefs::Beliefs;
+use crate::attempt::{Dispatcher, OutgoingRequest};
 use crate::clock::Clock;
+use crate::fleet_state::FleetState;
 use crate::quarantine::{Quarantine, Subject};
 use crate::slots::Slots;
 use crate::traffic::{Content, Traffic};
 
 /// A request at a worker. Dropping it tells the view of the workers.
 pub(crate) struct InFlight {
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     slots: Arc<Slots>,
     quarantine: Arc<Quarantine>,
     pub(crate) subject: Subject,
@@ -30,20 +30,21 @@
 }
 
 impl InFlight {
-    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &ChosenWorker, outgoing: &Outgoing) -> Self {
+    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &ChosenWorker, outgoing: &OutgoingRequest,
+    ) -> Self {
         let now = dispatcher.clock.now();
         let demand = &outgoing.demand;
         let distance = {
-            let mut selector = dispatcher.beliefs.selector();
+            let mut selector = dispatcher.fleet_state.selector();
             selector.record_send(chosen, demand, now);
             selector.distance_to(&chosen.zone)
         };
         let traffic = dispatcher.metrics.traffic.clone();
         let body = outgoing.subject.body().len();
-        traffic.carried(Content::Requests, distance, body);
-        dispatcher.beliefs.load_changed.notify_one();
+        traffic.count_bytes(Content::Requests, distance, body);
+        dispatcher.fleet_state.load_changed.notify_one();
         Self {
-            beliefs: Arc::clone(&dispatcher.beliefs),
+            fleet_state: Arc::clone(&dispatcher.fleet_state),
             slots: Arc::clone(&dispatcher.slots),
             quarantine: Arc::clone(&dispatcher.quarantine),
             subject: outgoing.subject.clone(),
@@ -59,9 +60,9 @@
     }
 
     /// Bytes of the answer came.
-    pub(crate) fn heard(&mut self) {
+    pub(crate) fn record_progress(&mut self) {
         let now = self.clock.now();
-        let mut selector = self.beliefs.selector();
+        let mut selector = self.fleet_state.selector();
         if self.had_first_event {
             selector.record_activity(&self.chosen.incarnation, now);
             return;
@@ -71,12 +72,13 @@
     }
 
     /// So many bytes of the answer came.
-    pub(crate) fn received(&self, bytes: usize) {
-        self.traffic.carried(Content::Answers, self.distance, bytes);
+    pub(crate) fn record_received(&self, bytes: usize) {
+        self.traffic
+            .count_bytes(Content::Answers, self.distance, bytes);
     }
 
     /// How the request leaves the worker, unless it is dropped before this.
-    pub(crate) fn ends(&mut self, outcome: AttemptOutcome) {
+    pub(crate) fn set_ending(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
 }
@@ -85,7 +87,7 @@
     fn drop(&mut self) {
         let now = self.clock.now();
         let held = now.saturating_sub(self.sent_at);
-        self.beliefs.selector().record_outcome(
+        self.fleet_state.selector().record_outcome(
             &self.chosen,
             self.class,
             self.outcome,
@@ -93,7 +95,7 @@
             held,
             now,
         );
-        self.beliefs.load_changed.notify_one();
+        self.fleet_state.load_changed.notify_one();
         if let AttemptOutcome::Unreachable | AttemptOutcome::Broken | AttemptOutcome::TimedOut =
             self.outcome
         {
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -25,11 +25,11 @@
 use tokio::sync::watch;
 
 use crate::answers::{CallerAnswer, plain};
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::job_regions::JobRegions;
 use crate::metrics::Metrics;
-use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
+use crate::peer_http::{self, PeerClient, encode_answer, encode_message, read_call};
 use crate::peers::Peers;
 use message::{LogAnswer, LogCall};
 use standing::Standing;
@@ -90,7 +90,7 @@
             call_timeout,
             standing: Mutex::default(),
             away: watch::Sender::new(false),
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
         }
     }
 
@@ -122,12 +122,12 @@
             Ok(call) => call,
             Err(refusal) => return refusal,
         };
-        if call.carries_jobs() && self.job_regions.exclude_this() {
+        if call.carries_jobs() && self.job_regions.excludes_this_gateway() {
             let reason = "jobs may not be handled here";
             return plain(StatusCode::SERVICE_UNAVAILABLE, reason);
         }
         let answer = self.directly(call).await;
-        answer_with(&answer)
+        encode_answer(&answer)
     }
 
     async fn call(&self, call: LogCall) -> LogAnswer {
@@ -181,11 +181,11 @@
 
     /// Has another gateway make the call; none if nobody did and it may be made here.
     async fn through_another(&self, call: &LogCall) -> Option<LogAnswer> {
-        let body = encoded(call)?;
+        let body = encode_message(call)?;
         for _ in 0..HELPERS {
             let mut others = self.peers.reachable();
             if call.carries_jobs() {
-                others = self.job_regions.among(others);
+                others = self.job_regions.filter_gateways(others);
             }
             others.shuffle(&mut rand::rng());
             let now = self.clock.now();
@@ -221,7 +221,7 @@
     }
 
     async fn ask(&self, other: SocketAddr, body: Bytes) -> Relayed {
-        let Some(uri) = peer_http::uri(other, PathAndQuery::from_static(PATH)) else {
+        let Some(uri) = peer_http::peer_uri(other, PathAndQuery::from_static(PATH)) else {
             return Relayed::Refused;
         };
         let mut request = Request::new(Full::new(body));
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -10,10 +10,10 @@
 use swiftshunt_scheduler::selection::AttemptOutcome;
 
 use crate::answers::{AnswerBody, BodyError};
-use crate::attempt::{Answer, Dispatcher, Outgoing, Patience, SendFailure};
-use crate::events::EventBorders;
-use crate::journey::Journey;
-use crate::pauses::Pauses;
+use crate::attempt::{Answer, Dispatcher, OutgoingRequest, SendFailure, SendLimits};
+use crate::events::EventFramer;
+use crate::pauses::StreamPauses;
+use crate::request_context::RequestContext;
 use crate::slots::{Place, Placing};
 
 /// Pause between looks at a worker whose stream is silent.
@@ -28,21 +28,21 @@
 /// Waits for the first bytes of a stream's body.
 pub(crate) async fn first_bytes(
     dispatcher: &Dispatcher,
-    journey: &Journey,
+    context: &RequestContext,
     answer: &mut Answer,
 ) -> Result<Bytes, SendFailure> {
-    let again = journey.route.resumable && journey.runs + 1 < journey.route.max_attempts;
+    let again = context.route.resumable && context.runs + 1 < context.route.max_attempts;
     let reading = answer.in_flight.chosen.expected_prefill;
-    let silence = again.then(|| journey.silence_limit() + reading);
-    match next(dispatcher, answer, journey.until, silence).await? {
+    let silence = again.then(|| context.silence_limit() + reading);
+    match next(dispatcher, answer, context.deadline, silence).await? {
         Next::Bytes(bytes) => Ok(bytes),
         Next::End => Ok(Bytes::new()),
     }
 }
 
 /// Records with the worker how its stream failed.
-pub(crate) fn ends_by(answer: &mut Answer, failure: &SendFailure) {
-    answer.in_flight.ends(match failure {
+pub(crate) fn record_failure(answer: &mut Answer, failure: &SendFailure) {
+    answer.in_flight.set_ending(match failure {
         SendFailure::Silent => AttemptOutcome::TimedOut,
         SendFailure::OutOfTime => AttemptOutcome::Cancelled,
         _ => AttemptOutcome::Broken,
@@ -52,28 +52,28 @@
 async fn next(
     dispatcher: &Dispatcher,
     answer: &mut Answer,
-    until: Duration,
+    deadline: Duration,
     silence: Option<Duration>,
 ) -> Result<Next, SendFailure> {
     let incarnation = answer.in_flight.chosen.incarnation.clone();
     let started = dispatcher.clock.now();
     loop {
         let now = dispatcher.clock.now();
-        if now >= until {
+        if now >= deadline {
             return Err(SendFailure::OutOfTime);
         }
         let pause = match silence {
             Some(silence) => {
                 let own = now.saturating_sub(started);
-                let quiet = dispatcher.silence(&incarnation, now).unwrap_or(own);
+                let quiet = dispatcher.worker_silence(&incarnation, now).unwrap_or(own);
                 if own >= silence && quiet >= silence {
                     return Err(SendFailure::Silent);
                 }
                 silence.saturating_sub(own).max(SILENCE_CHECK)
             }
-            None => until - now,
+            None => deadline - now,
         };
-        let pause = pause.min(until - now);
+        let pause = pause.min(deadline - now);
         let Ok(frame) = tokio::time::timeout(pause, answer.body.frame()).await else {
             continue;
         };
@@ -85,9 +85,9 @@
                 });
             }
             Some(Ok(frame)) => {
-                answer.in_flight.heard();
+                answer.in_flight.record_progress();
                 if let Ok(bytes) = frame.into_data() {
-                    answer.in_flight.received(bytes.len());
+                    answer.in_flight.record_received(bytes.len());
                     return Ok(Next::Bytes(bytes));
                 }
             }
@@ -101,49 +101,49 @@
     resume: Option<Resume>,
     answer: Option<Answer>,
     first: Option<Bytes>,
-    until: Duration,
+    deadline: Duration,
     id: String,
-    pauses: Pauses,
+    pauses: StreamPauses,
 }
 
 /// What is needed to go on elsewhere.
 struct Resume {
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     service: String,
     tried: Vec<String>,
     runs_left: u32,
-    told_until: Option<Duration>,
+    caller_deadline: Option<Duration>,
     silence: Duration,
-    borders: EventBorders,
+    framer: EventFramer,
     last_event: Option<u64>,
 }
 
 /// The body of a stream whose first bytes are there.
-pub(crate) fn body(
+pub(crate) fn relay_body(
     dispatcher: Arc<Dispatcher>,
-    journey: &mut Journey,
+    context: &mut RequestContext,
     answer: Answer,
     first: Bytes,
 ) -> AnswerBody {
-    let id = journey.outgoing.id.clone().unwrap_or_default();
-    let resume = journey.route.resumable.then(|| Resume {
-        outgoing: journey.outgoing.clone(),
-        service: journey.service.clone(),
-        tried: journey.tried.clone(),
-        runs_left: (journey.route.max_attempts).saturating_sub(journey.runs + 1),
-        told_until: journey.told_until(),
-        silence: journey.silence_limit(),
-        borders: EventBorders::default(),
-        last_event: journey.facts.last_event,
+    let id = context.outgoing.id.clone().unwrap_or_default();
+    let resume = context.route.resumable.then(|| Resume {
+        outgoing: context.outgoing.clone(),
+        service: context.service.clone(),
+        tried: context.tried.clone(),
+        runs_left: (context.route.max_attempts).saturating_sub(context.runs + 1),
+        caller_deadline: context.caller_deadline(),
+        silence: context.silence_limit(),
+        framer: EventFramer::default(),
+        last_event: context.facts.last_event,
     });
     let relay = Relay {
         dispatcher,
         resume,
         answer: Some(answer),
         first: Some(first),
-        until: journey.until,
+        deadline: context.deadline,
         id,
-        pauses: Pauses::new(journey.route.pause_target),
+        pauses: StreamPauses::new(context.route.pause_target),
     };
     let frames = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
@@ -167,16 +167,16 @@
             let silence = resumable.map(|resume| resume.silence);
             let came = match self.first.take() {
                 Some(first) => Ok(Next::Bytes(first)),
-                None => next(&self.dispatcher, answer, self.until, silence).await,
+                None => next(&self.dispatcher, answer, self.deadline, silence).await,
             };
             match came {
                 Ok(Next::Bytes(bytes)) => {
                     let whole = match &mut self.resume {
-                        Some(resume) => resume.borders.take(&bytes),
+                        Some(resume) => resume.framer.push(&bytes),
                         None => bytes,
                     };
                     if !whole.is_empty() {
-                        self.pauses.passed(self.dispatcher.clock.now());
+                        self.pauses.record_chunk(self.dispatcher.clock.now());
                         return Ok(Some(whole));
                     }
                 }
@@ -185,7 +185,10 @@
                         self.log_pauses(&answer);
                         answer.finish(&self.dispatcher);
                     }
-                    let rest = self.resume.as_mut().map(|resume| resume.borders.rest());
+                    let rest = self
+                        .resume
+                        .as_mut()
+                        .map(|resume| resume.framer.take_remainder());
                     return Ok(rest.filter(|rest| !rest.is_empty()));
                 }
                 Err(failure) => self.go_on_elsewhere(failure).await?,
@@ -195,7 +198,7 @@
 
     /// Logs that the stream was late by its pauses, if it was.
     fn log_pauses(&self, answer: &Answer) {
-        let Some(longest) = self.pauses.too_long() else {
+        let Some(longest) = self.pauses.longest_over_limit() else {
             return;
         };
         self.dispatcher.metrics.streams_paused.inc();
@@ -209,19 +212,19 @@
             log::info!(request = self.id.as_str(), failure:% = failure, last_event:? = last,
                 worker = answer.in_flight.chosen.incarnation.as_str(),
                 fingerprint:% = answer.in_flight.subject.fingerprint(); "a stream broke off");
-            ends_by(&mut answer, &failure);
+            record_failure(&mut answer, &failure);
         }
         let broken = || -> BodyError { format!("the stream broke off: {failure:?}").into() };
         if matches!(failure, SendFailure::OutOfTime) {
             return Err(broken());
         }
         let dispatcher = Arc::clone(&self.dispatcher);
-        let until = self.until;
+        let deadline = self.deadline;
         let Some(resume) = &mut self.resume else {
             return Err(broken());
         };
-        resume.borders.drop_partial();
-        let answer = resume.take_up(&dispatcher, until).await;
+        resume.framer.discard_partial();
+        let answer = resume.take_up(&dispatcher, deadline).await;
         let Some(answer) = answer else {
             return Err(broken());
         };
@@ -235,15 +238,15 @@
 impl Resume {
     /// The last event that the caller has.
     fn position(&self) -> Option<u64> {
-        self.borders.last_id().or(self.last_event)
+        self.framer.last_id().or(self.last_event)
     }
 
     /// Finds a worker that goes on behind the last event passed on.
-    async fn take_up(&mut self, dispatcher: &Dispatcher, until: Duration) -> Option<Answer> {
+    async fn take_up(&mut self, dispatcher: &Dispatcher, deadline: Duration) -> Option<Answer> {
         let position = self.position();
         loop {
             let now = dispatcher.clock.now();
-            if self.runs_left == 0 || now >= until {
+            if self.runs_left == 0 || now >= deadline {
                 return None;
             }
             if let Some(held) = dispatcher.quarantine.holds(&self.outgoing.subject).await {
@@ -251,8 +254,8 @@
                     "a stream does not go on, since its request ended its workers");
                 return None;
             }
-            if let Some(configuration) = dispatcher.beliefs.configuration() {
-                self.outgoing.bind(&configuration);
+            if let Some(configuration) = dispatcher.fleet_state.configuration() {
+                self.outgoing.bind_residency(&configuration);
             }
             let placing = Placing {
                 request: self.outgoing.id.as_deref().unwrap_or(""),
@@ -267,17 +270,17 @@
                 return None;
             };
             self.tried.push(chosen.incarnation.clone());
-            let patience = Patience {
-                until,
-                told_until: self.told_until,
+            let limits = SendLimits {
+                deadline,
+                caller_deadline: self.caller_deadline,
                 // Silence is no reason to end an answer that can go nowhere else.
                 silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_prefill),
             };
             match dispatcher
-                .send(&chosen, &self.outgoing, position, patience)
+                .send(&chosen, &self.outgoing, position, limits)
                 .await
             {
-                Ok(answer) if answer.is_vouched_success() => {
+                Ok(answer) if answer.is_signed_success() => {
                     self.runs_left -= 1;
                     return Some(answer);
                 }
--- a/crates/swiftshunt-gateway/src/journey.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -7,7 +7,7 @@
 use swiftshunt_routing::{Repeat, Route};
 use swiftshunt_scheduler::selection::ChosenWorker;
 
-use crate::attempt::{Outgoing, SendFailure};
+use crate::attempt::{OutgoingRequest, SendFailure};
 use crate::protocol::RequestFacts;
 
 /// Silence of a worker that is never a reason to take a request away.
@@ -25,15 +25,15 @@
 }
 
 /// A request on its way.
-pub(crate) struct Journey {
+pub(crate) struct RequestContext {
     pub(crate) route: Arc<Route>,
     pub(crate) service: String,
     /// The version of the configuration by which it may be handled where it may.
-    pub(crate) bound_by: u64,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) residency_version: u64,
+    pub(crate) outgoing: OutgoingRequest,
     pub(crate) facts: RequestFacts,
     pub(crate) arrived: Duration,
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     pub(crate) tried: Vec<String>,
     pub(crate) last_send: Option<LastSend>,
     /// Sends after which the request may have run.
@@ -42,16 +42,16 @@
     pub(crate) was_declined: bool,
 }
 
-impl Journey {
+impl RequestContext {
     /// Its identifier, for the log.
     pub(crate) fn id(&self) -> &str {
         self.outgoing.id.as_deref().unwrap_or("")
     }
 
     /// When the caller gives up, if it said so: what workers are told.
-    pub(crate) fn told_until(&self) -> Option<Duration> {
-        let deadline = self.facts.deadline;
-        deadline.map(|deadline| self.arrived + deadline)
+    pub(crate) fn caller_deadline(&self) -> Option<Duration> {
+        let timeout = self.facts.caller_timeout;
+        timeout.map(|timeout| self.arrived + timeout)
     }
 
     /// Whether the route lets it run again at all.
@@ -73,7 +73,7 @@
     }
 
     /// It goes to a worker now.
-    pub(crate) fn sent(&mut self, chosen: &ChosenWorker, now: Duration) {
+    pub(crate) fn record_send(&mut self, chosen: &ChosenWorker, now: Duration) {
         self.tried.push(chosen.incarnation.clone());
         self.last_send = Some(LastSend {
             at: now,
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -17,12 +17,12 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::answers::{CallerAnswer, plain, whole};
+use crate::answers::{CallerAnswer, full_body, plain};
 use crate::batch::{self, Batch};
-use crate::beliefs::Beliefs;
+use crate::fleet_state::FleetState;
 use crate::log_relay::{self, RelayedLog};
 use crate::metrics::Metrics;
-use crate::online::Online;
+use crate::online::OnlineHandler;
 use crate::protocol::Protocol;
 use crate::tails::{self, Tails};
 
@@ -85,8 +85,8 @@
 /// Serves callers for as long as the process lives.
 pub(crate) async fn serve_callers(
     listener: TcpListener,
-    online: Arc<Online>,
-    beliefs: Arc<Beliefs>,
+    online: Arc<OnlineHandler>,
+    fleet_state: Arc<FleetState>,
     stop: Stop,
 ) {
     accept_all(listener, |stream| {
@@ -94,7 +94,7 @@
             .with_time(PROBE_INTERVAL)
             .with_interval(PROBE_INTERVAL);
         drop(SockRef::from(&stream).set_tcp_keepalive(&probes));
-        let serving = serve_caller(stream, Arc::clone(&online), &beliefs, stop.clone());
+        let serving = serve_caller(stream, Arc::clone(&online), &fleet_state, stop.clone());
         stop.connections.spawn(serving);
         std::future::ready(())
     })
@@ -103,11 +103,11 @@
 
 fn serve_caller(
     stream: TcpStream,
-    online: Arc<Online>,
-    beliefs: &Beliefs,
+    online: Arc<OnlineHandler>,
+    fleet_state: &FleetState,
     stop: Stop,
 ) -> impl Future<Output = ()> + use<> {
-    let limits = beliefs
+    let limits = fleet_state
         .configuration()
         .map(|configuration| configuration.limits)
         .unwrap_or_default();
@@ -180,7 +180,7 @@
                     batch::PAGES_PATH => batch.answer_page(request).await,
                     _ => {
                         let (method, uri) = (request.method(), request.uri());
-                        let call = protocol.call(method, uri, request.headers());
+                        let call = protocol.classify_request(method, uri, request.headers());
                         batch.answer_peer(call, request.headers()).await
                     }
                 };
@@ -196,9 +196,9 @@
 }
 
 /// Tells whether the gateway is ready, for as long as the process lives.
-pub(crate) async fn serve_ready(listener: TcpListener, beliefs: Arc<Beliefs>, stop: Stop) {
+pub(crate) async fn serve_ready(listener: TcpListener, fleet_state: Arc<FleetState>, stop: Stop) {
     serve_small(listener, move || {
-        let ready = beliefs.is_complete() && !stop.draining.is_cancelled();
+        let ready = fleet_state.is_complete() && !stop.draining.is_cancelled();
         if ready {
             plain(StatusCode::OK, "ready")
         } else {
@@ -211,7 +211,7 @@
 /// Tells the metrics, for as long as the process lives.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     serve_small(listener, move || {
-        hyper::Response::new(whole(metrics.text().into()))
+        hyper::Response::new(full_body(metrics.text().into()))
     })
     .await;
 }
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -10,7 +10,7 @@
 
 use super::Slots;
 use super::queue::Granted;
-use crate::beliefs::lock;
+use crate::fleet_state::lock;
 use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, Verdict};
 
 impl Slots {
@@ -18,7 +18,7 @@
     /// that wait.
     pub(super) fn take_report(&self, cell: &Cell, from: SocketAddr, report: Report) {
         let now = self.clock.now();
-        let workers = self.beliefs.selector().cell_workers(cell, now);
+        let workers = self.fleet_state.selector().cell_workers(cell, now);
         let (orders, grants) = {
             let mut books = lock(&self.books);
             let book = self.book(&mut books, cell);
@@ -48,7 +48,7 @@
     ) -> Verdict {
         let now = self.clock.now();
         let (workers, rates) = {
-            let selector = self.beliefs.selector();
+            let selector = self.fleet_state.selector();
             let workers = selector.cell_workers(cell, now);
             (workers, selector.engine_rates(&cell.service))
         };
@@ -77,7 +77,7 @@
     /// Whether no other gateway has reported about a cell though there are others: this one has just
     /// started or is about to stop, and its book is worse than what answers told.
     pub(super) fn knows_only_itself(&self, cell: &Cell) -> bool {
-        let own = self.members.own();
+        let own = self.members.own_address();
         let knows_others = lock(&self.books)
             .get(cell)
             .is_some_and(|book| book.knows_another_than(own));
@@ -97,7 +97,7 @@
     }
 
     fn order_aside(&self, gateway: SocketAddr, worker: WorkerKey) {
-        if gateway == self.members.own() {
+        if gateway == self.members.own_address() {
             let now = self.clock.now();
             self.step_aside(|incarnation| WorkerKey::of(incarnation) == worker, now);
         } else {
@@ -107,7 +107,7 @@
 
     /// The workers to which something may go now: warm ones, and cold ones with starts left.
     fn assignable(&self, workers: &[CellWorker], cell: &Cell, now: Duration) -> Vec<CellWorker> {
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let workers = workers.iter().copied();
         let assignable =
             workers.filter(|worker| selector.is_assignable(worker.key, &cell.service, now));
@@ -115,7 +115,7 @@
     }
 
     fn assigned_one(&self, worker: WorkerKey, cell: &Cell, now: Duration) {
-        let mut selector = self.beliefs.selector();
+        let mut selector = self.fleet_state.selector();
         selector.record_assignment(worker, &cell.service, now);
     }
 
@@ -123,7 +123,7 @@
         let Grant { number, to, worker } = grant;
         self.assigned_one(worker, cell, self.clock.now());
         let cell = cell.clone();
-        if to == self.members.own() {
+        if to == self.members.own_address() {
             self.granted(Granted {
                 cell,
                 worker,
@@ -152,7 +152,7 @@
             }
             is_open
         });
-        let selector = self.beliefs.selector();
+        let selector = self.fleet_state.selector();
         let mut usage = Use::default();
         for (cell, book) in books.iter_mut() {
             book.expire(now);
--- a/crates/swiftshunt-gateway/src/starts.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -12,9 +12,9 @@
 use swiftshunt_scheduler::selection::ChosenWorker;
 use tokio::sync::oneshot;
 
-use crate::beliefs::{Beliefs, lock};
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
+use crate::fleet_state::{FleetState, lock};
 use crate::members::Members;
 use crate::messages::Notice;
 use crate::messages::starts::StartMessage as Message;
@@ -34,16 +34,16 @@
 
 /// The right to send one request to a cold worker, until it lapses.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Start {
+pub(crate) struct StartPermit {
     /// None where the worker is warm and none is needed.
     lapses_at: Option<Duration>,
 }
 
 /// The starts that this gateway asks for and hands out.
-pub(crate) struct Starts {
+pub(crate) struct StartPermits {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
-    beliefs: Arc<Beliefs>,
+    fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
     clock: Clock,
     issuer: Mutex<PermitIssuer>,
@@ -53,28 +53,28 @@
 
 /// A question that is open until this is dropped, also where whoever asked is gone.
 struct Asked<'s> {
-    starts: &'s Starts,
+    permits: &'s StartPermits,
     ask: u64,
 }
 
 impl Drop for Asked<'_> {
     fn drop(&mut self) {
-        lock(&self.starts.asks).remove(&self.ask);
+        lock(&self.permits.asks).remove(&self.ask);
     }
 }
 
-impl Starts {
+impl StartPermits {
     pub(crate) fn new(
         members: Arc<Members>,
         datagrams: Arc<Datagrams>,
-        beliefs: Arc<Beliefs>,
+        fleet_state: Arc<FleetState>,
         metrics: Arc<Metrics>,
         clock: Clock,
     ) -> Self {
         Self {
             members,
             datagrams,
-            beliefs,
+            fleet_state,
             metrics,
             clock,
             issuer: Mutex::new(PermitIssuer::new(clock.now())),
@@ -85,31 +85,31 @@
 
     /// The start for a send now: `held` if it has not lapsed, none needed at a warm worker, or a new one; none
     /// if there is none to be had.
-    pub(crate) async fn take_or_keep(
+    pub(crate) async fn ensure_permit(
         &self,
         chosen: &ChosenWorker,
-        held: Option<Start>,
-    ) -> Option<Start> {
+        held: Option<StartPermit>,
+    ) -> Option<StartPermit> {
         let now = self.clock.now();
         let lapses_at = held.and_then(|held| held.lapses_at);
         if lapses_at.is_some_and(|lapses_at| now < lapses_at) {
             return held;
         }
-        let bound = self.beliefs.selector().required_cold_bound(chosen, now);
+        let bound = self.fleet_state.selector().required_cold_bound(chosen, now);
         let Some(bound) = bound else {
-            return Some(Start { lapses_at: None });
+            return Some(StartPermit { lapses_at: None });
         };
         let lapses_at = now + START_PERMIT_TTL;
         let verdict = self.ask_keepers(chosen, &bound).await;
         let now = self.clock.now();
         match verdict {
-            Ok(()) if now < lapses_at => Some(Start {
+            Ok(()) if now < lapses_at => Some(StartPermit {
                 lapses_at: Some(lapses_at),
             }),
             Ok(()) => None,
             Err(again_in) => {
                 let until = now + again_in.max(NONE_FOR);
-                let mut selector = self.beliefs.selector();
+                let mut selector = self.fleet_state.selector();
                 selector.record_no_permits_until(&chosen.incarnation, until);
                 self.metrics.starts_missing.inc();
                 None
@@ -119,7 +119,7 @@
 
     /// Asks the keepers of a worker one after the other.
     async fn ask_keepers(&self, chosen: &ChosenWorker, bound: &ColdBound) -> Verdict {
-        let mut keepers = self.members.keepers(&chosen.id, &chosen.zone);
+        let mut keepers = self.members.permit_issuers(&chosen.id, &chosen.zone);
         if prefers_second_issuer(bound, rand::random()) {
             keepers.reverse();
         }
@@ -137,16 +137,16 @@
 
     /// Asks one keeper; no verdict if it does not answer in time.
     async fn ask(&self, keeper: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
-        if keeper == self.members.own() {
+        if keeper == self.members.own_address() {
             return Some(self.hand_out(&chosen.service, &chosen.id, &chosen.zone));
         }
-        if self.members.is_in_doubt(keeper) {
+        if self.members.is_suspected(keeper) {
             return None;
         }
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
         lock(&self.asks).insert(ask, sender);
-        let _asked = Asked { starts: self, ask };
+        let _asked = Asked { permits: self, ask };
         let message = Message::Ask {
             ask,
             service: chosen.service.clone(),
@@ -156,12 +156,12 @@
         self.datagrams.send(&Notice::Start(message), [keeper]);
         let patience = self
             .members
-            .patience(keeper, ASK_PATIENCE)
+            .answer_timeout(keeper, ASK_PATIENCE)
             .min(MOST_PATIENCE);
         match tokio::time::timeout(patience, receiver).await {
             Ok(Ok(verdict)) => Some(verdict),
             Ok(Err(_)) | Err(_) => {
-                self.members.missed(keeper);
+                self.members.record_timeout(keeper);
                 None
             }
         }
@@ -169,14 +169,14 @@
 
     /// Hands out a start if this gateway is a keeper of the worker.
     fn hand_out(&self, service: &str, worker: &str, zone: &str) -> Verdict {
-        let own = Some(self.members.own());
-        let keepers = self.members.keepers(worker, zone);
+        let own = Some(self.members.own_address());
+        let keepers = self.members.permit_issuers(worker, zone);
         let rank = keepers.iter().position(|keeper| *keeper == own);
-        let bound = self.beliefs.selector().cold_bound(service).copied();
+        let bound = self.fleet_state.selector().cold_bound(service).copied();
         let (Some(rank), Some(bound)) = (rank, bound) else {
             return Err(SILENT_FOR);
         };
-        let Some(known_since) = self.members.known_since() else {
+        let Some(known_since) = self.members.list_loaded_at() else {
             return Err(SILENT_FOR);
         };
         let now = self.clock.now();
@@ -192,7 +192,7 @@
     }
 
     /// Takes a message of another gateway.
-    pub(crate) fn take(&self, message: Message, from: SocketAddr) {
+    pub(crate) fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Ask {
                 ask,
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -13,11 +13,11 @@
 use swiftshunt_scheduler::readers::{select_readers, stable_hash};
 
 use super::message::TailCall;
-use crate::beliefs::lock;
 use crate::clock::Clock;
+use crate::fleet_state::lock;
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::peer_http::{self, PeerClient, encoded};
+use crate::peer_http::{self, PeerClient, encode_message};
 use crate::traffic::Content;
 
 /// Connections that rest for one reader: one a topic.
@@ -59,14 +59,14 @@
             gateways_per_reader,
             metrics,
             clock,
-            client: peer_http::client(MOST_RESTING),
+            client: peer_http::new_client(MOST_RESTING),
             doubts: Mutex::default(),
         }
     }
 
     /// Whether this gateway reads for others.
     pub(super) fn is_reader(&self) -> bool {
-        self.all().contains(&self.members.own())
+        self.all().contains(&self.members.own_address())
     }
 
     /// The gateways that read for others: none where there are few gateways. Each region has its own, so that
@@ -77,7 +77,7 @@
 
     /// The reader at which this gateway waits; none if it is to read the log itself.
     pub(super) fn own_reader(&self) -> Option<SocketAddr> {
-        let own = self.members.own();
+        let own = self.members.own_address();
         let readers = self.all();
         if readers.contains(&own) {
             return None;
@@ -111,8 +111,8 @@
     }
 
     async fn exchange(&self, reader: SocketAddr, call: &TailCall) -> Result<TailPart, String> {
-        let uri = peer_http::uri(reader, PathAndQuery::from_static(super::PATH));
-        let (Some(uri), Some(body)) = (uri, encoded(call)) else {
+        let uri = peer_http::peer_uri(reader, PathAndQuery::from_static(super::PATH));
+        let (Some(uri), Some(body)) = (uri, encode_message(call)) else {
             return Err("the call has no form".to_owned());
         };
         let mut request = Request::new(Full::new(body));
@@ -127,7 +127,7 @@
         let body = body.await.map_err(|error| error.to_string())?.to_bytes();
         let distance = self.members.distance_to(reader);
         let traffic = &self.metrics.traffic;
-        traffic.carried(Content::Tails, distance, body.len());
+        traffic.count_bytes(Content::Tails, distance, body.len());
         ciborium::from_reader(body.as_ref()).map_err(|error| error.to_string())
     }
 
