--- a/crates/swiftshunt-gateway/src/abandoned.rs
+++ b/crates/swiftshunt-gateway/src/abandoned.rs
@@ -34,7 +34,7 @@
         let metrics = &self.dispatcher.metrics;
         metrics.in_flight.dec();
         if !self.answered {
-            metrics.request_ended(&self.route, RequestEnd::Abandoned);
+            metrics.record_request_end(&self.route, RequestEnd::Abandoned);
             log::info!(request = self.id.as_str(), route = self.route.as_str();
                 "the caller left before the answer");
         }
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -223,7 +223,7 @@
             Ok(answered) => answered,
             Err(failure) => {
                 in_flight.ends(ending_of(&failure));
-                self.metrics.attempt_ended(name_of(&failure));
+                self.metrics.record_attempt(name_of(&failure));
                 return Err(failure);
             }
         };
@@ -237,7 +237,7 @@
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
             in_flight.ends(ending_of(&failure));
-            self.metrics.attempt_ended(name_of(&failure));
+            self.metrics.record_attempt(name_of(&failure));
             return Err(failure);
         }
         Ok(Answer {
--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -26,7 +26,7 @@
             come_back_ms = come_back.as_millis() as u64; "refused while the journal is away");
         self.dispatcher
             .metrics
-            .refused(Refusal::LogAway, come_back, Duration::ZERO);
+            .record_refusal(Refusal::LogAway, come_back, Duration::ZERO);
         not_run("the journal is away", come_back)
     }
 
@@ -86,7 +86,7 @@
             "a job finds no room in what may wait");
         self.dispatcher
             .metrics
-            .refused(reason, come_back, Duration::ZERO);
+            .record_refusal(reason, come_back, Duration::ZERO);
         if reason == Refusal::LimitUnsure {
             return not_run("whether the job fits is not known yet", come_back);
         }
--- a/crates/swiftshunt-gateway/src/batch/appender.rs
+++ b/crates/swiftshunt-gateway/src/batch/appender.rs
@@ -103,7 +103,7 @@
             };
             break;
         }
-        self.metrics.append_ended(outcome);
+        self.metrics.record_append(outcome);
         if outcome == Appended::Done {
             self.learn(self.clock.now().saturating_sub(began));
         } else {
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -207,7 +207,7 @@
         text: String,
         reason: &str,
     ) {
-        self.dispatcher.metrics.item_ended(outcome);
+        self.dispatcher.metrics.record_item(outcome);
         if outcome != ItemOutcome::Completed {
             log::info!(job = id.job.as_str(), item = item.id.as_str(), reason;
                 "an item is given up");
--- a/crates/swiftshunt-gateway/src/batch/outside.rs
+++ b/crates/swiftshunt-gateway/src/batch/outside.rs
@@ -76,7 +76,7 @@
         };
         log::info!(reason, come_back_ms = come_back.as_millis() as u64; "refused outside of the regions of jobs");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::OutsideResidency, come_back, Duration::ZERO);
+        metrics.record_refusal(Refusal::OutsideResidency, come_back, Duration::ZERO);
         not_run(reason, come_back)
     }
 }
--- a/crates/swiftshunt-gateway/src/emptying.rs
+++ b/crates/swiftshunt-gateway/src/emptying.rs
@@ -38,7 +38,7 @@
                 self.have_an_item_leave();
             }
             if zones != before {
-                self.metrics.tell_evacuated(&zones);
+                self.metrics.set_evacuated_zones(&zones);
                 tell_of_empty(&before, &zones);
             }
             before = zones;
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -96,7 +96,7 @@
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
         let come_back = come_back_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Stopping, come_back, Duration::ZERO);
+        metrics.record_refusal(Refusal::Stopping, come_back, Duration::ZERO);
         log::info!(come_back_ms = come_back.as_millis() as u64; "refused, since this gateway stops");
         not_run("this gateway stops", come_back)
     }
@@ -104,7 +104,7 @@
     fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
         let come_back = come_back_to_start(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::NoConfiguration, come_back, Duration::ZERO);
+        metrics.record_refusal(Refusal::NoConfiguration, come_back, Duration::ZERO);
         log::info!(come_back_ms = come_back.as_millis() as u64; "no configuration is known yet");
         not_run("no configuration is known yet", come_back)
     }
@@ -158,7 +158,7 @@
 
     /// The answer to a caller that shows no known key.
     fn reject(&self, rejected: Rejected, head: &request::Parts, version: u64) -> CallerAnswer {
-        self.dispatcher.metrics.key_rejected(rejected);
+        self.dispatcher.metrics.record_rejected_key(rejected);
         let facts = self.dispatcher.protocol.request(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
         let since = self.dispatcher.beliefs.confirmed_at();
@@ -182,7 +182,7 @@
         }
         let come_back = come_back_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Unconfirmed, come_back, Duration::ZERO);
+        metrics.record_refusal(Refusal::Unconfirmed, come_back, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
             come_back_ms = come_back.as_millis() as u64;
             "refused, since the configuration is not confirmed");
@@ -214,10 +214,10 @@
             counter:? = counter, come_back_ms = come_back.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(refusal, come_back, now.saturating_sub(entered.arrived));
+        metrics.record_refusal(refusal, come_back, now.saturating_sub(entered.arrived));
         match refused {
             Refused::Limit(_) => {
-                metrics.beyond_limit(tenant.name.as_str());
+                metrics.record_rate_refusal(tenant.name.as_str());
                 too_many("too many requests of this tenant", come_back)
             }
             Refused::Unsure => not_run("the limit of this tenant is not known here", come_back),
--- a/crates/swiftshunt-gateway/src/metrics/mod.rs
+++ b/crates/swiftshunt-gateway/src/metrics/mod.rs
@@ -24,7 +24,7 @@
 };
 
 /// Tenants that have figures of their own at a gateway; those that come after share one.
-const TENANTS_TOLD: usize = 64;
+const MAX_LABELLED_TENANTS: usize = 64;
 /// The name of that one.
 const OTHER_TENANTS: &str = "(others)";
 
@@ -43,7 +43,7 @@
     rate_questions: Family<RateLabels, Counter>,
     rate_refusals: Family<TenantLabels, Counter>,
     limit_decisions: Family<LimitLabels, Counter>,
-    tenants_told: Mutex<BTreeSet<String>>,
+    labelled_tenants: Mutex<BTreeSet<String>>,
     evacuated_zones: Family<ZoneLabels, Gauge>,
     evacuated_in_progress: Family<ZoneLabels, Gauge>,
     pub(crate) asked_again: Counter,
@@ -266,7 +266,7 @@
             rate_questions,
             rate_refusals,
             limit_decisions,
-            tenants_told: Mutex::default(),
+            labelled_tenants: Mutex::default(),
             evacuated_zones,
             evacuated_in_progress,
             asked_again,
@@ -302,7 +302,7 @@
     }
 
     /// All figures as text.
-    pub(crate) fn text(&self) -> String {
+    pub(crate) fn encode_text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
             Ok(()) => text,
@@ -310,7 +310,7 @@
         }
     }
 
-    pub(crate) fn request_ended(&self, route: &str, end: RequestEnd) {
+    pub(crate) fn record_request_end(&self, route: &str, end: RequestEnd) {
         let labels = RequestLabels {
             route: route.to_owned(),
             end,
@@ -319,26 +319,26 @@
     }
 
     /// A caller was refused `waited` after it asked, and may come back after `come_back`.
-    pub(crate) fn refused(&self, reason: Refusal, come_back: Duration, waited: Duration) {
+    pub(crate) fn record_refusal(&self, reason: Refusal, come_back: Duration, waited: Duration) {
         self.refusals.get_or_create(&RefusalLabels { reason }).inc();
         self.come_back_seconds.observe(come_back.as_secs_f64());
         self.refused_after_seconds.observe(waited.as_secs_f64());
     }
 
     /// A caller was not served by what it showed.
-    pub(crate) fn key_rejected(&self, rejected: Rejected) {
+    pub(crate) fn record_rejected_key(&self, rejected: Rejected) {
         let reason = rejected.into();
         let labels = RejectedLabels { reason };
         self.rejected_keys.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn rate_asked(&self, answer: RateAnswer) {
+    pub(crate) fn record_rate_answer(&self, answer: RateAnswer) {
         let labels = RateLabels { answer };
         self.rate_questions.get_or_create(&labels).inc();
     }
 
     /// It was decided whether a batch job fits into its route's limit.
-    pub(crate) fn limit_decided(&self, basis: Basis, fits: bool) {
+    pub(crate) fn record_limit_decision(&self, basis: Basis, fits: bool) {
         let fits = u8::from(fits);
         self.limit_decisions
             .get_or_create(&LimitLabels { basis, fits })
@@ -346,9 +346,9 @@
     }
 
     /// A request was beyond its tenant's limit.
-    pub(crate) fn beyond_limit(&self, tenant: &str) {
-        let mut told = lock(&self.tenants_told);
-        let has_own = told.contains(tenant) || told.len() < TENANTS_TOLD;
+    pub(crate) fn record_rate_refusal(&self, tenant: &str) {
+        let mut told = lock(&self.labelled_tenants);
+        let has_own = told.contains(tenant) || told.len() < MAX_LABELLED_TENANTS;
         let tenant = if has_own { tenant } else { OTHER_TENANTS };
         told.insert(tenant.to_owned());
         let tenant = tenant.to_owned();
@@ -357,14 +357,14 @@
             .inc();
     }
 
-    pub(crate) fn slot_asked(&self, answer: SlotAnswer) {
+    pub(crate) fn record_slot_answer(&self, answer: SlotAnswer) {
         self.slot_questions
             .get_or_create(&SlotLabels { answer })
             .inc();
     }
 
     /// Tells which zones are evacuated, and what is in progress in each.
-    pub(crate) fn tell_evacuated(&self, zones: &BTreeMap<String, u32>) {
+    pub(crate) fn set_evacuated_zones(&self, zones: &BTreeMap<String, u32>) {
         self.evacuated_zones.clear();
         self.evacuated_in_progress.clear();
         for (zone, in_progress) in zones {
@@ -375,7 +375,7 @@
         }
     }
 
-    pub(crate) fn slots_used(&self, usage: Use) {
+    pub(crate) fn set_slot_usage(&self, usage: Use) {
         let uses = [
             (SlotUse::Online, usage.online),
             (SlotUse::Batch, usage.batch),
@@ -387,15 +387,15 @@
         }
     }
 
-    pub(crate) fn attempt_ended(&self, outcome: impl std::fmt::Debug) {
+    pub(crate) fn record_attempt(&self, outcome: impl std::fmt::Debug) {
         self.attempts.get_or_create(&labels(outcome)).inc();
     }
 
-    pub(crate) fn append_ended(&self, outcome: impl std::fmt::Debug) {
+    pub(crate) fn record_append(&self, outcome: impl std::fmt::Debug) {
         self.appends.get_or_create(&labels(outcome)).inc();
     }
 
-    pub(crate) fn item_ended(&self, outcome: impl std::fmt::Debug) {
+    pub(crate) fn record_item(&self, outcome: impl std::fmt::Debug) {
         self.items.get_or_create(&labels(outcome)).inc();
     }
 }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -325,7 +325,7 @@
         let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
         let metrics = &self.dispatcher.metrics;
         metrics.first_event_seconds.observe(waited.as_secs_f64());
-        metrics.request_ended(&journey.route.name, RequestEnd::Answered);
+        metrics.record_request_end(&journey.route.name, RequestEnd::Answered);
         let unusual = journey.tried.len() > 1 || waited > journey.route.objective;
         if unusual || !status.is_success() {
             journey.log_answered(status, waited);
@@ -345,7 +345,7 @@
             return self.fail(journey, reason);
         }
         let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
-        self.dispatcher.metrics.refused(refusal, come_back, waited);
+        self.dispatcher.metrics.record_refusal(refusal, come_back, waited);
         self.ended(journey, RequestEnd::Refused, reason);
         not_run(reason, come_back)
     }
@@ -383,7 +383,7 @@
             end:? = end, reason, runs = journey.runs, tried:? = journey.tried,
             waited_ms = waited.as_millis() as u64; "given up");
         let metrics = &self.dispatcher.metrics;
-        metrics.request_ended(&journey.route.name, end);
+        metrics.record_request_end(&journey.route.name, end);
     }
 }
 
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -137,7 +137,7 @@
                 Word::Came => {}
                 Word::NotYet => tokio::time::sleep(NOT_YET_PAUSE).await,
                 Word::Missed(counter) => {
-                    self.metrics.rate_asked(RateAnswer::Silent);
+                    self.metrics.record_rate_answer(RateAnswer::Silent);
                     self.members.missed(counter);
                 }
                 Word::Nobody => break,
@@ -169,7 +169,7 @@
             self.ask(tenant, 0, limit);
         }
         if is_admitted {
-            self.metrics.rate_asked(RateAnswer::Alone);
+            self.metrics.record_rate_answer(RateAnswer::Alone);
             Ok(())
         } else {
             Err(Refused::Unsure)
--- a/crates/swiftshunt-gateway/src/rates/questions.rs
+++ b/crates/swiftshunt-gateway/src/rates/questions.rs
@@ -130,7 +130,7 @@
         };
         let own = self.members.own();
         if counter == own {
-            self.metrics.rate_asked(RateAnswer::Own);
+            self.metrics.record_rate_answer(RateAnswer::Own);
             return match self.counters.answer(own, tenant, question, limit) {
                 CounterAnswer::Counted(verdict) => {
                     self.take_verdict(tenant, verdict, now, own);
@@ -191,15 +191,15 @@
         self.members.answered(from, took);
         match answer {
             CounterAnswer::Counted(verdict) => {
-                self.metrics.rate_asked(answer_of(verdict));
+                self.metrics.record_rate_answer(answer_of(verdict));
                 self.take_verdict(&asked.tenant, verdict, asked.at, from);
             }
             CounterAnswer::CountedBy(counter) => {
-                self.metrics.rate_asked(RateAnswer::NotCounter);
+                self.metrics.record_rate_answer(RateAnswer::NotCounter);
                 self.members.vouched_for(counter);
                 self.wake(&asked.tenant);
             }
-            CounterAnswer::NotYet => self.metrics.rate_asked(RateAnswer::NotCounter),
+            CounterAnswer::NotYet => self.metrics.record_rate_answer(RateAnswer::NotCounter),
         }
     }
 
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -211,7 +211,7 @@
 /// Tells the metrics, for as long as the process lives.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     serve_small(listener, move || {
-        hyper::Response::new(whole(metrics.text().into()))
+        hyper::Response::new(whole(metrics.encode_text().into()))
     })
     .await;
 }
--- a/crates/swiftshunt-gateway/src/slots/elsewhere.rs
+++ b/crates/swiftshunt-gateway/src/slots/elsewhere.rs
@@ -147,7 +147,7 @@
             may_repeat: placing.may_repeat,
         };
         let (answer, verdict) = self.ask(owner, &cell, request).await.decided();
-        self.metrics.slot_asked(answer);
+        self.metrics.record_slot_answer(answer);
         let chosen = match verdict {
             Some(Ok(assigned)) => {
                 self.saw(&cell, assigned.number);
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -196,7 +196,7 @@
             let answered = asked.answered.as_mut();
             let elsewhere = answered.and_then(|answered| answered.elsewhere.take());
             let (answer, verdict) = asked.decided();
-            self.metrics.slot_asked(answer);
+            self.metrics.record_slot_answer(answer);
             match verdict {
                 Some(Ok(assigned)) => {
                     return Place::At(self.take_up(&placing, &cell, assigned, chosen));
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -163,6 +163,6 @@
             usage.batch += of_cell.batch;
             usage.free += of_cell.free;
         }
-        self.metrics.slots_used(usage);
+        self.metrics.set_slot_usage(usage);
     }
 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
@@ -69,7 +69,7 @@
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, settles_in_ms = settles_in.as_millis() as u64;
             "it is not known whether a job fits");
-        self.metrics.limit_decided(Basis::Nothing, false);
+        self.metrics.record_limit_decision(Basis::Nothing, false);
         Fit::Unsure(settles_in)
     }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -140,7 +140,7 @@
             Basis::Share
         };
         let fits = decision == Decision::Admitted;
-        self.metrics.limit_decided(basis, fits);
+        self.metrics.record_limit_decision(basis, fits);
     }
 
     pub(super) fn take_recorded(&self, allowance: &Allowance, job: &str) {
