--- a/crates/swiftshunt-gateway/src/followed.rs
+++ b/crates/swiftshunt-gateway/src/followed.rs
@@ -188,7 +188,7 @@
     async fn by_a_reader(&self, pace: Pace) -> Option<TailPart> {
         let shared = self.shared.as_ref().filter(|_| self.is_listed)?;
         let from = self.view.next_offset();
-        shared.by_a_reader(from, pace).await
+        shared.read_from_reader(from, pace).await
     }
 
     fn take_part(&mut self, part: TailPart) -> Vec<Change> {
--- a/crates/swiftshunt-gateway/src/followers.rs
+++ b/crates/swiftshunt-gateway/src/followers.rs
@@ -17,7 +17,7 @@
 use crate::protocol::{OperatorRecord, Protocol};
 use crate::quarantine::Quarantine;
 use crate::settings::DirectorySettings;
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 use crate::unreadable::UnreadableRecords;
 
 /// Part of the time within which a change must be in force for which a change of the directory
@@ -38,14 +38,14 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) unreadable: Arc<UnreadableRecords>,
     pub(crate) quarantine: Arc<Quarantine>,
-    pub(crate) tails: Arc<Tails>,
+    pub(crate) tails: Arc<SharedTails>,
     pub(crate) clock: Clock,
 }
 
 impl Followers {
     /// Follows the configuration for as long as the process lives.
     pub(crate) async fn follow_configuration(self: Arc<Self>, obey_within: Duration) {
-        let shared = self.tails.shared(Topic::Configuration, |_| true);
+        let shared = self.tails.shared_tail(Topic::Configuration, |_| true);
         let mut followed = Followed::new(Topic::Configuration, self.clock).sharing(shared);
         let mut away = Away::new("configuration", 0);
         let pace = Pace::obeying(obey_within);
@@ -130,7 +130,7 @@
     pub(crate) async fn follow_directory(self: Arc<Self>, settings: DirectorySettings) {
         let followers = Arc::clone(&self);
         let is_news = move |record: &KeyedRecord| followers.is_news(record);
-        let shared = self.tails.shared(Topic::Workers, is_news);
+        let shared = self.tails.shared_tail(Topic::Workers, is_news);
         let mut followed = Followed::new(Topic::Workers, self.clock).sharing(shared);
         let mut away = Away::new("directory", 0);
         let pace = Pace::obeying(settings.obey_within);
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -32,7 +32,7 @@
 use crate::settings::{GatewaySettings, StopSettings};
 use crate::slots::Slots;
 use crate::starts::Starts;
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 use crate::traffic::CountedLog;
 use crate::unreadable::UnreadableRecords;
 use crate::upstream::Upstream;
@@ -139,11 +139,11 @@
             settings.log.call_timeout,
         ));
         let log: Arc<dyn Log> = Arc::clone(&relayed) as _;
-        let tails = Arc::new(Tails::new(
+        let tails = Arc::new(SharedTails::new(
             Arc::clone(&members),
             settings.directory.gateways_per_reader,
             Arc::clone(&metrics),
-            relayed.is_away(),
+            relayed.subscribe_away(),
             clock,
         ));
         let running = Arc::new(Running::default());
@@ -255,7 +255,7 @@
                 Arc::clone(&relayed),
                 Arc::clone(&tails),
             )),
-            tokio::spawn(relayed.probe()),
+            tokio::spawn(relayed.probe_log()),
             tokio::spawn(Arc::clone(&others).listen(Receivers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
--- a/crates/swiftshunt-gateway/src/log_relay/standing.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/availability.rs
@@ -19,7 +19,7 @@
 
 /// What a gateway knows of its ways to the log.
 #[derive(Debug, Default)]
-pub(crate) struct Standing {
+pub(crate) struct LogAvailability {
     failures: u32,
     answered_at: Duration,
     is_away: bool,
@@ -29,14 +29,14 @@
     rests_until: Duration,
 }
 
-impl Standing {
+impl LogAvailability {
     /// Whether the log does not answer this gateway itself.
     pub(crate) fn is_away(&self) -> bool {
         self.is_away
     }
 
     /// A call of this gateway's own ended; tells whether the log came or went by it.
-    pub(crate) fn called(&mut self, failed: bool, now: Duration) -> bool {
+    pub(crate) fn record_call(&mut self, failed: bool, now: Duration) -> bool {
         let was_away = self.is_away;
         if failed {
             self.failures = self.failures.saturating_add(1);
@@ -52,7 +52,7 @@
     }
 
     /// Who of `others` is asked next: the last one that helped, else the first that may be asked.
-    pub(crate) fn helper(&self, others: &[SocketAddr], now: Duration) -> Option<SocketAddr> {
+    pub(crate) fn choose_relay(&self, others: &[SocketAddr], now: Duration) -> Option<SocketAddr> {
         if now < self.rests_until {
             return None;
         }
@@ -66,13 +66,13 @@
     }
 
     /// Another gateway made a call for this one.
-    pub(crate) fn helped(&mut self, other: SocketAddr) {
+    pub(crate) fn record_relayed(&mut self, other: SocketAddr) {
         self.helper = Some(other);
         self.refusals = 0;
     }
 
     /// Another gateway could not help.
-    pub(crate) fn refused(&mut self, other: SocketAddr, now: Duration) {
+    pub(crate) fn record_refusal(&mut self, other: SocketAddr, now: Duration) {
         self.doubted_until.retain(|_, until| now < *until);
         self.doubted_until.insert(other, now + DOUBT);
         self.helper = None;
--- a/crates/swiftshunt-gateway/src/log_relay/message.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/message.rs
@@ -79,7 +79,7 @@
     }
 
     /// Makes the call.
-    pub(crate) async fn make(self, log: &dyn Log) -> LogAnswer {
+    pub(crate) async fn execute(self, log: &dyn Log) -> LogAnswer {
         match self {
             Self::Append {
                 topic,
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -5,8 +5,8 @@
 //! make its calls. They are the same calls: what makes them safe (versions, nonces, leases by name of
 //! the member) does not depend on who makes them.
 
+mod availability;
 pub(crate) mod message;
-mod standing;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,8 +31,8 @@
 use crate::metrics::Metrics;
 use crate::peer_http::{self, PeerClient, answer_with, encoded, read_call};
 use crate::peers::Peers;
+use availability::LogAvailability;
 use message::{LogAnswer, LogCall};
-use standing::Standing;
 
 /// Where gateways take calls to the log from each other.
 pub(crate) const PATH: &str = "/peer/log";
@@ -65,7 +65,7 @@
     metrics: Arc<Metrics>,
     clock: Clock,
     call_timeout: Duration,
-    standing: Mutex<Standing>,
+    availability: Mutex<LogAvailability>,
     /// Whether the log turns this gateway away; reads that wait are given up when it does.
     away: watch::Sender<bool>,
     client: PeerClient<Full<Bytes>>,
@@ -88,19 +88,19 @@
             metrics,
             clock,
             call_timeout,
-            standing: Mutex::default(),
+            availability: Mutex::default(),
             away: watch::Sender::new(false),
             client: peer_http::client(MOST_RESTING),
         }
     }
 
     /// Whether the log turns this gateway away.
-    pub(crate) fn is_away(&self) -> watch::Receiver<bool> {
+    pub(crate) fn subscribe_away(&self) -> watch::Receiver<bool> {
         self.away.subscribe()
     }
 
     /// Finds out whether the log answers again, for as long as the process lives.
-    pub(crate) async fn probe(self: Arc<Self>) {
+    pub(crate) async fn probe_log(self: Arc<Self>) {
         let mut away = self.away.subscribe();
         loop {
             // The sender lives as long as `self`.
@@ -159,16 +159,16 @@
     }
 
     async fn directly(&self, call: LogCall) -> LogAnswer {
-        let answer = call.make(self.direct.as_ref()).await;
-        self.called(answer.is_failure());
+        let answer = call.execute(self.direct.as_ref()).await;
+        self.record_call(answer.is_failure());
         answer
     }
 
-    fn called(&self, failed: bool) {
+    fn record_call(&self, failed: bool) {
         let now = self.clock.now();
-        let mut standing = lock(&self.standing);
-        if standing.called(failed, now) {
-            let is_away = standing.is_away();
+        let mut availability = lock(&self.availability);
+        if availability.record_call(failed, now) {
+            let is_away = availability.is_away();
             if is_away {
                 log::warn!("the log turns this gateway away");
             } else {
@@ -189,12 +189,12 @@
             }
             others.shuffle(&mut rand::rng());
             let now = self.clock.now();
-            let other = lock(&self.standing).helper(&others, now)?;
+            let other = lock(&self.availability).choose_relay(&others, now)?;
             let limit = call.wait() + self.call_timeout + RELAY_MARGIN;
             let relayed = tokio::time::timeout(limit, self.ask(other, body.clone())).await;
             match relayed.unwrap_or(Relayed::Unknown) {
                 Relayed::Answered(answer) if !answer.is_failure() => {
-                    lock(&self.standing).helped(other);
+                    lock(&self.availability).record_relayed(other);
                     self.metrics.log_calls_relayed.inc();
                     return Some(answer);
                 }
@@ -216,7 +216,7 @@
 
     fn doubt(&self, other: SocketAddr) {
         let now = self.clock.now();
-        lock(&self.standing).refused(other, now);
+        lock(&self.availability).record_refusal(other, now);
         log::debug!(other = other.to_string().as_str(); "a gateway could not reach the log for us");
     }
 
@@ -247,7 +247,7 @@
 }
 
 /// An answer of another kind than its call.
-fn unfit<T>() -> Result<T, LogError> {
+fn mismatched_answer<T>() -> Result<T, LogError> {
     Err(LogError::Unanswered {
         reason: "the answer is not one to this call".to_owned(),
     })
@@ -290,7 +290,7 @@
         async move {
             match self.call(call).await {
                 LogAnswer::Read(outcome) => outcome,
-                _ => unfit(),
+                _ => mismatched_answer(),
             }
         }
         .boxed()
@@ -310,7 +310,7 @@
         async move {
             match self.call(call).await {
                 LogAnswer::Newest(outcome) => outcome,
-                _ => unfit(),
+                _ => mismatched_answer(),
             }
         }
         .boxed()
@@ -332,7 +332,7 @@
         async move {
             match self.call(call).await {
                 LogAnswer::Renewed(outcome) => outcome,
-                _ => unfit(),
+                _ => mismatched_answer(),
             }
         }
         .boxed()
@@ -342,7 +342,7 @@
         async move {
             match self.call(LogCall::Owners { topic }).await {
                 LogAnswer::Owners(outcome) => outcome,
-                _ => unfit(),
+                _ => mismatched_answer(),
             }
         }
         .boxed()
@@ -356,7 +356,7 @@
         async move {
             match self.call(call).await {
                 LogAnswer::Left(outcome) => outcome,
-                _ => unfit(),
+                _ => mismatched_answer(),
             }
         }
         .boxed()
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -345,7 +345,9 @@
             return self.fail(journey, reason);
         }
         let waited = self.dispatcher.clock.now().saturating_sub(journey.arrived);
-        self.dispatcher.metrics.record_refusal(refusal, come_back, waited);
+        self.dispatcher
+            .metrics
+            .record_refusal(refusal, come_back, waited);
         self.ended(journey, RequestEnd::Refused, reason);
         not_run(reason, come_back)
     }
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -14,7 +14,7 @@
 use super::Quarantine;
 use crate::beliefs::lock;
 use crate::followed::{Away, Followed, Pace};
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 
 /// How the records are followed: datagrams are quicker, and a lost read costs the time of both. Three
 /// seconds and a half are half of the time in which a caller's tries follow each other.
@@ -124,8 +124,8 @@
     }
 
     /// Follows the records of all gateways for as long as the process lives.
-    pub(crate) async fn follow(self: Arc<Self>, tails: Arc<Tails>) {
-        let shared = tails.shared(Topic::Quarantine, |_| true);
+    pub(crate) async fn follow(self: Arc<Self>, tails: Arc<SharedTails>) {
+        let shared = tails.shared_tail(Topic::Quarantine, |_| true);
         let mut followed = Followed::new(Topic::Quarantine, self.clock).sharing(shared);
         let mut away = Away::new("quarantine", 0);
         loop {
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::online::Online;
 use crate::protocol::Protocol;
-use crate::tails::{self, Tails};
+use crate::tails::{self, SharedTails};
 
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
@@ -161,7 +161,7 @@
     protocol: Arc<dyn Protocol>,
     batch: Arc<Batch>,
     log: Arc<RelayedLog>,
-    tails: Arc<Tails>,
+    tails: Arc<SharedTails>,
 ) {
     accept_all(listener, |stream| {
         let protocol = Arc::clone(&protocol);
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -28,8 +28,8 @@
 use crate::metrics::Metrics;
 use crate::peer_http::{answer_with, read_call};
 use message::TailCall;
-use published::Published;
-use readers::Readers;
+use published::PublishedTail;
+use readers::TailReaders;
 
 /// Where gateways take calls for tails from each other.
 pub(crate) const PATH: &str = "/peer/tail";
@@ -40,17 +40,17 @@
 const PAUSE_SHARE: f64 = 0.25;
 
 /// The tails that gateways share.
-pub(crate) struct Tails {
-    readers: Readers,
-    configuration: Published,
-    workers: Published,
-    quarantine: Published,
+pub(crate) struct SharedTails {
+    readers: TailReaders,
+    configuration: PublishedTail,
+    workers: PublishedTail,
+    quarantine: PublishedTail,
     /// Whether the log turns this gateway away.
     log_away: watch::Receiver<bool>,
     clock: Clock,
 }
 
-impl Tails {
+impl SharedTails {
     pub(crate) fn new(
         members: Arc<Members>,
         gateways_per_reader: usize,
@@ -59,17 +59,17 @@
         clock: Clock,
     ) -> Self {
         Self {
-            readers: Readers::new(members, gateways_per_reader, metrics, clock),
-            configuration: Published::default(),
-            workers: Published::default(),
-            quarantine: Published::default(),
+            readers: TailReaders::new(members, gateways_per_reader, metrics, clock),
+            configuration: PublishedTail::default(),
+            workers: PublishedTail::default(),
+            quarantine: PublishedTail::default(),
             log_away,
             clock,
         }
     }
 
     /// What this gateway publishes of a topic; none if the topic is not shared.
-    fn published(&self, topic: Topic) -> Option<&Published> {
+    fn published(&self, topic: Topic) -> Option<&PublishedTail> {
         match topic {
             Topic::Configuration => Some(&self.configuration),
             Topic::Workers => Some(&self.workers),
@@ -79,7 +79,7 @@
     }
 
     /// The shared tail of a topic; `is_news` tells which records matter to others.
-    pub(crate) fn shared(
+    pub(crate) fn shared_tail(
         self: &Arc<Self>,
         topic: Topic,
         is_news: impl Fn(&KeyedRecord) -> bool + Send + Sync + 'static,
@@ -100,7 +100,9 @@
         let Some(published) = self.published(call.topic) else {
             return plain(StatusCode::NOT_FOUND, "this topic is not shared");
         };
-        let part = published.after(call.from, call.wait, self.clock).await;
+        let part = published
+            .wait_for_records(call.from, call.wait, self.clock)
+            .await;
         match part {
             Some(part) => answer_with(&part),
             None => plain(
@@ -113,23 +115,26 @@
 
 /// A topic's tail as one that follows it sees it.
 pub(crate) struct SharedTail {
-    tails: Arc<Tails>,
+    tails: Arc<SharedTails>,
     topic: Topic,
     is_news: Box<dyn Fn(&KeyedRecord) -> bool + Send + Sync>,
 }
 
 impl SharedTail {
     /// What has changed from an offset on, by a reader; none if this gateway is to read the log.
-    pub(crate) async fn by_a_reader(&self, from: u64, pace: Pace) -> Option<TailPart> {
+    pub(crate) async fn read_from_reader(&self, from: u64, pace: Pace) -> Option<TailPart> {
         let call = TailCall {
             topic: self.topic,
             from,
             wait: pace.wait,
         };
-        let reader = self.tails.readers.own_reader()?;
+        let reader = self.tails.readers.assigned_reader()?;
         // Others may still take this gateway for a reader.
         self.not_sure();
-        self.tails.readers.ask(reader, &call, pace.longest()).await
+        self.tails
+            .readers
+            .fetch(reader, &call, pace.longest())
+            .await
     }
 
     /// The log answered this gateway with the records from an offset on.
@@ -152,7 +157,7 @@
         let next_answer = pace.longest().mul_f64(1.0 + PAUSE_SHARE);
         let sure_until = self.tails.clock.now() + next_answer;
         let records = news(records, &self.is_news);
-        published.read(from, records, next, sure_until, returned_at);
+        published.record_read(from, records, next, sure_until, returned_at);
     }
 
     /// The log does not answer this gateway in time.
--- a/crates/swiftshunt-gateway/src/tails/published.rs
+++ b/crates/swiftshunt-gateway/src/tails/published.rs
@@ -9,13 +9,13 @@
 
 /// A tail as it was read here.
 #[derive(Debug, Default)]
-pub(super) struct Published {
+pub(super) struct PublishedTail {
     window: watch::Sender<TailWindow>,
 }
 
-impl Published {
+impl PublishedTail {
     /// See [`TailWindow::read`].
-    pub(super) fn read(
+    pub(super) fn record_read(
         &self,
         from: u64,
         records: Vec<KeyedRecord>,
@@ -34,7 +34,12 @@
 
     /// What stands from an offset on, as soon as there is something and after `wait` at the latest;
     /// none if this gateway does not know.
-    pub(super) async fn after(&self, from: u64, wait: Duration, clock: Clock) -> Option<TailPart> {
+    pub(super) async fn wait_for_records(
+        &self,
+        from: u64,
+        wait: Duration,
+        clock: Clock,
+    ) -> Option<TailPart> {
         let mut changes = self.window.subscribe();
         let decided = changes.wait_for(|window| window.is_decided(from, clock.now()));
         // Without a change the answer is that there is none.
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -38,7 +38,7 @@
 }
 
 /// The readers.
-pub(super) struct Readers {
+pub(super) struct TailReaders {
     members: Arc<Members>,
     gateways_per_reader: usize,
     metrics: Arc<Metrics>,
@@ -47,7 +47,7 @@
     doubts: Mutex<HashMap<SocketAddr, Doubt>>,
 }
 
-impl Readers {
+impl TailReaders {
     pub(super) fn new(
         members: Arc<Members>,
         gateways_per_reader: usize,
@@ -76,7 +76,7 @@
     }
 
     /// The reader at which this gateway waits; none if it is to read the log itself.
-    pub(super) fn own_reader(&self) -> Option<SocketAddr> {
+    pub(super) fn assigned_reader(&self) -> Option<SocketAddr> {
         let own = self.members.own();
         let readers = self.all();
         if readers.contains(&own) {
@@ -92,7 +92,7 @@
     }
 
     /// Asks a reader; none if it does not answer within `limit`.
-    pub(super) async fn ask(
+    pub(super) async fn fetch(
         &self,
         reader: SocketAddr,
         call: &TailCall,
