--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -19,8 +19,12 @@
 impl Batch {
     /// The answer to a call about a job where the journal is away, to a caller that gives up after
     /// `time_left`.
-    pub(super) fn journal_away(&self, job: &str, time_left: Duration) -> CallerAnswer {
-        let outage = self.leases.outage();
+    pub(super) fn refuse_journal_unavailable(
+        &self,
+        job: &str,
+        time_left: Duration,
+    ) -> CallerAnswer {
+        let outage = self.leases.outage_duration();
         let come_back = come_back_to_log(outage, time_left, rand::random());
         log::info!(job, outage_ms = outage.as_millis() as u64, time_left_ms = time_left.as_millis() as u64,
             come_back_ms = come_back.as_millis() as u64; "refused while the journal is away");
@@ -32,7 +36,7 @@
 
     /// Finds room for a job within the limit of its route, and gives what is told of its record; none where there
     /// is no limit. Refuses a job that finds none, unless it is there already.
-    pub(super) async fn find_room(
+    pub(super) async fn reserve_waiting_tokens(
         &self,
         route: &Route,
         spec: &JobSpec,
@@ -61,17 +65,17 @@
             return Err(plain(StatusCode::GATEWAY_TIMEOUT, reason));
         }
         // A job that was taken before is no new load, however much waits.
-        match self.find(partition, &spec.id).await {
+        match self.ensure_job_known(partition, &spec.id).await {
             Ok(()) => Ok(None),
             Err(answer) if answer.status() == StatusCode::NOT_FOUND => {
-                Err(self.no_room(&job, fit, until))
+                Err(self.refuse_over_limit(&job, fit, until))
             }
             Err(unsure) => Err(unsure),
         }
     }
 
     /// The answer to a job that finds no room, to a caller that gives up at `until`.
-    fn no_room(&self, job: &LimitedJob, fit: Fit, until: Duration) -> CallerAnswer {
+    fn refuse_over_limit(&self, job: &LimitedJob, fit: Fit, until: Duration) -> CallerAnswer {
         let time_left = until.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
         let (come_back, reason) = match fit {
--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -9,16 +9,16 @@
 use swiftshunt_types::TenantName;
 
 use super::appender::Appended;
-use super::{Batch, CALL_PATIENCE};
+use super::{ASSUMED_CALLER_TIMEOUT, Batch};
 use crate::answers::{CallerAnswer, plain, whole};
 use crate::clock::Clock;
 use crate::messages::waiting::LimitedJob;
 use crate::waiting_limits::LONGEST_PATIENCE;
 
 /// How long an append is tried before the caller is answered, at most.
-pub(super) const APPEND_TIME: Duration = Duration::from_millis(2_500);
+pub(super) const APPEND_TIMEOUT: Duration = Duration::from_millis(2_500);
 const _: () = assert!(
-    LONGEST_PATIENCE.as_millis() + APPEND_TIME.as_millis() < GRANT_LIFETIME.as_millis(),
+    LONGEST_PATIENCE.as_millis() + APPEND_TIMEOUT.as_millis() < GRANT_LIFETIME.as_millis(),
     "an admitted job is recorded for as long as its room is set aside"
 );
 /// Time kept back for the answer's way to the caller.
@@ -58,7 +58,7 @@
         }
         let residency = self.residency_of(route, tenant);
         let time_left = until.saturating_sub(self.dispatcher.clock.now());
-        if let Some(refusal) = self.refuse_unbound(route, &residency, time_left) {
+        if let Some(refusal) = self.refuse_without_job_region(route, &residency, time_left) {
             return refusal;
         }
         let spec = match self.dispatcher.protocol.job(id, &route.host, path, body) {
@@ -73,33 +73,38 @@
                 return plain(StatusCode::BAD_REQUEST, "the job is not readable");
             }
         };
-        let limited = match self.find_room(route, &spec, partition, until).await {
+        let limited = match self
+            .reserve_waiting_tokens(route, &spec, partition, until)
+            .await
+        {
             Ok(limited) => limited,
             Err(refusal) => return refusal,
         };
         let items = spec.items.len();
         let now = self.dispatcher.clock.now();
-        let time = until.saturating_sub(now + ANSWER_MARGIN).min(APPEND_TIME);
+        let time = until
+            .saturating_sub(now + ANSWER_MARGIN)
+            .min(APPEND_TIMEOUT);
         let record = JobRecord::Accepted(spec);
         let outcome = self.appender.append_within(partition, &record, time).await;
         let took = self.dispatcher.clock.now().saturating_sub(now);
         log::info!(job = id, partition, items, outcome:? = outcome,
             took_ms = took.as_millis() as u64; "a job was handed in");
         if let Some(limited) = &limited {
-            self.tell_outcome(limited, outcome);
+            self.report_append_outcome(limited, outcome);
         }
         match outcome {
             Appended::Done => accepted(),
             Appended::Refused => {
                 let time_left = until.saturating_sub(self.dispatcher.clock.now());
-                self.journal_away(id, time_left)
+                self.refuse_journal_unavailable(id, time_left)
             }
             Appended::Unknown => plain(StatusCode::GATEWAY_TIMEOUT, "the journal did not answer"),
         }
     }
 
     /// Tells the gateway that counts for the job's limit what became of its record.
-    fn tell_outcome(&self, limited: &LimitedJob, outcome: Appended) {
+    fn report_append_outcome(&self, limited: &LimitedJob, outcome: Appended) {
         match outcome {
             Appended::Done => self.waiting_limits.recorded(limited),
             Appended::Refused => self.waiting_limits.released(limited),
@@ -109,9 +114,9 @@
     }
 
     /// Ends a job: 200 once the end stands in the journal.
-    pub(crate) async fn end(&self, id: &str) -> CallerAnswer {
+    pub(crate) async fn end_job(&self, id: &str) -> CallerAnswer {
         let partition = self.replay.partition_of(id);
-        if let Err(answer) = self.find(partition, id).await {
+        if let Err(answer) = self.ensure_job_known(partition, id).await {
             return answer;
         }
         let ended = self
@@ -124,7 +129,9 @@
             return plain(StatusCode::OK, "ended");
         }
         let record = JobRecord::Ended { job: id.to_owned() };
-        let append = self.appender.append_within(partition, &record, APPEND_TIME);
+        let append = self
+            .appender
+            .append_within(partition, &record, APPEND_TIMEOUT);
         let outcome = append.await;
         log::info!(job = id, outcome:? = outcome; "a job was ended");
         match outcome {
@@ -132,7 +139,7 @@
                 self.running.stop_job(id);
                 plain(StatusCode::OK, "ended")
             }
-            Appended::Refused => self.journal_away(id, CALL_PATIENCE),
+            Appended::Refused => self.refuse_journal_unavailable(id, ASSUMED_CALLER_TIMEOUT),
             Appended::Unknown => plain(StatusCode::GATEWAY_TIMEOUT, "the journal did not answer"),
         }
     }
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -38,7 +38,7 @@
 
 /// The output of an item so far.
 #[derive(Default)]
-pub(crate) struct Output {
+pub(crate) struct ItemOutput {
     text: String,
     last_event: Option<u64>,
     failures: u32,
@@ -75,7 +75,7 @@
         spec: &JobSpec,
         first_seen: Duration,
         times: ItemTimes,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) {
         let Some(item) = spec.items.get(id.index as usize) else {
             return;
@@ -118,7 +118,7 @@
                 continue;
             }
             let service = self.dispatcher.beliefs.next_service(&route, &residency);
-            let needs = self.item_time.expected().saturating_sub(output.ran);
+            let needs = self.run_time_estimate.expected().saturating_sub(output.ran);
             self.running.needs(id, needs);
             let times = ItemTimes { needs, ..times };
             let slots = &self.dispatcher.slots;
@@ -140,7 +140,7 @@
             match attempt {
                 Attempt::Whole => {
                     if !output.is_taken_over {
-                        self.item_time.learn(output.ran);
+                        self.run_time_estimate.learn(output.ran);
                     }
                     let text = std::mem::take(&mut output.text);
                     return self.settle(id, item, ItemOutcome::Completed, text, "whole");
@@ -166,13 +166,13 @@
     }
 
     /// How far an earlier runner came.
-    pub(crate) fn output_so_far(&self, id: &ItemId) -> Output {
+    pub(crate) fn recorded_output(&self, id: &ItemId) -> ItemOutput {
         let state = self.replay.state(id.partition);
         let progress = state
             .fold
             .job(&id.job)
             .and_then(|job| job.progress(id.index));
-        progress.map_or_else(Output::default, |progress| Output {
+        progress.map_or_else(ItemOutput::default, |progress| ItemOutput {
             text: progress.text.clone(),
             last_event: Some(progress.last_event),
             failures: progress.failures,
@@ -183,7 +183,7 @@
     }
 
     /// Leaves word for the next runner, unless the item needs none.
-    pub(crate) fn leave_word(&self, id: &ItemId, output: Output) {
+    pub(crate) fn hand_over_progress(&self, id: &ItemId, output: ItemOutput) {
         let Some(last_event) = output.last_event else {
             return;
         };
@@ -196,7 +196,7 @@
             text: output.text,
             failures: output.failures,
         };
-        self.results.hand_over(id.partition, &id.job, progress);
+        self.results.add_progress(id.partition, &id.job, progress);
     }
 
     fn settle(
@@ -217,7 +217,7 @@
             outcome,
             text,
         };
-        self.results.add(id.partition, &id.job, result);
+        self.results.add_result(id.partition, &id.job, result);
     }
 
     async fn attempt(
@@ -225,7 +225,7 @@
         id: &ItemId,
         outgoing: &Outgoing,
         chosen: &Chosen,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) -> Attempt {
         let item = outgoing.id.as_deref().unwrap_or("");
         let interrupt = self.running.at_worker(id, Some(&chosen.incarnation));
@@ -309,7 +309,7 @@
         })
     }
 
-    async fn read(&self, mut answer: Answer, output: &mut Output) -> Attempt {
+    async fn read(&self, mut answer: Answer, output: &mut ItemOutput) -> Attempt {
         let status = answer.head.status;
         if !status.is_success() {
             let attempt = match status.as_u16() {
@@ -343,7 +343,7 @@
     async fn read_events(
         &self,
         answer: &mut Answer,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) -> Result<(), SendFailure> {
         let incarnation = answer.in_flight.chosen.incarnation.clone();
         let Answer {
@@ -400,11 +400,11 @@
 
 /// How long items run in the mean.
 #[derive(Default)]
-pub(crate) struct ItemTime {
+pub(crate) struct RunTimeEstimate {
     mean: Mutex<Option<Duration>>,
 }
 
-impl ItemTime {
+impl RunTimeEstimate {
     /// The mean; nothing before the first run.
     fn expected(&self) -> Duration {
         lock(&self.mean).unwrap_or_default()
@@ -418,7 +418,7 @@
     }
 }
 
-impl Output {
+impl ItemOutput {
     /// The item is held back: it waits until it may be sent, or is given up as late as any other.
     fn hold(&mut self, id: &ItemId, item: &ItemSpec, held: Held) {
         if !std::mem::replace(&mut self.is_held, true) {
--- a/crates/swiftshunt-gateway/src/batch/reads.rs
+++ b/crates/swiftshunt-gateway/src/batch/job_queries.rs
@@ -6,7 +6,7 @@
 use hyper::{Response, StatusCode};
 use tokio::time::Instant;
 
-use super::{Batch, CALL_PATIENCE};
+use super::{ASSUMED_CALLER_TIMEOUT, Batch};
 use crate::answers::{CallerAnswer, plain, whole};
 
 /// Bytes of results in one answer at most.
@@ -26,14 +26,14 @@
 
 impl Batch {
     /// Lists results from a position on; waits up to `wait` for a first one.
-    pub(crate) async fn list(&self, id: &str, from: usize, wait: Duration) -> CallerAnswer {
+    pub(crate) async fn list_results(&self, id: &str, from: usize, wait: Duration) -> CallerAnswer {
         let partition = self.replay.partition_of(id);
-        if let Err(answer) = self.find(partition, id).await {
+        if let Err(answer) = self.ensure_job_known(partition, id).await {
             return answer;
         }
-        self.replay.want(partition);
+        self.replay.follow_for_call(partition);
         let deadline = Instant::now() + wait.min(LONGEST_WAIT);
-        let mut changes = self.replay.changes(partition);
+        let mut changes = self.replay.subscribe_changes(partition);
         loop {
             changes.mark_unchanged();
             match self.page(partition, id, from) {
@@ -58,8 +58,8 @@
         from: usize,
         empty: CallerAnswer,
     ) -> CallerAnswer {
-        if self.replay.confirm(partition).await.is_err() {
-            return self.journal_away(id, CALL_PATIENCE);
+        if self.replay.catch_up(partition).await.is_err() {
+            return self.refuse_journal_unavailable(id, ASSUMED_CALLER_TIMEOUT);
         }
         match self.page(partition, id, from) {
             Listing::Page(answer) => answer,
@@ -90,7 +90,7 @@
     /// The body of an item.
     pub(crate) async fn item_body(&self, id: &str, item: &str) -> CallerAnswer {
         let partition = self.replay.partition_of(id);
-        if let Err(answer) = self.find(partition, id).await {
+        if let Err(answer) = self.ensure_job_known(partition, id).await {
             return answer;
         }
         let state = self.replay.state(partition);
@@ -106,12 +106,16 @@
     }
 
     /// Finds a job; if it is not here, asks the log before saying so.
-    pub(crate) async fn find(&self, partition: u32, id: &str) -> Result<(), CallerAnswer> {
+    pub(crate) async fn ensure_job_known(
+        &self,
+        partition: u32,
+        id: &str,
+    ) -> Result<(), CallerAnswer> {
         if self.replay.state(partition).fold.job(id).is_some() {
             return Ok(());
         }
-        if self.replay.confirm(partition).await.is_err() {
-            return Err(self.journal_away(id, CALL_PATIENCE));
+        if self.replay.catch_up(partition).await.is_err() {
+            return Err(self.refuse_journal_unavailable(id, ASSUMED_CALLER_TIMEOUT));
         }
         if self.replay.state(partition).fold.job(id).is_some() {
             return Ok(());
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -24,7 +24,7 @@
 /// Renewals within one lease.
 const RENEWALS: u32 = 3;
 /// Leases for which partitions are kept while the log does not answer.
-const LEASES_WHILE_AWAY: u32 = 6;
+const LEASES_WHILE_UNAVAILABLE: u32 = 6;
 /// Time after which items of a new partition start: its last runner leaves word how far it came.
 const HAND_OVER_TIME: Duration = Duration::from_millis(400);
 
@@ -41,7 +41,7 @@
 impl Held {
     fn is_valid(&self, now: Duration, lease: Duration) -> bool {
         let until = if self.away_since.is_some() {
-            self.until + lease * LEASES_WHILE_AWAY
+            self.until + lease * LEASES_WHILE_UNAVAILABLE
         } else {
             self.until
         };
@@ -101,18 +101,23 @@
 
     /// Whether the log did not answer the last renewal: nobody else can be dealt partitions then, and
     /// hardly anybody can end a job.
-    pub(crate) fn log_is_away(&self) -> bool {
+    pub(crate) fn is_log_unavailable(&self) -> bool {
         lock(&self.held).away_since.is_some()
     }
 
     /// Renews for as long as the process takes work, and has what is held followed.
-    pub(crate) async fn keep(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics) {
+    pub(crate) async fn run_renewals(
+        &self,
+        replay: &Replay,
+        regions: &JobRegions,
+        metrics: &Metrics,
+    ) {
         let mut away = Away::new("leases", 0);
         while !self.left.is_cancelled() {
             if !regions.include_this() {
                 self.stand_aside().await;
                 metrics.leased_partitions.set(0);
-                replay.hold(&BTreeSet::new());
+                replay.set_held(&BTreeSet::new());
                 tokio::time::sleep(self.time / RENEWALS).await;
                 continue;
             }
@@ -120,7 +125,7 @@
             self.note_log(renewed.is_err());
             let held = self.partitions();
             metrics.leased_partitions.set(held.len() as i64);
-            replay.hold(&held);
+            replay.set_held(&held);
             away.pause(&renewed).await;
             if renewed.is_ok() {
                 tokio::time::sleep(self.time / RENEWALS).await;
@@ -135,7 +140,7 @@
     }
 
     /// How long the log has been away, as the renewals show; nothing while it answers them.
-    pub(crate) fn outage(&self) -> Duration {
+    pub(crate) fn outage_duration(&self) -> Duration {
         let since = lock(&self.held).away_since;
         since.map_or(Duration::ZERO, |since| {
             self.clock.now().saturating_sub(since)
@@ -200,7 +205,7 @@
     }
 
     /// Gives up all leases.
-    pub(crate) async fn leave(&self) {
+    pub(crate) async fn release_all(&self) {
         self.left.cancel();
         lock(&self.held).partitions.clear();
         if let Err(error) = self.log.leave(Topic::Jobs, &self.member).await {
--- a/crates/swiftshunt-gateway/src/batch/member.rs
+++ b/crates/swiftshunt-gateway/src/batch/member.rs
@@ -19,7 +19,7 @@
 /// Why a text names no member.
 #[derive(Clone, Debug, Display, derive_more::Error, PartialEq, Eq)]
 #[display("`{name}` does not name a gateway")]
-pub(crate) struct NoMember {
+pub(crate) struct InvalidMemberName {
     /// The text.
     #[error(not(source))]
     name: String,
@@ -36,15 +36,15 @@
 }
 
 impl FromStr for Member {
-    type Err = NoMember;
+    type Err = InvalidMemberName;
 
-    fn from_str(name: &str) -> Result<Self, NoMember> {
+    fn from_str(name: &str) -> Result<Self, InvalidMemberName> {
         let parsed = name.split_once('/').and_then(|(address, life)| {
             let address = address.parse().ok()?;
             let life = u64::from_str_radix(life, 16).ok()?;
             Some(Self { address, life })
         });
-        parsed.ok_or_else(|| NoMember {
+        parsed.ok_or_else(|| InvalidMemberName {
             name: name.to_owned(),
         })
     }
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -2,19 +2,19 @@
 
 mod admission;
 mod appender;
-mod holdings;
 mod intake;
 mod item;
+mod job_queries;
 mod leases;
 mod member;
-mod outside;
+mod out_of_region;
 mod owners;
-mod reads;
 mod region_pages;
 mod region_readers;
 mod replay;
 mod results;
 mod runner;
+mod token_reports;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,16 +36,16 @@
 use crate::waiting_limits::WaitingLimits;
 use appender::Appender;
 pub(crate) use intake::Submission;
-use item::ItemTime;
+use item::RunTimeEstimate;
 use leases::Leases;
 pub(crate) use member::Member;
-use owners::Owners;
+use owners::PartitionOwners;
 pub(crate) use region_pages::PATH as PAGES_PATH;
 use region_pages::RegionPages;
 use region_readers::RegionReaders;
 use replay::Replay;
 pub(crate) use replay::partition_of;
-use results::Results;
+use results::PendingResults;
 use tokio_util::sync::CancellationToken;
 
 /// How long a stop waits for word to the next runners, and the pause between looks.
@@ -53,7 +53,7 @@
 const HAND_OVER_POLL: Duration = Duration::from_millis(20);
 
 /// Time that callers are taken to have for a call about a job, which says none.
-const CALL_PATIENCE: Duration = Duration::from_secs(3);
+const ASSUMED_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The batch side of a gateway.
 pub(crate) struct Batch {
@@ -62,13 +62,13 @@
     replay: Replay,
     appender: Appender,
     leases: Leases,
-    owners: Owners,
+    owners: PartitionOwners,
     region_readers: Arc<RegionReaders>,
     region_pages: Arc<RegionPages>,
-    results: Results,
+    results: PendingResults,
     running: Arc<Running>,
     waiting_limits: Arc<WaitingLimits>,
-    item_time: ItemTime,
+    run_time_estimate: RunTimeEstimate,
     stops: CancellationToken,
 }
 
@@ -93,13 +93,13 @@
             replay: Replay::new(Arc::clone(&log), pages, &settings, unreadable, clock),
             appender: Appender::new(Arc::clone(&log), &settings, metrics, clock),
             leases: Leases::new(Arc::clone(&log), &settings, peers, clock),
-            owners: Owners::new(log, peers, clock),
+            owners: PartitionOwners::new(log, peers, clock),
             region_readers,
             region_pages,
-            results: Results::default(),
+            results: PendingResults::default(),
             running,
             waiting_limits,
-            item_time: ItemTime::default(),
+            run_time_estimate: RunTimeEstimate::default(),
             stops: CancellationToken::new(),
             dispatcher,
             settings,
@@ -116,18 +116,18 @@
         tokio::spawn(async move {
             batch
                 .leases
-                .keep(
+                .run_renewals(
                     &batch.replay,
                     &batch.dispatcher.job_regions,
                     &batch.dispatcher.metrics,
                 )
                 .await
         });
-        tokio::spawn(Arc::clone(self).run_items());
+        tokio::spawn(Arc::clone(self).start_items());
         tokio::spawn(Arc::clone(self).write_results());
-        tokio::spawn(Arc::clone(self).forget_old_jobs());
-        tokio::spawn(Arc::clone(self).answer_calls());
-        tokio::spawn(Arc::clone(self).keep_counting());
+        tokio::spawn(Arc::clone(self).drop_expired_jobs());
+        tokio::spawn(Arc::clone(self).answer_collect_requests());
+        tokio::spawn(Arc::clone(self).count_waiting_tokens());
     }
 
     /// Stops running items here and hands the partitions over: first word of how far the items
@@ -140,7 +140,7 @@
 
     async fn hand_partitions_over(&self) {
         let written = async {
-            while !self.running.is_empty() || !self.results.is_handed_over() {
+            while !self.running.is_empty() || !self.results.is_progress_drained() {
                 tokio::time::sleep(HAND_OVER_POLL).await;
             }
         };
@@ -150,12 +150,12 @@
         {
             log::info!("items are left without word of how far they came");
         }
-        self.leases.leave().await;
+        self.leases.release_all().await;
     }
 
     /// Whether every result is written.
-    pub(crate) fn is_written(&self) -> bool {
-        self.results.is_written()
+    pub(crate) fn are_results_written(&self) -> bool {
+        self.results.are_results_written()
     }
 
     /// Answers a call about a job, by the gateway that runs it if that can be reached.
@@ -171,19 +171,21 @@
         };
         let partition = self.replay.partition_of(job);
         let wait = match call {
-            Call::JobEnd { .. } => intake::APPEND_TIME,
+            Call::JobEnd { .. } => intake::APPEND_TIMEOUT,
             _ => wait,
         };
         if !self.dispatcher.job_regions.include_this() {
-            return self.answer_outside(partition, head, tenant, wait).await;
+            return self
+                .answer_out_of_region(partition, head, tenant, wait)
+                .await;
         }
         if !self.leases.holds(partition) && !self.replay.is_followed(partition) {
-            let passed_on = self.owners.pass_on(partition, head, tenant, wait).await;
-            if let Some(answer) = passed_on {
+            let forwarded = self.owners.forward(partition, head, tenant, wait).await;
+            if let Some(answer) = forwarded {
                 return answer;
             }
-            if !self.region_readers.are_known() {
-                return self.journal_away(job, CALL_PATIENCE);
+            if !self.region_readers.are_readers_known() {
+                return self.refuse_journal_unavailable(job, ASSUMED_CALLER_TIMEOUT);
             }
             let read = self.by_a_reader(partition, head, tenant, wait).await;
             if let Some(answer) = read {
@@ -202,17 +204,17 @@
         tenant: Option<&TenantName>,
         wait: Duration,
     ) -> Option<CallerAnswer> {
-        for reader in self.region_readers.of(partition) {
+        for reader in self.region_readers.readers_of(partition) {
             let reader = match reader {
                 RegionReader::Own => return None,
                 RegionReader::Other(reader) => reader,
             };
             let owners = &self.owners;
-            let answer = owners.answered_by_reader(reader, head, tenant, wait).await;
+            let answer = owners.forward_to_reader(reader, head, tenant, wait).await;
             if answer.is_some() {
                 return answer;
             }
-            self.region_readers.pass_over(partition, reader);
+            self.region_readers.mark_suspected(partition, reader);
         }
         None
     }
@@ -229,11 +231,12 @@
     /// Answers a call that another gateway passed on; one that does not run the job's partition
     /// says so, unless it is asked to read it.
     pub(crate) async fn answer_peer(&self, call: Call, headers: &HeaderMap) -> CallerAnswer {
-        let call = call.of_tenant(owners::tenant_of(headers).as_ref());
+        let call = call.of_tenant(owners::forwarded_tenant(headers).as_ref());
         let held = call
             .job()
             .is_some_and(|(job, _)| self.leases.holds(self.replay.partition_of(job)));
-        let reads = owners::asks_a_reader(headers) && !self.dispatcher.job_regions.exclude_this();
+        let reads =
+            owners::requests_reader_answer(headers) && !self.dispatcher.job_regions.exclude_this();
         if held || reads {
             self.answer_here(call).await
         } else {
@@ -243,9 +246,9 @@
 
     async fn answer_here(&self, call: Call) -> CallerAnswer {
         match call {
-            Call::JobResults { job, from, wait } => self.list(&job, from, wait).await,
+            Call::JobResults { job, from, wait } => self.list_results(&job, from, wait).await,
             Call::JobItem { job, item } => self.item_body(&job, &item).await,
-            Call::JobEnd { job } => self.end(&job).await,
+            Call::JobEnd { job } => self.end_job(&job).await,
             Call::Routed | Call::Malformed => plain(StatusCode::NOT_FOUND, "no such call"),
         }
     }
--- a/crates/swiftshunt-gateway/src/batch/outside.rs
+++ b/crates/swiftshunt-gateway/src/batch/out_of_region.rs
@@ -10,7 +10,7 @@
 use swiftshunt_topology::Residency;
 use swiftshunt_types::TenantName;
 
-use super::{Batch, CALL_PATIENCE};
+use super::{ASSUMED_CALLER_TIMEOUT, Batch};
 use crate::answers::{CallerAnswer, not_run, plain};
 use crate::metrics::Refusal;
 
@@ -20,7 +20,7 @@
 
 impl Batch {
     /// Passes a call on to a gateway that may answer it; refused where none is reached.
-    pub(super) async fn answer_outside(
+    pub(super) async fn answer_out_of_region(
         &self,
         partition: u32,
         head: &request::Parts,
@@ -31,14 +31,14 @@
             if attempt > 0 {
                 tokio::time::sleep(TRY_PAUSE).await;
             }
-            let passed_on = self.owners.pass_on(partition, head, tenant, wait).await;
-            if let Some(answer) = passed_on {
+            let forwarded = self.owners.forward(partition, head, tenant, wait).await;
+            if let Some(answer) = forwarded {
                 return answer;
             }
         }
         let reason = "no gateway where this job may be handled is reached";
         if head.method == Method::GET {
-            return self.refuse_outside(reason, CALL_PATIENCE);
+            return self.refuse_outside(reason, ASSUMED_CALLER_TIMEOUT);
         }
         // Its end may have been recorded, and the answer lost.
         log::info!(partition, reason; "it is not known whether a job has ended");
@@ -46,7 +46,7 @@
     }
 
     /// The refusal of a job that nobody may run: its regions are not those in which all jobs may be handled.
-    pub(super) fn refuse_unbound(
+    pub(super) fn refuse_without_job_region(
         &self,
         route: &Route,
         residency: &Residency,
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -49,7 +49,7 @@
 }
 
 /// The way to the gateways that hold partitions.
-pub(crate) struct Owners {
+pub(crate) struct PartitionOwners {
     log: Arc<dyn Log>,
     own: SocketAddr,
     clock: Clock,
@@ -58,7 +58,7 @@
     client: PeerClient<Empty<Bytes>>,
 }
 
-impl Owners {
+impl PartitionOwners {
     pub(crate) fn new(log: Arc<dyn Log>, own: SocketAddr, clock: Clock) -> Self {
         Self {
             log,
@@ -72,7 +72,7 @@
 
     /// Passes a call on to the gateway that holds the partition; none if it has to be answered
     /// here.
-    pub(crate) async fn pass_on(
+    pub(crate) async fn forward(
         &self,
         partition: u32,
         head: &request::Parts,
@@ -93,7 +93,7 @@
     }
 
     /// Has a gateway answer a call from what it reads of the partition; none if it does not.
-    pub(super) async fn answered_by_reader(
+    pub(super) async fn forward_to_reader(
         &self,
         reader: SocketAddr,
         head: &request::Parts,
@@ -128,7 +128,7 @@
     }
 
     /// Where the gateways are reached that hold partitions.
-    pub(super) async fn holders(&self, partitions: u32) -> BTreeSet<SocketAddr> {
+    pub(super) async fn owner_addresses(&self, partitions: u32) -> BTreeSet<SocketAddr> {
         self.read_if(|| (0..partitions).any(|partition| self.is_due(partition)))
             .await;
         let known = lock(&self.known);
@@ -221,13 +221,13 @@
 }
 
 /// The tenant in whose name another gateway passes a call on: it has checked the caller.
-pub(super) fn tenant_of(headers: &HeaderMap) -> Option<TenantName> {
+pub(super) fn forwarded_tenant(headers: &HeaderMap) -> Option<TenantName> {
     let name = std::str::from_utf8(headers.get(TENANT_HEADER)?.as_bytes());
     name.ok().map(TenantName::from)
 }
 
 /// Whether a gateway asks to be answered from what is read here.
-pub(super) fn asks_a_reader(headers: &HeaderMap) -> bool {
+pub(super) fn requests_reader_answer(headers: &HeaderMap) -> bool {
     headers.contains_key(READS_HEADER)
 }
 
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -94,11 +94,11 @@
 
     /// A page, by the region's reader, or from the log where none answers.
     pub(super) async fn page(self: &Arc<Self>, call: PageCall) -> Result<NewestPage, LogError> {
-        if !self.readers.are_shared() {
+        if !self.readers.is_sharing_reads() {
             let log = &self.log;
             return log.newest(Topic::Jobs, call.partition, call.after).await;
         }
-        let readers = self.readers.of(call.partition);
+        let readers = self.readers.readers_of(call.partition);
         if readers.is_empty() {
             let reason = "it is not known yet which gateways there are".to_owned();
             return Err(LogError::Unanswered { reason });
@@ -111,7 +111,7 @@
             if let Some(page) = self.by(reader, &call).await {
                 return Ok(page);
             }
-            self.readers.pass_over(call.partition, reader);
+            self.readers.mark_suspected(call.partition, reader);
         }
         self.read(&call).await
     }
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -36,19 +36,19 @@
     }
 
     /// Whether gateways read for each other: where there is one region, each reads what it needs.
-    pub(super) fn are_shared(&self) -> bool {
+    pub(super) fn is_sharing_reads(&self) -> bool {
         self.members.topology().spans_regions()
     }
 
     /// Whether it is known who they are.
-    pub(super) fn are_known(&self) -> bool {
-        !self.are_shared() || self.members.is_known()
+    pub(super) fn are_readers_known(&self) -> bool {
+        !self.is_sharing_reads() || self.members.is_known()
     }
 
     /// Who reads a partition for this gateway, in the order in which they are asked; nobody while it is not known
     /// which gateways there are.
-    pub(super) fn of(&self, partition: u32) -> Vec<RegionReader> {
-        if !self.are_shared() {
+    pub(super) fn readers_of(&self, partition: u32) -> Vec<RegionReader> {
+        if !self.is_sharing_reads() {
             return vec![RegionReader::Own];
         }
         if !self.members.is_known() {
@@ -66,7 +66,7 @@
     }
 
     /// A reader did not answer.
-    pub(super) fn pass_over(&self, partition: u32, reader: SocketAddr) {
+    pub(super) fn mark_suspected(&self, partition: u32, reader: SocketAddr) {
         log::info!(partition, reader = reader.to_string().as_str();
             "the gateway that reads a partition for its region does not answer");
         let now = self.clock.now();
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -95,7 +95,7 @@
 }
 
 /// Why a partition's end could not be confirmed.
-pub(crate) struct Unconfirmed;
+pub(crate) struct CatchUpFailed;
 
 impl Replay {
     pub(crate) fn new(
@@ -124,10 +124,10 @@
 
     /// The partition of a job: the same at every node and in every life.
     pub(crate) fn partition_of(&self, job: &str) -> u32 {
-        partition_of(job, self.count())
+        partition_of(job, self.partition_count())
     }
 
-    pub(crate) fn count(&self) -> u32 {
+    pub(crate) fn partition_count(&self) -> u32 {
         self.partitions.len() as u32
     }
 
@@ -135,16 +135,16 @@
         lock(&self.partitions[partition as usize].state)
     }
 
-    pub(crate) fn changes(&self, partition: u32) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe_changes(&self, partition: u32) -> watch::Receiver<u64> {
         self.partitions[partition as usize].changes.subscribe()
     }
 
-    pub(crate) fn any_change(&self) -> watch::Receiver<u64> {
+    pub(crate) fn subscribe_any_change(&self) -> watch::Receiver<u64> {
         self.any_change.subscribe()
     }
 
     /// Follows the partitions that are held here from now on.
-    pub(crate) fn hold(&self, held: &BTreeSet<u32>) {
+    pub(crate) fn set_held(&self, held: &BTreeSet<u32>) {
         for (number, partition) in (0..).zip(&self.partitions) {
             let holds = held.contains(&number);
             let began = {
@@ -160,7 +160,7 @@
     }
 
     /// Follows a partition for a while.
-    pub(crate) fn want(&self, partition: u32) {
+    pub(crate) fn follow_for_call(&self, partition: u32) {
         let partition = &self.partitions[partition as usize];
         lock(&partition.interest).until = self.clock.now() + self.follow_after_call;
         partition.wanted.notify_one();
@@ -264,7 +264,7 @@
 
     /// Waits until the partition has been listed.
     async fn listed(&self, partition: u32) {
-        let mut changes = self.changes(partition);
+        let mut changes = self.subscribe_changes(partition);
         while !self.state(partition).is_listed {
             // The sender lives as long as `self`, so waiting cannot fail.
             drop(changes.changed().await);
@@ -295,8 +295,8 @@
     }
 
     /// Sees to it that everything that stood in the partition when asked is known here.
-    pub(crate) async fn confirm(&self, partition: u32) -> Result<(), Unconfirmed> {
-        self.want(partition);
+    pub(crate) async fn catch_up(&self, partition: u32) -> Result<(), CatchUpFailed> {
+        self.follow_for_call(partition);
         let confirmed = async {
             self.listed(partition).await;
             let mut goal = None;
@@ -304,8 +304,8 @@
                 let end = self
                     .read_tail(partition, Duration::ZERO)
                     .await
-                    .map_err(|_| Unconfirmed)?
-                    .ok_or(Unconfirmed)?;
+                    .map_err(|_| CatchUpFailed)?
+                    .ok_or(CatchUpFailed)?;
                 let goal = *goal.get_or_insert(end);
                 if self.state(partition).view.next_offset() >= goal {
                     return Ok(());
@@ -313,7 +313,7 @@
             }
         };
         let confirmed = tokio::time::timeout(CONFIRM_TIMEOUT, confirmed).await;
-        confirmed.unwrap_or(Err(Unconfirmed))
+        confirmed.unwrap_or(Err(CatchUpFailed))
     }
 
     fn apply(&self, partition: u32, state: &mut PartitionState, changes: Vec<Change>) {
--- a/crates/swiftshunt-gateway/src/batch/results.rs
+++ b/crates/swiftshunt-gateway/src/batch/results.rs
@@ -33,14 +33,14 @@
 
 /// Results that were not yet read back from the journal.
 #[derive(Default)]
-pub(crate) struct Results {
+pub(crate) struct PendingResults {
     entries: Mutex<BTreeMap<ItemKey, Entry>>,
     handed_over: Mutex<BTreeMap<(u32, String), Vec<Progress>>>,
     added: Notify,
 }
 
-impl Results {
-    pub(crate) fn add(&self, partition: u32, job: &str, result: Settled) {
+impl PendingResults {
+    pub(crate) fn add_result(&self, partition: u32, job: &str, result: Settled) {
         let key = (partition, job.to_owned(), result.item);
         let entry = Entry {
             result,
@@ -51,7 +51,7 @@
     }
 
     /// Leaves word for the next runner of an item.
-    pub(crate) fn hand_over(&self, partition: u32, job: &str, progress: Progress) {
+    pub(crate) fn add_progress(&self, partition: u32, job: &str, progress: Progress) {
         let mut handed_over = lock(&self.handed_over);
         let of_job = handed_over.entry((partition, job.to_owned())).or_default();
         of_job.push(progress);
@@ -59,7 +59,7 @@
     }
 
     /// Whether word for the next runners was written.
-    pub(crate) fn is_handed_over(&self) -> bool {
+    pub(crate) fn is_progress_drained(&self) -> bool {
         lock(&self.handed_over).is_empty()
     }
 
@@ -69,15 +69,15 @@
     }
 
     /// Whether every result was written.
-    pub(crate) fn is_written(&self) -> bool {
+    pub(crate) fn are_results_written(&self) -> bool {
         let written = lock(&self.entries)
             .values()
             .all(|entry| entry.written_at.is_some());
-        written && self.is_handed_over()
+        written && self.is_progress_drained()
     }
 
     fn is_empty(&self) -> bool {
-        lock(&self.entries).is_empty() && self.is_handed_over()
+        lock(&self.entries).is_empty() && self.is_progress_drained()
     }
 
     /// What is to be written now, by partition and job.
@@ -127,7 +127,7 @@
             tokio::time::sleep(GATHER).await;
             // A result is done with once it was read back.
             for partition in self.results.partitions() {
-                self.replay.want(partition);
+                self.replay.follow_for_call(partition);
             }
             self.results.keep(|partition, job, item| {
                 let state = self.replay.state(partition);
@@ -186,14 +186,14 @@
     }
 
     /// Drops jobs that nobody may ask for any more.
-    pub(crate) async fn forget_old_jobs(self: Arc<Self>) {
+    pub(crate) async fn drop_expired_jobs(self: Arc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_CHECK).await;
             let keep = self.settings.batch.keep_results + EXPIRY_CHECK;
             let Some(horizon) = self.dispatcher.clock.now().checked_sub(keep) else {
                 continue;
             };
-            for partition in 0..self.replay.count() {
+            for partition in 0..self.replay.partition_count() {
                 let expired = self.replay.state(partition).fold.expired(horizon);
                 for job in expired {
                     self.forget(partition, &job).await;
--- a/crates/swiftshunt-gateway/src/batch/runner.rs
+++ b/crates/swiftshunt-gateway/src/batch/runner.rs
@@ -33,8 +33,8 @@
 
 impl Batch {
     /// Starts items for as long as the process takes work.
-    pub(crate) async fn run_items(self: Arc<Self>) {
-        let mut changes = self.replay.any_change();
+    pub(crate) async fn start_items(self: Arc<Self>) {
+        let mut changes = self.replay.subscribe_any_change();
         loop {
             changes.mark_unchanged();
             let left_waiting = self.look() || !self.running.is_empty();
@@ -130,7 +130,7 @@
 
     /// Whether items of a partition may go to workers by what is known of it.
     pub(crate) fn may_send(&self, partition: u32) -> bool {
-        self.replay.is_fresh(partition) || self.leases.log_is_away()
+        self.replay.is_fresh(partition) || self.leases.is_log_unavailable()
     }
 
     /// Whether one more item of a service may look for a slot from here: as many as it has slots.
@@ -146,9 +146,9 @@
         let batch = Arc::clone(self);
         tokio::spawn(async move {
             let id = item.id;
-            let mut output = batch.output_so_far(&id);
+            let mut output = batch.recorded_output(&id);
             tokio::select! {
-                () = stop.cancelled() => batch.leave_word(&id, output),
+                () = stop.cancelled() => batch.hand_over_progress(&id, output),
                 () = batch.run_item(&id, &item.spec, item.first_seen, item.times, &mut output) => {}
             }
             batch.running.remove(&id);
--- a/crates/swiftshunt-gateway/src/batch/holdings.rs
+++ b/crates/swiftshunt-gateway/src/batch/token_reports.rs
@@ -15,16 +15,16 @@
 
 impl Batch {
     /// Counts for limits, for as long as the process lives.
-    pub(super) async fn keep_counting(self: Arc<Self>) {
+    pub(super) async fn count_waiting_tokens(self: Arc<Self>) {
         let partitions = self.settings.log.partitions;
         let limits = Arc::clone(&self.waiting_limits);
         limits
-            .keep_counting(|| self.owners.holders(partitions))
+            .keep_counting(|| self.owners.owner_addresses(partitions))
             .await;
     }
 
     /// Answers gateways that count, for as long as the process lives.
-    pub(super) async fn answer_calls(self: Arc<Self>) {
+    pub(super) async fn answer_collect_requests(self: Arc<Self>) {
         let Some(mut calls) = self.waiting_limits.calls() else {
             return;
         };
@@ -44,7 +44,9 @@
     /// Reads what was not seen yet of the partitions held here.
     async fn read_what_is_held(&self) {
         let held = self.leases.partitions();
-        let reads = held.iter().map(|partition| self.replay.confirm(*partition));
+        let reads = held
+            .iter()
+            .map(|partition| self.replay.catch_up(*partition));
         let unread = join_all(reads).await;
         let unread = unread.iter().filter(|read| read.is_err()).count();
         if unread > 0 {
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -332,7 +332,7 @@
         self.stop.closing.cancel();
         self.stop.connections.close();
         self.stop.connections.wait().await;
-        while !self.batch.is_written() {
+        while !self.batch.are_results_written() {
             tokio::time::sleep(STOP_POLL).await;
         }
     }
