--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -140,9 +140,7 @@
                 self.request_page(reader, call),
             );
             match reply.await.unwrap_or(Reply::Unavailable) {
-                Reply::Page(page) => {
-                    return Some(page).filter(|page| page.end >= call.not_before);
-                }
+                Reply::Page(page) => return Some(page).filter(|page| page.end >= call.not_before),
                 Reply::InProgress => {}
                 Reply::Unavailable => return None,
             }
