--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -19,25 +19,26 @@
 impl Batch {
     /// The answer to a call about a job where the journal is away, to a caller that gives up after
     /// `time_left`.
-    pub(super) fn journal_away(&self, job: &str, time_left: Duration) -> CallerAnswer {
-        let outage = self.leases.outage();
+    pub(super) fn refuse_journal_unavailable(&self, job: &str, time_left: Duration,
+    ) -> CallerAnswer {
+        let outage = self.leases.outage_duration();
         let retry_after = retry_after_log_outage(outage, time_left, rand::random());
         log::info!(job, outage_ms = outage.as_millis() as u64, time_left_ms = time_left.as_millis() as u64,
             come_back_ms = retry_after.as_millis() as u64; "refused while the journal is away");
         self.dispatcher
             .metrics
-            .refused(Refusal::LogAway, retry_after, Duration::ZERO);
+            .record_refusal(Refusal::LogAway, retry_after, Duration::ZERO);
         not_run("the journal is away", retry_after)
     }
 
     /// Finds room for a job within the limit of its route, and gives what is told of its record; none where there
     /// is no limit. Refuses a job that finds none, unless it is there already.
-    pub(super) async fn find_room(
+    pub(super) async fn reserve_waiting_tokens(
         &self,
         route: &Route,
         spec: &JobSpec,
         partition: u32,
-        until: Duration,
+        deadline: Duration,
     ) -> Result<Option<LimitedJob>, CallerAnswer> {
         let Some(limit) = route.waiting_tokens else {
             return Ok(None);
@@ -61,18 +62,18 @@
             return Err(plain(StatusCode::GATEWAY_TIMEOUT, reason));
         }
         // A job that was taken before is no new load, however much waits.
-        match self.find(partition, &spec.id).await {
+        match self.ensure_job_known(partition, &spec.id).await {
             Ok(()) => Ok(None),
             Err(answer) if answer.status() == StatusCode::NOT_FOUND => {
-                Err(self.no_room(&job, fit, until))
+                Err(self.refuse_over_limit(&job, fit, deadline))
             }
             Err(unsure) => Err(unsure),
         }
     }
 
-    /// The answer to a job that finds no room, to a caller that gives up at `until`.
-    fn no_room(&self, job: &LimitedJob, fit: Fit, until: Duration) -> CallerAnswer {
-        let time_left = until.saturating_sub(self.dispatcher.clock.now());
+    /// The answer to a job that finds no room, to a caller that gives up at `deadline`.
+    fn refuse_over_limit(&self, job: &LimitedJob, fit: Fit, deadline: Duration) -> CallerAnswer {
+        let time_left = deadline.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
         let (retry_after, reason) = match fit {
             Fit::Unsure(settles_in) => {
@@ -86,7 +87,7 @@
             "a job finds no room in what may wait");
         self.dispatcher
             .metrics
-            .refused(reason, retry_after, Duration::ZERO);
+            .record_refusal(reason, retry_after, Duration::ZERO);
         if reason == Refusal::LimitUnsure {
             return not_run("whether the job fits is not known yet", retry_after);
         }
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -24,21 +24,21 @@
 use crate::running::ItemId;
 
 /// Pause before it is looked again whether items of a partition may be sent.
-const RETRY_PAUSE: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 /// Longest wait for a slot before the item's route and time are looked at again.
-const LONGEST_WAIT: Duration = Duration::from_secs(1);
+const MAX_SLOT_WAIT: Duration = Duration::from_secs(1);
 /// Pause before it is looked again whether an item is still held back.
-const HELD_PAUSE: Duration = Duration::from_millis(500);
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after an attempt that failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(250);
+const FAILURE_DELAY: Duration = Duration::from_millis(250);
 /// Silence of a worker after which an item is taken away from it.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest time of one attempt.
-const LONGEST_ATTEMPT: Duration = Duration::from_secs(600);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(600);
 
 /// The output of an item so far.
 #[derive(Default)]
-pub(crate) struct Output {
+pub(crate) struct ItemOutput {
     text: String,
     last_event: Option<u64>,
     failures: u32,
@@ -75,7 +75,7 @@
         spec: &JobSpec,
         first_seen: Duration,
         times: ItemTimes,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) {
         let Some(item) = spec.items.get(id.index as usize) else {
             return;
@@ -97,7 +97,7 @@
                 return self.settle(id, item, ItemOutcome::GivenUp, String::new(), "too late");
             }
             if !self.may_send(id.partition) {
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             }
             let Some(subject) = &subject else {
@@ -105,8 +105,8 @@
                 return self.settle(id, item, ItemOutcome::GivenUp, String::new(), reason);
             };
             if let Some(held) = self.dispatcher.quarantine.holds(subject).await {
-                output.hold(id, item, held);
-                tokio::time::sleep(HELD_PAUSE).await;
+                output.record_hold(id, item, held);
+                tokio::time::sleep(HOLD_POLL_INTERVAL).await;
                 continue;
             }
             output.is_held = false;
@@ -114,17 +114,17 @@
             if !self.dispatcher.job_regions.may_send_from_here(&residency) {
                 log::debug!(job = id.job.as_str(), item = item.id.as_str();
                     "an item may not be sent from here");
-                tokio::time::sleep(HELD_PAUSE).await;
+                tokio::time::sleep(HOLD_POLL_INTERVAL).await;
                 continue;
             }
             let service = self.dispatcher.fleet_state.next_service(&route, &residency);
-            let needs = self.item_time.expected().saturating_sub(output.ran);
+            let needs = self.run_time_estimate.expected().saturating_sub(output.ran);
             self.running.set_remaining_time(id, needs);
             let times = ItemTimes { needs, ..times };
             let slots = &self.dispatcher.slots;
             let slot = slots.wait_for_slot(&service, times, &residency);
             // The route may change or the item's time be over while it waits.
-            let Ok(chosen) = tokio::time::timeout(LONGEST_WAIT, slot).await else {
+            let Ok(chosen) = tokio::time::timeout(MAX_SLOT_WAIT, slot).await else {
                 continue;
             };
             if !self.may_send(id.partition) {
@@ -140,7 +140,7 @@
             match attempt {
                 Attempt::Whole => {
                     if !output.is_taken_over {
-                        self.item_time.learn(output.ran);
+                        self.run_time_estimate.record_run(output.ran);
                     }
                     let text = std::mem::take(&mut output.text);
                     return self.settle(id, item, ItemOutcome::Completed, text, "whole");
@@ -155,10 +155,10 @@
                         let reason = "too many failures";
                         return self.settle(id, item, ItemOutcome::GivenUp, String::new(), reason);
                     }
-                    tokio::time::sleep(FAILURE_PAUSE).await;
+                    tokio::time::sleep(FAILURE_DELAY).await;
                 }
                 Attempt::BrokenOff | Attempt::NotTaken => {
-                    tokio::time::sleep(FAILURE_PAUSE).await;
+                    tokio::time::sleep(FAILURE_DELAY).await;
                 }
                 Attempt::Interrupted => {}
             }
@@ -166,13 +166,13 @@
     }
 
     /// How far an earlier runner came.
-    pub(crate) fn output_so_far(&self, id: &ItemId) -> Output {
+    pub(crate) fn recorded_output(&self, id: &ItemId) -> ItemOutput {
         let state = self.replay.state(id.partition);
         let progress = state
             .fold
             .job(&id.job)
             .and_then(|job| job.progress(id.index));
-        progress.map_or_else(Output::default, |progress| Output {
+        progress.map_or_else(ItemOutput::default, |progress| ItemOutput {
             text: progress.text.clone(),
             last_event: Some(progress.last_event),
             failures: progress.failures,
@@ -183,11 +183,11 @@
     }
 
     /// Leaves word for the next runner, unless the item needs none.
-    pub(crate) fn leave_word(&self, id: &ItemId, output: Output) {
+    pub(crate) fn hand_over_progress(&self, id: &ItemId, output: ItemOutput) {
         let Some(last_event) = output.last_event else {
             return;
         };
-        if !self.is_open(id) {
+        if !self.is_item_open(id) {
             return;
         }
         let progress = Progress {
@@ -196,7 +196,7 @@
             text: output.text,
             failures: output.failures,
         };
-        self.results.hand_over(id.partition, &id.job, progress);
+        self.results.add_progress(id.partition, &id.job, progress);
     }
 
     fn settle(
@@ -207,7 +207,7 @@
         text: String,
         reason: &str,
     ) {
-        self.dispatcher.metrics.item_ended(outcome);
+        self.dispatcher.metrics.record_item(outcome);
         if outcome != ItemOutcome::Completed {
             log::info!(job = id.job.as_str(), item = item.id.as_str(), reason;
                 "an item is given up");
@@ -217,7 +217,7 @@
             outcome,
             text,
         };
-        self.results.add(id.partition, &id.job, result);
+        self.results.add_result(id.partition, &id.job, result);
     }
 
     async fn attempt(
@@ -225,15 +225,15 @@
         id: &ItemId,
         outgoing: &OutgoingRequest,
         chosen: &ChosenWorker,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) -> Attempt {
         let item = outgoing.id.as_deref().unwrap_or("");
         let interrupt = self.running.set_worker(id, Some(&chosen.incarnation));
         let now = self.dispatcher.clock.now();
         let limits = SendLimits {
-            deadline: now + LONGEST_ATTEMPT,
+            deadline: now + ATTEMPT_TIMEOUT,
             caller_deadline: None,
-            silence: Some(SILENCE),
+            silence: Some(SILENCE_TIMEOUT),
         };
         let run = async {
             let sent = self
@@ -241,7 +241,7 @@
                 .send(chosen, outgoing, output.last_event, limits)
                 .await;
             match sent {
-                Ok(answer) => self.read(answer, output).await,
+                Ok(answer) => self.read_answer(answer, output).await,
                 Err(failure) => {
                     log::debug!(item, failure:% = failure; "an item's send failed");
                     if failure.did_not_run() {
@@ -305,11 +305,13 @@
         let batch = Arc::clone(self);
         let id = id.clone();
         SendPermit::while_true(move || {
-            batch.leases.holds(id.partition) && batch.may_send(id.partition) && batch.is_open(&id)
+            batch.leases.holds(id.partition)
+                && batch.may_send(id.partition)
+                && batch.is_item_open(&id)
         })
     }
 
-    async fn read(&self, mut answer: Answer, output: &mut Output) -> Attempt {
+    async fn read_answer(&self, mut answer: Answer, output: &mut ItemOutput) -> Attempt {
         let status = answer.head.status;
         if !status.is_success() {
             let attempt = match status.as_u16() {
@@ -343,7 +345,7 @@
     async fn read_events(
         &self,
         answer: &mut Answer,
-        output: &mut Output,
+        output: &mut ItemOutput,
     ) -> Result<(), SendFailure> {
         let incarnation = answer.in_flight.chosen.incarnation.clone();
         let Answer {
@@ -351,12 +353,12 @@
         } = answer;
         let mut events = body.into_data_stream().eventsource();
         loop {
-            let event = match tokio::time::timeout(SILENCE, events.next()).await {
+            let event = match tokio::time::timeout(SILENCE_TIMEOUT, events.next()).await {
                 Ok(event) => event,
                 Err(_) => {
                     let now = self.dispatcher.clock.now();
                     let quiet = self.dispatcher.worker_silence(&incarnation, now);
-                    if quiet.unwrap_or(SILENCE) >= SILENCE {
+                    if quiet.unwrap_or(SILENCE_TIMEOUT) >= SILENCE_TIMEOUT {
                         return Err(SendFailure::Silent);
                     }
                     continue;
@@ -373,7 +375,7 @@
             };
             in_flight.record_progress();
             in_flight.record_received(event.data.len());
-            output.take(&event)?;
+            output.append_event(&event)?;
         }
     }
 }
@@ -400,17 +402,17 @@
 
 /// How long items run in the mean.
 #[derive(Default)]
-pub(crate) struct ItemTime {
+pub(crate) struct RunTimeEstimate {
     mean: Mutex<Option<Duration>>,
 }
 
-impl ItemTime {
+impl RunTimeEstimate {
     /// The mean; nothing before the first run.
     fn expected(&self) -> Duration {
         lock(&self.mean).unwrap_or_default()
     }
 
-    fn learn(&self, ran: Duration) {
+    fn record_run(&self, ran: Duration) {
         let mut mean = lock(&self.mean);
         let before = mean.unwrap_or(ran);
         let learnt = before.mul_f64(1.0 - RUN_SMOOTHING) + ran.mul_f64(RUN_SMOOTHING);
@@ -418,9 +420,9 @@
     }
 }
 
-impl Output {
+impl ItemOutput {
     /// The item is held back: it waits until it may be sent, or is given up as late as any other.
-    fn hold(&mut self, id: &ItemId, item: &ItemSpec, held: Held) {
+    fn record_hold(&mut self, id: &ItemId, item: &ItemSpec, held: Held) {
         if !std::mem::replace(&mut self.is_held, true) {
             log::info!(job = id.job.as_str(), item = item.id.as_str(), ends = held.ends,
                 held_for_ms = held.time_left.as_millis() as u64;
@@ -429,7 +431,7 @@
     }
 
     /// Adds an event, which must follow the last one.
-    fn take(&mut self, event: &eventsource_stream::Event) -> Result<(), SendFailure> {
+    fn append_event(&mut self, event: &eventsource_stream::Event) -> Result<(), SendFailure> {
         let id: Option<u64> = event.id.parse().ok();
         let out_of_order = match (self.last_event, id) {
             (Some(last), Some(id)) => id != last + 1,
--- a/crates/swiftshunt-gateway/src/batch/reads.rs
+++ b/crates/swiftshunt-gateway/src/batch/job_queries.rs
@@ -6,13 +6,13 @@
 use hyper::{Response, StatusCode};
 use tokio::time::Instant;
 
-use super::{Batch, CALL_PATIENCE};
+use super::{ASSUMED_CALLER_TIMEOUT, Batch};
 use crate::answers::{CallerAnswer, full_body, plain};
 
 /// Bytes of results in one answer at most.
 const PAGE_BYTES: usize = 1_000_000;
 /// What a look at a job's results gave.
-enum Listing {
+enum ResultsPage {
     /// The job is not known.
     Gone,
     /// There is something to answer at once.
@@ -22,27 +22,27 @@
 }
 
 /// Longest time that an answer is held for a result.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_RESULT_WAIT: Duration = Duration::from_secs(30);
 
 impl Batch {
     /// Lists results from a position on; waits up to `wait` for a first one.
-    pub(crate) async fn list(&self, id: &str, from: usize, wait: Duration) -> CallerAnswer {
+    pub(crate) async fn list_results(&self, id: &str, from: usize, wait: Duration) -> CallerAnswer {
         let partition = self.replay.partition_of(id);
-        if let Err(answer) = self.find(partition, id).await {
+        if let Err(answer) = self.ensure_job_known(partition, id).await {
             return answer;
         }
-        self.replay.want(partition);
-        let deadline = Instant::now() + wait.min(LONGEST_WAIT);
-        let mut changes = self.replay.changes(partition);
+        self.replay.follow_for_call(partition);
+        let deadline = Instant::now() + wait.min(MAX_RESULT_WAIT);
+        let mut changes = self.replay.subscribe_changes(partition);
         loop {
             changes.mark_unchanged();
-            match self.page(partition, id, from) {
-                Listing::Gone => return plain(StatusCode::NOT_FOUND, "no such job"),
-                Listing::Page(answer) => return answer,
-                Listing::Empty(answer) if Instant::now() >= deadline => {
-                    return self.confirmed_empty(partition, id, from, answer).await;
+            match self.results_page(partition, id, from) {
+                ResultsPage::Gone => return plain(StatusCode::NOT_FOUND, "no such job"),
+                ResultsPage::Page(answer) => return answer,
+                ResultsPage::Empty(answer) if Instant::now() >= deadline => {
+                    return self.confirm_empty(partition, id, from, answer).await;
                 }
-                Listing::Empty(_) => {}
+                ResultsPage::Empty(_) => {}
             }
             // A time-out shows at the next look at the clock.
             drop(tokio::time::timeout_at(deadline, changes.changed()).await);
@@ -51,27 +51,27 @@
 
     /// Answers that there is nothing at a position, but only once everything that stands in the
     /// log is known here: another node may have listed more.
-    async fn confirmed_empty(
+    async fn confirm_empty(
         &self,
         partition: u32,
         id: &str,
         from: usize,
         empty: CallerAnswer,
     ) -> CallerAnswer {
-        if self.replay.confirm(partition).await.is_err() {
-            return self.journal_away(id, CALL_PATIENCE);
+        if self.replay.catch_up(partition).await.is_err() {
+            return self.refuse_journal_unavailable(id, ASSUMED_CALLER_TIMEOUT);
         }
-        match self.page(partition, id, from) {
-            Listing::Page(answer) => answer,
-            Listing::Empty(_) | Listing::Gone => empty,
+        match self.results_page(partition, id, from) {
+            ResultsPage::Page(answer) => answer,
+            ResultsPage::Empty(_) | ResultsPage::Gone => empty,
         }
     }
 
     /// The page from a position on, as far as known here.
-    fn page(&self, partition: u32, id: &str, from: usize) -> Listing {
+    fn results_page(&self, partition: u32, id: &str, from: usize) -> ResultsPage {
         let state = self.replay.state(partition);
         let Some(job) = state.fold.job(id) else {
-            return Listing::Gone;
+            return ResultsPage::Gone;
         };
         let page = job.page(from, PAGE_BYTES);
         let is_empty = page.results.is_empty();
@@ -84,16 +84,16 @@
         let content_type = HeaderValue::from_static(encoded.content_type);
         answer.headers_mut().insert(CONTENT_TYPE, content_type);
         if is_empty && !is_whole {
-            Listing::Empty(answer)
+            ResultsPage::Empty(answer)
         } else {
-            Listing::Page(answer)
+            ResultsPage::Page(answer)
         }
     }
 
     /// The body of an item.
     pub(crate) async fn item_body(&self, id: &str, item: &str) -> CallerAnswer {
         let partition = self.replay.partition_of(id);
-        if let Err(answer) = self.find(partition, id).await {
+        if let Err(answer) = self.ensure_job_known(partition, id).await {
             return answer;
         }
         let state = self.replay.state(partition);
@@ -109,12 +109,16 @@
     }
 
     /// Finds a job; if it is not here, asks the log before saying so.
-    pub(crate) async fn find(&self, partition: u32, id: &str) -> Result<(), CallerAnswer> {
+    pub(crate) async fn ensure_job_known(
+        &self,
+        partition: u32,
+        id: &str,
+    ) -> Result<(), CallerAnswer> {
         if self.replay.state(partition).fold.job(id).is_some() {
             return Ok(());
         }
-        if self.replay.confirm(partition).await.is_err() {
-            return Err(self.journal_away(id, CALL_PATIENCE));
+        if self.replay.catch_up(partition).await.is_err() {
+            return Err(self.refuse_journal_unavailable(id, ASSUMED_CALLER_TIMEOUT));
         }
         if self.replay.state(partition).fold.job(id).is_some() {
             return Ok(());
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -24,9 +24,9 @@
 /// Renewals within one lease.
 const RENEWALS: u32 = 3;
 /// Leases for which partitions are kept while the log does not answer.
-const LEASES_WHILE_AWAY: u32 = 6;
+const LEASES_WHILE_UNAVAILABLE: u32 = 6;
 /// Time after which items of a new partition start: its last runner leaves word how far it came.
-const HAND_OVER_TIME: Duration = Duration::from_millis(400);
+const HAND_OVER_DELAY: Duration = Duration::from_millis(400);
 
 #[derive(Default)]
 struct Held {
@@ -35,13 +35,13 @@
     partitions: BTreeMap<u32, Duration>,
     until: Duration,
     /// Since when the log has not answered a renewal.
-    away_since: Option<Duration>,
+    unavailable_since: Option<Duration>,
 }
 
 impl Held {
     fn is_valid(&self, now: Duration, lease: Duration) -> bool {
-        let until = if self.away_since.is_some() {
-            self.until + lease * LEASES_WHILE_AWAY
+        let until = if self.unavailable_since.is_some() {
+            self.until + lease * LEASES_WHILE_UNAVAILABLE
         } else {
             self.until
         };
@@ -93,34 +93,35 @@
     }
 
     /// Whether items of a partition may be started.
-    pub(crate) fn may_start(&self, partition: u32) -> bool {
+    pub(crate) fn may_start_items(&self, partition: u32) -> bool {
         let held = lock(&self.held);
         let since = held.partitions.get(&partition);
-        since.is_some_and(|since| self.clock.now() >= *since + HAND_OVER_TIME)
+        since.is_some_and(|since| self.clock.now() >= *since + HAND_OVER_DELAY)
     }
 
     /// Whether the log did not answer the last renewal: nobody else can be dealt partitions then, and
     /// hardly anybody can end a job.
-    pub(crate) fn log_is_away(&self) -> bool {
-        lock(&self.held).away_since.is_some()
+    pub(crate) fn is_log_unavailable(&self) -> bool {
+        lock(&self.held).unavailable_since.is_some()
     }
 
     /// Renews for as long as the process takes work, and has what is held followed.
-    pub(crate) async fn keep(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics) {
+    pub(crate) async fn run_renewals(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics,
+    ) {
         let mut backoff = LogBackoff::new("leases", 0);
         while !self.left.is_cancelled() {
             if !regions.includes_this_gateway() {
-                self.stand_aside().await;
+                self.release_if_member().await;
                 metrics.leased_partitions.set(0);
-                replay.hold(&BTreeSet::new());
+                replay.set_held(&BTreeSet::new());
                 tokio::time::sleep(self.time / RENEWALS).await;
                 continue;
             }
             let renewed = self.renew().await;
-            self.note_log(renewed.is_err());
+            self.record_log_availability(renewed.is_err());
             let held = self.partitions();
             metrics.leased_partitions.set(held.len() as i64);
-            replay.hold(&held);
+            replay.set_held(&held);
             backoff.backoff_on_error(&renewed).await;
             if renewed.is_ok() {
                 tokio::time::sleep(self.time / RENEWALS).await;
@@ -128,15 +129,15 @@
         }
     }
 
-    fn note_log(&self, is_away: bool) {
+    fn record_log_availability(&self, is_unavailable: bool) {
         let now = self.clock.now();
         let mut held = lock(&self.held);
-        held.away_since = is_away.then(|| held.away_since.unwrap_or(now));
+        held.unavailable_since = is_unavailable.then(|| held.unavailable_since.unwrap_or(now));
     }
 
     /// How long the log has been away, as the renewals show; nothing while it answers them.
-    pub(crate) fn outage(&self) -> Duration {
-        let since = lock(&self.held).away_since;
+    pub(crate) fn outage_duration(&self) -> Duration {
+        let since = lock(&self.held).unavailable_since;
         since.map_or(Duration::ZERO, |since| {
             self.clock.now().saturating_sub(since)
         })
@@ -183,7 +184,7 @@
     }
 
     /// Gives up the leases of a gateway that may not handle jobs, until it may.
-    async fn stand_aside(&self) {
+    async fn release_if_member(&self) {
         let was_member = {
             let mut held = lock(&self.held);
             let was_member = held.generation > 0 || !held.partitions.is_empty();
@@ -200,7 +201,7 @@
     }
 
     /// Gives up all leases.
-    pub(crate) async fn leave(&self) {
+    pub(crate) async fn release_all(&self) {
         self.left.cancel();
         lock(&self.held).partitions.clear();
         if let Err(error) = self.log.leave(Topic::Jobs, &self.member).await {
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -96,7 +96,7 @@
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
         let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Stopping, retry_after, Duration::ZERO);
+        metrics.record_refusal(Refusal::Stopping, retry_after, Duration::ZERO);
         log::info!(come_back_ms = retry_after.as_millis() as u64; "refused, since this gateway stops");
         not_run("this gateway stops", retry_after)
     }
@@ -104,7 +104,7 @@
     fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
         let retry_after = retry_after_startup(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::NoConfiguration, retry_after, Duration::ZERO);
+        metrics.record_refusal(Refusal::NoConfiguration, retry_after, Duration::ZERO);
         log::info!(come_back_ms = retry_after.as_millis() as u64; "no configuration is known yet");
         not_run("no configuration is known yet", retry_after)
     }
@@ -158,7 +158,7 @@
 
     /// The answer to a caller that shows no known key.
     fn reject(&self, rejected: Rejected, head: &request::Parts, version: u64) -> CallerAnswer {
-        self.dispatcher.metrics.key_rejected(rejected);
+        self.dispatcher.metrics.record_rejected_key(rejected);
         let facts = self.dispatcher.protocol.request_facts(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
         let since = self.dispatcher.fleet_state.confirmed_at();
@@ -182,7 +182,7 @@
         }
         let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(Refusal::Unconfirmed, retry_after, Duration::ZERO);
+        metrics.record_refusal(Refusal::Unconfirmed, retry_after, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
             come_back_ms = retry_after.as_millis() as u64;
             "refused, since the configuration is not confirmed");
@@ -214,10 +214,10 @@
             counter:? = counter, come_back_ms = retry_after.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
-        metrics.refused(refusal, retry_after, now.saturating_sub(entered.arrived));
+        metrics.record_refusal(refusal, retry_after, now.saturating_sub(entered.arrived));
         match refused {
             Refused::Limit(_) => {
-                metrics.beyond_limit(tenant.name.as_str());
+                metrics.record_rate_refusal(tenant.name.as_str());
                 too_many("too many requests of this tenant", retry_after)
             }
             Refused::Unsure => not_run("the limit of this tenant is not known here", retry_after),
@@ -234,7 +234,7 @@
             route: &entered.route,
             path: entered.head.uri.path(),
             body,
-            until: entered.deadline(),
+            deadline: entered.deadline(),
         };
         self.batch.submit(submission).await
     }
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -16,7 +16,7 @@
 use crate::protocol::{OperatorRecord, Protocol};
 use crate::quarantine::Quarantine;
 use crate::settings::DirectorySettings;
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 use crate::unreadable::UnreadableRecords;
 
@@ -38,14 +38,14 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) unreadable: Arc<UnreadableRecords>,
     pub(crate) quarantine: Arc<Quarantine>,
-    pub(crate) tails: Arc<Tails>,
+    pub(crate) tails: Arc<SharedTails>,
     pub(crate) clock: Clock,
 }
 
 impl FleetFollowers {
     /// Follows the configuration for as long as the process lives.
     pub(crate) async fn follow_configuration(self: Arc<Self>, obey_within: Duration) {
-        let shared = self.tails.shared(Topic::Configuration, |_| true);
+        let shared = self.tails.shared_tail(Topic::Configuration, |_| true);
         let mut follower =
             TopicFollower::new(Topic::Configuration, self.clock).with_shared_tail(shared);
         let mut backoff = LogBackoff::new("configuration", 0);
@@ -131,7 +131,7 @@
     pub(crate) async fn follow_directory(self: Arc<Self>, settings: DirectorySettings) {
         let followers = Arc::clone(&self);
         let is_news = move |record: &KeyedRecord| followers.is_news(record);
-        let shared = self.tails.shared(Topic::Workers, is_news);
+        let shared = self.tails.shared_tail(Topic::Workers, is_news);
         let mut follower = TopicFollower::new(Topic::Workers, self.clock).with_shared_tail(shared);
         let mut backoff = LogBackoff::new("directory", 0);
         let timing = TailTiming::for_propagation_limit(settings.obey_within);
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -32,7 +32,7 @@
 use crate::settings::{GatewaySettings, StopSettings};
 use crate::slots::Slots;
 use crate::start_permits::StartPermits;
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 use crate::traffic::CountedLog;
 use crate::unreadable::UnreadableRecords;
 use crate::upstream::Upstream;
@@ -142,11 +142,11 @@
             settings.log.call_timeout,
         ));
         let log: Arc<dyn Log> = Arc::clone(&relayed) as _;
-        let tails = Arc::new(Tails::new(
+        let tails = Arc::new(SharedTails::new(
             Arc::clone(&members),
             settings.directory.gateways_per_reader,
             Arc::clone(&metrics),
-            relayed.is_away(),
+            relayed.subscribe_unavailable(),
             clock,
         ));
         let running = Arc::new(RunningItems::default());
@@ -258,7 +258,7 @@
                 Arc::clone(&relayed),
                 Arc::clone(&tails),
             )),
-            tokio::spawn(relayed.probe()),
+            tokio::spawn(relayed.probe_log()),
             tokio::spawn(Arc::clone(&others).receive_notices(NoticeHandlers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
@@ -335,7 +335,7 @@
         self.stop.closing.cancel();
         self.stop.connections.close();
         self.stop.connections.wait().await;
-        while !self.batch.is_written() {
+        while !self.batch.are_results_written() {
             tokio::time::sleep(STOP_POLL).await;
         }
     }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -340,7 +340,7 @@
         let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         let metrics = &self.dispatcher.metrics;
         metrics.first_event_seconds.observe(waited.as_secs_f64());
-        metrics.request_ended(&context.route.name, RequestEnd::Answered);
+        metrics.record_request_end(&context.route.name, RequestEnd::Answered);
         let unusual = context.tried.len() > 1 || waited > context.route.objective;
         if unusual || !status.is_success() {
             context.log_answered(status, waited);
@@ -362,7 +362,7 @@
         let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         self.dispatcher
             .metrics
-            .refused(refusal, retry_after, waited);
+            .record_refusal(refusal, retry_after, waited);
         self.ended(context, RequestEnd::Refused, reason);
         not_run(reason, retry_after)
     }
@@ -400,7 +400,7 @@
             end:? = end, reason, runs = context.runs, tried:? = context.tried,
             waited_ms = waited.as_millis() as u64; "given up");
         let metrics = &self.dispatcher.metrics;
-        metrics.request_ended(&context.route.name, end);
+        metrics.record_request_end(&context.route.name, end);
     }
 }
 
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -13,7 +13,7 @@
 
 use super::Quarantine;
 use crate::fleet_state::lock;
-use crate::tails::Tails;
+use crate::tails::SharedTails;
 use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 
 /// How the records are followed: datagrams are quicker, and a lost read costs the time of both. Three
@@ -124,8 +124,8 @@
     }
 
     /// Follows the records of all gateways for as long as the process lives.
-    pub(crate) async fn follow(self: Arc<Self>, tails: Arc<Tails>) {
-        let shared = tails.shared(Topic::Quarantine, |_| true);
+    pub(crate) async fn follow(self: Arc<Self>, tails: Arc<SharedTails>) {
+        let shared = tails.shared_tail(Topic::Quarantine, |_| true);
         let mut follower =
             TopicFollower::new(Topic::Quarantine, self.clock).with_shared_tail(shared);
         let mut backoff = LogBackoff::new("quarantine", 0);
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::online::OnlineHandler;
 use crate::protocol::Protocol;
-use crate::tails::{self, Tails};
+use crate::tails::{self, SharedTails};
 
 /// Connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
@@ -161,7 +161,7 @@
     protocol: Arc<dyn Protocol>,
     batch: Arc<Batch>,
     log: Arc<RelayedLog>,
-    tails: Arc<Tails>,
+    tails: Arc<SharedTails>,
 ) {
     accept_all(listener, |stream| {
         let protocol = Arc::clone(&protocol);
@@ -211,7 +211,7 @@
 /// Tells the metrics, for as long as the process lives.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
     serve_small(listener, move || {
-        hyper::Response::new(full_body(metrics.text().into()))
+        hyper::Response::new(full_body(metrics.encode_text().into()))
     })
     .await;
 }
