--- a/crates/swiftshunt-gateway/src/quarantine/mod.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/mod.rs
@@ -8,10 +8,10 @@
 //! is sent, recorded or digested.
 
 mod directory;
-mod ends;
+mod worker_ends;
 mod records;
-mod sight;
-mod subject;
+mod probe;
+mod request_content;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -34,9 +34,9 @@
 use crate::metrics::Metrics;
 use crate::own_failures::OwnFailures;
 use crate::unreadable::UnreadableRecords;
-use ends::{Check, Doubted};
+use worker_ends::{Check, Doubted};
 use records::Unrecorded;
-pub(crate) use subject::Subject;
+pub(crate) use request_content::Subject;
 
 /// Gateways that put together by datagram what is known of one request: one of them may be away.
 const COLLECTORS: usize = 2;
--- a/crates/swiftshunt-gateway/src/quarantine/ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/worker_ends.rs
@@ -14,7 +14,7 @@
 use swiftshunt_scheduler::selection::Chosen;
 use swiftshunt_scheduler::slots::WorkerKey;
 
-use super::sight::look;
+use super::probe::look;
 use super::{Quarantine, Subject};
 use crate::beliefs::lock;
 use crate::clock::Clock;
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -13,7 +13,7 @@
 use swiftshunt_types::TenantName;
 
 use super::COUNTERS;
-use super::surroundings::{Surroundings, View};
+use super::reachability::{Surroundings, View};
 use crate::beliefs::lock;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -2,8 +2,8 @@
 //! others ask it for credits ([`swiftshunt_scheduler::rates`]).
 
 mod counters;
-mod questions;
-mod surroundings;
+mod credit_requests;
+mod reachability;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 use crate::messages::rates::VersionedLimit;
 use crate::metrics::{Metrics, RateAnswer};
 use counters::Counters;
-use questions::{Asked, Word};
+use credit_requests::{Asked, Word};
 
 /// Pause before a gateway is asked again that is finding out whether it is to count.
 const NOT_YET_PAUSE: Duration = Duration::from_millis(15);
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -1,7 +1,7 @@
 //! Slots that callers' requests and batch items share: asked for at the owner of their cell, granted
 //! and taken back by it.
 
-mod elsewhere;
+mod cross_region;
 mod failures;
 mod owner;
 mod queue;
@@ -31,7 +31,7 @@
 use crate::metrics::{Metrics, SlotAnswer};
 use crate::own_failures::OwnFailures;
 use crate::running::Running;
-use elsewhere::Crossing;
+use cross_region::Crossing;
 use queue::{Granted, Queue};
 use reporting::Told;
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -1,12 +1,12 @@
 //! Limits of the tokens that a tenant may have waiting on a batch route, kept by all gateways together.
 //!
 //! For each limit one gateway counts what stands. Which one, and how much of the limit is in whose hands, stands
-//! in the log ([`registers`]). A gateway that takes a job asks the one that counts ([`asking`]), and takes over
+//! in the log ([`registers`]). A gateway that takes a job asks the one that counts ([`reservation`]), and takes over
 //! from it where it does not answer; holders of the journal's partitions tell the one that counts what stands
 //! ([`counting`]). A gateway that stops by plan says so in the log, and the next one need not wait for what it may
 //! still do ([`stopping`]).
 
-mod asking;
+mod reservation;
 mod counting;
 mod registers;
 mod stopping;
@@ -20,7 +20,7 @@
 use swiftshunt_scheduler::waiting_tokens::Counter;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-pub(crate) use asking::{Fit, LONGEST_PATIENCE};
+pub(crate) use reservation::{Fit, LONGEST_PATIENCE};
 
 use crate::batch::{Member, partition_of};
 use crate::beliefs::lock;
