--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -86,7 +86,7 @@
         let (answer, ran) = self.travel(journey).await;
         guard.answered();
         if let Some(tenant) = tenant.filter(|_| !ran) {
-            self.rates.give_back(&tenant);
+            self.rates.refund_credit(&tenant);
         }
         answer
     }
@@ -204,13 +204,13 @@
             }
             Refused::Unsure => (Refusal::RateUnsure, come_back_elsewhere(rand::random())),
         };
-        let told = self.rates.told(&tenant.name);
-        let counter = told.counter.map(|counter| counter.to_string());
+        let refusal_context = self.rates.refusal_context(&tenant.name);
+        let counter = refusal_context.counter.map(|counter| counter.to_string());
         let limit = tenant.rate;
         log::info!(request = entered.facts.id.as_deref().unwrap_or(""),
             tenant = tenant.name.as_str(), refused:? = refused, limit:? = limit,
-            recent_here = told.figures.here, recent_by_all:? = told.figures.by_all,
-            age_ms:? = told.figures.age.map(|age| age.as_millis() as u64),
+            recent_here = refusal_context.figures.here, recent_by_all:? = refusal_context.figures.by_all,
+            age_ms:? = refusal_context.figures.age.map(|age| age.as_millis() as u64),
             counter:? = counter, come_back_ms = come_back.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -266,7 +266,7 @@
             tokio::spawn(Arc::clone(&quarantine).follow(tails)),
             tokio::spawn(Arc::clone(&quarantine).keep_recording()),
             tokio::spawn(quarantine.keep_lapsing()),
-            tokio::spawn(rates.keep_tidy()),
+            tokio::spawn(rates.run_cleanup()),
             tokio::spawn(Arc::clone(&slots).run_reporting()),
             tokio::spawn(slots.run_free_slot_announcements()),
             tokio::spawn(Arc::clone(&others).keep_listed(Arc::clone(&log))),
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -12,8 +12,8 @@
 use swiftshunt_scheduler::rates::bucket::{Bucket, Question, Verdict};
 use swiftshunt_types::TenantName;
 
-use super::COUNTERS;
-use super::reachability::{Surroundings, View};
+use super::MAX_COUNTER_CANDIDATES;
+use super::reachability::{Reachability, ReachabilityView};
 use crate::beliefs::lock;
 use crate::clock::Clock;
 use crate::datagrams::Datagrams;
@@ -23,11 +23,11 @@
 
 /// Time without a sign of life, though it was asked for, after which a gateway is gone: twice the way to
 /// and fro within a region and some standstill.
-const GONE_AFTER: Duration = Duration::from_millis(45);
+const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(45);
 /// Pause between two such questions.
-const PING_AGAIN: Duration = Duration::from_millis(15);
+const PING_RETRY_INTERVAL: Duration = Duration::from_millis(15);
 /// Pause between two such questions to a gateway that is gone, or was found to be there.
-const PING_LATER: Duration = Duration::from_millis(250);
+const SETTLED_PING_INTERVAL: Duration = Duration::from_millis(250);
 /// A tenant that is counted here.
 struct Counted {
     bucket: Bucket<SocketAddr>,
@@ -43,10 +43,10 @@
 }
 
 /// What is known of a gateway that should count before this one.
-enum Precedent {
+enum PredecessorState {
     Gone,
-    There,
-    Asked,
+    Alive,
+    Probing,
 }
 
 /// The buckets.
@@ -57,7 +57,7 @@
     tolerance: Tolerance,
     counted: Mutex<HashMap<TenantName, Counted>>,
     probes: Mutex<HashMap<SocketAddr, Probe>>,
-    surroundings: Mutex<Surroundings>,
+    reachability: Mutex<Reachability>,
 }
 
 impl Counters {
@@ -74,7 +74,7 @@
             tolerance,
             counted: Mutex::default(),
             probes: Mutex::default(),
-            surroundings: Mutex::default(),
+            reachability: Mutex::default(),
         }
     }
 
@@ -87,20 +87,20 @@
         limit: VersionedLimit,
     ) -> CounterAnswer {
         let own = self.members.own();
-        let order = self.members.counters(tenant, COUNTERS);
+        let order = self.members.counters(tenant, MAX_COUNTER_CANDIDATES);
         for gateway in order.iter().take_while(|gateway| **gateway != own) {
-            match self.precedent(*gateway) {
-                Precedent::Gone => {}
-                Precedent::There => {
+            match self.predecessor_state(*gateway) {
+                PredecessorState::Gone => {}
+                PredecessorState::Alive => {
                     self.stop_counting(tenant, *gateway);
                     return CounterAnswer::CountedBy(*gateway);
                 }
-                Precedent::Asked => return CounterAnswer::NotYet,
+                PredecessorState::Probing => return CounterAnswer::NotYet,
             }
         }
         let is_first = order.first() == Some(&own);
         let now = self.clock.now();
-        let Some(view) = self.look_around(!is_first, now) else {
+        let Some(view) = self.reachability_view(!is_first, now) else {
             return CounterAnswer::NotYet;
         };
         if view.is_cut_off {
@@ -131,7 +131,7 @@
             }
             return;
         }
-        if let Some(view) = self.look_around(true, now) {
+        if let Some(view) = self.reachability_view(true, now) {
             let gateways = self.members.count();
             bucket.set_aside(&view.silent, gateways, &self.tolerance, now);
             *sets_aside = true;
@@ -139,11 +139,11 @@
     }
 
     /// Which gateways are silent, as far as it is known; none where it must be known and is not yet.
-    fn look_around(&self, must_be_known: bool, now: Duration) -> Option<View> {
-        let mut surroundings = lock(&self.surroundings);
-        let asked = surroundings.look(&self.members, must_be_known, now);
+    fn reachability_view(&self, must_be_known: bool, now: Duration) -> Option<ReachabilityView> {
+        let mut reachability = lock(&self.reachability);
+        let asked = reachability.poll(&self.members, must_be_known, now);
         self.ping(asked);
-        surroundings.view(must_be_known, now)
+        reachability.view(must_be_known, now)
     }
 
     fn begin(
@@ -172,7 +172,7 @@
     }
 
     /// Whether a gateway that should count before this one is gone.
-    fn precedent(&self, gateway: SocketAddr) -> Precedent {
+    fn predecessor_state(&self, gateway: SocketAddr) -> PredecessorState {
         let now = self.clock.now();
         let mut probes = lock(&self.probes);
         let fresh = Probe {
@@ -182,15 +182,15 @@
         let Some(probe) = probes.get_mut(&gateway) else {
             probes.insert(gateway, fresh);
             self.ping([gateway]);
-            return Precedent::Asked;
+            return PredecessorState::Probing;
         };
-        let gone_after = self.members.patience(gateway, GONE_AFTER);
+        let gone_after = self.members.patience(gateway, PREDECESSOR_TIMEOUT);
         let was_heard = self.members.heard_at(gateway) >= probe.first;
         let is_gone = !was_heard && now >= probe.first + gone_after;
         let pause = if was_heard || is_gone {
-            PING_LATER
+            SETTLED_PING_INTERVAL
         } else {
-            PING_AGAIN
+            PING_RETRY_INTERVAL
         };
         if now >= probe.last + pause {
             probe.last = now;
@@ -200,9 +200,9 @@
             }
         }
         match (was_heard, is_gone) {
-            (true, _) => Precedent::There,
-            (false, true) => Precedent::Gone,
-            (false, false) => Precedent::Asked,
+            (true, _) => PredecessorState::Alive,
+            (false, true) => PredecessorState::Gone,
+            (false, false) => PredecessorState::Probing,
         }
     }
 
@@ -214,7 +214,7 @@
     }
 
     /// Forgets buckets and gateways about which nobody asks any more.
-    pub(super) fn forget_old(&self, after: Duration) {
+    pub(super) fn remove_idle(&self, after: Duration) {
         let now = self.clock.now();
         let is_new = |at: Duration| now < at + after;
         lock(&self.counted).retain(|_, counted| is_new(counted.bucket.asked_at()));
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -9,7 +9,7 @@
 use swiftshunt_scheduler::readers::weight;
 use swiftshunt_types::TenantName;
 
-use super::{COUNTERS, Rates};
+use super::{MAX_COUNTER_CANDIDATES, Rates};
 use crate::beliefs::lock;
 use crate::messages::Notice;
 use crate::messages::rates::{CounterAnswer, RateMessage, VersionedLimit};
@@ -19,26 +19,26 @@
 const ASK_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// A question under way.
-pub(super) struct Asked {
+pub(super) struct PendingQuestion {
     tenant: TenantName,
     counter: SocketAddr,
     pub(super) at: Duration,
 }
 
 /// What became of a question to the counter.
-pub(super) enum Word {
+pub(super) enum CounterReply {
     /// It answered.
-    Came,
+    Received,
     /// It is finding out whether it is to count.
     NotYet,
     /// It did not answer in time.
-    Missed(SocketAddr),
+    TimedOut(SocketAddr),
     /// There is nobody to ask.
-    Nobody,
+    NoCounter,
 }
 
 /// What became of a question as it was asked.
-pub(super) enum Asking {
+pub(super) enum AskState {
     /// It is on its way to a gateway.
     Sent(SocketAddr),
     /// This gateway counts and has answered.
@@ -46,12 +46,16 @@
     /// This gateway is finding out whether it is to count.
     NotYet,
     /// There is nobody to ask.
-    Nobody,
+    NoCounter,
 }
 
 impl Rates {
     /// Asks the counter, or waits for the answer to a question under way.
-    pub(super) async fn word_of_counter(&self, tenant: &TenantName, limit: VersionedLimit) -> Word {
+    pub(super) async fn await_counter_reply(
+        &self,
+        tenant: &TenantName,
+        limit: VersionedLimit,
+    ) -> CounterReply {
         let within_region = ASK_TIMEOUT;
         let patience = self.counter(tenant).map_or(within_region, |counter| {
             self.members.patience(counter, within_region)
@@ -72,32 +76,32 @@
             rates: self,
             tenant,
         };
-        let word = answered.notified_owned();
-        tokio::pin!(word);
-        word.as_mut().enable();
+        let reply = answered.notified_owned();
+        tokio::pin!(reply);
+        reply.as_mut().enable();
         let mut counter = None;
         if is_to_ask {
             match self.ask(tenant, 1, limit) {
-                Asking::Sent(asked) => counter = Some((asked, self.members.heard_at(asked))),
-                Asking::Answered => return Word::Came,
-                Asking::NotYet => return Word::NotYet,
-                Asking::Nobody => return Word::Nobody,
+                AskState::Sent(asked) => counter = Some((asked, self.members.heard_at(asked))),
+                AskState::Answered => return CounterReply::Received,
+                AskState::NotYet => return CounterReply::NotYet,
+                AskState::NoCounter => return CounterReply::NoCounter,
             }
         }
-        let is_answered = tokio::time::timeout(patience, word).await.is_ok();
+        let is_answered = tokio::time::timeout(patience, reply).await.is_ok();
         match counter {
             Some((counter, heard_at)) if !is_answered => {
                 if self.members.heard_at(counter) > heard_at {
-                    return Word::NotYet;
+                    return CounterReply::NotYet;
                 }
-                Word::Missed(counter)
+                CounterReply::TimedOut(counter)
             }
-            _ => Word::Came,
+            _ => CounterReply::Received,
         }
     }
 
     /// Asks the counter for credits though no request waits, if they run low.
-    pub(super) fn ask_ahead(&self, tenant: &TenantName, limit: VersionedLimit) {
+    pub(super) fn prefetch_credits(&self, tenant: &TenantName, limit: VersionedLimit) {
         let now = self.clock.now();
         let is_due = lock(&self.tenants)
             .get_mut(tenant)
@@ -109,7 +113,7 @@
 
     /// The first gateway in the tenant's order that is not in doubt; none if all are.
     fn counter(&self, tenant: &TenantName) -> Option<SocketAddr> {
-        let order = self.members.counters(tenant, COUNTERS);
+        let order = self.members.counters(tenant, MAX_COUNTER_CANDIDATES);
         let mut there = order
             .into_iter()
             .filter(|gateway| !self.members.is_in_doubt(*gateway));
@@ -117,10 +121,10 @@
     }
 
     /// Asks the counter for credits.
-    pub(super) fn ask(&self, tenant: &TenantName, need: u32, limit: VersionedLimit) -> Asking {
+    pub(super) fn ask(&self, tenant: &TenantName, need: u32, limit: VersionedLimit) -> AskState {
         let now = self.clock.now();
         let Some(counter) = self.counter(tenant) else {
-            return Asking::Nobody;
+            return AskState::NoCounter;
         };
         let question = {
             let mut state = lock(&self.tenants);
@@ -133,23 +137,23 @@
             self.metrics.rate_asked(RateAnswer::Own);
             return match self.counters.answer(own, tenant, question, limit) {
                 CounterAnswer::Counted(verdict) => {
-                    self.take_verdict(tenant, verdict, now, own);
-                    Asking::Answered
+                    self.apply_verdict(tenant, verdict, now, own);
+                    AskState::Answered
                 }
                 CounterAnswer::CountedBy(counter) => {
                     self.members.vouched_for(counter);
-                    Asking::NotYet
+                    AskState::NotYet
                 }
-                CounterAnswer::NotYet => Asking::NotYet,
+                CounterAnswer::NotYet => AskState::NotYet,
             };
         }
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
-        let asked = Asked {
+        let asked = PendingQuestion {
             tenant: tenant.clone(),
             counter,
             at: now,
         };
-        lock(&self.asked).insert(ask, asked);
+        lock(&self.pending).insert(ask, asked);
         let message = RateMessage::Ask {
             ask,
             tenant: tenant.clone(),
@@ -157,7 +161,7 @@
             limit,
         };
         self.datagrams.send(&Notice::Rate(message), [counter]);
-        Asking::Sent(counter)
+        AskState::Sent(counter)
     }
 
     /// Takes a message of another gateway.
@@ -174,9 +178,9 @@
                 self.datagrams.send(&Notice::Rate(message), [from]);
             }
             RateMessage::Answer { ask, answer } => {
-                let asked = lock(&self.asked).remove(&ask);
+                let asked = lock(&self.pending).remove(&ask);
                 if let Some(asked) = asked.filter(|asked| asked.counter == from) {
-                    self.take_answer(asked, answer, from);
+                    self.apply_answer(asked, answer, from);
                 }
             }
             RateMessage::Ping => self
@@ -186,13 +190,13 @@
         }
     }
 
-    fn take_answer(&self, asked: Asked, answer: CounterAnswer, from: SocketAddr) {
+    fn apply_answer(&self, asked: PendingQuestion, answer: CounterAnswer, from: SocketAddr) {
         let took = self.clock.now().saturating_sub(asked.at);
         self.members.answered(from, took);
         match answer {
             CounterAnswer::Counted(verdict) => {
                 self.metrics.rate_asked(answer_of(verdict));
-                self.take_verdict(&asked.tenant, verdict, asked.at, from);
+                self.apply_verdict(&asked.tenant, verdict, asked.at, from);
             }
             CounterAnswer::CountedBy(counter) => {
                 self.metrics.rate_asked(RateAnswer::NotCounter);
@@ -210,7 +214,7 @@
         }
     }
 
-    fn take_verdict(
+    fn apply_verdict(
         &self,
         tenant: &TenantName,
         verdict: Verdict,
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -24,21 +24,21 @@
 use crate::messages::rates::VersionedLimit;
 use crate::metrics::{Metrics, RateAnswer};
 use counters::Counters;
-use credit_requests::{Asked, Word};
+use credit_requests::{CounterReply, PendingQuestion};
 
 /// Pause before a gateway is asked again that is finding out whether it is to count.
-const NOT_YET_PAUSE: Duration = Duration::from_millis(15);
+const NOT_YET_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// Longest time for which a request waits for a counter: until the first one in order is found to be gone,
 /// and the next one has found so, too.
-const LONGEST_WAIT: Duration = Duration::from_millis(240);
+const MAX_COUNTER_WAIT: Duration = Duration::from_millis(240);
 /// Gateways in a tenant's order that may count for it.
-const COUNTERS: usize = 3;
+const MAX_COUNTER_CANDIDATES: usize = 3;
 /// Pause between questions while requests are decided alone.
-const ALONE_ASK_EVERY: Duration = Duration::from_millis(250);
+const ALONE_ASK_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause between two looks for what is no longer needed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
 /// Time without a request after which an account or a bucket is forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(60);
+const IDLE_TTL: Duration = Duration::from_secs(60);
 
 /// A tenant's requests here.
 #[derive(Default)]
@@ -66,7 +66,7 @@
 
 /// What a line on a refusal tells.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
+pub(crate) struct RefusalContext {
     pub(crate) figures: Figures,
     pub(crate) counter: Option<SocketAddr>,
 }
@@ -78,7 +78,7 @@
     metrics: Arc<Metrics>,
     clock: Clock,
     tenants: Mutex<HashMap<TenantName, TenantState>>,
-    asked: Mutex<HashMap<u64, Asked>>,
+    pending: Mutex<HashMap<u64, PendingQuestion>>,
     last_ask: AtomicU64,
     counters: Counters,
 }
@@ -103,7 +103,7 @@
             metrics,
             clock,
             tenants: Mutex::default(),
-            asked: Mutex::default(),
+            pending: Mutex::default(),
             last_ask: AtomicU64::new(0),
         }
     }
@@ -119,11 +119,11 @@
         }
         let versioned = VersionedLimit::new(limit, version);
         let name = &tenant.name;
-        let patience = self.clock.now() + self.members.patience_with_all(LONGEST_WAIT);
+        let patience = self.clock.now() + self.members.patience_with_all(MAX_COUNTER_WAIT);
         while self.clock.now() < patience {
             match self.decide(name, limit) {
                 Step::Admitted => {
-                    self.ask_ahead(name, versioned);
+                    self.prefetch_credits(name, versioned);
                     return Ok(());
                 }
                 Step::Refused { again_after } => return Err(Refused::Limit(again_after)),
@@ -133,14 +133,14 @@
             if self.members.is_cut_off() {
                 break;
             }
-            match self.word_of_counter(name, versioned).await {
-                Word::Came => {}
-                Word::NotYet => tokio::time::sleep(NOT_YET_PAUSE).await,
-                Word::Missed(counter) => {
+            match self.await_counter_reply(name, versioned).await {
+                CounterReply::Received => {}
+                CounterReply::NotYet => tokio::time::sleep(NOT_YET_RETRY_DELAY).await,
+                CounterReply::TimedOut(counter) => {
                     self.metrics.rate_asked(RateAnswer::Silent);
                     self.members.missed(counter);
                 }
-                Word::Nobody => break,
+                CounterReply::NoCounter => break,
             }
         }
         self.admit_alone(name, versioned)
@@ -156,7 +156,7 @@
             let begins = state.alone_since.is_none();
             state.alone_since.get_or_insert(now);
             let asked_at = state.account.asked_at();
-            let is_due = asked_at.is_none_or(|at| now >= at + ALONE_ASK_EVERY);
+            let is_due = asked_at.is_none_or(|at| now >= at + ALONE_ASK_INTERVAL);
             let account = &mut state.account;
             let is_admitted = account.admit_alone(limit.limit(), gateways, now);
             (is_admitted, begins, is_due)
@@ -177,7 +177,7 @@
     }
 
     /// A request that was let in went to no worker.
-    pub(crate) fn give_back(&self, tenant: &Tenant) {
+    pub(crate) fn refund_credit(&self, tenant: &Tenant) {
         if tenant.rate.is_none() {
             return;
         }
@@ -188,11 +188,11 @@
     }
 
     /// What is known of a tenant's requests.
-    pub(crate) fn told(&self, tenant: &TenantName) -> Told {
+    pub(crate) fn refusal_context(&self, tenant: &TenantName) -> RefusalContext {
         let now = self.clock.now();
         let mut state = lock(&self.tenants);
         let state = state.entry(tenant.clone()).or_default();
-        Told {
+        RefusalContext {
             figures: state.account.figures(now),
             counter: state.counter,
         }
@@ -210,15 +210,15 @@
     }
 
     /// Forgets what is no longer needed, for as long as the process lives.
-    pub(crate) async fn keep_tidy(self: Arc<Self>) {
+    pub(crate) async fn run_cleanup(self: Arc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let now = self.clock.now();
-            let is_new = |at: Duration| now < at + FORGOTTEN_AFTER;
+            let is_new = |at: Duration| now < at + IDLE_TTL;
             lock(&self.tenants)
                 .retain(|_, state| state.waiting > 0 || is_new(state.account.used_at()));
-            lock(&self.asked).retain(|_, asked| now < asked.at + CREDIT_LIFE);
-            self.counters.forget_old(FORGOTTEN_AFTER);
+            lock(&self.pending).retain(|_, asked| now < asked.at + CREDIT_LIFE);
+            self.counters.remove_idle(IDLE_TTL);
         }
     }
 }
