--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -14,7 +14,7 @@
 use crate::answers::{CallerAnswer, not_run, plain, too_many};
 use crate::messages::waiting::{Allowance, LimitedJob};
 use crate::metrics::Refusal;
-use crate::waiting_limits::Fit;
+use crate::waiting_limits::ReservationOutcome;
 
 impl Batch {
     /// The answer to a call about a job where the journal is away, to a caller that gives up after
@@ -52,8 +52,8 @@
             tokens: total_tokens(spec.items.iter().map(|item| item.tokens)),
             limit,
         };
-        let fit = self.waiting_limits.fits(&job).await;
-        if fit == Fit::Fits {
+        let reservation = self.waiting_limits.reserve(&job).await;
+        if reservation == ReservationOutcome::Reserved {
             return Ok(Some(job));
         }
         if !self.dispatcher.job_regions.include_this() {
@@ -64,22 +64,29 @@
         match self.find(partition, &spec.id).await {
             Ok(()) => Ok(None),
             Err(answer) if answer.status() == StatusCode::NOT_FOUND => {
-                Err(self.no_room(&job, fit, until))
+                Err(self.no_room(&job, reservation, until))
             }
             Err(unsure) => Err(unsure),
         }
     }
 
     /// The answer to a job that finds no room, to a caller that gives up at `until`.
-    fn no_room(&self, job: &LimitedJob, fit: Fit, until: Duration) -> CallerAnswer {
+    fn no_room(
+        &self,
+        job: &LimitedJob,
+        reservation: ReservationOutcome,
+        until: Duration,
+    ) -> CallerAnswer {
         let time_left = until.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
-        let (come_back, reason) = match fit {
-            Fit::Unsure(settles_in) => {
+        let (come_back, reason) = match reservation {
+            ReservationOutcome::Undecided(settles_in) => {
                 let come_back = come_back_within_limit(settles_in, time_left, draw);
                 (come_back, Refusal::LimitUnsure)
             }
-            Fit::Full | Fit::Fits => (come_back_for_room(time_left, draw), Refusal::Limit),
+            ReservationOutcome::Full | ReservationOutcome::Reserved => {
+                (come_back_for_room(time_left, draw), Refusal::Limit)
+            }
         };
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, reason:? = reason, come_back_ms = come_back.as_millis() as u64;
--- a/crates/swiftshunt-gateway/src/batch/holdings.rs
+++ b/crates/swiftshunt-gateway/src/batch/holdings.rs
@@ -11,32 +11,32 @@
 use super::Batch;
 use super::replay::PartitionState;
 use crate::messages::waiting::{Allowance, HeldPartition};
-use crate::waiting_limits::Call;
+use crate::waiting_limits::CollectRequest;
 
 impl Batch {
     /// Counts for limits, for as long as the process lives.
-    pub(super) async fn keep_counting(self: Arc<Self>) {
+    pub(super) async fn run_counting(self: Arc<Self>) {
         let partitions = self.settings.log.partitions;
         let limits = Arc::clone(&self.waiting_limits);
         limits
-            .keep_counting(|| self.owners.holders(partitions))
+            .run_counting(|| self.owners.holders(partitions))
             .await;
     }
 
     /// Answers gateways that count, for as long as the process lives.
     pub(super) async fn answer_calls(self: Arc<Self>) {
-        let Some(mut calls) = self.waiting_limits.calls() else {
+        let Some(mut calls) = self.waiting_limits.take_collect_requests() else {
             return;
         };
-        while let Some(call) = calls.recv().await {
-            if !call.is_exact {
-                self.answer_call(call);
+        while let Some(request) = calls.recv().await {
+            if !request.is_exact {
+                self.answer_call(request);
                 continue;
             }
             let batch = Arc::clone(&self);
             tokio::spawn(async move {
                 batch.read_what_is_held().await;
-                batch.answer_call(call);
+                batch.answer_call(request);
             });
         }
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    fn answer_call(&self, call: Call) {
+    fn answer_call(&self, request: CollectRequest) {
         let Some(configuration) = self.dispatcher.beliefs.configuration() else {
             return;
         };
@@ -60,10 +60,10 @@
         let held = self.leases.partitions().into_iter();
         let held = held.filter_map(|partition| {
             let state = self.replay.state(partition);
-            held_partition(partition, &state, &call.allowance, &configuration, now)
+            held_partition(partition, &state, &request.allowance, &configuration, now)
         });
         let held = held.collect();
-        self.waiting_limits.answer(call, held);
+        self.waiting_limits.answer_collect_request(request, held);
     }
 }
 
--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -13,12 +13,12 @@
 use crate::answers::{CallerAnswer, plain, whole};
 use crate::clock::Clock;
 use crate::messages::waiting::LimitedJob;
-use crate::waiting_limits::LONGEST_PATIENCE;
+use crate::waiting_limits::MAX_ANSWER_TIMEOUT;
 
 /// How long an append is tried before the caller is answered, at most.
 pub(super) const APPEND_TIME: Duration = Duration::from_millis(2_500);
 const _: () = assert!(
-    LONGEST_PATIENCE.as_millis() + APPEND_TIME.as_millis() < GRANT_LIFETIME.as_millis(),
+    MAX_ANSWER_TIMEOUT.as_millis() + APPEND_TIME.as_millis() < GRANT_LIFETIME.as_millis(),
     "an admitted job is recorded for as long as its room is set aside"
 );
 /// Time kept back for the answer's way to the caller.
@@ -101,8 +101,8 @@
     /// Tells the gateway that counts for the job's limit what became of its record.
     fn tell_outcome(&self, limited: &LimitedJob, outcome: Appended) {
         match outcome {
-            Appended::Done => self.waiting_limits.recorded(limited),
-            Appended::Refused => self.waiting_limits.released(limited),
+            Appended::Done => self.waiting_limits.confirm_reservation(limited),
+            Appended::Refused => self.waiting_limits.release_reservation(limited),
             // It may stand later, and counts for as long as that may be.
             Appended::Unknown => {}
         }
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -127,7 +127,7 @@
         tokio::spawn(Arc::clone(self).write_results());
         tokio::spawn(Arc::clone(self).forget_old_jobs());
         tokio::spawn(Arc::clone(self).answer_calls());
-        tokio::spawn(Arc::clone(self).keep_counting());
+        tokio::spawn(Arc::clone(self).run_counting());
     }
 
     /// Stops running items here and hands the partitions over: first word of how far the items
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -36,7 +36,7 @@
 use crate::traffic::CountedLog;
 use crate::unreadable::UnreadableRecords;
 use crate::upstream::Upstream;
-use crate::waiting_limits::{Surroundings, WaitingLimits};
+use crate::waiting_limits::{Dependencies, WaitingLimits};
 
 /// Why a gateway did not start.
 #[derive(Debug, Display, Error)]
@@ -147,7 +147,7 @@
             clock,
         ));
         let running = Arc::new(Running::default());
-        let waiting_limits = Arc::new(WaitingLimits::new(Surroundings {
+        let waiting_limits = Arc::new(WaitingLimits::new(Dependencies {
             log: Arc::clone(&log),
             members: Arc::clone(&members),
             datagrams: Arc::clone(&datagrams),
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -9,38 +9,38 @@
 use swiftshunt_journal::LogError;
 use swiftshunt_scheduler::waiting_tokens::{Counter, Decision, Holding, Request, VERIFIED_FOR};
 
-use super::{Call, WaitingLimits};
+use super::{CollectRequest, WaitingLimits};
 use crate::beliefs::lock;
 use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
 use crate::metrics::Basis;
 
 /// Pause between two calls for what stands: near the limit, far from it, and while no job comes.
-const COLLECT_EVERY: Duration = Duration::from_millis(400);
-const COLLECT_FAR_EVERY: Duration = Duration::from_secs(2);
-const COLLECT_IDLE_EVERY: Duration = Duration::from_secs(30);
+const COLLECT_INTERVAL: Duration = Duration::from_millis(400);
+const COLLECT_INTERVAL_FAR: Duration = Duration::from_secs(2);
+const COLLECT_INTERVAL_IDLE: Duration = Duration::from_secs(30);
 /// Part of the limit up to which what stands is far from it.
-const FAR_PART: u64 = 4;
+const FAR_LIMIT_DIVISOR: u64 = 4;
 /// Part of the time for which a register counts after which it is read again.
-const VERIFICATIONS: u32 = 2;
+const VERIFICATIONS_PER_TTL: u32 = 2;
 /// Calls of one limit that may be answered at a time.
-const OPEN_CALLS: usize = 4;
+const MAX_OPEN_ROUNDS: usize = 4;
 /// When a question may be asked again that came before the register was read.
-const VERIFIED_IN: Duration = Duration::from_millis(20);
+const VERIFICATION_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Calls for what stands that may still be answered.
 #[derive(Default)]
-pub(super) struct Rounds {
+pub(super) struct CollectRounds {
     last: u64,
     called: HashMap<Allowance, VecDeque<(u64, Duration)>>,
 }
 
-impl Rounds {
+impl CollectRounds {
     /// Begins a call.
     fn begin(&mut self, allowance: &Allowance, now: Duration) -> u64 {
         self.last += 1;
         let calls = self.called.entry(allowance.clone()).or_default();
         calls.push_back((self.last, now));
-        while calls.len() > OPEN_CALLS {
+        while calls.len() > MAX_OPEN_ROUNDS {
             calls.pop_front();
         }
         self.last
@@ -85,24 +85,24 @@
             limit: job.limit,
         };
         let decision = counter.decide(&request, now);
-        self.tell_decision(job, counter, decision, now);
+        self.log_decision(job, counter, decision, now);
         match decision {
             Decision::Admitted => Verdict::Admitted,
             Decision::Full => Verdict::Full,
             Decision::Lost => {
-                self.attention.notify_one();
+                self.wakeup.notify_one();
                 Verdict::NotCounter
             }
             Decision::Settling(within) => {
-                self.attention.notify_one();
+                self.wakeup.notify_one();
                 Verdict::Settling {
                     within_ms: within.as_millis() as u64,
                 }
             }
             Decision::Unverified => {
-                self.attention.notify_one();
+                self.wakeup.notify_one();
                 Verdict::Settling {
-                    within_ms: VERIFIED_IN.as_millis() as u64,
+                    within_ms: VERIFICATION_RETRY_DELAY.as_millis() as u64,
                 }
             }
         }
@@ -114,13 +114,7 @@
         register.is_some_and(|register| register.counter == self.own_life && !register.is_stopped)
     }
 
-    fn tell_decision(
-        &self,
-        job: &LimitedJob,
-        counter: &Counter,
-        decision: Decision,
-        now: Duration,
-    ) {
+    fn log_decision(&self, job: &LimitedJob, counter: &Counter, decision: Decision, now: Duration) {
         let register = counter.register();
         let holdings = counter.holdings();
         // A job that has to wait asks again every few milliseconds, and its gateway tells how that ended.
@@ -143,21 +137,21 @@
         self.metrics.limit_decided(basis, fits);
     }
 
-    pub(super) fn take_recorded(&self, allowance: &Allowance, job: &str) {
+    pub(super) fn apply_recorded(&self, allowance: &Allowance, job: &str) {
         let now = self.clock.now();
         if let Some(counter) = lock(&self.counters).get_mut(allowance) {
             counter.recorded(job, now);
         }
     }
 
-    pub(super) fn take_released(&self, allowance: &Allowance, job: &str) {
+    pub(super) fn apply_released(&self, allowance: &Allowance, job: &str) {
         if let Some(counter) = lock(&self.counters).get_mut(allowance) {
             counter.released(job);
         }
     }
 
     /// Takes what a holder tells of its partitions.
-    pub(super) fn collected(
+    pub(super) fn apply_collected(
         &self,
         allowance: &Allowance,
         round: u64,
@@ -182,25 +176,25 @@
 
     /// Keeps what this gateway counts, for as long as the process lives. `holders` tells where the gateways are
     /// reached that hold partitions of the journal.
-    pub(crate) async fn keep_counting<Holders>(self: Arc<Self>, holders: impl Fn() -> Holders)
+    pub(crate) async fn run_counting<Holders>(self: Arc<Self>, holders: impl Fn() -> Holders)
     where
         Holders: Future<Output = BTreeSet<SocketAddr>>,
     {
         loop {
             if lock(&self.counters).is_empty() {
-                self.attention.notified().await;
+                self.wakeup.notified().await;
             } else {
-                let attention = self.attention.notified();
-                drop(tokio::time::timeout(COLLECT_EVERY, attention).await);
+                let wakeup = self.wakeup.notified();
+                drop(tokio::time::timeout(COLLECT_INTERVAL, wakeup).await);
             }
             let due = self.due();
             if due.iter().any(|due| due.call.is_some()) {
                 let holders = holders().await;
                 for due in &due {
-                    self.call_holders(due, &holders);
+                    self.request_holder_reports(due, &holders);
                 }
             }
-            join_all(due.iter().map(|due| self.attend(due))).await;
+            join_all(due.iter().map(|due| self.maintain_register(due))).await;
         }
     }
 
@@ -213,13 +207,13 @@
             let is_asked = counter.is_asked(now);
             let most = counter.holdings().most();
             let is_exact = counter.needs_exact_reports(now);
-            let is_far = counter.is_settled() && most < counter.limit() / FAR_PART;
+            let is_far = counter.is_settled() && most < counter.limit() / FAR_LIMIT_DIVISOR;
             let pause = if !is_asked {
-                COLLECT_IDLE_EVERY
+                COLLECT_INTERVAL_IDLE
             } else if is_far && !is_exact {
-                COLLECT_FAR_EVERY
+                COLLECT_INTERVAL_FAR
             } else {
-                COLLECT_EVERY
+                COLLECT_INTERVAL
             };
             let called_at = rounds.last_at(allowance);
             let is_time = called_at.is_none_or(|at| now >= at + pause);
@@ -228,7 +222,7 @@
                 allowance: allowance.clone(),
                 limit: counter.limit(),
                 is_to_verify: is_asked
-                    && now >= counter.verified_at() + VERIFIED_FOR / VERIFICATIONS,
+                    && now >= counter.verified_at() + VERIFIED_FOR / VERIFICATIONS_PER_TTL,
                 call: is_call.then_some(is_exact),
             }
         });
@@ -236,14 +230,14 @@
     }
 
     /// Calls for what stands in all partitions.
-    fn call_holders(&self, due: &Due, holders: &BTreeSet<SocketAddr>) {
+    fn request_holder_reports(&self, due: &Due, holders: &BTreeSet<SocketAddr>) {
         let Some(is_exact) = due.call else {
             return;
         };
         let now = self.clock.now();
         let round = lock(&self.rounds).begin(&due.allowance, now);
         let own = self.members.own();
-        self.call(Call {
+        self.enqueue(CollectRequest {
             from: own,
             round,
             allowance: due.allowance.clone(),
@@ -260,11 +254,11 @@
     }
 
     /// Reads the register again where that is due, and changes it where that is wanted.
-    async fn attend(&self, due: &Due) {
+    async fn maintain_register(&self, due: &Due) {
         let attended = async {
             if due.is_to_verify {
                 let reading = self.registers.read(&due.allowance).await?;
-                self.learn(&due.allowance, reading, due.limit);
+                self.apply_reading(&due.allowance, reading, due.limit);
                 self.count_again(due).await?;
             }
             self.change_register(due).await
@@ -289,7 +283,7 @@
         let proposal = change.register();
         log::info!(route = allowance.route.as_str(), change:? = change; "a register of a limit changes");
         let reading = self.registers.propose(allowance, proposal).await?;
-        self.learn(allowance, reading, due.limit);
+        self.apply_reading(allowance, reading, due.limit);
         Ok(())
     }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -20,7 +20,7 @@
 use swiftshunt_scheduler::waiting_tokens::Counter;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-pub(crate) use reservation::{Fit, LONGEST_PATIENCE};
+pub(crate) use reservation::{MAX_ANSWER_TIMEOUT, ReservationOutcome};
 
 use crate::batch::{Member, partition_of};
 use crate::beliefs::lock;
@@ -31,17 +31,17 @@
 use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
 use crate::metrics::Metrics;
 use crate::unreadable::UnreadableRecords;
-use counting::Rounds;
+use counting::CollectRounds;
 use registers::Registers;
 
 /// Calls for reports that wait to be answered; what comes beyond is called for again.
-const MOST_CALLS: usize = 256;
+const MAX_QUEUED_COLLECT_REQUESTS: usize = 256;
 
 /// Partitions of which one datagram tells: some 50 bytes each.
-const PARTITIONS_TOLD: usize = 16;
+const PARTITIONS_PER_DATAGRAM: usize = 16;
 
 /// A call for what stands in the partitions that this gateway holds.
-pub(crate) struct Call {
+pub(crate) struct CollectRequest {
     pub(crate) from: SocketAddr,
     pub(crate) round: u64,
     pub(crate) allowance: Allowance,
@@ -50,7 +50,7 @@
 }
 
 /// What the limits are kept with.
-pub(crate) struct Surroundings {
+pub(crate) struct Dependencies {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) members: Arc<Members>,
     pub(crate) datagrams: Arc<Datagrams>,
@@ -73,20 +73,20 @@
     registers: Registers,
     /// Limits for which this gateway counts.
     counters: Mutex<HashMap<Allowance, Counter>>,
-    rounds: Mutex<Rounds>,
+    rounds: Mutex<CollectRounds>,
     /// Something is to be done about a limit for which this gateway counts.
-    attention: Notify,
+    wakeup: Notify,
     asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
     last_ask: AtomicU64,
-    calls: mpsc::Sender<Call>,
-    calls_to_answer: Mutex<Option<mpsc::Receiver<Call>>>,
+    collect_sender: mpsc::Sender<CollectRequest>,
+    collect_receiver: Mutex<Option<mpsc::Receiver<CollectRequest>>>,
     /// Whether this gateway stops: it begins to count for no limit.
     is_stopping: AtomicBool,
 }
 
 impl WaitingLimits {
-    pub(crate) fn new(surroundings: Surroundings) -> Self {
-        let Surroundings {
+    pub(crate) fn new(dependencies: Dependencies) -> Self {
+        let Dependencies {
             log,
             members,
             datagrams,
@@ -94,8 +94,8 @@
             unreadable,
             clock,
             partitions,
-        } = surroundings;
-        let (calls, calls_to_answer) = mpsc::channel(MOST_CALLS);
+        } = dependencies;
+        let (collect_sender, collect_receiver) = mpsc::channel(MAX_QUEUED_COLLECT_REQUESTS);
         Self {
             own_life: Member::new(members.own()).to_string(),
             registers: Registers::new(log, partitions, unreadable, clock),
@@ -106,11 +106,11 @@
             partitions,
             counters: Mutex::default(),
             rounds: Mutex::default(),
-            attention: Notify::new(),
+            wakeup: Notify::new(),
             asks: Mutex::default(),
             last_ask: AtomicU64::new(0),
-            calls,
-            calls_to_answer: Mutex::new(Some(calls_to_answer)),
+            collect_sender,
+            collect_receiver: Mutex::new(Some(collect_receiver)),
             is_stopping: AtomicBool::new(false),
         }
     }
@@ -120,23 +120,27 @@
     }
 
     /// The calls of gateways that count, for the one who answers them; none the second time.
-    pub(crate) fn calls(&self) -> Option<mpsc::Receiver<Call>> {
-        lock(&self.calls_to_answer).take()
+    pub(crate) fn take_collect_requests(&self) -> Option<mpsc::Receiver<CollectRequest>> {
+        lock(&self.collect_receiver).take()
     }
 
     /// Answers a call with what stands in partitions that are held here.
-    pub(crate) fn answer(&self, call: Call, partitions: Vec<HeldPartition>) {
-        let Call {
+    pub(crate) fn answer_collect_request(
+        &self,
+        request: CollectRequest,
+        partitions: Vec<HeldPartition>,
+    ) {
+        let CollectRequest {
             from,
             round,
             allowance,
             ..
-        } = call;
+        } = request;
         if from == self.members.own() {
-            self.collected(&allowance, round, partitions);
+            self.apply_collected(&allowance, round, partitions);
             return;
         }
-        for partitions in partitions.chunks(PARTITIONS_TOLD) {
+        for partitions in partitions.chunks(PARTITIONS_PER_DATAGRAM) {
             let message = WaitingMessage::Collected {
                 round,
                 allowance: allowance.clone(),
@@ -164,26 +168,26 @@
                     log::debug!(ask; "an answer about a limit came to nobody");
                 }
             }
-            WaitingMessage::Recorded { allowance, job } => self.take_recorded(&allowance, &job),
-            WaitingMessage::Released { allowance, job } => self.take_released(&allowance, &job),
+            WaitingMessage::Recorded { allowance, job } => self.apply_recorded(&allowance, &job),
+            WaitingMessage::Released { allowance, job } => self.apply_released(&allowance, &job),
             WaitingMessage::Collect {
                 round,
                 allowance,
                 is_exact,
             } => {
-                let call = Call {
+                let request = CollectRequest {
                     from,
                     round,
                     allowance,
                     is_exact,
                 };
-                self.call(call);
+                self.enqueue(request);
             }
             WaitingMessage::Collected {
                 round,
                 allowance,
                 partitions,
-            } => self.collected(&allowance, round, partitions),
+            } => self.apply_collected(&allowance, round, partitions),
             WaitingMessage::Ask {
                 ask,
                 allowance,
@@ -209,15 +213,15 @@
     async fn answer_earlier_build(self: Arc<Self>, ask: u64, job: LimitedJob, from: SocketAddr) {
         let answer = WaitingMessage::Answer {
             ask,
-            fits: self.fits(&job).await == Fit::Fits,
+            fits: self.reserve(&job).await == ReservationOutcome::Reserved,
             waiting: job.limit,
         };
         self.send(answer, from);
     }
 
     /// Hands a call to the one who answers.
-    fn call(&self, call: Call) {
-        if let Err(error) = self.calls.try_send(call) {
+    fn enqueue(&self, request: CollectRequest) {
+        if let Err(error) = self.collect_sender.try_send(request) {
             log::debug!("a call for what stands is dropped: {error}");
         }
     }
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -59,7 +59,7 @@
 
 /// The registers of one limit.
 #[derive(Default)]
-struct Standing {
+struct LimitRecords {
     newest: Option<Register>,
     /// Keys of all records that are there.
     keys: Vec<Vec<u8>>,
@@ -70,7 +70,7 @@
 struct Partition {
     view: KeyedView,
     is_listed: bool,
-    limits: HashMap<LimitName, Standing>,
+    limits: HashMap<LimitName, LimitRecords>,
     /// When the last read that succeeded began.
     read_at: Option<Duration>,
 }
@@ -201,14 +201,14 @@
         for change in changes {
             match change {
                 Change::Set(record) => match read_record(&record.key, &record.value) {
-                    Ok((name, register)) => partition.stands(name, register, record.key),
+                    Ok((name, register)) => partition.apply_register(name, register, record.key),
                     Err(error) => self
                         .unreadable
                         .passed_over(Topic::Limits, &record.key, &error),
                 },
                 Change::Dropped(key) => {
                     self.unreadable.is_over(Topic::Limits, &key);
-                    partition.is_dropped(&key);
+                    partition.remove_key(&key);
                 }
             }
         }
@@ -222,28 +222,28 @@
 
     /// Keys of records of a limit's versions before one.
     fn keys_before(&self, name: &LimitName, version: u64) -> Vec<Vec<u8>> {
-        let keys = self.limits.get(name).map(|standing| &standing.keys);
+        let keys = self.limits.get(name).map(|records| &records.keys);
         let is_before = |key: &&Vec<u8>| read_key(key).is_ok_and(|(_, at)| at < version);
         let keys = keys.into_iter().flatten().filter(is_before);
         keys.cloned().collect()
     }
 
     /// The first record of a version that is newer counts.
-    fn stands(&mut self, name: LimitName, register: Register, key: Vec<u8>) {
-        let standing = self.limits.entry(name).or_default();
-        standing.keys.push(key);
-        let newest = standing.newest.as_ref().map_or(0, |it| it.version);
+    fn apply_register(&mut self, name: LimitName, register: Register, key: Vec<u8>) {
+        let records = self.limits.entry(name).or_default();
+        records.keys.push(key);
+        let newest = records.newest.as_ref().map_or(0, |it| it.version);
         if register.version > newest {
-            standing.newest = Some(register);
+            records.newest = Some(register);
         }
     }
 
-    fn is_dropped(&mut self, key: &[u8]) {
+    fn remove_key(&mut self, key: &[u8]) {
         let Ok((name, _)) = read_key(key) else {
             return;
         };
-        if let Some(standing) = self.limits.get_mut(&name) {
-            standing.keys.retain(|known| known != key);
+        if let Some(records) = self.limits.get_mut(&name) {
+            records.keys.retain(|known| known != key);
         }
     }
 }
@@ -296,7 +296,7 @@
     fn take(partition: &mut Partition, register: &Register) -> Vec<u8> {
         let (key, value) = record(&name(), register);
         let (name, register) = read_record(&key, &value).expect("a register");
-        partition.stands(name, register, key.clone());
+        partition.apply_register(name, register, key.clone());
         key
     }
 
@@ -324,7 +324,7 @@
         let own = first.taken_over("life-3", 1_000);
         let dropped = partition.keys_before(&name(), own.version);
         assert_eq!(dropped, std::slice::from_ref(&superseded));
-        partition.is_dropped(&superseded);
+        partition.remove_key(&superseded);
         assert!(partition.keys_before(&name(), own.version).is_empty());
     }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -17,44 +17,45 @@
 
 /// How long the answer of the gateway that counts is waited for: a caller waits for its 202 meanwhile, for
 /// hundreds of milliseconds at least.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
 /// The same where the gateway that counts is far: the job is recorded after it, within the lifetime of a grant.
-pub(crate) const LONGEST_PATIENCE: Duration = Duration::from_millis(450);
+pub(crate) const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 /// Questions in a row that are not answered after which a gateway takes over: one may be lost.
-const MISSES: u32 = 2;
+const MAX_MISSED_ANSWERS: u32 = 2;
 /// Pause before a question is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(20);
+const ASK_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Time for which it is worth waiting until it is known whether a job fits.
-const WORTH_WAITING: Duration = Duration::from_millis(300);
+const MAX_SETTLING_WAIT: Duration = Duration::from_millis(300);
 /// Time in which it is found out whether a job fits, or the caller is told to come back.
-const LONGEST_DECISION: Duration = Duration::from_millis(900);
+const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Whether a job fits into its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fit {
+pub(crate) enum ReservationOutcome {
     /// It does; its room is set aside until its record stands.
-    Fits,
+    Reserved,
     /// It does not.
     Full,
     /// It is not known; it is after this time.
-    Unsure(Duration),
+    Undecided(Duration),
 }
 
 impl WaitingLimits {
     /// Whether a job fits into its limit.
-    pub(crate) async fn fits(&self, job: &LimitedJob) -> Fit {
-        let until = self.clock.now() + LONGEST_DECISION;
+    pub(crate) async fn reserve(&self, job: &LimitedJob) -> ReservationOutcome {
+        let until = self.clock.now() + DECISION_TIMEOUT;
         let mut missed = None;
         let mut settles_in = Duration::ZERO;
         while self.clock.now() < until {
             let left = until.saturating_sub(self.clock.now());
-            let asked = tokio::time::timeout(left, self.ask_who_counts(job, &mut missed)).await;
+            let asked =
+                tokio::time::timeout(left, self.ask_current_counter(job, &mut missed)).await;
             match asked {
-                Ok(Ok(Some(Verdict::Admitted))) => return Fit::Fits,
-                Ok(Ok(Some(Verdict::Full))) => return Fit::Full,
+                Ok(Ok(Some(Verdict::Admitted))) => return ReservationOutcome::Reserved,
+                Ok(Ok(Some(Verdict::Full))) => return ReservationOutcome::Full,
                 Ok(Ok(Some(Verdict::Settling { within_ms }))) => {
                     settles_in = Duration::from_millis(within_ms);
-                    if settles_in > WORTH_WAITING {
+                    if settles_in > MAX_SETTLING_WAIT {
                         break;
                     }
                 }
@@ -64,29 +65,29 @@
                 }
                 Err(_) => break,
             }
-            tokio::time::sleep(ASK_AGAIN).await;
+            tokio::time::sleep(ASK_RETRY_DELAY).await;
         }
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, settles_in_ms = settles_in.as_millis() as u64;
             "it is not known whether a job fits");
         self.metrics.limit_decided(Basis::Nothing, false);
-        Fit::Unsure(settles_in)
+        ReservationOutcome::Undecided(settles_in)
     }
 
     /// The record of a job that fits stands.
-    pub(crate) fn recorded(&self, job: &LimitedJob) {
+    pub(crate) fn confirm_reservation(&self, job: &LimitedJob) {
         let (allowance, job) = (job.allowance.clone(), job.job.clone());
         match self.other_counter(&allowance) {
-            None => self.take_recorded(&allowance, &job),
+            None => self.apply_recorded(&allowance, &job),
             Some(counter) => self.send(WaitingMessage::Recorded { allowance, job }, counter),
         }
     }
 
     /// A job that fits was not recorded, and will not be.
-    pub(crate) fn released(&self, job: &LimitedJob) {
+    pub(crate) fn release_reservation(&self, job: &LimitedJob) {
         let (allowance, job) = (job.allowance.clone(), job.job.clone());
         match self.other_counter(&allowance) {
-            None => self.take_released(&allowance, &job),
+            None => self.apply_released(&allowance, &job),
             Some(counter) => self.send(WaitingMessage::Released { allowance, job }, counter),
         }
     }
@@ -100,7 +101,7 @@
 
     /// Asks the gateway that counts; none if it has to be asked again. `missed` is the life that did not answer
     /// the last question, and how many times.
-    async fn ask_who_counts(
+    async fn ask_current_counter(
         &self,
         job: &LimitedJob,
         missed: &mut Option<(String, u32)>,
@@ -120,7 +121,7 @@
             return Ok(None);
         }
         if register.counter == self.own_life {
-            return self.ask_itself(job).await.map(Some);
+            return self.decide_locally(job).await.map(Some);
         }
         let verdict = self.ask(&register, job).await;
         let is_gone = match verdict {
@@ -130,7 +131,7 @@
                 let before = missed.take().filter(|(life, _)| *life == register.counter);
                 let misses = before.map_or(0, |(_, misses)| misses) + 1;
                 *missed = Some((register.counter.clone(), misses));
-                misses >= MISSES
+                misses >= MAX_MISSED_ANSWERS
             }
         };
         if is_gone {
@@ -141,11 +142,11 @@
     }
 
     /// Decides by what this gateway counts; takes up what it is said to count.
-    async fn ask_itself(&self, job: &LimitedJob) -> Result<Verdict, LogError> {
+    async fn decide_locally(&self, job: &LimitedJob) -> Result<Verdict, LogError> {
         let verdict = self.decide(job);
         if verdict == Verdict::NotCounter {
             let reading = self.registers.read(&job.allowance).await?;
-            self.learn(&job.allowance, reading, job.limit);
+            self.apply_reading(&job.allowance, reading, job.limit);
         }
         Ok(verdict)
     }
@@ -163,8 +164,8 @@
         };
         let asked_at = self.clock.now();
         self.send(question, counter);
-        let patience = self.members.patience(counter, ANSWER_PATIENCE);
-        let patience = patience.min(LONGEST_PATIENCE);
+        let patience = self.members.patience(counter, ANSWER_TIMEOUT);
+        let patience = patience.min(MAX_ANSWER_TIMEOUT);
         let answer = tokio::time::timeout(patience, receiver).await;
         lock(&self.asks).remove(&ask);
         if let Ok(Ok(verdict)) = answer {
@@ -192,16 +193,16 @@
         }
         let read = self.registers.read(allowance).await?;
         if read.register.as_ref().map(|register| register.version) != version {
-            self.learn(allowance, read, limit);
+            self.apply_reading(allowance, read, limit);
             return Ok(());
         }
         let proposal = match &read.register {
             None => Register::first(&self.own_life, limit),
             Some(register) if register.counter == self.own_life => {
-                self.learn(allowance, read, limit);
+                self.apply_reading(allowance, read, limit);
                 return Ok(());
             }
-            Some(register) if self.knows_what_stands(allowance, register) => {
+            Some(register) if self.has_settled_count(allowance, register) => {
                 register.taken_back(&self.own_life)
             }
             Some(register) => register.taken_over(&self.own_life, limit),
@@ -214,12 +215,12 @@
             version = stands.map_or(0, |register| register.version),
             share = stands.map_or(0, |register| register.share), limit;
             "this gateway would count a route's waiting tokens");
-        self.learn(allowance, reading, limit);
+        self.apply_reading(allowance, reading, limit);
         Ok(())
     }
 
     /// Takes up what a read of the register showed.
-    pub(super) fn learn(&self, allowance: &Allowance, reading: Reading, limit: u64) {
+    pub(super) fn apply_reading(&self, allowance: &Allowance, reading: Reading, limit: u64) {
         let Some(register) = reading.register else {
             return;
         };
@@ -241,13 +242,13 @@
                 let counter =
                     Counter::begin(register, limit, reading.read_at, now, self.partitions);
                 counters.insert(allowance.clone(), counter);
-                self.attention.notify_one();
+                self.wakeup.notify_one();
             }
         }
     }
 
     /// Whether this gateway counted last that knows what stands, and still does.
-    fn knows_what_stands(&self, allowance: &Allowance, register: &Register) -> bool {
+    fn has_settled_count(&self, allowance: &Allowance, register: &Register) -> bool {
         let counters = lock(&self.counters);
         let is_settled = counters.get(allowance).is_some_and(Counter::is_settled);
         is_settled && register.known_to.as_ref() == Some(&self.own_life)
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -14,9 +14,9 @@
 
 /// Time for which what was admitted is waited for: most appends take a few tens of milliseconds, and whoever takes
 /// over without word waits for it itself.
-const LONGEST_STOP: Duration = Duration::from_secs(1);
+const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two looks.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl WaitingLimits {
     /// Has other gateways count in place of this one, which stops.
@@ -41,7 +41,7 @@
     }
 
     async fn stop_counting(&self, allowance: &Allowance) {
-        let stopped = tokio::time::timeout(LONGEST_STOP, self.say_that_it_stopped(allowance));
+        let stopped = tokio::time::timeout(STOP_TIMEOUT, self.write_stopped_register(allowance));
         let is_said = match stopped.await {
             Ok(Ok(is_said)) => is_said,
             Ok(Err(error)) => {
@@ -57,16 +57,16 @@
 
     /// Whether the register says that this gateway has stopped: not if another one counts, or this one does not
     /// know what stands.
-    async fn say_that_it_stopped(&self, allowance: &Allowance) -> Result<bool, LogError> {
+    async fn write_stopped_register(&self, allowance: &Allowance) -> Result<bool, LogError> {
         while self.is_counter(allowance) {
             let Some((limit, proposal)) = self.stopped(allowance) else {
                 return Ok(false);
             };
             if let Some(proposal) = proposal {
                 let reading = self.registers.propose(allowance, &proposal).await?;
-                self.learn(allowance, reading, limit);
+                self.apply_reading(allowance, reading, limit);
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         let register = self.registers.known(allowance);
         Ok(register.is_some_and(|register| register.counter == self.own_life))
