--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -47,7 +47,7 @@
                 route: route.name.clone(),
                 tenant: spec.tenant.clone(),
             },
-            job: LimitedJob::name(&spec.id),
+            job: LimitedJob::job_name(&spec.id),
             partition,
             tokens: total_tokens(spec.items.iter().map(|item| item.tokens)),
             limit,
--- a/crates/swiftshunt-gateway/src/messages/slots.rs
+++ b/crates/swiftshunt-gateway/src/messages/slots.rs
@@ -39,7 +39,7 @@
         /// The question.
         ask: u64,
         /// The worker, or why there is none.
-        verdict: Verdict,
+        verdict: SlotVerdict,
         /// A cell of another region that has room, where this one has none.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         elsewhere: Option<Cell>,
@@ -107,7 +107,7 @@
 }
 
 /// What an owner decides about a request.
-pub(crate) type Verdict = Result<Assigned, NotPlaced>;
+pub(crate) type SlotVerdict = Result<Assigned, NotPlaced>;
 
 /// A worker that an owner assigned to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/swiftshunt-gateway/src/messages/waiting.rs
+++ b/crates/swiftshunt-gateway/src/messages/waiting.rs
@@ -32,7 +32,7 @@
 
 impl LimitedJob {
     /// Names a job that has an identifier: callers may choose one of any length.
-    pub(crate) fn name(identifier: &str) -> String {
+    pub(crate) fn job_name(identifier: &str) -> String {
         if identifier.len() <= MAX_PLAIN_NAME_BYTES {
             return identifier.to_owned();
         }
@@ -42,7 +42,7 @@
 
 /// What the gateway that counts says about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Verdict {
+pub(crate) enum JobVerdict {
     /// It fits.
     Admitted,
     /// It does not fit now.
@@ -115,7 +115,7 @@
         /// The question.
         ask: u64,
         /// What is decided.
-        verdict: Verdict,
+        verdict: JobVerdict,
     },
     /// The record of an admitted job stands.
     Recorded {
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -27,7 +27,7 @@
 use crate::datagrams::Datagrams;
 use crate::members::Members;
 use crate::messages::Notice;
-use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, Verdict};
+use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, SlotVerdict};
 use crate::metrics::{Metrics, SlotAnswer};
 use crate::own_failures::OwnFailures;
 use crate::running::Running;
@@ -55,7 +55,7 @@
 
 /// What an owner answered.
 struct OwnerReply {
-    verdict: Verdict,
+    verdict: SlotVerdict,
     /// A cell of another region that has room, where this one has none.
     elsewhere: Option<Cell>,
 }
@@ -73,7 +73,7 @@
         Self { answer, reply }
     }
 
-    fn into_verdict(self) -> (SlotAnswer, Option<Verdict>) {
+    fn into_verdict(self) -> (SlotAnswer, Option<SlotVerdict>) {
         let verdict = self.reply.map(|reply| reply.verdict);
         (self.answer, verdict)
     }
@@ -371,7 +371,7 @@
     }
 
     /// An owner's answer to a question about its cell.
-    fn owner_reply(&self, cell: &Cell, verdict: Verdict) -> OwnerReply {
+    fn owner_reply(&self, cell: &Cell, verdict: SlotVerdict) -> OwnerReply {
         let is_full = verdict == Err(NotPlaced::Full);
         let elsewhere = is_full.then(|| self.overflow_cell(cell)).flatten();
         OwnerReply { verdict, elsewhere }
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -11,7 +11,7 @@
 use super::Slots;
 use super::queue::GrantedSlot;
 use crate::beliefs::lock;
-use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, Verdict};
+use crate::messages::slots::{Assigned, SlotMessage as Message, SlotRequest, SlotVerdict};
 
 impl Slots {
     /// Takes a report, has items leave workers that hold too much, and grants what is free to items
@@ -45,7 +45,7 @@
         from: SocketAddr,
         report: Report,
         request: &SlotRequest,
-    ) -> Verdict {
+    ) -> SlotVerdict {
         let now = self.clock.now();
         let (workers, rates) = {
             let selector = self.beliefs.selector();
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -11,7 +11,7 @@
 
 use super::{CollectRequest, WaitingLimits};
 use crate::beliefs::lock;
-use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
+use crate::messages::waiting::{Allowance, HeldPartition, JobVerdict, LimitedJob, WaitingMessage};
 use crate::metrics::Basis;
 
 /// Pause between two calls for what stands: near the limit, far from it, and while no job comes.
@@ -69,14 +69,14 @@
 
 impl WaitingLimits {
     /// Decides about a job where this gateway counts.
-    pub(super) fn decide(&self, job: &LimitedJob) -> Verdict {
+    pub(super) fn decide(&self, job: &LimitedJob) -> JobVerdict {
         if !self.is_counter(&job.allowance) {
-            return Verdict::NotCounter;
+            return JobVerdict::NotCounter;
         }
         let now = self.clock.now();
         let mut counters = lock(&self.counters);
         let Some(counter) = counters.get_mut(&job.allowance) else {
-            return Verdict::NotCounter;
+            return JobVerdict::NotCounter;
         };
         let request = Request {
             job: &job.job,
@@ -87,21 +87,21 @@
         let decision = counter.decide(&request, now);
         self.log_decision(job, counter, decision, now);
         match decision {
-            Decision::Admitted => Verdict::Admitted,
-            Decision::Full => Verdict::Full,
+            Decision::Admitted => JobVerdict::Admitted,
+            Decision::Full => JobVerdict::Full,
             Decision::Lost => {
                 self.wakeup.notify_one();
-                Verdict::NotCounter
+                JobVerdict::NotCounter
             }
             Decision::Settling(within) => {
                 self.wakeup.notify_one();
-                Verdict::Settling {
+                JobVerdict::Settling {
                     within_ms: within.as_millis() as u64,
                 }
             }
             Decision::Unverified => {
                 self.wakeup.notify_one();
-                Verdict::Settling {
+                JobVerdict::Settling {
                     within_ms: VERIFICATION_RETRY_DELAY.as_millis() as u64,
                 }
             }
@@ -110,7 +110,7 @@
 
     /// Whether this gateway counts for a limit, as far as it has read.
     pub(super) fn is_counter(&self, allowance: &Allowance) -> bool {
-        let register = self.registers.known(allowance);
+        let register = self.registers.cached(allowance);
         register.is_some_and(|register| register.counter == self.own_life && !register.is_stopped)
     }
 
@@ -290,7 +290,7 @@
     /// Counts again where this gateway knows what stands and the one that has taken over does not answer: that one
     /// may be cut off from all others.
     async fn count_again(&self, due: &Due) -> Result<(), LogError> {
-        let known = self.registers.known(&due.allowance);
+        let known = self.registers.cached(&due.allowance);
         let Some(register) = known.filter(|register| register.counter != self.own_life) else {
             return Ok(());
         };
@@ -302,7 +302,7 @@
             limit: due.limit,
         };
         match self.ask(&register, &question).await {
-            None | Some(Verdict::NotCounter) => {
+            None | Some(JobVerdict::NotCounter) => {
                 let version = Some(register.version);
                 self.take_over(&due.allowance, due.limit, version).await
             }
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -28,7 +28,7 @@
 use crate::datagrams::Datagrams;
 use crate::members::Members;
 use crate::messages::Notice;
-use crate::messages::waiting::{Allowance, HeldPartition, LimitedJob, Verdict, WaitingMessage};
+use crate::messages::waiting::{Allowance, HeldPartition, JobVerdict, LimitedJob, WaitingMessage};
 use crate::metrics::Metrics;
 use crate::unreadable::UnreadableRecords;
 use counting::CollectRounds;
@@ -76,7 +76,7 @@
     rounds: Mutex<CollectRounds>,
     /// Something is to be done about a limit for which this gateway counts.
     wakeup: Notify,
-    asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
+    asks: Mutex<HashMap<u64, oneshot::Sender<JobVerdict>>>,
     last_ask: AtomicU64,
     collect_sender: mpsc::Sender<CollectRequest>,
     collect_receiver: Mutex<Option<mpsc::Receiver<CollectRequest>>>,
@@ -158,7 +158,7 @@
                 let verdict = if counter == self.own_life {
                     self.decide(&job)
                 } else {
-                    Verdict::NotCounter
+                    JobVerdict::NotCounter
                 };
                 self.send(WaitingMessage::Decided { ask, verdict }, from);
             }
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -77,7 +77,7 @@
 
 /// What a read gave.
 #[derive(Clone, Debug)]
-pub(super) struct Reading {
+pub(super) struct RegisterReading {
     /// The newest register of the limit; none if it has none.
     pub(super) register: Option<Register>,
     /// When the read began: what stood then is known.
@@ -91,7 +91,7 @@
     unreadable: Arc<UnreadableRecords>,
     partitions: Vec<tokio::sync::Mutex<Partition>>,
     /// The newest of each limit that was read.
-    known: std::sync::Mutex<HashMap<Allowance, Register>>,
+    cached: std::sync::Mutex<HashMap<Allowance, Register>>,
 }
 
 impl Registers {
@@ -107,17 +107,17 @@
             clock,
             unreadable,
             partitions: partitions.collect(),
-            known: std::sync::Mutex::default(),
+            cached: std::sync::Mutex::default(),
         }
     }
 
     /// The newest register of a limit that was read; it may be old.
-    pub(super) fn known(&self, allowance: &Allowance) -> Option<Register> {
-        lock(&self.known).get(allowance).cloned()
+    pub(super) fn cached(&self, allowance: &Allowance) -> Option<Register> {
+        lock(&self.cached).get(allowance).cloned()
     }
 
     /// Reads the register of a limit.
-    pub(super) async fn read(&self, allowance: &Allowance) -> Result<Reading, LogError> {
+    pub(super) async fn read(&self, allowance: &Allowance) -> Result<RegisterReading, LogError> {
         let asked_at = self.clock.now();
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
@@ -129,9 +129,9 @@
         };
         let register = partition.newest(&name);
         if let Some(register) = &register {
-            lock(&self.known).insert(allowance.clone(), register.clone());
+            lock(&self.cached).insert(allowance.clone(), register.clone());
         }
-        Ok(Reading { register, read_at })
+        Ok(RegisterReading { register, read_at })
     }
 
     /// Proposes a register, and reads which one stands.
@@ -139,7 +139,7 @@
         &self,
         allowance: &Allowance,
         proposal: &Register,
-    ) -> Result<Reading, LogError> {
+    ) -> Result<RegisterReading, LogError> {
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
         let partition = self.partitions[number as usize].lock().await;
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -9,10 +9,10 @@
 use tokio::sync::oneshot;
 
 use super::WaitingLimits;
-use super::registers::Reading;
+use super::registers::RegisterReading;
 use crate::batch::Member;
 use crate::beliefs::lock;
-use crate::messages::waiting::{Allowance, LimitedJob, Verdict, WaitingMessage};
+use crate::messages::waiting::{Allowance, JobVerdict, LimitedJob, WaitingMessage};
 use crate::metrics::Basis;
 
 /// How long the answer of the gateway that counts is waited for: a caller waits for its 202 meanwhile, for
@@ -51,15 +51,15 @@
             let asked =
                 tokio::time::timeout(left, self.ask_current_counter(job, &mut missed)).await;
             match asked {
-                Ok(Ok(Some(Verdict::Admitted))) => return ReservationOutcome::Reserved,
-                Ok(Ok(Some(Verdict::Full))) => return ReservationOutcome::Full,
-                Ok(Ok(Some(Verdict::Settling { within_ms }))) => {
+                Ok(Ok(Some(JobVerdict::Admitted))) => return ReservationOutcome::Reserved,
+                Ok(Ok(Some(JobVerdict::Full))) => return ReservationOutcome::Full,
+                Ok(Ok(Some(JobVerdict::Settling { within_ms }))) => {
                     settles_in = Duration::from_millis(within_ms);
                     if settles_in > MAX_SETTLING_WAIT {
                         break;
                     }
                 }
-                Ok(Ok(Some(Verdict::NotCounter) | None)) => {}
+                Ok(Ok(Some(JobVerdict::NotCounter) | None)) => {}
                 Ok(Err(error)) => {
                     log::debug!(job = job.job.as_str(); "it is not known who counts: {error}");
                 }
@@ -94,7 +94,7 @@
 
     /// The gateway that counts, unless it is this one or none is known.
     fn other_counter(&self, allowance: &Allowance) -> Option<SocketAddr> {
-        let register = self.registers.known(allowance)?;
+        let register = self.registers.cached(allowance)?;
         let address = address_of(&register)?;
         Some(address).filter(|_| register.counter != self.own_life)
     }
@@ -105,9 +105,9 @@
         &self,
         job: &LimitedJob,
         missed: &mut Option<(String, u32)>,
-    ) -> Result<Option<Verdict>, LogError> {
+    ) -> Result<Option<JobVerdict>, LogError> {
         let allowance = &job.allowance;
-        let register = match self.registers.known(allowance) {
+        let register = match self.registers.cached(allowance) {
             Some(register) => Some(register),
             None => self.registers.read(allowance).await?.register,
         };
@@ -125,7 +125,7 @@
         }
         let verdict = self.ask(&register, job).await;
         let is_gone = match verdict {
-            Some(Verdict::NotCounter) => true,
+            Some(JobVerdict::NotCounter) => true,
             Some(verdict) => return Ok(Some(verdict)),
             None => {
                 let before = missed.take().filter(|(life, _)| *life == register.counter);
@@ -142,9 +142,9 @@
     }
 
     /// Decides by what this gateway counts; takes up what it is said to count.
-    async fn decide_locally(&self, job: &LimitedJob) -> Result<Verdict, LogError> {
+    async fn decide_locally(&self, job: &LimitedJob) -> Result<JobVerdict, LogError> {
         let verdict = self.decide(job);
-        if verdict == Verdict::NotCounter {
+        if verdict == JobVerdict::NotCounter {
             let reading = self.registers.read(&job.allowance).await?;
             self.apply_reading(&job.allowance, reading, job.limit);
         }
@@ -152,7 +152,7 @@
     }
 
     /// The verdict of another gateway; none if it does not answer in time.
-    pub(super) async fn ask(&self, register: &Register, job: &LimitedJob) -> Option<Verdict> {
+    pub(super) async fn ask(&self, register: &Register, job: &LimitedJob) -> Option<JobVerdict> {
         let counter = address_of(register)?;
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
@@ -220,7 +220,12 @@
     }
 
     /// Takes up what a read of the register showed.
-    pub(super) fn apply_reading(&self, allowance: &Allowance, reading: Reading, limit: u64) {
+    pub(super) fn apply_reading(
+        &self,
+        allowance: &Allowance,
+        reading: RegisterReading,
+        limit: u64,
+    ) {
         let Some(register) = reading.register else {
             return;
         };
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -68,7 +68,7 @@
             }
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
-        let register = self.registers.known(allowance);
+        let register = self.registers.cached(allowance);
         Ok(register.is_some_and(|register| register.counter == self.own_life))
     }
 
