--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -184,9 +184,9 @@
             self.ping([gateway]);
             return PredecessorState::Probing;
         };
-        let gone_after = self.members.patience(gateway, PREDECESSOR_TIMEOUT);
+        let predecessor_timeout = self.members.patience(gateway, PREDECESSOR_TIMEOUT);
         let was_heard = self.members.heard_at(gateway) >= probe.first;
-        let is_gone = !was_heard && now >= probe.first + gone_after;
+        let is_gone = !was_heard && now >= probe.first + predecessor_timeout;
         let pause = if was_heard || is_gone {
             SETTLED_PING_INTERVAL
         } else {
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -57,7 +57,7 @@
         limit: VersionedLimit,
     ) -> CounterReply {
         let within_region = ASK_TIMEOUT;
-        let patience = self.counter(tenant).map_or(within_region, |counter| {
+        let answer_timeout = self.counter(tenant).map_or(within_region, |counter| {
             self.members.patience(counter, within_region)
         });
         let (answered, is_to_ask) = {
@@ -66,7 +66,7 @@
             let state = state.entry(tenant.clone()).or_default();
             state.waiting += 1;
             let asked = state.asked_for_them;
-            let is_to_ask = asked.is_none_or(|at| now >= at + patience);
+            let is_to_ask = asked.is_none_or(|at| now >= at + answer_timeout);
             if is_to_ask {
                 state.asked_for_them = Some(now);
             }
@@ -88,7 +88,7 @@
                 AskState::NoCounter => return CounterReply::NoCounter,
             }
         }
-        let is_answered = tokio::time::timeout(patience, reply).await.is_ok();
+        let is_answered = tokio::time::timeout(answer_timeout, reply).await.is_ok();
         match counter {
             Some((counter, heard_at)) if !is_answered => {
                 if self.members.heard_at(counter) > heard_at {
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -119,8 +119,8 @@
         }
         let versioned = VersionedLimit::new(limit, version);
         let name = &tenant.name;
-        let patience = self.clock.now() + self.members.patience_with_all(MAX_COUNTER_WAIT);
-        while self.clock.now() < patience {
+        let deadline = self.clock.now() + self.members.patience_with_all(MAX_COUNTER_WAIT);
+        while self.clock.now() < deadline {
             match self.decide(name, limit) {
                 Step::Admitted => {
                     self.prefetch_credits(name, versioned);
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -347,8 +347,8 @@
         };
         self.send(message, owner);
         let asked_at = self.clock.now();
-        let patience = self.members.patience(owner, ASK_TIMEOUT);
-        match tokio::time::timeout(patience, receiver).await {
+        let answer_timeout = self.members.patience(owner, ASK_TIMEOUT);
+        match tokio::time::timeout(answer_timeout, receiver).await {
             Ok(Ok(reply)) => {
                 let took = self.clock.now().saturating_sub(asked_at);
                 self.members.answered(owner, took);
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -164,9 +164,9 @@
         };
         let asked_at = self.clock.now();
         self.send(question, counter);
-        let patience = self.members.patience(counter, ANSWER_TIMEOUT);
-        let patience = patience.min(MAX_ANSWER_TIMEOUT);
-        let answer = tokio::time::timeout(patience, receiver).await;
+        let answer_timeout = self.members.patience(counter, ANSWER_TIMEOUT);
+        let answer_timeout = answer_timeout.min(MAX_ANSWER_TIMEOUT);
+        let answer = tokio::time::timeout(answer_timeout, receiver).await;
         lock(&self.asks).remove(&ask);
         if let Ok(Ok(verdict)) = answer {
             let took = self.clock.now().saturating_sub(asked_at);
