--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -14,7 +14,7 @@
 use crate::answers::{CallerAnswer, not_run, plain, too_many};
 use crate::messages::waiting::{Allowance, LimitedJob};
 use crate::metrics::Refusal;
-use crate::waiting_limits::Fit;
+use crate::waiting_limits::ReservationOutcome;
 
 impl Batch {
     /// The answer to a call about a job where the journal is away, to a caller that gives up after
@@ -48,13 +48,13 @@
                 route: route.name.clone(),
                 tenant: spec.tenant.clone(),
             },
-            job: LimitedJob::name(&spec.id),
+            job: LimitedJob::job_name(&spec.id),
             partition,
             tokens: total_tokens(spec.items.iter().map(|item| item.tokens)),
             limit,
         };
-        let fit = self.waiting_limits.fits(&job).await;
-        if fit == Fit::Fits {
+        let reservation = self.waiting_limits.reserve(&job).await;
+        if reservation == ReservationOutcome::Reserved {
             return Ok(Some(job));
         }
         if !self.dispatcher.job_regions.includes_this_gateway() {
@@ -65,22 +65,24 @@
         match self.ensure_job_known(partition, &spec.id).await {
             Ok(()) => Ok(None),
             Err(answer) if answer.status() == StatusCode::NOT_FOUND => {
-                Err(self.refuse_over_limit(&job, fit, deadline))
+                Err(self.refuse_over_limit(&job, reservation, deadline))
             }
             Err(unsure) => Err(unsure),
         }
     }
 
     /// The answer to a job that finds no room, to a caller that gives up at `deadline`.
-    fn refuse_over_limit(&self, job: &LimitedJob, fit: Fit, deadline: Duration) -> CallerAnswer {
+    fn refuse_over_limit(&self, job: &LimitedJob, reservation: ReservationOutcome, deadline: Duration,
+    ) -> CallerAnswer {
         let time_left = deadline.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
-        let (retry_after, reason) = match fit {
-            Fit::Unsure(settles_in) => {
+        let (retry_after, reason) = match reservation {
+            ReservationOutcome::Undecided(settles_in) => {
                 let retry_after = retry_after_tenant_limit(settles_in, time_left, draw);
                 (retry_after, Refusal::LimitUnsure)
             }
-            Fit::Full | Fit::Fits => (retry_after_route_limit(time_left, draw), Refusal::Limit),
+            ReservationOutcome::Full | ReservationOutcome::Reserved => {
+                (retry_after_route_limit(time_left, draw), Refusal::Limit)}
         };
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, reason:? = reason, come_back_ms = retry_after.as_millis() as u64;
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -28,7 +28,7 @@
 use crate::metrics::Refusal;
 use crate::online::OnlineHandler;
 use crate::protocol::{Call, Identity, RequestFacts};
-use crate::quarantine::Subject;
+use crate::quarantine::RequestContent;
 use crate::rates::Refused;
 use crate::request_context::RequestContext;
 
@@ -86,7 +86,7 @@
         let (answer, ran) = self.serve(context).await;
         guard.mark_answered();
         if let Some(tenant) = tenant.filter(|_| !ran) {
-            self.rates.give_back(&tenant);
+            self.rates.refund_credit(&tenant);
         }
         answer
     }
@@ -204,13 +204,13 @@
             }
             Refused::Unsure => (Refusal::RateUnsure, retry_after_elsewhere(rand::random())),
         };
-        let told = self.rates.told(&tenant.name);
-        let counter = told.counter.map(|counter| counter.to_string());
+        let refusal_context = self.rates.refusal_context(&tenant.name);
+        let counter = refusal_context.counter.map(|counter| counter.to_string());
         let limit = tenant.rate;
         log::info!(request = entered.facts.id.as_deref().unwrap_or(""),
             tenant = tenant.name.as_str(), refused:? = refused, limit:? = limit,
-            recent_here = told.figures.here, recent_by_all:? = told.figures.by_all,
-            age_ms:? = told.figures.age.map(|age| age.as_millis() as u64),
+            recent_here = refusal_context.figures.here, recent_by_all:? = refusal_context.figures.by_all,
+            age_ms:? = refusal_context.figures.age.map(|age| age.as_millis() as u64),
             counter:? = counter, come_back_ms = retry_after.as_millis() as u64;
             "refused by the limit of its tenant");
         let metrics = &self.dispatcher.metrics;
@@ -266,7 +266,7 @@
             id: facts.id.clone(),
             headers,
             demand,
-            subject: Subject::new(identity, &route.host, head.method, target, body),
+            request_content: RequestContent::new(identity, &route.host, head.method, target, body),
             permit: SendPermit::always(),
         };
         RequestContext {
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -145,7 +145,7 @@
                 let returned_at = follower.returned_at();
                 let lapses_until = returned_at.map_or(Duration::ZERO, |at| at + lapse);
                 if !follower.came_from_peer() {
-                    self.quarantine.renewed(&self.renewed(&changes));
+                    self.quarantine.handle_renewals(&self.renewed(&changes));
                 }
                 self.take_workers(changes, lapses_until);
                 if !follower.came_from_peer() {
@@ -186,7 +186,7 @@
         tokio::time::sleep(until.saturating_sub(self.clock.now())).await;
         let removed = self.fleet_state.selector().remove_lapsed(self.clock.now());
         let mut summary = DirectorySummary::default();
-        self.quarantine.departed(&removed);
+        self.quarantine.handle_lapsed_workers(&removed);
         summary.add_unlisted(&UnlistOutcome {
             removed,
             ..UnlistOutcome::default()
@@ -212,7 +212,7 @@
         };
         if let Some(incarnation) = listed {
             let quarantine = &self.quarantine;
-            quarantine.listed(&incarnation, address, before.as_deref());
+            quarantine.handle_listing(&incarnation, address, before.as_deref());
             summary.add_listed(&incarnation, availability, offset);
         }
     }
@@ -255,7 +255,7 @@
         let unlisted = self
             .fleet_state.selector()
             .remove_unlisted(&unlisted, lapses_until);
-        self.quarantine.departed(&unlisted.removed);
+        self.quarantine.handle_lapsed_workers(&unlisted.removed);
         summary.add_unlisted(&unlisted);
         if let Some(until) = lapses_until.filter(|_| !unlisted.lapsed.is_empty()) {
             tokio::spawn(Arc::clone(self).end_lapse(until));
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -36,7 +36,7 @@
 use crate::traffic::CountedLog;
 use crate::unreadable::UnreadableRecords;
 use crate::upstream::Upstream;
-use crate::waiting_limits::{Surroundings, WaitingLimits};
+use crate::waiting_limits::{Dependencies, WaitingLimits};
 
 /// Why a gateway did not start.
 #[derive(Debug, Display, Error)]
@@ -150,7 +150,7 @@
             clock,
         ));
         let running = Arc::new(RunningItems::default());
-        let waiting_limits = Arc::new(WaitingLimits::new(Surroundings {
+        let waiting_limits = Arc::new(WaitingLimits::new(Dependencies {
             log: Arc::clone(&log),
             members: Arc::clone(&members),
             datagrams: Arc::clone(&datagrams),
@@ -267,11 +267,11 @@
                 start_permits,
             })),
             tokio::spawn(Arc::clone(&quarantine).follow(tails)),
-            tokio::spawn(Arc::clone(&quarantine).keep_recording()),
-            tokio::spawn(quarantine.keep_lapsing()),
-            tokio::spawn(rates.keep_tidy()),
-            tokio::spawn(Arc::clone(&slots).keep_reporting()),
-            tokio::spawn(slots.keep_telling_room()),
+            tokio::spawn(Arc::clone(&quarantine).run_recording()),
+            tokio::spawn(quarantine.run_expiry()),
+            tokio::spawn(rates.run_cleanup()),
+            tokio::spawn(Arc::clone(&slots).run_reporting()),
+            tokio::spawn(slots.run_free_slot_announcements()),
             tokio::spawn(Arc::clone(&others).run_registration(Arc::clone(&log))),
             tokio::spawn(Arc::clone(&others).follow_membership(Arc::clone(&log))),
             tokio::spawn(sweep(dispatcher)),
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -9,7 +9,7 @@
 use crate::attempt::{Dispatcher, OutgoingRequest};
 use crate::clock::Clock;
 use crate::fleet_state::FleetState;
-use crate::quarantine::{Quarantine, Subject};
+use crate::quarantine::{Quarantine, RequestContent};
 use crate::slots::Slots;
 use crate::traffic::{Content, Traffic};
 
@@ -18,7 +18,7 @@
     fleet_state: Arc<FleetState>,
     slots: Arc<Slots>,
     quarantine: Arc<Quarantine>,
-    pub(crate) subject: Subject,
+    pub(crate) request_content: RequestContent,
     clock: Clock,
     pub(crate) chosen: ChosenWorker,
     distance: Distance,
@@ -40,14 +40,14 @@
             selector.distance_to(&chosen.zone)
         };
         let traffic = dispatcher.metrics.traffic.clone();
-        let body = outgoing.subject.body().len();
+        let body = outgoing.request_content.body().len();
         traffic.count_bytes(Content::Requests, distance, body);
         dispatcher.fleet_state.load_changed.notify_one();
         Self {
             fleet_state: Arc::clone(&dispatcher.fleet_state),
             slots: Arc::clone(&dispatcher.slots),
             quarantine: Arc::clone(&dispatcher.quarantine),
-            subject: outgoing.subject.clone(),
+            request_content: outgoing.request_content.clone(),
             clock: dispatcher.clock,
             chosen: chosen.clone(),
             distance,
@@ -99,10 +99,10 @@
         if let AttemptOutcome::Unreachable | AttemptOutcome::Broken | AttemptOutcome::TimedOut =
             self.outcome
         {
-            self.slots.send_failed(&self.chosen);
+            self.slots.report_send_failure(&self.chosen);
         }
         if self.outcome == AttemptOutcome::Broken {
-            self.quarantine.broke_off(&self.subject, &self.chosen, held);
+            self.quarantine.check_after_break(&self.request_content, &self.chosen, held);
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/messages/waiting.rs
+++ b/crates/swiftshunt-gateway/src/messages/waiting.rs
@@ -28,12 +28,12 @@
 }
 
 /// Longest identifier of a job that is told as it is, in bytes.
-const LONGEST_TOLD: usize = 200;
+const MAX_PLAIN_NAME_BYTES: usize = 200;
 
 impl LimitedJob {
     /// Names a job that has an identifier: callers may choose one of any length.
-    pub(crate) fn name(identifier: &str) -> String {
-        if identifier.len() <= LONGEST_TOLD {
+    pub(crate) fn job_name(identifier: &str) -> String {
+        if identifier.len() <= MAX_PLAIN_NAME_BYTES {
             return identifier.to_owned();
         }
         blake3::hash(identifier.as_bytes()).to_hex().to_string()
@@ -42,7 +42,7 @@
 
 /// What the gateway that counts says about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Verdict {
+pub(crate) enum JobVerdict {
     /// It fits.
     Admitted,
     /// It does not fit now.
@@ -115,7 +115,7 @@
         /// The question.
         ask: u64,
         /// What is decided.
-        verdict: Verdict,
+        verdict: JobVerdict,
     },
     /// The record of an admitted job stands.
     Recorded {
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -14,11 +14,11 @@
 use crate::attempt::{Answer, Dispatcher, SendFailure, SendLimits};
 use crate::batch::Batch;
 use crate::metrics::{Refusal, RequestEnd};
-use crate::quarantine::Held;
+use crate::quarantine::QuarantineHold;
 use crate::rates::Rates;
 use crate::relay;
 use crate::request_context::RequestContext;
-use crate::slots::{Place, Placing};
+use crate::slots::{PlacementOutcome, PlacementQuery};
 
 /// Serves callers.
 pub(crate) struct OnlineHandler {
@@ -48,7 +48,7 @@
         let answer = self.send_until_answered(&mut context).await;
         if context.runs > 0 && answer.status().is_server_error() {
             let quarantine = &self.dispatcher.quarantine;
-            quarantine.until_told(&context.outgoing.subject).await;
+            quarantine.wait_until_reported(&context.outgoing.request_content).await;
         }
         let ran = context.runs > 0 || !promises_not_run(answer.status());
         (answer, ran)
@@ -60,8 +60,8 @@
             if now >= context.deadline {
                 return self.out_of_time(context);
             }
-            let subject = &context.outgoing.subject;
-            if let Some(held) = self.dispatcher.quarantine.holds(subject).await {
+            let request_content = &context.outgoing.request_content;
+            if let Some(held) = self.dispatcher.quarantine.find_hold(request_content).await {
                 return self.hold_back(context, held);
             }
             self.bind_residency(context);
@@ -136,9 +136,9 @@
         let now = self.dispatcher.clock.now();
         let in_time = (context.arrived + context.route.objective).saturating_sub(now);
         match self.place_within(context, Some(in_time)).await {
-            Place::At(chosen) => Some(chosen),
-            Place::Nowhere => None,
-            Place::Late => self.place_late(context).await,
+            PlacementOutcome::Worker(chosen) => Some(chosen),
+            PlacementOutcome::NoWorker => None,
+            PlacementOutcome::Late => self.place_late(context).await,
         }
     }
 
@@ -151,9 +151,9 @@
             let _turn = self.late_queue.lock().await;
             loop {
                 match self.place_within(context, Some(Duration::ZERO)).await {
-                    Place::At(chosen) => return Some(chosen),
-                    Place::Nowhere => return None,
-                    Place::Late => tokio::time::sleep(LATE_PAUSE).await,
+                    PlacementOutcome::Worker(chosen) => return Some(chosen),
+                    PlacementOutcome::NoWorker => return None,
+                    PlacementOutcome::Late => tokio::time::sleep(LATE_PAUSE).await,
                 }
             }
         };
@@ -166,14 +166,14 @@
         match placed {
             Ok(chosen) => chosen,
             Err(_) => match self.place_within(context, None).await {
-                Place::At(chosen) => Some(chosen),
-                Place::Nowhere | Place::Late => None,
+                PlacementOutcome::Worker(chosen) => Some(chosen),
+                PlacementOutcome::NoWorker | PlacementOutcome::Late => None,
             },
         }
     }
 
-    async fn place_within(&self, context: &RequestContext, in_time: Option<Duration>) -> Place {
-        let placing = Placing {
+    async fn place_within(&self, context: &RequestContext, in_time: Option<Duration>) -> PlacementOutcome {
+        let query = PlacementQuery {
             request: context.id(),
             service: &context.service,
             demand: &context.outgoing.demand,
@@ -181,7 +181,7 @@
             may_repeat: context.may_run_again(),
             in_time,
         };
-        self.dispatcher.slots.place(placing).await
+        self.dispatcher.slots.place(query).await
     }
 
     /// What becomes of a request that found no worker, and why it found none.
@@ -370,8 +370,8 @@
     /// The final answer to a request that has ended too many workers: at once, as it would end more of them,
     /// and their other requests with each. The caller of one that did not run in this try may come back when
     /// it is sent again; a status of the caller's own fault would be final, also for one that was wronged.
-    fn hold_back(&self, context: &RequestContext, held: Held) -> CallerAnswer {
-        log::info!(request = context.id(), fingerprint:% = context.outgoing.subject.fingerprint(),
+    fn hold_back(&self, context: &RequestContext, held: QuarantineHold) -> CallerAnswer {
+        log::info!(request = context.id(), fingerprint:% = context.outgoing.request_content.fingerprint(),
             ends = held.ends, held_for_ms = held.time_left.as_millis() as u64, runs = context.runs;
             "a request is held back, since it ended its workers");
         let reason =
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -14,7 +14,7 @@
 use crate::events::EventFramer;
 use crate::pauses::StreamPauses;
 use crate::request_context::RequestContext;
-use crate::slots::{Place, Placing};
+use crate::slots::{PlacementOutcome, PlacementQuery};
 
 /// Pause between looks at a worker whose stream is silent.
 const SILENCE_CHECK: Duration = Duration::from_millis(50);
@@ -211,7 +211,7 @@
         if let Some(mut answer) = self.answer.take() {
             log::info!(request = self.id.as_str(), failure:% = failure, last_event:? = last,
                 worker = answer.in_flight.chosen.incarnation.as_str(),
-                fingerprint:% = answer.in_flight.subject.fingerprint(); "a stream broke off");
+                fingerprint:% = answer.in_flight.request_content.fingerprint(); "a stream broke off");
             record_failure(&mut answer, &failure);
         }
         let broken = || -> BodyError { format!("the stream broke off: {failure:?}").into() };
@@ -249,7 +249,11 @@
             if self.runs_left == 0 || now >= deadline {
                 return None;
             }
-            if let Some(held) = dispatcher.quarantine.holds(&self.outgoing.subject).await {
+            if let Some(held) = dispatcher
+                .quarantine
+                .find_hold(&self.outgoing.request_content)
+                .await
+            {
                 log::info!(request = self.outgoing.id.as_deref().unwrap_or(""), ends = held.ends;
                     "a stream does not go on, since its request ended its workers");
                 return None;
@@ -257,7 +261,7 @@
             if let Some(configuration) = dispatcher.fleet_state.configuration() {
                 self.outgoing.bind_residency(&configuration);
             }
-            let placing = Placing {
+            let query = PlacementQuery {
                 request: self.outgoing.id.as_deref().unwrap_or(""),
                 service: &self.service,
                 demand: &self.outgoing.demand,
@@ -266,7 +270,7 @@
                 // It has begun: it goes on as soon as it can.
                 in_time: None,
             };
-            let Place::At(chosen) = dispatcher.slots.place(placing).await else {
+            let PlacementOutcome::Worker(chosen) = dispatcher.slots.place(query).await else {
                 return None;
             };
             self.tried.push(chosen.incarnation.clone());
--- a/crates/swiftshunt-gateway/src/slots/failures.rs
+++ b/crates/swiftshunt-gateway/src/slots/failures.rs
@@ -12,7 +12,7 @@
 
 impl Slots {
     /// A send of this gateway to a worker broke, found no connection, or was met by silence.
-    pub(crate) fn send_failed(&self, chosen: &ChosenWorker) {
+    pub(crate) fn report_send_failure(&self, chosen: &ChosenWorker) {
         if !self.fleet_state.has_batch(&chosen.service) {
             return;
         }
@@ -25,26 +25,26 @@
                 selector.ready_count(&chosen.service),
             )
         };
-        let (failing, is_own_fault) = {
+        let (failing, is_local_fault) = {
             let mut failures = lock(&self.local_faults);
             failures.record_failure(&chosen.incarnation, now);
             (failures.failing_workers(), failures.is_local_fault(workers))
         };
-        if is_own_fault {
+        if is_local_fault {
             log::info!(worker = chosen.incarnation.as_str(), failing, workers;
                 "sends fail at many workers: the cause may be here, and nobody is told");
             return;
         }
         let owner = self.members.owner(&cell);
         if owner == self.members.own_address() {
-            self.worker_failed(&cell, worker, owner);
+            self.record_send_failure(&cell, worker, owner);
         } else {
             self.send(Message::SendFailed { cell, worker }, owner);
         }
     }
 
     /// Takes word that a send of `from` to a worker failed.
-    pub(super) fn worker_failed(&self, cell: &Cell, worker: WorkerKey, from: SocketAddr) {
+    pub(super) fn record_send_failure(&self, cell: &Cell, worker: WorkerKey, from: SocketAddr) {
         let now = self.clock.now();
         let is_news = {
             let mut books = lock(&self.books);
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -59,7 +59,7 @@
 
 /// The registers of one limit.
 #[derive(Default)]
-struct Standing {
+struct LimitRecords {
     newest: Option<Register>,
     /// Keys of all records that are there.
     keys: Vec<Vec<u8>>,
@@ -70,14 +70,14 @@
 struct Partition {
     view: KeyedView,
     is_listed: bool,
-    limits: HashMap<LimitName, Standing>,
+    limits: HashMap<LimitName, LimitRecords>,
     /// When the last read that succeeded began.
     read_at: Option<Duration>,
 }
 
 /// What a read gave.
 #[derive(Clone, Debug)]
-pub(super) struct Reading {
+pub(super) struct RegisterReading {
     /// The newest register of the limit; none if it has none.
     pub(super) register: Option<Register>,
     /// When the read began: what stood then is known.
@@ -91,7 +91,7 @@
     unreadable: Arc<UnreadableRecords>,
     partitions: Vec<tokio::sync::Mutex<Partition>>,
     /// The newest of each limit that was read.
-    known: std::sync::Mutex<HashMap<Allowance, Register>>,
+    cached: std::sync::Mutex<HashMap<Allowance, Register>>,
 }
 
 impl Registers {
@@ -107,17 +107,17 @@
             clock,
             unreadable,
             partitions: partitions.collect(),
-            known: std::sync::Mutex::default(),
+            cached: std::sync::Mutex::default(),
         }
     }
 
     /// The newest register of a limit that was read; it may be old.
-    pub(super) fn known(&self, allowance: &Allowance) -> Option<Register> {
-        lock(&self.known).get(allowance).cloned()
+    pub(super) fn cached(&self, allowance: &Allowance) -> Option<Register> {
+        lock(&self.cached).get(allowance).cloned()
     }
 
     /// Reads the register of a limit.
-    pub(super) async fn read(&self, allowance: &Allowance) -> Result<Reading, LogError> {
+    pub(super) async fn read(&self, allowance: &Allowance) -> Result<RegisterReading, LogError> {
         let asked_at = self.clock.now();
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
@@ -129,9 +129,9 @@
         };
         let register = partition.newest(&name);
         if let Some(register) = &register {
-            lock(&self.known).insert(allowance.clone(), register.clone());
+            lock(&self.cached).insert(allowance.clone(), register.clone());
         }
-        Ok(Reading { register, read_at })
+        Ok(RegisterReading { register, read_at })
     }
 
     /// Proposes a register, and reads which one stands.
@@ -139,7 +139,7 @@
         &self,
         allowance: &Allowance,
         proposal: &Register,
-    ) -> Result<Reading, LogError> {
+    ) -> Result<RegisterReading, LogError> {
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
         let partition = self.partitions[number as usize].lock().await;
@@ -201,7 +201,7 @@
         for change in changes {
             match change {
                 Change::Set(record) => match read_record(&record.key, &record.value) {
-                    Ok((name, register)) => partition.stands(name, register, record.key),
+                    Ok((name, register)) => partition.apply_register(name, register, record.key),
                     Err(error) => {
                         self.unreadable
                             .record_unreadable(Topic::Limits, &record.key, &error)
@@ -209,7 +209,7 @@
                 },
                 Change::Dropped(key) => {
                     self.unreadable.mark_readable(Topic::Limits, &key);
-                    partition.is_dropped(&key);
+                    partition.remove_key(&key);
                 }
             }
         }
@@ -223,28 +223,28 @@
 
     /// Keys of records of a limit's versions before one.
     fn keys_before(&self, name: &LimitName, version: u64) -> Vec<Vec<u8>> {
-        let keys = self.limits.get(name).map(|standing| &standing.keys);
+        let keys = self.limits.get(name).map(|records| &records.keys);
         let is_before = |key: &&Vec<u8>| read_key(key).is_ok_and(|(_, at)| at < version);
         let keys = keys.into_iter().flatten().filter(is_before);
         keys.cloned().collect()
     }
 
     /// The first record of a version that is newer counts.
-    fn stands(&mut self, name: LimitName, register: Register, key: Vec<u8>) {
-        let standing = self.limits.entry(name).or_default();
-        standing.keys.push(key);
-        let newest = standing.newest.as_ref().map_or(0, |it| it.version);
+    fn apply_register(&mut self, name: LimitName, register: Register, key: Vec<u8>) {
+        let records = self.limits.entry(name).or_default();
+        records.keys.push(key);
+        let newest = records.newest.as_ref().map_or(0, |it| it.version);
         if register.version > newest {
-            standing.newest = Some(register);
+            records.newest = Some(register);
         }
     }
 
-    fn is_dropped(&mut self, key: &[u8]) {
+    fn remove_key(&mut self, key: &[u8]) {
         let Ok((name, _)) = read_key(key) else {
             return;
         };
-        if let Some(standing) = self.limits.get_mut(&name) {
-            standing.keys.retain(|known| known != key);
+        if let Some(records) = self.limits.get_mut(&name) {
+            records.keys.retain(|known| known != key);
         }
     }
 }
@@ -297,7 +297,7 @@
     fn take(partition: &mut Partition, register: &Register) -> Vec<u8> {
         let (key, value) = record(&name(), register);
         let (name, register) = read_record(&key, &value).expect("a register");
-        partition.stands(name, register, key.clone());
+        partition.apply_register(name, register, key.clone());
         key
     }
 
@@ -325,7 +325,7 @@
         let own = first.taken_over("life-3", 1_000);
         let dropped = partition.keys_before(&name(), own.version);
         assert_eq!(dropped, std::slice::from_ref(&superseded));
-        partition.is_dropped(&superseded);
+        partition.remove_key(&superseded);
         assert!(partition.keys_before(&name(), own.version).is_empty());
     }
 
