--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -339,7 +339,11 @@
     }
 
     /// Whether the worker may still be offered the request: it was chosen a moment ago.
-    fn may_offer(&self, chosen: &ChosenWorker, outgoing: &OutgoingRequest) -> Result<(), SendFailure> {
+    fn may_offer(
+        &self,
+        chosen: &ChosenWorker,
+        outgoing: &OutgoingRequest,
+    ) -> Result<(), SendFailure> {
         let selector = self.fleet_state.selector();
         let offered = selector.may_offer(&chosen.incarnation, &outgoing.demand.residency);
         offered.map_err(|why| withheld(chosen, outgoing, why))
@@ -363,7 +367,9 @@
             identity: outgoing.request_content.identity(),
         };
         self.protocol.set_worker_headers(&mut headers, &facts);
-        let body = PermittedBody::new(outgoing.request_content.body().clone(), outgoing.permit.clone(),
+        let body = PermittedBody::new(
+            outgoing.request_content.body().clone(),
+            outgoing.permit.clone(),
         );
         let mut request = Request::new(body);
         *request.method_mut() = outgoing.request_content.method().clone();
--- a/crates/swiftshunt-gateway/src/batch/admission.rs
+++ b/crates/swiftshunt-gateway/src/batch/admission.rs
@@ -19,7 +19,10 @@
 impl Batch {
     /// The answer to a call about a job where the journal is away, to a caller that gives up after
     /// `time_left`.
-    pub(super) fn refuse_journal_unavailable(&self, job: &str, time_left: Duration,
+    pub(super) fn refuse_journal_unavailable(
+        &self,
+        job: &str,
+        time_left: Duration,
     ) -> CallerAnswer {
         let outage = self.leases.outage_duration();
         let retry_after = retry_after_log_outage(outage, time_left, rand::random());
@@ -72,7 +75,11 @@
     }
 
     /// The answer to a job that finds no room, to a caller that gives up at `deadline`.
-    fn refuse_over_limit(&self, job: &LimitedJob, reservation: ReservationOutcome, deadline: Duration,
+    fn refuse_over_limit(
+        &self,
+        job: &LimitedJob,
+        reservation: ReservationOutcome,
+        deadline: Duration,
     ) -> CallerAnswer {
         let time_left = deadline.saturating_sub(self.dispatcher.clock.now());
         let draw = rand::random();
@@ -82,7 +89,8 @@
                 (retry_after, Refusal::LimitUnsure)
             }
             ReservationOutcome::Full | ReservationOutcome::Reserved => {
-                (retry_after_route_limit(time_left, draw), Refusal::Limit)}
+                (retry_after_route_limit(time_left, draw), Refusal::Limit)
+            }
         };
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, reason:? = reason, come_back_ms = retry_after.as_millis() as u64;
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -106,7 +106,11 @@
     }
 
     /// Renews for as long as the process takes work, and has what is held followed.
-    pub(crate) async fn run_renewals(&self, replay: &Replay, regions: &JobRegions, metrics: &Metrics,
+    pub(crate) async fn run_renewals(
+        &self,
+        replay: &Replay,
+        regions: &JobRegions,
+        metrics: &Metrics,
     ) {
         let mut backoff = LogBackoff::new("leases", 0);
         while !self.left.is_cancelled() {
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -175,7 +175,9 @@
             _ => wait,
         };
         if !self.dispatcher.job_regions.includes_this_gateway() {
-            return self.answer_out_of_region(partition, head, tenant, wait).await;
+            return self
+                .answer_out_of_region(partition, head, tenant, wait)
+                .await;
         }
         if !self.leases.holds(partition) && !self.replay.is_followed(partition) {
             let forwarded = self.owners.forward(partition, head, tenant, wait).await;
@@ -235,8 +237,8 @@
         let held = call
             .job()
             .is_some_and(|(job, _)| self.leases.holds(self.replay.partition_of(job)));
-        let reads =
-            owners::requests_reader_answer(headers) && !self.dispatcher.job_regions.excludes_this_gateway();
+        let reads = owners::requests_reader_answer(headers)
+            && !self.dispatcher.job_regions.excludes_this_gateway();
         if held || reads {
             self.answer_locally(call).await
         } else {
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -253,7 +253,8 @@
         }
         let lapses_until = (now < lapses_until).then_some(lapses_until);
         let unlisted = self
-            .fleet_state.selector()
+            .fleet_state
+            .selector()
             .remove_unlisted(&unlisted, lapses_until);
         self.quarantine.handle_lapsed_workers(&unlisted.removed);
         summary.add_unlisted(&unlisted);
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -30,7 +30,10 @@
 }
 
 impl InFlight {
-    pub(crate) fn new(dispatcher: &Dispatcher, chosen: &ChosenWorker, outgoing: &OutgoingRequest,
+    pub(crate) fn new(
+        dispatcher: &Dispatcher,
+        chosen: &ChosenWorker,
+        outgoing: &OutgoingRequest,
     ) -> Self {
         let now = dispatcher.clock.now();
         let demand = &outgoing.demand;
@@ -102,7 +105,8 @@
             self.slots.report_send_failure(&self.chosen);
         }
         if self.outcome == AttemptOutcome::Broken {
-            self.quarantine.check_after_break(&self.request_content, &self.chosen, held);
+            self.quarantine
+                .check_after_break(&self.request_content, &self.chosen, held);
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -48,7 +48,9 @@
         let answer = self.send_until_answered(&mut context).await;
         if context.runs > 0 && answer.status().is_server_error() {
             let quarantine = &self.dispatcher.quarantine;
-            quarantine.wait_until_reported(&context.outgoing.request_content).await;
+            quarantine
+                .wait_until_reported(&context.outgoing.request_content)
+                .await;
         }
         let ran = context.runs > 0 || !promises_not_run(answer.status());
         (answer, ran)
@@ -123,7 +125,8 @@
     fn leave_closed(&self, context: &mut RequestContext) {
         let fleet_state = &self.dispatcher.fleet_state;
         let residency = &context.outgoing.demand.residency;
-        let is_open = fleet_state.selector()
+        let is_open = fleet_state
+            .selector()
             .has_eligible_worker(&context.service, residency);
         if context.runs == 0 && !is_open {
             context.service = fleet_state.next_service(&context.route, residency);
@@ -172,7 +175,11 @@
         }
     }
 
-    async fn place_within(&self, context: &RequestContext, in_time: Option<Duration>) -> PlacementOutcome {
+    async fn place_within(
+        &self,
+        context: &RequestContext,
+        in_time: Option<Duration>,
+    ) -> PlacementOutcome {
         let query = PlacementQuery {
             request: context.id(),
             service: &context.service,
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -51,7 +51,10 @@
 
 impl Rates {
     /// Asks the counter, or waits for the answer to a question under way.
-    pub(super) async fn await_counter_reply(&self, tenant: &TenantName, limit: VersionedLimit,
+    pub(super) async fn await_counter_reply(
+        &self,
+        tenant: &TenantName,
+        limit: VersionedLimit,
     ) -> CounterReply {
         let within_region = ASK_TIMEOUT;
         let answer_timeout = self.counter(tenant).map_or(within_region, |counter| {
--- a/crates/swiftshunt-gateway/src/slots/cross_region.rs
+++ b/crates/swiftshunt-gateway/src/slots/cross_region.rs
@@ -123,7 +123,10 @@
     }
 
     /// Asks for a worker in another region that was said to have room; none if none takes the request in time.
-    pub(super) async fn place_in_other_region(&self, query: &PlacementQuery<'_>, cell: Cell,
+    pub(super) async fn place_in_other_region(
+        &self,
+        query: &PlacementQuery<'_>,
+        cell: Cell,
     ) -> Option<ChosenWorker> {
         let PlacementQuery {
             demand,
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -181,7 +181,9 @@
         }
         let heard_at = self.members.heard_at(owner);
         match last_report.asked_at.filter(|asked_at| heard_at < *asked_at) {
-            Some(asked_at) if now >= asked_at + self.members.answer_timeout(owner, OWNER_PROBE_TIMEOUT) => {
+            Some(asked_at)
+                if now >= asked_at + self.members.answer_timeout(owner, OWNER_PROBE_TIMEOUT) =>
+            {
                 Due::Gone
             }
             Some(_) => Due::Question,
