--- a/crates/swiftshunt-gateway/src/earlier_builds/values.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/values.rs
@@ -11,7 +11,7 @@
 };
 use swiftshunt_scheduler::prompt_memory::PromptPart;
 use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, RequestIdentity, WorkerEnd};
-use swiftshunt_scheduler::rates::bucket::{self, Left};
+use swiftshunt_scheduler::rates::bucket::{self, RemainingCredits};
 use swiftshunt_scheduler::slots::allocator::PlacementError;
 use swiftshunt_scheduler::slots::cell::Cell;
 use swiftshunt_scheduler::slots::prompts::PrefillEstimate;
@@ -198,7 +198,7 @@
     let ask = |left_elsewhere| RateMessage::Ask {
         ask: 41,
         tenant: tenant(),
-        question: bucket::Question {
+        question: bucket::CreditRequest {
             need: 1,
             ahead: 2,
             held: 3,
@@ -212,7 +212,7 @@
         limit: VersionedLimit::new(limit, 17),
     };
     entry("ask", ask(None));
-    let left = Left {
+    let left = RemainingCredits {
         requests: 8,
         age: Duration::from_millis(90),
     };
@@ -221,7 +221,7 @@
     let counted = |verdict| answer(CounterAnswer::Counted(verdict));
     entry(
         "granted",
-        counted(bucket::Verdict::Granted {
+        counted(bucket::CreditResponse::Granted {
             credits: 3,
             recent: 20,
             left: 4,
@@ -229,12 +229,12 @@
     );
     entry(
         "exhausted",
-        counted(bucket::Verdict::Exhausted {
+        counted(bucket::CreditResponse::Exhausted {
             again_after: Duration::from_millis(120),
             recent: 20,
         }),
     );
-    entry("alone", counted(bucket::Verdict::DecideAlone));
+    entry("alone", counted(bucket::CreditResponse::DecideAlone));
     entry("counted-by", answer(CounterAnswer::CountedBy(address(3))));
     entry("not-yet", answer(CounterAnswer::NotYet));
     entry("ping", RateMessage::Ping);
--- a/crates/swiftshunt-gateway/src/messages/rates.rs
+++ b/crates/swiftshunt-gateway/src/messages/rates.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
-use swiftshunt_scheduler::rates::bucket::{Question, Verdict};
+use swiftshunt_scheduler::rates::bucket::{CreditRequest, CreditResponse};
 use swiftshunt_types::{RateLimit, TenantName};
 
 /// A message. Each is one datagram; any may be lost or late.
@@ -16,7 +16,7 @@
         /// The tenant.
         tenant: TenantName,
         /// What is asked.
-        question: Question,
+        question: CreditRequest,
         /// The limit as the sender knows it.
         limit: VersionedLimit,
     },
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum CounterAnswer {
     /// It counts.
-    Counted(Verdict),
+    Counted(CreditResponse),
     /// Another gateway counts, and has given a sign of life.
     CountedBy(SocketAddr),
     /// It is being found out whether the gateway that should count is gone.
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::rates::Tolerance;
-use swiftshunt_scheduler::rates::bucket::{Bucket, Question, Verdict};
+use swiftshunt_scheduler::rates::bucket::{Bucket, CreditRequest, CreditResponse};
 use swiftshunt_types::TenantName;
 
 use super::COUNTERS;
@@ -83,7 +83,7 @@
         &self,
         from: SocketAddr,
         tenant: &TenantName,
-        question: Question,
+        question: CreditRequest,
         limit: VersionedLimit,
     ) -> CounterAnswer {
         let own = self.members.own();
@@ -104,7 +104,7 @@
             return CounterAnswer::NotYet;
         };
         if view.is_cut_off {
-            return CounterAnswer::Counted(Verdict::DecideAlone);
+            return CounterAnswer::Counted(CreditResponse::DecideAlone);
         }
         let mut counted = lock(&self.counted);
         if !counted.contains_key(tenant) {
@@ -116,8 +116,8 @@
         };
         let tolerance = &self.tolerance;
         let bucket = &mut counted.bucket;
-        bucket.limit_by(limit.limit(), limit.version, tolerance, now);
-        let verdict = bucket.ask(from, question, tolerance, now);
+        bucket.update_limit(limit.limit(), limit.version, tolerance, now);
+        let verdict = bucket.grant_credits(from, question, tolerance, now);
         self.set_aside(counted, now);
         CounterAnswer::Counted(verdict)
     }
@@ -127,13 +127,13 @@
         let Counted { bucket, sets_aside } = counted;
         if !bucket.is_near_limit(&self.tolerance) {
             if std::mem::take(sets_aside) {
-                bucket.set_nothing_aside(&self.tolerance, now);
+                bucket.release_reserved(&self.tolerance, now);
             }
             return;
         }
         if let Some(view) = self.look_around(true, now) {
             let gateways = self.members.count();
-            bucket.set_aside(&view.silent, gateways, &self.tolerance, now);
+            bucket.reserve_for_silent(&view.silent, gateways, &self.tolerance, now);
             *sets_aside = true;
         }
     }
@@ -155,7 +155,7 @@
     ) -> Counted {
         // Whoever counts in place of another begins with nothing: that one may be counting for others.
         let level = if is_first {
-            self.tolerance.cold_start(limit.limit())
+            self.tolerance.cold_start_level(limit.limit())
         } else {
             0.0
         };
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use swiftshunt_routing::Tenant;
-use swiftshunt_scheduler::rates::account::{Account, Figures, Step};
-use swiftshunt_scheduler::rates::{CREDIT_LIFE, Tolerance};
+use swiftshunt_scheduler::rates::limiter::{AdmitDecision, TenantLimiter, UsageFigures};
+use swiftshunt_scheduler::rates::{CREDIT_TTL, Tolerance};
 use swiftshunt_types::{RateLimit, TenantName};
 use tokio::sync::Notify;
 
@@ -43,7 +43,7 @@
 /// A tenant's requests here.
 #[derive(Default)]
 struct TenantState {
-    account: Account,
+    limiter: TenantLimiter,
     /// Wakes requests that wait for an answer.
     answered: Arc<Notify>,
     waiting: u32,
@@ -67,7 +67,7 @@
 /// What a line on a refusal tells.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Told {
-    pub(crate) figures: Figures,
+    pub(crate) figures: UsageFigures,
     pub(crate) counter: Option<SocketAddr>,
 }
 
@@ -122,13 +122,13 @@
         let patience = self.clock.now() + self.members.patience_with_all(LONGEST_WAIT);
         while self.clock.now() < patience {
             match self.decide(name, limit) {
-                Step::Admitted => {
+                AdmitDecision::Admitted => {
                     self.ask_ahead(name, versioned);
                     return Ok(());
                 }
-                Step::Refused { again_after } => return Err(Refused::Limit(again_after)),
-                Step::Alone => break,
-                Step::Ask => {}
+                AdmitDecision::Refused { again_after } => return Err(Refused::Limit(again_after)),
+                AdmitDecision::UseOwnShare => break,
+                AdmitDecision::AskCounter => {}
             }
             if self.members.is_cut_off() {
                 break;
@@ -155,10 +155,10 @@
             let state = state.entry(tenant.clone()).or_default();
             let begins = state.alone_since.is_none();
             state.alone_since.get_or_insert(now);
-            let asked_at = state.account.asked_at();
+            let asked_at = state.limiter.asked_at();
             let is_due = asked_at.is_none_or(|at| now >= at + ALONE_ASK_EVERY);
-            let account = &mut state.account;
-            let is_admitted = account.admit_alone(limit.limit(), gateways, now);
+            let limiter = &mut state.limiter;
+            let is_admitted = limiter.admit_from_own_share(limit.limit(), gateways, now);
             (is_admitted, begins, is_due)
         };
         if begins {
@@ -183,7 +183,7 @@
         }
         let now = self.clock.now();
         if let Some(state) = lock(&self.tenants).get_mut(&tenant.name) {
-            state.account.give_back(now);
+            state.limiter.refund_credit(now);
         }
     }
 
@@ -193,20 +193,20 @@
         let mut state = lock(&self.tenants);
         let state = state.entry(tenant.clone()).or_default();
         Told {
-            figures: state.account.figures(now),
+            figures: state.limiter.figures(now),
             counter: state.counter,
         }
     }
 
-    fn decide(&self, tenant: &TenantName, limit: RateLimit) -> Step {
+    fn decide(&self, tenant: &TenantName, limit: RateLimit) -> AdmitDecision {
         let now = self.clock.now();
         let gateways = self.members.count();
         let mut tenants = lock(&self.tenants);
         if let Some(state) = tenants.get_mut(tenant) {
-            return state.account.admit(limit, gateways, now);
+            return state.limiter.admit(limit, gateways, now);
         }
         let state = tenants.entry(tenant.clone()).or_default();
-        state.account.admit(limit, gateways, now)
+        state.limiter.admit(limit, gateways, now)
     }
 
     /// Forgets what is no longer needed, for as long as the process lives.
@@ -216,8 +216,8 @@
             let now = self.clock.now();
             let is_new = |at: Duration| now < at + FORGOTTEN_AFTER;
             lock(&self.tenants)
-                .retain(|_, state| state.waiting > 0 || is_new(state.account.used_at()));
-            lock(&self.asked).retain(|_, asked| now < asked.at + CREDIT_LIFE);
+                .retain(|_, state| state.waiting > 0 || is_new(state.limiter.used_at()));
+            lock(&self.asked).retain(|_, asked| now < asked.at + CREDIT_TTL);
             self.counters.forget_old(FORGOTTEN_AFTER);
         }
     }
--- a/crates/swiftshunt-gateway/src/rates/questions.rs
+++ b/crates/swiftshunt-gateway/src/rates/questions.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use swiftshunt_scheduler::rates::bucket::Verdict;
+use swiftshunt_scheduler::rates::bucket::CreditResponse;
 use swiftshunt_scheduler::readers::weight;
 use swiftshunt_types::TenantName;
 
@@ -101,7 +101,7 @@
         let now = self.clock.now();
         let is_due = lock(&self.tenants)
             .get_mut(tenant)
-            .is_some_and(|state| state.account.is_due(now));
+            .is_some_and(|state| state.limiter.should_prefetch(now));
         if is_due {
             self.ask(tenant, 0, limit);
         }
@@ -126,7 +126,7 @@
             let mut state = lock(&self.tenants);
             let state = state.entry(tenant.clone()).or_default();
             let need = state.waiting.max(need);
-            state.account.question(need, number_of(counter), now)
+            state.limiter.credit_request(need, number_of(counter), now)
         };
         let own = self.members.own();
         if counter == own {
@@ -213,7 +213,7 @@
     fn take_verdict(
         &self,
         tenant: &TenantName,
-        verdict: Verdict,
+        verdict: CreditResponse,
         asked_at: Duration,
         counter: SocketAddr,
     ) {
@@ -223,7 +223,7 @@
         let Some(state) = state.get_mut(tenant) else {
             return;
         };
-        let is_counted = verdict != Verdict::DecideAlone;
+        let is_counted = verdict != CreditResponse::DecideAlone;
         if let Some(since) = state.alone_since.filter(|_| is_counted) {
             state.alone_since = None;
             log::info!(tenant = tenant.as_str(), counter = counter.to_string().as_str(),
@@ -234,8 +234,8 @@
         state.asked_for_them = None;
         let number = number_of(counter);
         state
-            .account
-            .answered(verdict, number, gateways, asked_at, now);
+            .limiter
+            .apply_response(verdict, number, gateways, asked_at, now);
         state.answered.notify_waiters();
     }
 }
@@ -245,11 +245,11 @@
     weight(counter)
 }
 
-fn answer_of(verdict: Verdict) -> RateAnswer {
+fn answer_of(verdict: CreditResponse) -> RateAnswer {
     match verdict {
-        Verdict::Granted { .. } => RateAnswer::Granted,
-        Verdict::Exhausted { .. } => RateAnswer::Exhausted,
-        Verdict::DecideAlone => RateAnswer::Alone,
+        CreditResponse::Granted { .. } => RateAnswer::Granted,
+        CreditResponse::Exhausted { .. } => RateAnswer::Exhausted,
+        CreditResponse::DecideAlone => RateAnswer::Alone,
     }
 }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
@@ -236,7 +236,7 @@
         let now = self.clock.now();
         match counters.get_mut(allowance) {
             None if self.is_stopping() => {}
-            Some(counter) => counter.verified(register, reading.read_at, now),
+            Some(counter) => counter.confirm_register(register, reading.read_at, now),
             None => {
                 let counter =
                     Counter::begin(register, limit, reading.read_at, now, self.partitions);
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -7,7 +7,9 @@
 
 use futures_util::future::join_all;
 use swiftshunt_journal::LogError;
-use swiftshunt_scheduler::waiting_tokens::{Counter, Decision, Holding, Request, VERIFIED_FOR};
+use swiftshunt_scheduler::waiting_tokens::{
+    AdmissionRequest, Counter, Decision, PartitionTokens, REGISTER_TTL,
+};
 
 use super::{Call, WaitingLimits};
 use crate::beliefs::lock;
@@ -78,7 +80,7 @@
         let Some(counter) = counters.get_mut(&job.allowance) else {
             return Verdict::NotCounter;
         };
-        let request = Request {
+        let request = AdmissionRequest {
             job: &job.job,
             partition: job.partition,
             tokens: job.tokens,
@@ -122,7 +124,7 @@
         now: Duration,
     ) {
         let register = counter.register();
-        let holdings = counter.holdings();
+        let outstanding = counter.outstanding();
         // A job that has to wait asks again every few milliseconds, and its gateway tells how that ended.
         let level = match decision {
             Decision::Admitted | Decision::Full | Decision::Lost => log::Level::Info,
@@ -130,8 +132,8 @@
         };
         log::log!(level, job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, decision:? = decision, settled = counter.is_settled(),
-            reported = holdings.reported(), granted = holdings.granted(), partitions = holdings.partitions(),
-            oldest_ms = now.saturating_sub(holdings.as_of()).as_millis() as u64, version = register.version,
+            reported = outstanding.reported(), granted = outstanding.granted(), partitions = outstanding.partitions(),
+            oldest_ms = now.saturating_sub(outstanding.as_of()).as_millis() as u64, version = register.version,
             counted = register.counted, share = register.share, earlier_shares = register.earlier_shares;
             "it is decided whether a job fits");
         let basis = if counter.is_settled() {
@@ -146,13 +148,13 @@
     pub(super) fn take_recorded(&self, allowance: &Allowance, job: &str) {
         let now = self.clock.now();
         if let Some(counter) = lock(&self.counters).get_mut(allowance) {
-            counter.recorded(job, now);
+            counter.mark_recorded(job, now);
         }
     }
 
     pub(super) fn take_released(&self, allowance: &Allowance, job: &str) {
         if let Some(counter) = lock(&self.counters).get_mut(allowance) {
-            counter.released(job);
+            counter.release(job);
         }
     }
 
@@ -171,7 +173,7 @@
             return;
         };
         for held in partitions {
-            counter.report(Holding {
+            counter.apply_report(PartitionTokens {
                 partition: held.partition,
                 tokens: held.tokens,
                 end: held.end,
@@ -211,7 +213,7 @@
         let counters = lock(&self.counters);
         let due = counters.iter().map(|(allowance, counter)| {
             let is_asked = counter.is_asked(now);
-            let most = counter.holdings().most();
+            let most = counter.outstanding().max_tokens();
             let is_exact = counter.needs_exact_reports(now);
             let is_far = counter.is_settled() && most < counter.limit() / FAR_PART;
             let pause = if !is_asked {
@@ -228,7 +230,7 @@
                 allowance: allowance.clone(),
                 limit: counter.limit(),
                 is_to_verify: is_asked
-                    && now >= counter.verified_at() + VERIFIED_FOR / VERIFICATIONS,
+                    && now >= counter.verified_at() + REGISTER_TTL / VERIFICATIONS,
                 call: is_call.then_some(is_exact),
             }
         });
@@ -282,7 +284,7 @@
         }
         let change = lock(&self.counters)
             .get_mut(allowance)
-            .and_then(Counter::wanted);
+            .and_then(Counter::next_change);
         let Some(change) = change else {
             return Ok(());
         };
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -80,6 +80,6 @@
         let now = self.clock.now();
         counter
             .has_all_room()
-            .then(|| (counter.limit(), counter.stopped(now)))
+            .then(|| (counter.limit(), counter.stopped_register(now)))
     }
 }
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -6,7 +6,7 @@
 
 use swiftshunt_types::RateLimit;
 
-use super::{CREDIT_LIFE, Tolerance, USAGE_WINDOW, saved_at_most, share_of};
+use super::{CREDIT_TTL, Tolerance, USAGE_WINDOW, gateway_share, max_saved_requests};
 
 /// Part of the capacity that gateways may hold together without a request that waits for it.
 const HELD_SHARE: f64 = 0.5;
@@ -25,7 +25,7 @@
 
 /// A gateway's question.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
-pub struct Question {
+pub struct CreditRequest {
     /// Requests that wait for a credit.
     pub need: u32,
     /// Credits wanted ahead of need.
@@ -45,7 +45,7 @@
     /// Requests of all gateways within that window, the most that it was told of late.
     pub by_all: u32,
     /// What another counter said of late that it had left.
-    pub left_elsewhere: Option<Left>,
+    pub left_elsewhere: Option<RemainingCredits>,
 }
 
 fn is_zero(number: &u32) -> bool {
@@ -54,7 +54,7 @@
 
 /// What a counter had left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Left {
+pub struct RemainingCredits {
     /// Requests.
     pub requests: u32,
     /// How long ago.
@@ -63,7 +63,7 @@
 
 /// The counter's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub enum Verdict {
+pub enum CreditResponse {
     /// Credits to spend.
     Granted {
         /// How many.
@@ -139,7 +139,7 @@
     }
 
     /// Takes the limit of a newer version of the configuration.
-    pub fn limit_by(
+    pub fn update_limit(
         &mut self,
         limit: RateLimit,
         version: u64,
@@ -156,13 +156,13 @@
     }
 
     /// Answers a gateway.
-    pub fn ask(
+    pub fn grant_credits(
         &mut self,
         from: G,
-        question: Question,
+        question: CreditRequest,
         tolerance: &Tolerance,
         now: Duration,
-    ) -> Verdict {
+    ) -> CreditResponse {
         self.refill(tolerance, now);
         self.heard(from, &question, now);
         let room = self.room(tolerance, now);
@@ -177,7 +177,7 @@
         }
         if question.need > 0 && self.level < 1.0 {
             let again_after = self.again_after(now);
-            return Verdict::Exhausted {
+            return CreditResponse::Exhausted {
                 again_after,
                 recent,
             };
@@ -190,7 +190,7 @@
         }
         let credits = needed + ahead;
         self.level -= f64::from(credits);
-        Verdict::Granted {
+        CreditResponse::Granted {
             credits,
             recent,
             left: self.level.max(0.0) as u32,
@@ -199,18 +199,18 @@
 
     /// Another counter had so much left: this bucket has filled while that one gave credits, and the two
     /// together must not give more than one.
-    fn succeed(&mut self, left: Left) {
+    fn succeed(&mut self, left: RemainingCredits) {
         let since = left.age.as_secs_f64() * self.limit.per_second;
         self.level = self.level.min(f64::from(left.requests) + since);
     }
 
-    fn heard(&mut self, from: G, question: &Question, now: Duration) {
+    fn heard(&mut self, from: G, question: &CreditRequest, now: Duration) {
         let before = self.askers.get(&from);
         let first_share = before.map_or(question.share, |before| before.first_share);
         let asker = Asker {
             heard_at: now,
             held: question.held,
-            held_until: now + CREDIT_LIFE,
+            held_until: now + CREDIT_TTL,
             recent: question.recent,
             by_all: question.by_all,
             first_share,
@@ -227,7 +227,7 @@
 
     /// Of `gateways` gateways these are silent: each may let in its own share alone, and that is set aside;
     /// what it may have saved up of it is taken off.
-    pub fn set_aside(
+    pub fn reserve_for_silent(
         &mut self,
         silent: &[G],
         gateways: usize,
@@ -242,7 +242,7 @@
         for gateway in silent {
             let asker = self.askers.get(gateway);
             let own = asker.map_or(unknown, |asker| {
-                share_of(asker.recent, asker.by_all, gateways)
+                gateway_share(asker.recent, asker.by_all, gateways)
             });
             set_aside += own;
             if !before.contains(gateway) {
@@ -260,12 +260,12 @@
         let unknown = unknown.filter(|gateway| !self.askers.contains_key(gateway));
         let unknown = unknown.count();
         let by_all = self.askers.values().map(|asker| asker.by_all).max();
-        let idle = share_of(0, by_all.unwrap_or(0), gateways);
+        let idle = gateway_share(0, by_all.unwrap_or(0), gateways);
         let asked = self.askers.values();
         let brought: f64 = asked.map(|asker| asker.first_share.unwrap_or(idle)).sum();
         let never_asked = gateways.saturating_sub(unknown + self.askers.len());
         let left = 1.0 - brought - idle * never_asked as f64;
-        (left / unknown.max(1) as f64).max(share_of(0, 0, gateways))
+        (left / unknown.max(1) as f64).max(gateway_share(0, 0, gateways))
     }
 
     /// Takes off what a gateway spent of its share, unless that was set aside for it.
@@ -283,11 +283,11 @@
         let allowed_until = self.allowed_until.get(&gateway).copied();
         let since = allowed_until.unwrap_or(self.began);
         let come = now.saturating_sub(since).as_secs_f64() * self.limit.per_second * share;
-        come.min(saved_at_most(self.limit, share))
+        come.min(max_saved_requests(self.limit, share))
     }
 
     /// Nothing is to be set aside any more.
-    pub fn set_nothing_aside(&mut self, tolerance: &Tolerance, now: Duration) {
+    pub fn release_reserved(&mut self, tolerance: &Tolerance, now: Duration) {
         self.refill(tolerance, now);
         self.set_aside = 0.0;
         for gateway in self.set_aside_for.drain() {
@@ -296,7 +296,13 @@
     }
 
     /// Credits that a gateway gets ahead of need.
-    fn ahead(&self, question: &Question, needed: u32, tolerance: &Tolerance, now: Duration) -> u32 {
+    fn ahead(
+        &self,
+        question: &CreditRequest,
+        needed: u32,
+        tolerance: &Tolerance,
+        now: Duration,
+    ) -> u32 {
         let capacity = tolerance.capacity(self.limit);
         let may_be_held = (HELD_SHARE * capacity - self.outstanding(now)).max(0.0);
         let left = (self.level - f64::from(needed)) * AHEAD_SHARE;
--- a/crates/swiftshunt-scheduler/src/rates/account.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -5,8 +5,8 @@
 
 use swiftshunt_types::RateLimit;
 
-use super::bucket::{Left, Question, Verdict};
-use super::{CREDIT_LIFE, USAGE_WINDOW, Usage, saved_at_most, share_of};
+use super::bucket::{CreditRequest, CreditResponse, RemainingCredits};
+use super::{CREDIT_TTL, USAGE_WINDOW, Usage, gateway_share, max_saved_requests};
 
 /// Time for which credits are asked for ahead, by the requests of late.
 const AHEAD: Duration = Duration::from_millis(1_500);
@@ -52,13 +52,13 @@
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Step {
+pub enum AdmitDecision {
     /// It is let in.
     Admitted,
     /// The counter is to be asked.
-    Ask,
+    AskCounter,
     /// It is to be decided by this gateway's share alone.
-    Alone,
+    UseOwnShare,
     /// The limit is reached: there is likely to be room after this time.
     Refused {
         /// The time.
@@ -68,7 +68,7 @@
 
 /// One tenant's requests at one gateway.
 #[derive(Debug, Default)]
-pub struct Account {
+pub struct TenantLimiter {
     credits: VecDeque<Credits>,
     unused: u32,
     usage: Usage,
@@ -86,30 +86,35 @@
     alone_reported: u32,
 }
 
-impl Account {
+impl TenantLimiter {
     /// Decides about a request, by the credits that are here.
-    pub fn admit(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> Step {
+    pub fn admit(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> AdmitDecision {
         self.used_at = now;
         self.expire(now);
         if self.take_credit() {
             self.usage.add(now);
             let own = self.own_share(limit, gateways, now);
             own.level = (own.level - 1.0).max(0.0);
-            return Step::Admitted;
+            return AdmitDecision::Admitted;
         }
         if now < self.exhausted_until {
-            return Step::Refused {
+            return AdmitDecision::Refused {
                 again_after: self.exhausted_until - now,
             };
         }
         if now < self.alone_until {
-            return Step::Alone;
+            return AdmitDecision::UseOwnShare;
         }
-        Step::Ask
+        AdmitDecision::AskCounter
     }
 
     /// Decides about a request by this gateway's share alone.
-    pub fn admit_alone(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> bool {
+    pub fn admit_from_own_share(
+        &mut self,
+        limit: RateLimit,
+        gateways: usize,
+        now: Duration,
+    ) -> bool {
         self.used_at = now;
         let own = self.own_share(limit, gateways, now);
         if own.level < 1.0 {
@@ -125,14 +130,14 @@
     /// what was let in before.
     fn own_share(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> &mut OwnShare {
         let own = self.own.get_or_insert(OwnShare {
-            share: share_of(0, 0, gateways),
+            share: gateway_share(0, 0, gateways),
             level: 0.0,
             most: 0.0,
             refilled_at: now,
         });
         let elapsed = now.saturating_sub(own.refilled_at).as_secs_f64();
         let come = elapsed * limit.per_second * own.share;
-        own.most = saved_at_most(limit, own.share);
+        own.most = max_saved_requests(limit, own.share);
         own.level = (own.level + come).min(own.most);
         own.refilled_at = now;
         own
@@ -145,9 +150,9 @@
 
     /// How many requests were let in here of late, how many by all gateways as of the counter's last word,
     /// and the age of that.
-    pub fn figures(&mut self, now: Duration) -> Figures {
+    pub fn figures(&mut self, now: Duration) -> UsageFigures {
         let told = self.told.filter(|told| now < told.at + TOLD_AGE);
-        Figures {
+        UsageFigures {
             here: self.usage.total(now),
             by_all: told.map(|told| told.recent),
             age: told.map(|told| now.saturating_sub(told.at)),
@@ -155,20 +160,20 @@
     }
 
     /// A request that was let in was sent to nobody.
-    pub fn give_back(&mut self, now: Duration) {
+    pub fn refund_credit(&mut self, now: Duration) {
         // Nearly over, so that it is not spent after credits that were granted with it.
         let until = now + ASK_AGAIN;
         self.credits.push_front(Credits { count: 1, until });
     }
 
     /// The question to a counter, which a number names, for so many requests that wait.
-    pub fn question(&mut self, need: u32, counter: u64, now: Duration) -> Question {
+    pub fn credit_request(&mut self, need: u32, counter: u64, now: Duration) -> CreditRequest {
         self.expire(now);
         let told = self.told.filter(|told| told.counter != counter);
         let told = told.filter(|told| now < told.at + USAGE_WINDOW);
         self.asked_at = Some(now);
         self.alone_reported = self.alone;
-        Question {
+        CreditRequest {
             need,
             ahead: self.wanted(now).saturating_sub(self.held()),
             held: self.held(),
@@ -177,7 +182,7 @@
             spent_alone: self.spent_alone(),
             share: self.own.map(|own| own.share),
             by_all: self.peak(now),
-            left_elsewhere: told.map(|told| Left {
+            left_elsewhere: told.map(|told| RemainingCredits {
                 requests: told.left,
                 age: now.saturating_sub(told.at),
             }),
@@ -191,7 +196,7 @@
     }
 
     /// Whether the counter is to be asked though no request waits.
-    pub fn is_due(&mut self, now: Duration) -> bool {
+    pub fn should_prefetch(&mut self, now: Duration) -> bool {
         let was_asked = self.asked_at.is_some_and(|at| now < at + ASK_AGAIN);
         let wanted = self.wanted(now);
         let is_low = wanted > 0 && self.held() * 2 <= wanted;
@@ -204,28 +209,28 @@
     }
 
     /// A counter, which a number names, answered a question of `asked_at`.
-    pub fn answered(
+    pub fn apply_response(
         &mut self,
-        verdict: Verdict,
+        verdict: CreditResponse,
         counter: u64,
         gateways: usize,
         asked_at: Duration,
         now: Duration,
     ) {
         let (recent, left) = match verdict {
-            Verdict::Granted {
+            CreditResponse::Granted {
                 credits,
                 recent,
                 left,
             } => {
-                let until = asked_at + CREDIT_LIFE;
+                let until = asked_at + CREDIT_TTL;
                 if credits > 0 {
                     let count = credits;
                     self.credits.push_back(Credits { count, until });
                 }
                 (recent, left)
             }
-            Verdict::Exhausted {
+            CreditResponse::Exhausted {
                 again_after,
                 recent,
             } => {
@@ -233,7 +238,7 @@
                 self.nothing_is_saved(now);
                 (recent, 0)
             }
-            Verdict::DecideAlone => {
+            CreditResponse::DecideAlone => {
                 self.alone_until = now + ALONE_FOR;
                 return;
             }
@@ -253,11 +258,11 @@
         let here = self.usage.total(now);
         let by_all = self.peak(now);
         let began = *self.began.get_or_insert(now);
-        let share = share_of(here, by_all, gateways);
+        let share = gateway_share(here, by_all, gateways);
         if let Some(own) = &mut self.own {
             // Before a window is full the shares of all gateways make more than one.
             own.share = if now < began + USAGE_WINDOW {
-                share.min(share_of(0, 0, gateways))
+                share.min(gateway_share(0, 0, gateways))
             } else {
                 share
             };
@@ -314,7 +319,7 @@
 
 /// What is known of a tenant's requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figures {
+pub struct UsageFigures {
     /// Requests let in here within the last [`USAGE_WINDOW`].
     pub here: u32,
     /// The same of all gateways, as the counter told last.
--- a/crates/swiftshunt-scheduler/src/rates/mod.rs
+++ b/crates/swiftshunt-scheduler/src/rates/mod.rs
@@ -1,7 +1,7 @@
 //! Limits of a tenant's requests, over all gateways together, without I/O.
 //!
 //! For each tenant one gateway counts: it keeps a token bucket ([`bucket`]) and hands out credits. Each
-//! gateway keeps an account for each tenant that calls there ([`account`]): a request takes a credit, and
+//! gateway keeps an account for each tenant that calls there ([`limiter`]): a request takes a credit, and
 //! credits are asked for ahead of need, so that hardly a request waits for the counter.
 //!
 //! In any window of `w` seconds no more requests are let in than `rate x w + burst` and a part of the
@@ -10,7 +10,7 @@
 //!   window begins with no more than that, and `rate x w` is added in it;
 //! - a bucket whose past is lost begins with the part of the tolerance that the capacity leaves: before the
 //!   loss no more can have been let in than the capacity and the rate allow;
-//! - a gateway that no counter answers lets in its own share of the rate and no more ([`share_of`]); shares
+//! - a gateway that no counter answers lets in its own share of the rate and no more ([`gateway_share`]); shares
 //!   of all gateways make one. A counter near the limit finds out which gateways are silent and sets their
 //!   shares aside, with what they may have saved up while nothing was set aside;
 //! - a counter that takes over does not know the shares of those that it never heard: together they have what
@@ -18,8 +18,8 @@
 //! - a gateway that comes back says what it let in alone: a counter that set nothing aside for it takes that
 //!   off.
 
-pub mod account;
 pub mod bucket;
+pub mod limiter;
 mod usage;
 
 use std::time::Duration;
@@ -30,7 +30,7 @@
 
 /// How long a credit may be spent, counted from the question for it: about two requests of a caller that
 /// asks once a second. Credits of a gateway that dies are lost to the tenant for that long.
-pub const CREDIT_LIFE: Duration = Duration::from_secs(3);
+pub const CREDIT_TTL: Duration = Duration::from_secs(3);
 /// Part of the tolerance that a bucket may hold beyond the burst: steps of a tenant's load that a window
 /// allows must not be refused since a bucket refills evenly.
 const STANDING_SHARE: f64 = 0.25;
@@ -46,13 +46,13 @@
 
 /// The part of a tenant's requests that a gateway may let in alone, by what was let in of late here and by
 /// all. Shares of all gateways make one; one at which nothing came has a share, too.
-pub fn share_of(here: u32, by_all: u32, gateways: usize) -> f64 {
+pub fn gateway_share(here: u32, by_all: u32, gateways: usize) -> f64 {
     let all = f64::from(by_all.max(here)) + gateways.max(1) as f64;
     (f64::from(here) + 1.0) / all
 }
 
 /// Most requests that a gateway with a share has saved up.
-pub(crate) fn saved_at_most(limit: RateLimit, share: f64) -> f64 {
+pub(crate) fn max_saved_requests(limit: RateLimit, share: f64) -> f64 {
     let saved = limit.per_second * share * SAVED_WITHIN.as_secs_f64();
     (limit.burst * share + saved.min(SAVED_REQUESTS)).max(1.0)
 }
@@ -81,7 +81,7 @@
     }
 
     /// What a bucket of this limit begins with whose past is not known.
-    pub fn cold_start(&self, limit: RateLimit) -> f64 {
+    pub fn cold_start_level(&self, limit: RateLimit) -> f64 {
         let cold = COLD_SHARE * self.slack(limit);
         cold.min(self.capacity(limit))
     }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use super::holdings::{Holding, Holdings};
+use super::outstanding::{OutstandingTokens, PartitionTokens};
 use super::register::{FIRST_TERM, Register};
-use super::{GRANT_LIFETIME, IDLE_AFTER, UNREAD_FOR, VERIFIED_FOR};
+use super::{GRANT_LIFETIME, IDLE_TIMEOUT, REGISTER_READ_TIMEOUT, REGISTER_TTL};
 
 /// A job that asks for room.
 #[derive(Clone, Copy, Debug)]
-pub struct Request<'r> {
+pub struct AdmissionRequest<'r> {
     /// The job.
     pub job: &'r str,
     /// The partition that it lies in.
@@ -21,7 +21,7 @@
 
 /// The moment as of which reports show all that gateways have admitted that count no more since `now` at the latest.
 fn surely_shown_from(now: Duration) -> Duration {
-    now + VERIFIED_FOR + GRANT_LIFETIME
+    now + REGISTER_TTL + GRANT_LIFETIME
 }
 
 /// What is decided about a job.
@@ -75,7 +75,7 @@
     is_shown: bool,
     /// Tokens of the share that are spent.
     spent: u64,
-    holdings: Holdings,
+    outstanding: OutstandingTokens,
     partitions: u32,
     /// The limit that was asked for last, and when.
     limit: u64,
@@ -109,7 +109,7 @@
             needed_from: Duration::ZERO,
             is_shown: false,
             spent: 0,
-            holdings: Holdings::default(),
+            outstanding: OutstandingTokens::default(),
             partitions,
             limit,
             asked_at: now,
@@ -125,8 +125,8 @@
 
     /// The register that says that it has stopped; none as long as what it admitted may still be recorded, or
     /// something may be in the hands of others.
-    pub fn stopped(&self, now: Duration) -> Option<Register> {
-        let is_resolved = self.is_stopping && self.holdings.are_resolved(now);
+    pub fn stopped_register(&self, now: Duration) -> Option<Register> {
+        let is_resolved = self.is_stopping && self.outstanding.are_resolved(now);
         (is_resolved && self.has_all_room()).then(|| self.register.stopped())
     }
 
@@ -141,8 +141,8 @@
     }
 
     /// What stands, as far as known.
-    pub fn holdings(&self) -> &Holdings {
-        &self.holdings
+    pub fn outstanding(&self) -> &OutstandingTokens {
+        &self.outstanding
     }
 
     /// Whether it counts by what stands: that is known, and the register says so. One gateway alone does.
@@ -172,18 +172,18 @@
 
     /// Whether reports are as new as they have to be.
     fn is_current(&self) -> bool {
-        self.holdings
+        self.outstanding
             .are_known_since(self.needed_from, self.partitions)
     }
 
     /// Whether it was asked of late.
     pub fn is_asked(&self, now: Duration) -> bool {
-        now < self.asked_at + IDLE_AFTER
+        now < self.asked_at + IDLE_TIMEOUT
     }
 
     /// A read that began at `read_at` shows that it still counts. Where others counted meanwhile, what they were
     /// given stays set aside until reports show what became of it.
-    pub fn verified(&mut self, register: Register, read_at: Duration, now: Duration) {
+    pub fn confirm_register(&mut self, register: Register, read_at: Duration, now: Duration) {
         self.verified_at = self.verified_at.max(read_at);
         self.unverified_since = None;
         if register.version <= self.register.version {
@@ -196,31 +196,31 @@
     }
 
     /// Takes what a holder reports of a partition.
-    pub fn report(&mut self, holding: Holding) {
-        self.holdings.report(holding);
+    pub fn apply_report(&mut self, holding: PartitionTokens) {
+        self.outstanding.apply_report(holding);
         self.is_shown |= self.is_all_shown();
     }
 
     fn is_all_shown(&self) -> bool {
-        self.holdings
+        self.outstanding
             .are_known_since(self.settles_from, self.partitions)
     }
 
     /// The record of an admitted job stands.
-    pub fn recorded(&mut self, job: &str, now: Duration) {
-        self.holdings.recorded(job, now);
+    pub fn mark_recorded(&mut self, job: &str, now: Duration) {
+        self.outstanding.mark_recorded(job, now);
     }
 
     /// An admitted job was not recorded, and will not be.
-    pub fn released(&mut self, job: &str) {
-        let tokens = self.holdings.released(job);
+    pub fn release(&mut self, job: &str) {
+        let tokens = self.outstanding.release(job);
         if !self.is_settled() {
             self.spent = self.spent.saturating_sub(tokens);
         }
     }
 
     /// Decides about a job. The same job is counted once.
-    pub fn decide(&mut self, request: &Request<'_>, now: Duration) -> Decision {
+    pub fn decide(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         self.limit = request.limit;
         if !self.is_asked(now) {
             self.needed_from = now;
@@ -229,15 +229,15 @@
         if self.is_stopping {
             return Decision::Unverified;
         }
-        if now >= self.verified_at + VERIFIED_FOR {
+        if now >= self.verified_at + REGISTER_TTL {
             let since = *self.unverified_since.get_or_insert(now);
-            return if now < since + UNREAD_FOR {
+            return if now < since + REGISTER_READ_TIMEOUT {
                 Decision::Unverified
             } else {
                 Decision::Lost
             };
         }
-        if self.holdings.grant_again(request.job, now) {
+        if self.outstanding.grant_again(request.job, now) {
             return Decision::Admitted;
         }
         let decision = if self.is_settled() {
@@ -246,18 +246,18 @@
             self.decide_by_share(request, now)
         };
         if decision == Decision::Admitted {
-            self.holdings
+            self.outstanding
                 .grant(request.job, request.partition, request.tokens, now);
         }
         decision
     }
 
-    fn decide_by_what_stands(&mut self, request: &Request<'_>, now: Duration) -> Decision {
+    fn decide_by_what_stands(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         if !self.is_current() {
             return Decision::Settling(Duration::ZERO);
         }
         // Callers name the tokens, and may name any number.
-        let most = self.holdings.most().saturating_add(request.tokens);
+        let most = self.outstanding.max_tokens().saturating_add(request.tokens);
         if most <= self.register.counted.min(request.limit) {
             return Decision::Admitted;
         }
@@ -271,7 +271,7 @@
         Decision::Settling(self.settles_from.saturating_sub(now))
     }
 
-    fn decide_by_share(&mut self, request: &Request<'_>, now: Duration) -> Decision {
+    fn decide_by_share(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         let spent = self.spent.saturating_add(request.tokens);
         if spent <= self.register.share.min(request.limit) {
             self.spent = spent;
@@ -282,11 +282,11 @@
     }
 
     /// A change of the register that is due.
-    pub fn wanted(&mut self) -> Option<Change> {
+    pub fn next_change(&mut self) -> Option<Change> {
         if !self.is_shown || self.limit == 0 || self.is_stopping {
             return None;
         }
-        let most = self.holdings.most();
+        let most = self.outstanding.max_tokens();
         let needed = std::mem::take(&mut self.needed).max(most);
         let change = if self.is_to_settle() {
             Change::Settle(self.register.settled(needed, self.limit))
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/holdings.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
@@ -6,11 +6,11 @@
 
 use swiftshunt_types::total_tokens;
 
-use super::{GRANT_LIFETIME, UNRESOLVED_FOR};
+use super::{GRANT_LIFETIME, UNRESOLVED_GRANT_TTL};
 
 /// What stands in a partition, as its holder has read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct PartitionTokens {
     /// The partition.
     pub partition: u32,
     /// Tokens of unfinished items.
@@ -35,24 +35,24 @@
 
 impl Grant {
     /// Whether the report of its partition shows it, or it was never recorded.
-    fn is_in(&self, holding: &Holding) -> bool {
-        let from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_FOR);
+    fn is_in(&self, holding: &PartitionTokens) -> bool {
+        let from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
         self.partition == holding.partition && holding.as_of >= from
     }
 }
 
 /// All that stands, or may.
 #[derive(Debug, Default)]
-pub struct Holdings {
+pub struct OutstandingTokens {
     /// By partition, as reported last; what a silent holder reported counts on.
-    reported: BTreeMap<u32, Holding>,
+    reported: BTreeMap<u32, PartitionTokens>,
     /// By job.
     grants: HashMap<String, Grant>,
 }
 
-impl Holdings {
+impl OutstandingTokens {
     /// Takes a report; one that has read less of a partition than an earlier one changes nothing.
-    pub fn report(&mut self, holding: Holding) {
+    pub fn apply_report(&mut self, holding: PartitionTokens) {
         let known = self.reported.get(&holding.partition);
         if known.is_some_and(|known| known.end > holding.end || known.as_of > holding.as_of) {
             return;
@@ -85,14 +85,14 @@
     }
 
     /// The record of an admitted job stands.
-    pub fn recorded(&mut self, job: &str, now: Duration) {
+    pub fn mark_recorded(&mut self, job: &str, now: Duration) {
         if let Some(grant) = self.grants.get_mut(job) {
             grant.recorded_at.get_or_insert(now);
         }
     }
 
     /// A gateway did not record an admitted job, and will not; gives the tokens that count no more.
-    pub fn released(&mut self, job: &str) -> u64 {
+    pub fn release(&mut self, job: &str) -> u64 {
         let Some(grant) = self.grants.get_mut(job) else {
             return 0;
         };
@@ -121,7 +121,7 @@
     }
 
     /// Tokens that stand at most, as far as each partition was reported.
-    pub fn most(&self) -> u64 {
+    pub fn max_tokens(&self) -> u64 {
         self.reported().saturating_add(self.granted())
     }
 
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use swiftshunt_scheduler::rates::account::{Account, Step};
-use swiftshunt_scheduler::rates::bucket::{Bucket, Question, Verdict};
-use swiftshunt_scheduler::rates::{CREDIT_LIFE, Tolerance, Usage, share_of};
+use swiftshunt_scheduler::rates::bucket::{Bucket, CreditRequest, CreditResponse};
+use swiftshunt_scheduler::rates::limiter::{AdmitDecision, TenantLimiter};
+use swiftshunt_scheduler::rates::{CREDIT_TTL, Tolerance, Usage, gateway_share};
 use swiftshunt_types::RateLimit;
 
 const LIMIT: RateLimit = RateLimit {
@@ -24,17 +24,17 @@
     START + Duration::from_millis(milliseconds)
 }
 
-fn needs(need: u32) -> Question {
-    Question {
+fn needs(need: u32) -> CreditRequest {
+    CreditRequest {
         need,
-        ..Question::default()
+        ..CreditRequest::default()
     }
 }
 
-fn credits(verdict: Verdict) -> u32 {
+fn credits(verdict: CreditResponse) -> u32 {
     match verdict {
-        Verdict::Granted { credits, .. } => credits,
-        Verdict::Exhausted { .. } | Verdict::DecideAlone => 0,
+        CreditResponse::Granted { credits, .. } => credits,
+        CreditResponse::Exhausted { .. } | CreditResponse::DecideAlone => 0,
     }
 }
 
@@ -46,15 +46,18 @@
 fn a_bucket_gives_what_it_holds_and_then_what_the_rate_adds() {
     let mut bucket = full_bucket();
     let all: u32 = (0..40)
-        .map(|_| credits(bucket.ask(1, needs(1), &TOLERANCE, START)))
+        .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
         .sum();
     assert_eq!(all, TOLERANCE.capacity(LIMIT) as u32);
-    let refused = bucket.ask(1, needs(1), &TOLERANCE, START);
-    let Verdict::Exhausted { again_after, .. } = refused else {
+    let refused = bucket.grant_credits(1, needs(1), &TOLERANCE, START);
+    let CreditResponse::Exhausted { again_after, .. } = refused else {
         panic!("{refused:?}");
     };
     assert!(again_after <= Duration::from_millis(100), "{again_after:?}");
-    assert_eq!(credits(bucket.ask(1, needs(5), &TOLERANCE, at(300))), 3);
+    assert_eq!(
+        credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(300))),
+        3
+    );
 }
 
 /// What gateways hold is not added again while they may still spend it.
@@ -62,15 +65,15 @@
 fn credits_that_are_held_are_not_refilled() {
     let mut bucket = full_bucket();
     let capacity = TOLERANCE.capacity(LIMIT) as u32;
-    let ahead = Question {
+    let ahead = CreditRequest {
         ahead: 8,
         ..needs(1)
     };
-    let held = credits(bucket.ask(1, ahead, &TOLERANCE, START));
+    let held = credits(bucket.grant_credits(1, ahead, &TOLERANCE, START));
     assert_eq!(held, 9);
     // Long after, another gateway asks for all: the first may still spend its part.
-    let later = START + CREDIT_LIFE - Duration::from_millis(1);
-    let others = (0..100).map(|_| credits(bucket.ask(2, needs(1), &TOLERANCE, later)));
+    let later = START + CREDIT_TTL - Duration::from_millis(1);
+    let others = (0..100).map(|_| credits(bucket.grant_credits(2, needs(1), &TOLERANCE, later)));
     // One was needed and is spent.
     assert!(others.sum::<u32>() + held - 1 <= capacity);
 }
@@ -79,29 +82,32 @@
 fn unused_credits_come_back() {
     let mut bucket = full_bucket();
     let drained: u32 = (0..40)
-        .map(|_| credits(bucket.ask(1, needs(1), &TOLERANCE, START)))
+        .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
         .sum();
     assert!(drained > 0);
-    let back = Question {
+    let back = CreditRequest {
         need: 2,
         unused: 2,
-        ..Question::default()
+        ..CreditRequest::default()
     };
-    assert_eq!(credits(bucket.ask(1, back, &TOLERANCE, START)), 2);
+    assert_eq!(credits(bucket.grant_credits(1, back, &TOLERANCE, START)), 2);
 }
 
 #[test]
 fn ahead_of_need_a_gateway_gets_a_part_only() {
     let mut bucket = full_bucket();
-    let greedy = Question {
+    let greedy = CreditRequest {
         ahead: 1_000,
-        ..Question::default()
+        ..CreditRequest::default()
     };
     let all: u32 = (0..10)
-        .map(|gateway| credits(bucket.ask(gateway, greedy, &TOLERANCE, START)))
+        .map(|gateway| credits(bucket.grant_credits(gateway, greedy, &TOLERANCE, START)))
         .sum();
     assert!(f64::from(all) <= TOLERANCE.capacity(LIMIT) / 2.0, "{all}");
-    assert_eq!(credits(bucket.ask(11, needs(3), &TOLERANCE, START)), 3);
+    assert_eq!(
+        credits(bucket.grant_credits(11, needs(3), &TOLERANCE, START)),
+        3
+    );
 }
 
 #[test]
@@ -111,10 +117,10 @@
         per_second: 1.0,
         burst: 2.0,
     };
-    bucket.limit_by(lower, 2, &TOLERANCE, START);
-    bucket.limit_by(LIMIT, 1, &TOLERANCE, START);
+    bucket.update_limit(lower, 2, &TOLERANCE, START);
+    bucket.update_limit(LIMIT, 1, &TOLERANCE, START);
     let all: u32 = (0..40)
-        .map(|_| credits(bucket.ask(1, needs(1), &TOLERANCE, START)))
+        .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
         .sum();
     assert_eq!(all, TOLERANCE.capacity(lower) as u32);
 }
@@ -124,16 +130,16 @@
 fn what_silent_gateways_may_let_in_is_set_aside() {
     let mut bucket = full_bucket();
     for gateway in 0..10 {
-        let question = Question {
+        let question = CreditRequest {
             recent: 10,
             ..needs(5)
         };
-        bucket.ask(gateway, question, &TOLERANCE, at(6_000));
+        bucket.grant_credits(gateway, question, &TOLERANCE, at(6_000));
     }
     assert!(bucket.is_near_limit(&TOLERANCE));
-    bucket.set_aside(&[7, 8, 9], 10, &TOLERANCE, at(6_000));
+    bucket.reserve_for_silent(&[7, 8, 9], 10, &TOLERANCE, at(6_000));
     let given: u32 = (0..100)
-        .map(|step| credits(bucket.ask(1, needs(5), &TOLERANCE, at(10_000 + step * 100))))
+        .map(|step| credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(10_000 + step * 100))))
         .sum();
     // 14 s at seven tenths of the rate, less what three gateways may have saved up.
     assert!((70..=98).contains(&given), "{given}");
@@ -141,83 +147,94 @@
 
 #[test]
 fn a_request_takes_a_credit_or_asks() {
-    let mut account = Account::default();
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Ask);
-    let question = account.question(1, COUNTER, START);
+    let mut limiter = TenantLimiter::default();
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
+    let question = limiter.credit_request(1, COUNTER, START);
     assert_eq!((question.need, question.held), (1, 0));
-    let granted = Verdict::Granted {
+    let granted = CreditResponse::Granted {
         credits: 2,
         recent: 5,
         left: 9,
     };
-    account.answered(granted, COUNTER, 4, START, START);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Admitted);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Admitted);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Ask);
-    let figures = account.figures(START);
+    limiter.apply_response(granted, COUNTER, 4, START, START);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::Admitted);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::Admitted);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
+    let figures = limiter.figures(START);
     assert_eq!((figures.here, figures.by_all), (2, Some(5)));
 }
 
 #[test]
 fn credits_end_with_the_life_of_the_question_for_them() {
-    let mut account = Account::default();
-    let granted = Verdict::Granted {
+    let mut limiter = TenantLimiter::default();
+    let granted = CreditResponse::Granted {
         credits: 2,
         recent: 0,
         left: 9,
     };
-    account.answered(granted, COUNTER, 4, START, at(2_900));
-    assert_eq!(account.admit(LIMIT, 4, at(2_950)), Step::Admitted);
-    assert_eq!(account.admit(LIMIT, 4, START + CREDIT_LIFE), Step::Ask);
-    assert_eq!(account.question(1, COUNTER, START + CREDIT_LIFE).unused, 1);
+    limiter.apply_response(granted, COUNTER, 4, START, at(2_900));
+    assert_eq!(limiter.admit(LIMIT, 4, at(2_950)), AdmitDecision::Admitted);
+    assert_eq!(
+        limiter.admit(LIMIT, 4, START + CREDIT_TTL),
+        AdmitDecision::AskCounter
+    );
+    assert_eq!(
+        limiter
+            .credit_request(1, COUNTER, START + CREDIT_TTL)
+            .unused,
+        1
+    );
 }
 
 #[test]
 fn a_tenant_at_its_limit_is_refused_here_until_there_may_be_room() {
-    let mut account = Account::default();
+    let mut limiter = TenantLimiter::default();
     let again_after = Duration::from_millis(70);
-    let exhausted = Verdict::Exhausted {
+    let exhausted = CreditResponse::Exhausted {
         again_after,
         recent: 70,
     };
-    account.answered(exhausted, COUNTER, 4, START, START);
-    let refused = Step::Refused { again_after };
-    assert_eq!(account.admit(LIMIT, 4, START), refused);
-    assert_eq!(account.admit(LIMIT, 4, at(70)), Step::Ask);
+    limiter.apply_response(exhausted, COUNTER, 4, START, START);
+    let refused = AdmitDecision::Refused { again_after };
+    assert_eq!(limiter.admit(LIMIT, 4, START), refused);
+    assert_eq!(limiter.admit(LIMIT, 4, at(70)), AdmitDecision::AskCounter);
 }
 
 #[test]
 fn what_was_let_in_and_went_nowhere_is_spent_by_another() {
-    let mut account = Account::default();
-    let granted = Verdict::Granted {
+    let mut limiter = TenantLimiter::default();
+    let granted = CreditResponse::Granted {
         credits: 1,
         recent: 0,
         left: 9,
     };
-    account.answered(granted, COUNTER, 4, START, START);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Admitted);
-    account.give_back(START);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Admitted);
-    assert_eq!(account.admit(LIMIT, 4, START), Step::Ask);
+    limiter.apply_response(granted, COUNTER, 4, START, START);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::Admitted);
+    limiter.refund_credit(START);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::Admitted);
+    assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
 }
 
 /// A counter that was away has filled while another one gave credits: it learns what that had left.
 #[test]
 fn two_counters_one_after_the_other_give_no_more_than_one() {
-    let mut account = Account::default();
-    let granted = Verdict::Granted {
+    let mut limiter = TenantLimiter::default();
+    let granted = CreditResponse::Granted {
         credits: 1,
         recent: 30,
         left: 4,
     };
-    account.answered(granted, COUNTER, 4, START, START);
-    assert_eq!(account.question(1, COUNTER, at(100)).left_elsewhere, None);
-    let question = account.question(1, COUNTER + 1, at(100));
+    limiter.apply_response(granted, COUNTER, 4, START, START);
+    assert_eq!(
+        limiter.credit_request(1, COUNTER, at(100)).left_elsewhere,
+        None
+    );
+    let question = limiter.credit_request(1, COUNTER + 1, at(100));
     assert!(question.left_elsewhere.is_some());
     let mut bucket = full_bucket();
-    let first = credits(bucket.ask(1, question, &TOLERANCE, at(100)));
+    let first = credits(bucket.grant_credits(1, question, &TOLERANCE, at(100)));
     let rest: u32 = (0..40)
-        .map(|_| credits(bucket.ask(1, needs(1), &TOLERANCE, at(100))))
+        .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, at(100))))
         .sum();
     assert_eq!(first + rest, 5);
 }
@@ -225,9 +242,10 @@
 /// Alone a gateway lets in its share, not what it has spent before, and nothing at its start.
 #[test]
 fn alone_a_gateway_lets_in_its_share() {
-    let mut account = Account::default();
-    assert!(!account.admit_alone(LIMIT, 10, START));
-    let admitted = (0..600_u64).filter(|step| account.admit_alone(LIMIT, 10, at(step * 100)));
+    let mut limiter = TenantLimiter::default();
+    assert!(!limiter.admit_from_own_share(LIMIT, 10, START));
+    let admitted =
+        (0..600_u64).filter(|step| limiter.admit_from_own_share(LIMIT, 10, at(step * 100)));
     // A tenth of 10 a second, for a minute.
     let admitted = admitted.count();
     assert!((55..=61).contains(&admitted), "{admitted}");
@@ -237,7 +255,7 @@
 fn shares_of_all_gateways_make_one() {
     let here = [0_u32, 3, 0, 12, 1];
     let all = here.iter().sum();
-    let shares: f64 = here.iter().map(|here| share_of(*here, all, 5)).sum();
+    let shares: f64 = here.iter().map(|here| gateway_share(*here, all, 5)).sum();
     assert!((shares - 1.0).abs() < 1e-9, "{shares}");
 }
 
@@ -259,22 +277,22 @@
 
 fn given_within(bucket: &mut Bucket<u32>, from: u64, until: u64) -> u32 {
     (from / 100..until / 100)
-        .map(|step| credits(bucket.ask(1, needs(5), &TOLERANCE, at(step * 100))))
+        .map(|step| credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(step * 100))))
         .sum()
 }
 
 #[test]
 fn what_a_gateway_let_in_alone_is_not_given_once_more_by_a_counter_that_was_full() {
     let mut bucket = full_bucket();
-    bucket.ask(1, needs(0), &TOLERANCE, at(6_000));
-    let back = Question {
+    bucket.grant_credits(1, needs(0), &TOLERANCE, at(6_000));
+    let back = CreditRequest {
         spent_alone: 12,
         ..needs(0)
     };
     // The answer to the first question is lost.
-    bucket.ask(2, back, &TOLERANCE, at(6_000));
-    bucket.ask(2, back, &TOLERANCE, at(6_020));
-    let given = credits(bucket.ask(1, needs(40), &TOLERANCE, at(6_020)));
+    bucket.grant_credits(2, back, &TOLERANCE, at(6_000));
+    bucket.grant_credits(2, back, &TOLERANCE, at(6_020));
+    let given = credits(bucket.grant_credits(1, needs(40), &TOLERANCE, at(6_020)));
     let capacity = TOLERANCE.capacity(LIMIT) as u32;
     assert!((capacity - 13..=capacity - 12).contains(&given), "{given}");
 }
@@ -283,13 +301,13 @@
 fn a_counter_that_takes_over_leaves_silent_gateways_the_share_that_nobody_else_has() {
     let mut bucket = empty_bucket();
     for gateway in 0..4 {
-        let question = Question {
+        let question = CreditRequest {
             share: Some(0.1),
             ..needs(1)
         };
-        bucket.ask(gateway, question, &TOLERANCE, START);
+        bucket.grant_credits(gateway, question, &TOLERANCE, START);
     }
-    bucket.set_aside(&[4], 5, &TOLERANCE, START);
+    bucket.reserve_for_silent(&[4], 5, &TOLERANCE, START);
     let given = given_within(&mut bucket, 0, 10_000);
     // Four tenths of the rate: the gateway that never asked here may have the rest.
     assert!((30..=41).contains(&given), "{given}");
@@ -299,30 +317,30 @@
 fn what_a_silent_gateway_saved_while_nothing_was_set_aside_is_taken_off_again() {
     let mut bucket = full_bucket();
     for gateway in 0..2 {
-        let question = Question {
+        let question = CreditRequest {
             recent: 25,
             by_all: 50,
             ..needs(11)
         };
-        bucket.ask(gateway, question, &TOLERANCE, at(6_000));
+        bucket.grant_credits(gateway, question, &TOLERANCE, at(6_000));
     }
-    bucket.set_aside(&[0], 2, &TOLERANCE, at(6_000));
-    bucket.set_nothing_aside(&TOLERANCE, at(6_100));
-    let near_limit = bucket.ask(1, needs(20), &TOLERANCE, at(9_000));
+    bucket.reserve_for_silent(&[0], 2, &TOLERANCE, at(6_000));
+    bucket.release_reserved(&TOLERANCE, at(6_100));
+    let near_limit = bucket.grant_credits(1, needs(20), &TOLERANCE, at(9_000));
     assert!(credits(near_limit) >= 15, "{near_limit:?}");
-    bucket.set_aside(&[0], 2, &TOLERANCE, at(9_000));
+    bucket.reserve_for_silent(&[0], 2, &TOLERANCE, at(9_000));
     // Half of the burst is what the other one may have saved again.
     assert_eq!(given_within(&mut bucket, 9_000, 10_000), 0);
 }
 
 #[test]
 fn alone_a_gateway_has_saved_nothing_of_what_the_counter_has_not() {
-    let mut account = Account::default();
-    assert!(!account.admit_alone(LIMIT, 1, START));
-    let refused = Verdict::Exhausted {
+    let mut limiter = TenantLimiter::default();
+    assert!(!limiter.admit_from_own_share(LIMIT, 1, START));
+    let refused = CreditResponse::Exhausted {
         again_after: Duration::from_millis(50),
         recent: 0,
     };
-    account.answered(refused, COUNTER, 1, at(5_000), at(5_000));
-    assert!(!account.admit_alone(LIMIT, 1, at(5_000)));
+    limiter.apply_response(refused, COUNTER, 1, at(5_000), at(5_000));
+    assert!(!limiter.admit_from_own_share(LIMIT, 1, at(5_000)));
 }
--- a/crates/swiftshunt-scheduler/tests/rates_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/rates_simulation.rs
@@ -7,8 +7,8 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftshunt_scheduler::rates::Tolerance;
-use swiftshunt_scheduler::rates::account::{Account, Step};
-use swiftshunt_scheduler::rates::bucket::{Bucket, Verdict};
+use swiftshunt_scheduler::rates::bucket::{Bucket, CreditResponse};
+use swiftshunt_scheduler::rates::limiter::{AdmitDecision, TenantLimiter};
 use swiftshunt_types::RateLimit;
 
 const TOLERANCE: Tolerance = Tolerance {
@@ -46,7 +46,7 @@
 
 struct Gateway {
     health: Health,
-    account: Account,
+    limiter: TenantLimiter,
     bucket: Option<(Bucket<usize>, Option<Duration>)>,
     /// Since when it reaches half of the gateways at most.
     cut_off_since: Option<Duration>,
@@ -56,7 +56,7 @@
     fn new() -> Self {
         Self {
             health: Health::Sound,
-            account: Account::default(),
+            limiter: TenantLimiter::default(),
             bucket: None,
             cut_off_since: None,
         }
@@ -114,33 +114,33 @@
         }
         let count = self.gateways.len();
         let question = self.gateways[from]
-            .account
-            .question(need, counter as u64, now);
+            .limiter
+            .credit_request(need, counter as u64, now);
         let silent: Vec<usize> = (0..count)
             .filter(|other| *other != counter && !self.reach(counter, *other))
             .collect();
         let limit = self.limit;
         if self.is_known_to_be_cut_off(counter, now) {
-            let account = &mut self.gateways[from].account;
-            account.answered(Verdict::DecideAlone, counter as u64, count, now, now);
+            let limiter = &mut self.gateways[from].limiter;
+            limiter.apply_response(CreditResponse::DecideAlone, counter as u64, count, now, now);
             return true;
         }
         let (bucket, looked) = self.gateways[counter].bucket.get_or_insert_with(|| {
             let level = if counter == 0 {
-                TOLERANCE.cold_start(limit)
+                TOLERANCE.cold_start_level(limit)
             } else {
                 0.0
             };
             (Bucket::new(limit, 1, level, now), None)
         });
-        let verdict: Verdict = bucket.ask(from, question, &TOLERANCE, now);
+        let verdict: CreditResponse = bucket.grant_credits(from, question, &TOLERANCE, now);
         if bucket.is_near_limit(&TOLERANCE) {
             let since = *looked.get_or_insert(now);
             if now >= since + LOOK_AROUND {
-                bucket.set_aside(&silent, count, &TOLERANCE, now);
+                bucket.reserve_for_silent(&silent, count, &TOLERANCE, now);
             }
         } else if looked.take().is_some() {
-            bucket.set_nothing_aside(&TOLERANCE, now);
+            bucket.release_reserved(&TOLERANCE, now);
         }
         // Those that stood in stop once the first is there again.
         for other in counter + 1..COUNTERS.min(count) {
@@ -148,8 +148,8 @@
                 self.gateways[other].bucket = None;
             }
         }
-        let account = &mut self.gateways[from].account;
-        account.answered(verdict, counter as u64, count, now, now);
+        let limiter = &mut self.gateways[from].limiter;
+        limiter.apply_response(verdict, counter as u64, count, now, now);
         true
     }
 
@@ -178,17 +178,17 @@
     fn admit(&mut self, at: usize, now: Duration) -> bool {
         let count = self.gateways.len();
         for _ in 0..4 {
-            let step = self.gateways[at].account.admit(self.limit, count, now);
+            let step = self.gateways[at].limiter.admit(self.limit, count, now);
             match step {
-                Step::Admitted => {
-                    if self.gateways[at].account.is_due(now) {
+                AdmitDecision::Admitted => {
+                    if self.gateways[at].limiter.should_prefetch(now) {
                         self.ask(at, 0, now);
                     }
                     return true;
                 }
-                Step::Refused { .. } => return false,
-                Step::Alone => break,
-                Step::Ask => {
+                AdmitDecision::Refused { .. } => return false,
+                AdmitDecision::UseOwnShare => break,
+                AdmitDecision::AskCounter => {
                     if !self.ask(at, 1, now) && self.counter(at).is_none() {
                         break;
                     }
@@ -196,7 +196,9 @@
             }
         }
         let limit = self.limit;
-        self.gateways[at].account.admit_alone(limit, count, now)
+        self.gateways[at]
+            .limiter
+            .admit_from_own_share(limit, count, now)
     }
 
     fn request(&mut self, at: usize, now: Duration) {
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::waiting_tokens::{
-    Change, Counter, Decision, GRANT_LIFETIME, Holding, IDLE_AFTER, Register, Request, UNREAD_FOR,
-    UNRESOLVED_FOR, VERIFIED_FOR,
+    AdmissionRequest, Change, Counter, Decision, GRANT_LIFETIME, IDLE_TIMEOUT, PartitionTokens,
+    REGISTER_READ_TIMEOUT, REGISTER_TTL, Register, UNRESOLVED_GRANT_TTL,
 };
 
 const LIMIT: u64 = 1_000;
@@ -14,7 +14,7 @@
 const OTHER: &str = "other";
 
 fn ask(counter: &mut Counter, job: &str, tokens: u64, now: Duration) -> Decision {
-    let request = Request {
+    let request = AdmissionRequest {
         job,
         partition: 0,
         tokens,
@@ -23,8 +23,8 @@
     counter.decide(&request, now)
 }
 
-fn holding(partition: u32, tokens: u64, end: u64, as_of: Duration) -> Holding {
-    Holding {
+fn holding(partition: u32, tokens: u64, end: u64, as_of: Duration) -> PartitionTokens {
+    PartitionTokens {
         partition,
         tokens,
         end,
@@ -35,14 +35,14 @@
 /// Reports that nothing stands, as of a moment.
 fn report_nothing(counter: &mut Counter, as_of: Duration) {
     for partition in 0..PARTITIONS {
-        counter.report(holding(partition, 0, 1, as_of));
+        counter.apply_report(holding(partition, 0, 1, as_of));
     }
 }
 
 /// Makes the change that a counter wants, as the log would.
 fn make_change(counter: &mut Counter, now: Duration) -> Change {
-    let change = counter.wanted().expect("a change");
-    counter.verified(change.register().clone(), now, now);
+    let change = counter.next_change().expect("a change");
+    counter.confirm_register(change.register().clone(), now, now);
     change
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(ask(&mut counter, "one", 600, NOW), Decision::Admitted);
     assert_eq!(ask(&mut counter, "two", 500, NOW), Decision::Full);
     assert_eq!(ask(&mut counter, "three", 400, NOW), Decision::Admitted);
-    assert_eq!(counter.holdings().most(), LIMIT);
+    assert_eq!(counter.outstanding().max_tokens(), LIMIT);
 }
 
 #[test]
@@ -76,24 +76,24 @@
     let mut counter = settled();
     ask(&mut counter, "one", 600, NOW);
     let recorded_at = NOW + Duration::from_secs(4);
-    counter.recorded("one", recorded_at);
-    counter.report(holding(0, 0, 5, recorded_at - Duration::from_millis(1)));
-    assert_eq!(counter.holdings().most(), 600);
-    counter.report(holding(0, 600, 6, recorded_at));
-    assert_eq!(counter.holdings().most(), 600);
-    counter.report(holding(0, 200, 7, recorded_at + Duration::from_millis(1)));
-    assert_eq!(counter.holdings().most(), 200);
+    counter.mark_recorded("one", recorded_at);
+    counter.apply_report(holding(0, 0, 5, recorded_at - Duration::from_millis(1)));
+    assert_eq!(counter.outstanding().max_tokens(), 600);
+    counter.apply_report(holding(0, 600, 6, recorded_at));
+    assert_eq!(counter.outstanding().max_tokens(), 600);
+    counter.apply_report(holding(0, 200, 7, recorded_at + Duration::from_millis(1)));
+    assert_eq!(counter.outstanding().max_tokens(), 200);
 }
 
 #[test]
 fn a_job_without_word_of_its_record_counts_for_as_long_as_it_may_still_be_recorded() {
     let mut counter = settled();
     ask(&mut counter, "one", 600, NOW);
-    let early = NOW + UNRESOLVED_FOR - Duration::from_millis(1);
-    counter.report(holding(0, 0, 5, early));
-    assert_eq!(counter.holdings().most(), 600);
-    counter.report(holding(0, 0, 5, NOW + UNRESOLVED_FOR));
-    assert_eq!(counter.holdings().most(), 0);
+    let early = NOW + UNRESOLVED_GRANT_TTL - Duration::from_millis(1);
+    counter.apply_report(holding(0, 0, 5, early));
+    assert_eq!(counter.outstanding().max_tokens(), 600);
+    counter.apply_report(holding(0, 0, 5, NOW + UNRESOLVED_GRANT_TTL));
+    assert_eq!(counter.outstanding().max_tokens(), 0);
 }
 
 #[test]
@@ -101,22 +101,22 @@
     let mut counter = settled();
     ask(&mut counter, "one", 600, NOW);
     ask(&mut counter, "one", 600, NOW);
-    counter.released("one");
-    assert_eq!(counter.holdings().most(), 600);
-    counter.released("one");
-    assert_eq!(counter.holdings().most(), 0);
+    counter.release("one");
+    assert_eq!(counter.outstanding().max_tokens(), 600);
+    counter.release("one");
+    assert_eq!(counter.outstanding().max_tokens(), 0);
 }
 
 #[test]
 fn a_silent_holder_and_one_that_has_read_less_make_no_room() {
     let mut counter = settled();
-    counter.report(holding(0, 500, 10, NOW));
-    counter.report(holding(1, 300, 10, NOW));
+    counter.apply_report(holding(0, 500, 10, NOW));
+    counter.apply_report(holding(1, 300, 10, NOW));
     let later = NOW + Duration::from_secs(60);
     // A holder that was dealt the partition and has read half of it, and one that woke up.
-    counter.report(holding(0, 0, 4, later));
-    counter.report(holding(1, 0, 10, NOW - Duration::from_secs(1)));
-    assert_eq!(counter.holdings().most(), 800);
+    counter.apply_report(holding(0, 0, 4, later));
+    counter.apply_report(holding(1, 0, 10, NOW - Duration::from_secs(1)));
+    assert_eq!(counter.outstanding().max_tokens(), 800);
 }
 
 /// A caller may name any number of tokens: a job of that many does not fit, and makes no room for others.
@@ -141,14 +141,14 @@
     assert!(share > 0 && register.counted + register.shares() <= LIMIT);
     let mut counter = Counter::begin(register.clone(), LIMIT, NOW, NOW, PARTITIONS);
     assert_eq!(ask(&mut counter, "one", share, NOW), Decision::Admitted);
-    let settles_in = VERIFIED_FOR + GRANT_LIFETIME;
+    let settles_in = REGISTER_TTL + GRANT_LIFETIME;
     assert_eq!(
         ask(&mut counter, "two", 1, NOW),
         Decision::Settling(settles_in)
     );
     report_nothing(&mut counter, NOW + settles_in - Duration::from_millis(1));
     assert!(!counter.is_settled());
-    assert_eq!(counter.wanted(), None);
+    assert_eq!(counter.next_change(), None);
     report_nothing(&mut counter, NOW + settles_in);
     // Its predecessor may count again until the register says that it no longer does.
     assert!(!counter.is_settled());
@@ -165,15 +165,15 @@
 #[test]
 fn a_register_that_was_not_read_lately_admits_nothing() {
     let mut counter = settled();
-    let late = NOW + VERIFIED_FOR;
+    let late = NOW + REGISTER_TTL;
     assert_eq!(ask(&mut counter, "one", 1, late), Decision::Unverified);
     // Where it cannot be read at all, others need not wait for it.
     assert_eq!(
-        ask(&mut counter, "one", 1, late + UNREAD_FOR),
+        ask(&mut counter, "one", 1, late + REGISTER_READ_TIMEOUT),
         Decision::Lost
     );
-    let late = late + UNREAD_FOR;
-    counter.verified(counter.register().clone(), late, late);
+    let late = late + REGISTER_READ_TIMEOUT;
+    counter.confirm_register(counter.register().clone(), late, late);
     assert_eq!(ask(&mut counter, "one", 1, late), Decision::Admitted);
 }
 
@@ -181,15 +181,15 @@
 #[test]
 fn after_a_time_without_jobs_what_stands_is_asked_for_anew() {
     let mut counter = settled();
-    let later = NOW + IDLE_AFTER;
-    counter.verified(counter.register().clone(), later, later);
+    let later = NOW + IDLE_TIMEOUT;
+    counter.confirm_register(counter.register().clone(), later, later);
     assert_eq!(
         ask(&mut counter, "one", 600, later),
         Decision::Settling(Duration::ZERO)
     );
     assert!(counter.needs_exact_reports(later));
-    counter.report(holding(0, 700, 9, later));
-    counter.report(holding(1, 0, 9, later));
+    counter.apply_report(holding(0, 700, 9, later));
+    counter.apply_report(holding(1, 0, 9, later));
     assert_eq!(ask(&mut counter, "one", 600, later), Decision::Full);
     assert_eq!(ask(&mut counter, "two", 300, later), Decision::Admitted);
 }
@@ -198,7 +198,7 @@
 #[test]
 fn room_that_is_given_back_is_not_used_while_that_is_under_way() {
     let mut counter = settled();
-    let given_back = counter.wanted().expect("a change");
+    let given_back = counter.next_change().expect("a change");
     assert!(matches!(given_back, Change::GiveBack(_)));
     let left = given_back.register().counted;
     assert!(left < LIMIT);
@@ -224,7 +224,7 @@
 fn a_lower_limit_binds_at_once() {
     let mut counter = settled();
     assert_eq!(ask(&mut counter, "one", 600, NOW), Decision::Admitted);
-    let request = Request {
+    let request = AdmissionRequest {
         job: "two",
         partition: 0,
         tokens: 100,
@@ -240,14 +240,14 @@
     ask(&mut counter, "untold", 300, NOW);
     counter.stop();
     assert_eq!(ask(&mut counter, "late", 1, NOW), Decision::Unverified);
-    assert_eq!(counter.stopped(NOW), None);
-    counter.recorded("told", NOW);
+    assert_eq!(counter.stopped_register(NOW), None);
+    counter.mark_recorded("told", NOW);
     let lifetime_over = NOW + GRANT_LIFETIME;
     assert_eq!(
-        counter.stopped(lifetime_over - Duration::from_millis(1)),
+        counter.stopped_register(lifetime_over - Duration::from_millis(1)),
         None
     );
-    let stopped = counter.stopped(lifetime_over).expect("a register");
+    let stopped = counter.stopped_register(lifetime_over).expect("a register");
     assert!(stopped.is_stopped && stopped.version == counter.register().version + 1);
 }
 
@@ -256,7 +256,7 @@
     let register = settled().register().taken_over(OTHER, LIMIT);
     let mut counter = Counter::begin(register, LIMIT, NOW, NOW, PARTITIONS);
     counter.stop();
-    assert_eq!(counter.stopped(NOW + GRANT_LIFETIME), None);
+    assert_eq!(counter.stopped_register(NOW + GRANT_LIFETIME), None);
 }
 
 #[test]
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use swiftshunt_scheduler::waiting_tokens::{
-    Counter, Decision, GRANT_LIFETIME, Holding, Register, Request,
+    AdmissionRequest, Counter, Decision, GRANT_LIFETIME, PartitionTokens, Register,
 };
 
 const LIMIT: u64 = 10_000;
@@ -129,7 +129,7 @@
                 return;
             }
             match &mut gateway.counter {
-                Some(counter) => counter.verified(register, now, now),
+                Some(counter) => counter.confirm_register(register, now, now),
                 None => {
                     gateway.counter = Some(Counter::begin(register, LIMIT, now, now, PARTITIONS));
                 }
@@ -223,7 +223,7 @@
         if register.counter != gateway.life {
             return None;
         }
-        let request = Request {
+        let request = AdmissionRequest {
             job,
             partition,
             tokens,
@@ -272,7 +272,7 @@
                     .find(|it| it.life == pending.admitted_by)
                 && let Some(counter) = &mut gateway.counter
             {
-                counter.recorded(&pending.job, now);
+                counter.mark_recorded(&pending.job, now);
             }
         }
         self.standing.retain(|_, job| job.finishes_at > now);
@@ -291,7 +291,7 @@
             let of_partition = of_partition.filter(|job| job.partition == partition);
             let known = of_partition.filter(|job| job.recorded_at <= as_of);
             let tokens = known.map(|job| job.tokens).sum();
-            let holding = Holding {
+            let holding = PartitionTokens {
                 partition,
                 tokens,
                 end: as_of.as_millis() as u64,
@@ -300,7 +300,7 @@
             for gateway in 0..GATEWAYS {
                 let reached = self.is_awake(gateway) && self.reach(0, gateway);
                 if reached && let Some(counter) = &mut self.gateways[gateway].counter {
-                    counter.report(holding);
+                    counter.apply_report(holding);
                 }
             }
         }
@@ -326,8 +326,10 @@
             }
             let now = self.now;
             let proposal = counter.and_then(|counter| {
-                let wanted = counter.wanted().map(|change| change.register().clone());
-                wanted.or_else(|| counter.stopped(now))
+                let wanted = counter
+                    .next_change()
+                    .map(|change| change.register().clone());
+                wanted.or_else(|| counter.stopped_register(now))
             });
             let Some(proposal) = proposal else {
                 continue;
