--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -217,7 +217,7 @@
     pub(super) fn forget_old(&self, after: Duration) {
         let now = self.clock.now();
         let is_new = |at: Duration| now < at + after;
-        lock(&self.counted).retain(|_, counted| is_new(counted.bucket.asked_at()));
+        lock(&self.counted).retain(|_, counted| is_new(counted.bucket.last_request_at()));
         lock(&self.probes).retain(|_, probe| is_new(probe.last));
     }
 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/asking.rs
@@ -238,8 +238,7 @@
             None if self.is_stopping() => {}
             Some(counter) => counter.confirm_register(register, reading.read_at, now),
             None => {
-                let counter =
-                    Counter::begin(register, limit, reading.read_at, now, self.partitions);
+                let counter = Counter::new(register, limit, reading.read_at, now, self.partitions);
                 counters.insert(allowance.clone(), counter);
                 self.attention.notify_one();
             }
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -212,7 +212,7 @@
         let rounds = lock(&self.rounds);
         let counters = lock(&self.counters);
         let due = counters.iter().map(|(allowance, counter)| {
-            let is_asked = counter.is_asked(now);
+            let is_asked = counter.was_asked_recently(now);
             let most = counter.outstanding().max_tokens();
             let is_exact = counter.needs_exact_reports(now);
             let is_far = counter.is_settled() && most < counter.limit() / FAR_PART;
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -79,7 +79,7 @@
         let counter = counters.get(allowance)?;
         let now = self.clock.now();
         counter
-            .has_all_room()
+            .has_no_shares_elsewhere()
             .then(|| (counter.limit(), counter.stopped_register(now)))
     }
 }
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -11,17 +11,17 @@
 /// Part of the capacity that gateways may hold together without a request that waits for it.
 const HELD_SHARE: f64 = 0.5;
 /// Part of what the bucket holds that one gateway may take ahead of need.
-const AHEAD_SHARE: f64 = 0.5;
+const PREFETCH_SHARE: f64 = 0.5;
 /// Part of the capacity below which a tenant counts as near its limit: the steps of load of a tenant that
 /// keeps its limit seldom take a bucket below it.
 const NEAR_LIMIT: f64 = 0.35;
 /// Time after which a gateway that no longer asks is forgotten: its share, if it is cut off, lasts as long.
-const ASKER_AGE: Duration = Duration::from_secs(600);
+const GATEWAY_TTL: Duration = Duration::from_secs(600);
 /// Gateways that asked within this time share what comes next.
-const ACTIVE_WITHIN: Duration = Duration::from_secs(1);
+const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
 /// Shortest and longest time that a gateway is told to wait before it asks again.
-const SHORTEST_AGAIN: Duration = Duration::from_millis(10);
-const LONGEST_AGAIN: Duration = Duration::from_millis(500);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A gateway's question.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
@@ -87,7 +87,7 @@
 
 /// A gateway that asked.
 #[derive(Clone, Copy, Debug)]
-struct Asker {
+struct GatewayRecord {
     heard_at: Duration,
     held: u32,
     held_until: Duration,
@@ -107,13 +107,13 @@
     level: f64,
     refilled_at: Duration,
     began: Duration,
-    askers: HashMap<G, Asker>,
+    records: HashMap<G, GatewayRecord>,
     /// Share of the rate that is set aside for gateways that are silent.
     set_aside: f64,
     /// The gateways whose shares these are.
     set_aside_for: HashSet<G>,
     /// Until when what a gateway lets in alone was set aside or taken off.
-    allowed_until: HashMap<G, Duration>,
+    deducted_until: HashMap<G, Duration>,
 }
 
 impl<G: Copy + Eq + Hash> Bucket<G> {
@@ -125,16 +125,16 @@
             level,
             refilled_at: now,
             began: now,
-            askers: HashMap::new(),
+            records: HashMap::new(),
             set_aside: 0.0,
             set_aside_for: HashSet::new(),
-            allowed_until: HashMap::new(),
+            deducted_until: HashMap::new(),
         }
     }
 
     /// When a gateway asked last.
-    pub fn asked_at(&self) -> Duration {
-        let asked = self.askers.values().map(|asker| asker.heard_at);
+    pub fn last_request_at(&self) -> Duration {
+        let asked = self.records.values().map(|record| record.heard_at);
         asked.max().unwrap_or(self.refilled_at)
     }
 
@@ -159,34 +159,34 @@
     pub fn grant_credits(
         &mut self,
         from: G,
-        question: CreditRequest,
+        request: CreditRequest,
         tolerance: &Tolerance,
         now: Duration,
     ) -> CreditResponse {
         self.refill(tolerance, now);
-        self.heard(from, &question, now);
+        self.record_request(from, &request, now);
         let room = self.room(tolerance, now);
-        self.level = (self.level + f64::from(question.unused)).min(room);
-        if let Some(left) = question.left_elsewhere {
-            self.succeed(left);
+        self.level = (self.level + f64::from(request.unused)).min(room);
+        if let Some(left) = request.left_elsewhere {
+            self.limit_to_predecessor(left);
         }
-        self.take_off_spent(from, question.spent_alone, now);
+        self.deduct_spent_alone(from, request.spent_alone, now);
         let recent = self.recent(now);
-        if let Some(asker) = self.askers.get_mut(&from) {
-            asker.by_all = asker.by_all.max(recent);
+        if let Some(record) = self.records.get_mut(&from) {
+            record.by_all = record.by_all.max(recent);
         }
-        if question.need > 0 && self.level < 1.0 {
+        if request.need > 0 && self.level < 1.0 {
             let again_after = self.again_after(now);
             return CreditResponse::Exhausted {
                 again_after,
                 recent,
             };
         }
-        let needed = f64::from(question.need).min(self.level).floor() as u32;
-        let ahead = self.ahead(&question, needed, tolerance, now);
-        if let Some(asker) = self.askers.get_mut(&from) {
+        let needed = f64::from(request.need).min(self.level).floor() as u32;
+        let ahead = self.ahead(&request, needed, tolerance, now);
+        if let Some(record) = self.records.get_mut(&from) {
             // What is needed is spent as soon as it comes.
-            asker.held += ahead;
+            record.held += ahead;
         }
         let credits = needed + ahead;
         self.level -= f64::from(credits);
@@ -199,25 +199,25 @@
 
     /// Another counter had so much left: this bucket has filled while that one gave credits, and the two
     /// together must not give more than one.
-    fn succeed(&mut self, left: RemainingCredits) {
+    fn limit_to_predecessor(&mut self, left: RemainingCredits) {
         let since = left.age.as_secs_f64() * self.limit.per_second;
         self.level = self.level.min(f64::from(left.requests) + since);
     }
 
-    fn heard(&mut self, from: G, question: &CreditRequest, now: Duration) {
-        let before = self.askers.get(&from);
-        let first_share = before.map_or(question.share, |before| before.first_share);
-        let asker = Asker {
+    fn record_request(&mut self, from: G, request: &CreditRequest, now: Duration) {
+        let before = self.records.get(&from);
+        let first_share = before.map_or(request.share, |before| before.first_share);
+        let record = GatewayRecord {
             heard_at: now,
-            held: question.held,
+            held: request.held,
             held_until: now + CREDIT_TTL,
-            recent: question.recent,
-            by_all: question.by_all,
+            recent: request.recent,
+            by_all: request.by_all,
             first_share,
         };
-        self.askers.insert(from, asker);
-        self.askers
-            .retain(|_, asker| now < asker.heard_at + ASKER_AGE);
+        self.records.insert(from, record);
+        self.records
+            .retain(|_, record| now < record.heard_at + GATEWAY_TTL);
     }
 
     /// Whether little is left: then it matters what gateways let in that are out of touch.
@@ -240,15 +240,15 @@
         let before = std::mem::replace(&mut self.set_aside_for, now_silent);
         let mut set_aside = 0.0;
         for gateway in silent {
-            let asker = self.askers.get(gateway);
-            let own = asker.map_or(unknown, |asker| {
-                gateway_share(asker.recent, asker.by_all, gateways)
+            let record = self.records.get(gateway);
+            let own = record.map_or(unknown, |record| {
+                gateway_share(record.recent, record.by_all, gateways)
             });
             set_aside += own;
             if !before.contains(gateway) {
-                self.level -= self.come_since_allowed_for(*gateway, own, now);
+                self.level -= self.max_saved_since_deduction(*gateway, own, now);
             }
-            self.allowed_until.insert(*gateway, now);
+            self.deducted_until.insert(*gateway, now);
         }
         self.set_aside = set_aside.min(1.0);
     }
@@ -257,31 +257,31 @@
     /// did had not when they came.
     fn share_of_unknown(&self, silent: &[G], gateways: usize) -> f64 {
         let unknown = silent.iter();
-        let unknown = unknown.filter(|gateway| !self.askers.contains_key(gateway));
+        let unknown = unknown.filter(|gateway| !self.records.contains_key(gateway));
         let unknown = unknown.count();
-        let by_all = self.askers.values().map(|asker| asker.by_all).max();
+        let by_all = self.records.values().map(|record| record.by_all).max();
         let idle = gateway_share(0, by_all.unwrap_or(0), gateways);
-        let asked = self.askers.values();
-        let brought: f64 = asked.map(|asker| asker.first_share.unwrap_or(idle)).sum();
-        let never_asked = gateways.saturating_sub(unknown + self.askers.len());
+        let asked = self.records.values();
+        let brought: f64 = asked.map(|record| record.first_share.unwrap_or(idle)).sum();
+        let never_asked = gateways.saturating_sub(unknown + self.records.len());
         let left = 1.0 - brought - idle * never_asked as f64;
         (left / unknown.max(1) as f64).max(gateway_share(0, 0, gateways))
     }
 
     /// Takes off what a gateway spent of its share, unless that was set aside for it.
-    fn take_off_spent(&mut self, gateway: G, spent: u32, now: Duration) {
+    fn deduct_spent_alone(&mut self, gateway: G, spent: u32, now: Duration) {
         if spent > 0 && !self.set_aside_for.contains(&gateway) {
-            let come = self.come_since_allowed_for(gateway, 1.0, now);
+            let come = self.max_saved_since_deduction(gateway, 1.0, now);
             self.level -= f64::from(spent).min(come);
-            self.allowed_until.insert(gateway, now);
+            self.deducted_until.insert(gateway, now);
         }
     }
 
     /// Most that a gateway with a share may have saved up since that was last allowed for. After a start of
     /// all gateways it has saved nothing before it.
-    fn come_since_allowed_for(&self, gateway: G, share: f64, now: Duration) -> f64 {
-        let allowed_until = self.allowed_until.get(&gateway).copied();
-        let since = allowed_until.unwrap_or(self.began);
+    fn max_saved_since_deduction(&self, gateway: G, share: f64, now: Duration) -> f64 {
+        let deducted_until = self.deducted_until.get(&gateway).copied();
+        let since = deducted_until.unwrap_or(self.began);
         let come = now.saturating_sub(since).as_secs_f64() * self.limit.per_second * share;
         come.min(max_saved_requests(self.limit, share))
     }
@@ -291,29 +291,32 @@
         self.refill(tolerance, now);
         self.set_aside = 0.0;
         for gateway in self.set_aside_for.drain() {
-            self.allowed_until.insert(gateway, now);
+            self.deducted_until.insert(gateway, now);
         }
     }
 
     /// Credits that a gateway gets ahead of need.
     fn ahead(
         &self,
-        question: &CreditRequest,
+        request: &CreditRequest,
         needed: u32,
         tolerance: &Tolerance,
         now: Duration,
     ) -> u32 {
         let capacity = tolerance.capacity(self.limit);
         let may_be_held = (HELD_SHARE * capacity - self.outstanding(now)).max(0.0);
-        let left = (self.level - f64::from(needed)) * AHEAD_SHARE;
-        let ahead = f64::from(question.ahead).min(may_be_held).min(left);
+        let left = (self.level - f64::from(needed)) * PREFETCH_SHARE;
+        let ahead = f64::from(request.ahead).min(may_be_held).min(left);
         ahead as u32
     }
 
     /// Credits that gateways hold and may still spend.
     fn outstanding(&self, now: Duration) -> f64 {
-        let holding = self.askers.values().filter(|asker| now < asker.held_until);
-        holding.map(|asker| f64::from(asker.held)).sum()
+        let holding = self
+            .records
+            .values()
+            .filter(|record| now < record.held_until);
+        holding.map(|record| f64::from(record.held)).sum()
     }
 
     /// Most that the bucket may hold beside what gateways hold.
@@ -324,9 +327,9 @@
 
     /// Requests that all gateways let in of late.
     fn recent(&self, now: Duration) -> u32 {
-        let of_late = self.askers.values();
-        let of_late = of_late.filter(|asker| now < asker.heard_at + USAGE_WINDOW);
-        of_late.map(|asker| asker.recent).sum()
+        let of_late = self.records.values();
+        let of_late = of_late.filter(|record| now < record.heard_at + USAGE_WINDOW);
+        of_late.map(|record| record.recent).sum()
     }
 
     fn refill(&mut self, tolerance: &Tolerance, now: Duration) {
@@ -338,12 +341,12 @@
 
     /// When one more has come for each gateway that asks.
     fn again_after(&self, now: Duration) -> Duration {
-        let active = self.askers.values();
-        let active = active.filter(|asker| now < asker.heard_at + ACTIVE_WITHIN);
+        let active = self.records.values();
+        let active = active.filter(|record| now < record.heard_at + ACTIVE_WINDOW);
         let missing = active.count() as f64 - self.level;
         let seconds = missing / self.limit.per_second;
         Duration::try_from_secs_f64(seconds)
-            .unwrap_or(LONGEST_AGAIN)
-            .clamp(SHORTEST_AGAIN, LONGEST_AGAIN)
+            .unwrap_or(MAX_RETRY_DELAY)
+            .clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
     }
 }
--- a/crates/swiftshunt-scheduler/src/rates/limiter.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -9,18 +9,18 @@
 use super::{CREDIT_TTL, USAGE_WINDOW, Usage, gateway_share, max_saved_requests};
 
 /// Time for which credits are asked for ahead, by the requests of late.
-const AHEAD: Duration = Duration::from_millis(1_500);
+const PREFETCH_WINDOW: Duration = Duration::from_millis(1_500);
 /// Most credits that are asked for ahead.
-const MOST_AHEAD: u32 = 64;
+const MAX_PREFETCH: u32 = 64;
 /// Pause between two questions ahead of need: one may be lost.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+const PREFETCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Age up to which the counter's word on the requests of all gateways is believed.
-const TOLD_AGE: Duration = Duration::from_secs(30);
+const COUNTER_REPORT_TTL: Duration = Duration::from_secs(30);
 
 /// How long the most of these words is kept in mind.
-const PEAK_AGE: Duration = Duration::from_secs(15);
+const PEAK_TTL: Duration = Duration::from_secs(15);
 /// Time for which a gateway decides alone after the counter told it so.
-const ALONE_FOR: Duration = Duration::from_millis(500);
+const OWN_SHARE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Credits of one answer.
 #[derive(Clone, Copy, Debug)]
@@ -31,7 +31,7 @@
 
 /// What the counter told last.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct CounterReport {
     /// Requests let in by all gateways.
     recent: u32,
     /// What the counter had left.
@@ -76,9 +76,9 @@
     used_at: Duration,
     asked_at: Option<Duration>,
     exhausted_until: Duration,
-    told: Option<Told>,
+    last_report: Option<CounterReport>,
     /// The most that was told of late.
-    peak: Option<Told>,
+    peak: Option<CounterReport>,
     alone_until: Duration,
     own: Option<OwnShare>,
     /// Requests let in alone that no counter has answered for, and how many of them the last question named.
@@ -151,40 +151,42 @@
     /// How many requests were let in here of late, how many by all gateways as of the counter's last word,
     /// and the age of that.
     pub fn figures(&mut self, now: Duration) -> UsageFigures {
-        let told = self.told.filter(|told| now < told.at + TOLD_AGE);
+        let last_report = self
+            .last_report
+            .filter(|report| now < report.at + COUNTER_REPORT_TTL);
         UsageFigures {
             here: self.usage.total(now),
-            by_all: told.map(|told| told.recent),
-            age: told.map(|told| now.saturating_sub(told.at)),
+            by_all: last_report.map(|report| report.recent),
+            age: last_report.map(|report| now.saturating_sub(report.at)),
         }
     }
 
     /// A request that was let in was sent to nobody.
     pub fn refund_credit(&mut self, now: Duration) {
         // Nearly over, so that it is not spent after credits that were granted with it.
-        let until = now + ASK_AGAIN;
+        let until = now + PREFETCH_RETRY_INTERVAL;
         self.credits.push_front(Credits { count: 1, until });
     }
 
     /// The question to a counter, which a number names, for so many requests that wait.
     pub fn credit_request(&mut self, need: u32, counter: u64, now: Duration) -> CreditRequest {
         self.expire(now);
-        let told = self.told.filter(|told| told.counter != counter);
-        let told = told.filter(|told| now < told.at + USAGE_WINDOW);
+        let last_report = self.last_report.filter(|report| report.counter != counter);
+        let last_report = last_report.filter(|report| now < report.at + USAGE_WINDOW);
         self.asked_at = Some(now);
         self.alone_reported = self.alone;
         CreditRequest {
             need,
-            ahead: self.wanted(now).saturating_sub(self.held()),
+            ahead: self.target_credits(now).saturating_sub(self.held()),
             held: self.held(),
             unused: std::mem::take(&mut self.unused),
             recent: self.usage.total(now),
             spent_alone: self.spent_alone(),
             share: self.own.map(|own| own.share),
             by_all: self.peak(now),
-            left_elsewhere: told.map(|told| RemainingCredits {
-                requests: told.left,
-                age: now.saturating_sub(told.at),
+            left_elsewhere: last_report.map(|report| RemainingCredits {
+                requests: report.left,
+                age: now.saturating_sub(report.at),
             }),
         }
     }
@@ -197,9 +199,11 @@
 
     /// Whether the counter is to be asked though no request waits.
     pub fn should_prefetch(&mut self, now: Duration) -> bool {
-        let was_asked = self.asked_at.is_some_and(|at| now < at + ASK_AGAIN);
-        let wanted = self.wanted(now);
-        let is_low = wanted > 0 && self.held() * 2 <= wanted;
+        let was_asked = self
+            .asked_at
+            .is_some_and(|at| now < at + PREFETCH_RETRY_INTERVAL);
+        let target_credits = self.target_credits(now);
+        let is_low = target_credits > 0 && self.held() * 2 <= target_credits;
         !was_asked && is_low && now >= self.exhausted_until
     }
 
@@ -235,25 +239,25 @@
                 recent,
             } => {
                 self.exhausted_until = now + again_after;
-                self.nothing_is_saved(now);
+                self.clear_saved(now);
                 (recent, 0)
             }
             CreditResponse::DecideAlone => {
-                self.alone_until = now + ALONE_FOR;
+                self.alone_until = now + OWN_SHARE_PERIOD;
                 return;
             }
         };
-        let told = Told {
+        let report = CounterReport {
             recent,
             left,
             counter,
             at: now,
         };
-        self.told = Some(told);
+        self.last_report = Some(report);
         self.alone = self.alone.saturating_sub(self.alone_reported);
         self.alone_reported = 0;
         if recent >= self.peak(now) {
-            self.peak = Some(told);
+            self.peak = Some(report);
         }
         let here = self.usage.total(now);
         let by_all = self.peak(now);
@@ -270,7 +274,7 @@
     }
 
     /// Where the counter has nothing left, no gateway has saved anything.
-    fn nothing_is_saved(&mut self, now: Duration) {
+    fn clear_saved(&mut self, now: Duration) {
         if let Some(own) = &mut self.own {
             own.level = 0.0;
             own.refilled_at = now;
@@ -279,14 +283,14 @@
 
     /// The most that was told of late: a counter that has just begun knows of few requests.
     fn peak(&self, now: Duration) -> u32 {
-        let peak = self.peak.filter(|peak| now < peak.at + PEAK_AGE);
+        let peak = self.peak.filter(|peak| now < peak.at + PEAK_TTL);
         peak.map_or(0, |peak| peak.recent)
     }
 
-    fn wanted(&mut self, now: Duration) -> u32 {
+    fn target_credits(&mut self, now: Duration) -> u32 {
         let recent = f64::from(self.usage.total(now));
-        let expected = recent * AHEAD.as_secs_f64() / USAGE_WINDOW.as_secs_f64();
-        (expected as u32).min(MOST_AHEAD)
+        let expected = recent * PREFETCH_WINDOW.as_secs_f64() / USAGE_WINDOW.as_secs_f64();
+        (expected as u32).min(MAX_PREFETCH)
     }
 
     fn held(&self) -> u32 {
--- a/crates/swiftshunt-scheduler/src/rates/mod.rs
+++ b/crates/swiftshunt-scheduler/src/rates/mod.rs
@@ -33,10 +33,10 @@
 pub const CREDIT_TTL: Duration = Duration::from_secs(3);
 /// Part of the tolerance that a bucket may hold beyond the burst: steps of a tenant's load that a window
 /// allows must not be refused since a bucket refills evenly.
-const STANDING_SHARE: f64 = 0.25;
+const CAPACITY_SHARE: f64 = 0.25;
 /// Part of the tolerance with which a bucket begins whose past is not known. What is left covers gateways
 /// that decide alone until the counter has set their share aside.
-const COLD_SHARE: f64 = 0.2;
+const COLD_START_SHARE: f64 = 0.2;
 
 /// Requests that a gateway may have saved up at most beyond its share of the burst, and the time in which it
 /// saves them: callers come at random, and a gateway at which a request comes every few seconds would
@@ -77,12 +77,12 @@
 
     /// Most that a bucket of this limit holds, with what gateways hold of it.
     pub fn capacity(&self, limit: RateLimit) -> f64 {
-        (limit.burst + STANDING_SHARE * self.slack(limit)).max(1.0)
+        (limit.burst + CAPACITY_SHARE * self.slack(limit)).max(1.0)
     }
 
     /// What a bucket of this limit begins with whose past is not known.
     pub fn cold_start_level(&self, limit: RateLimit) -> f64 {
-        let cold = COLD_SHARE * self.slack(limit);
+        let cold = COLD_START_SHARE * self.slack(limit);
         cold.min(self.capacity(limit))
     }
 }
--- a/crates/swiftshunt-scheduler/src/slots/worker_health.rs
+++ b/crates/swiftshunt-scheduler/src/slots/worker_health.rs
@@ -10,12 +10,12 @@
 
 /// Time for which nothing is sent to a worker after a first failure: some tens of requests of a cell
 /// end in it. Doubled with each failure that follows.
-const FIRST_PAUSE: Duration = Duration::from_millis(400);
+const FIRST_FAILING_PERIOD: Duration = Duration::from_millis(400);
 /// Time after a first failure in which only what may run again is sent to the worker: a worker that
 /// comes and goes loses what may not. Doubled likewise.
-const FIRST_DOUBT: Duration = Duration::from_millis(1_200);
+const FIRST_DEGRADED_PERIOD: Duration = Duration::from_millis(1_200);
 /// Doublings at most: 3.2 s without requests, after which the directory has dropped a dead worker.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 /// Share of a worker's requests that fail from which it is left: one that loses a request in twenty
 /// still serves the others, and a service of a dozen workers cannot do without half of them (days of
 /// lost answers).
@@ -23,7 +23,7 @@
 /// Time in which what was sent, and what of it failed, counts half.
 const HALF_LIFE: Duration = Duration::from_secs(1);
 /// Time without a failure after which earlier ones are forgotten.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(10);
+const FAILURE_TTL: Duration = Duration::from_secs(10);
 
 /// What may be sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,14 +49,14 @@
 
 /// Times at which a worker was left, in a row.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct FailureStreak {
     times: u32,
     at: Duration,
 }
 
-impl Trouble {
-    fn lasts(self, first: Duration) -> Duration {
-        self.at + first * 2_u32.pow((self.times - 1).min(MOST_DOUBLINGS))
+impl FailureStreak {
+    fn ends_at(self, first: Duration) -> Duration {
+        self.at + first * 2_u32.pow((self.times - 1).min(MAX_DOUBLINGS))
     }
 }
 
@@ -91,7 +91,7 @@
 /// The workers of a cell that fail.
 #[derive(Debug, Default)]
 pub(super) struct FailureTracker {
-    workers: HashMap<WorkerKey, Trouble>,
+    workers: HashMap<WorkerKey, FailureStreak>,
     tallies: HashMap<WorkerKey, Tally>,
 }
 
@@ -115,19 +115,19 @@
             return false;
         }
         let before = self.workers.get(&worker).map_or(0, |it| it.times);
-        let trouble = Trouble {
+        let streak = FailureStreak {
             times: before + 1,
             at: now,
         };
-        self.workers.insert(worker, trouble);
+        self.workers.insert(worker, streak);
         true
     }
 
     /// What may be sent to a worker.
     pub(super) fn health(&self, worker: WorkerKey, now: Duration) -> WorkerHealth {
         match self.workers.get(&worker) {
-            Some(trouble) if now < trouble.lasts(FIRST_PAUSE) => WorkerHealth::Failing,
-            Some(trouble) if now < trouble.lasts(FIRST_DOUBT) => WorkerHealth::Degraded,
+            Some(streak) if now < streak.ends_at(FIRST_FAILING_PERIOD) => WorkerHealth::Failing,
+            Some(streak) if now < streak.ends_at(FIRST_DEGRADED_PERIOD) => WorkerHealth::Degraded,
             _ => WorkerHealth::Healthy,
         }
     }
@@ -135,8 +135,7 @@
     /// Forgets what is long ago.
     pub(super) fn expire(&mut self, now: Duration) {
         self.workers
-            .retain(|_, trouble| now < trouble.at + FORGOTTEN_AFTER);
-        self.tallies
-            .retain(|_, tally| now < tally.at + FORGOTTEN_AFTER);
+            .retain(|_, streak| now < streak.at + FAILURE_TTL);
+        self.tallies.retain(|_, tally| now < tally.at + FAILURE_TTL);
     }
 }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -89,7 +89,7 @@
 impl Counter {
     /// A gateway that has begun to count, with `limit` tokens in all: `register` says so, by a read that began at
     /// `verified_at` and has ended `now`. `partitions` is how many the journal has.
-    pub fn begin(
+    pub fn new(
         register: Register,
         limit: u64,
         verified_at: Duration,
@@ -126,12 +126,12 @@
     /// The register that says that it has stopped; none as long as what it admitted may still be recorded, or
     /// something may be in the hands of others.
     pub fn stopped_register(&self, now: Duration) -> Option<Register> {
-        let is_resolved = self.is_stopping && self.outstanding.are_resolved(now);
-        (is_resolved && self.has_all_room()).then(|| self.register.stopped())
+        let is_resolved = self.is_stopping && self.outstanding.all_grants_resolved(now);
+        (is_resolved && self.has_no_shares_elsewhere()).then(|| self.register.stopped())
     }
 
     /// Whether it knows what stands, and no room is in the hands of others.
-    pub fn has_all_room(&self) -> bool {
+    pub fn has_no_shares_elsewhere(&self) -> bool {
         self.is_settled() && self.register.shares() == 0
     }
 
@@ -173,11 +173,11 @@
     /// Whether reports are as new as they have to be.
     fn is_current(&self) -> bool {
         self.outstanding
-            .are_known_since(self.needed_from, self.partitions)
+            .covers_partitions_since(self.needed_from, self.partitions)
     }
 
     /// Whether it was asked of late.
-    pub fn is_asked(&self, now: Duration) -> bool {
+    pub fn was_asked_recently(&self, now: Duration) -> bool {
         now < self.asked_at + IDLE_TIMEOUT
     }
 
@@ -203,7 +203,7 @@
 
     fn is_all_shown(&self) -> bool {
         self.outstanding
-            .are_known_since(self.settles_from, self.partitions)
+            .covers_partitions_since(self.settles_from, self.partitions)
     }
 
     /// The record of an admitted job stands.
@@ -222,7 +222,7 @@
     /// Decides about a job. The same job is counted once.
     pub fn decide(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         self.limit = request.limit;
-        if !self.is_asked(now) {
+        if !self.was_asked_recently(now) {
             self.needed_from = now;
         }
         self.asked_at = now;
@@ -241,7 +241,7 @@
             return Decision::Admitted;
         }
         let decision = if self.is_settled() {
-            self.decide_by_what_stands(request, now)
+            self.decide_by_outstanding(request, now)
         } else {
             self.decide_by_share(request, now)
         };
@@ -252,7 +252,7 @@
         decision
     }
 
-    fn decide_by_what_stands(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
+    fn decide_by_outstanding(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         if !self.is_current() {
             return Decision::Settling(Duration::ZERO);
         }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
@@ -105,7 +105,7 @@
 
     /// Whether of every admitted job it is known that its record stands, or its caller was not told that it was
     /// taken.
-    pub fn are_resolved(&self, now: Duration) -> bool {
+    pub fn all_grants_resolved(&self, now: Duration) -> bool {
         let mut grants = self.grants.values();
         grants.all(|grant| grant.recorded_at.is_some() || now >= grant.at + GRANT_LIFETIME)
     }
@@ -126,7 +126,7 @@
     }
 
     /// Whether each of `partitions` partitions was reported as of a moment or later.
-    pub fn are_known_since(&self, moment: Duration, partitions: u32) -> bool {
+    pub fn covers_partitions_since(&self, moment: Duration, partitions: u32) -> bool {
         (0..partitions).all(|partition| {
             let holding = self.reported.get(&partition);
             holding.is_some_and(|holding| holding.as_of >= moment)
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
@@ -4,12 +4,12 @@
 
 /// The part of a limit up to which a counter admits as long as no more is needed: half. The rest is there for
 /// gateways that take over.
-const USUAL_PART: u64 = 2;
+const DEFAULT_DIVISOR: u64 = 2;
 /// The part of what is free that a gateway takes as its share when it begins to count: a quarter, so that
 /// several can take over in a row.
-const SHARE_PART: u64 = 4;
+const TAKEOVER_SHARE_DIVISOR: u64 = 4;
 /// The part of a limit below which what waits has to fall before room is given back: an eighth.
-const GIVE_BACK_PART: u64 = 8;
+const GIVE_BACK_DIVISOR: u64 = 8;
 
 /// The term of the gateway that was the first to count.
 pub const FIRST_TERM: u64 = 1;
@@ -48,14 +48,14 @@
 impl Register {
     /// The first register of a limit.
     pub fn first(counter: &str, limit: u64) -> Self {
-        let counted = limit / USUAL_PART;
+        let counted = limit / DEFAULT_DIVISOR;
         Self {
             version: 1,
             term: FIRST_TERM,
             counter: counter.to_owned(),
             known_to: None,
             counted,
-            share: (limit - counted) / USUAL_PART,
+            share: (limit - counted) / DEFAULT_DIVISOR,
             earlier_shares: 0,
             is_stopped: false,
             follows_stopped: false,
@@ -75,7 +75,7 @@
 
     /// The register after `counter` has taken over that does not know what stands: it takes a share.
     pub fn taken_over(&self, counter: &str, limit: u64) -> Self {
-        self.with_counter(counter, self.free(limit) / SHARE_PART)
+        self.with_counter(counter, self.free(limit) / TAKEOVER_SHARE_DIVISOR)
     }
 
     /// The register after the gateway to which is known what stands counts again: it needs no share.
@@ -108,7 +108,7 @@
     /// The register after the gateway that counts has learned what stands, with all that was admitted from shares;
     /// it needs room for `needed` tokens.
     pub fn settled(&self, needed: u64, limit: u64) -> Self {
-        let usual = limit / USUAL_PART;
+        let usual = limit / DEFAULT_DIVISOR;
         Self {
             version: self.version + 1,
             known_to: Some(self.counter.clone()),
@@ -132,8 +132,8 @@
     /// The register after the gateway that counts has given back what it does not need; none if it has nothing
     /// to give back.
     pub fn lowered(&self, waiting: u64, limit: u64) -> Option<Self> {
-        let usual = limit / USUAL_PART;
-        if self.counted <= usual || waiting > limit / GIVE_BACK_PART {
+        let usual = limit / DEFAULT_DIVISOR;
+        if self.counted <= usual || waiting > limit / GIVE_BACK_DIVISOR {
             return None;
         }
         Some(Self {
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
@@ -49,7 +49,7 @@
 /// The first gateway that ever counted, which knows that nothing stands, and has the whole limit.
 fn settled() -> Counter {
     let register = Register::first(OWN, LIMIT);
-    let mut counter = Counter::begin(register, LIMIT, NOW, NOW, PARTITIONS);
+    let mut counter = Counter::new(register, LIMIT, NOW, NOW, PARTITIONS);
     report_nothing(&mut counter, NOW);
     make_change(&mut counter, NOW);
     // A job that needs all of it has the rest taken.
@@ -139,7 +139,7 @@
     let register = before.taken_over(OWN, LIMIT);
     let share = register.share;
     assert!(share > 0 && register.counted + register.shares() <= LIMIT);
-    let mut counter = Counter::begin(register.clone(), LIMIT, NOW, NOW, PARTITIONS);
+    let mut counter = Counter::new(register.clone(), LIMIT, NOW, NOW, PARTITIONS);
     assert_eq!(ask(&mut counter, "one", share, NOW), Decision::Admitted);
     let settles_in = REGISTER_TTL + GRANT_LIFETIME;
     assert_eq!(
@@ -254,7 +254,7 @@
 #[test]
 fn a_counter_that_does_not_know_what_stands_cannot_say_that_it_stopped() {
     let register = settled().register().taken_over(OTHER, LIMIT);
-    let mut counter = Counter::begin(register, LIMIT, NOW, NOW, PARTITIONS);
+    let mut counter = Counter::new(register, LIMIT, NOW, NOW, PARTITIONS);
     counter.stop();
     assert_eq!(counter.stopped_register(NOW + GRANT_LIFETIME), None);
 }
@@ -262,7 +262,7 @@
 #[test]
 fn who_takes_over_from_one_that_stopped_waits_for_reports_alone() {
     let follower = settled().register().stopped().taken_over(OTHER, LIMIT);
-    let mut counter = Counter::begin(follower.clone(), LIMIT, NOW, NOW, PARTITIONS);
+    let mut counter = Counter::new(follower.clone(), LIMIT, NOW, NOW, PARTITIONS);
     assert_eq!(
         ask(&mut counter, "early", 100, NOW),
         Decision::Settling(Duration::ZERO)
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
@@ -131,7 +131,7 @@
             match &mut gateway.counter {
                 Some(counter) => counter.confirm_register(register, now, now),
                 None => {
-                    gateway.counter = Some(Counter::begin(register, LIMIT, now, now, PARTITIONS));
+                    gateway.counter = Some(Counter::new(register, LIMIT, now, now, PARTITIONS));
                 }
             }
         } else if register.known_to.as_ref() != Some(&gateway.life) {
