--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -120,7 +120,10 @@
             let service = self.dispatcher.beliefs.next_service(&route, &residency);
             let needs = self.item_time.expected().saturating_sub(output.ran);
             self.running.needs(id, needs);
-            let times = ItemTimes { needs, ..times };
+            let times = ItemTimes {
+                expected_run: needs,
+                ..times
+            };
             let slots = &self.dispatcher.slots;
             let slot = slots.wait_for_slot(&service, times, &residency);
             // The route may change or the item's time be over while it waits.
--- a/crates/swiftshunt-gateway/src/batch/runner.rs
+++ b/crates/swiftshunt-gateway/src/batch/runner.rs
@@ -109,10 +109,11 @@
                         service: service.unwrap_or_default(),
                         first_seen,
                         times: ItemTimes {
-                            due: target.map_or(NEVER, |target| (now + target).saturating_sub(age)),
-                            given_up: limit
+                            due_at: target
+                                .map_or(NEVER, |target| (now + target).saturating_sub(age)),
+                            expires_at: limit
                                 .map_or(NEVER, |limit| (now + limit).saturating_sub(age)),
-                            needs: Duration::ZERO,
+                            expected_run: Duration::ZERO,
                         },
                     });
                 }
--- a/crates/swiftshunt-gateway/src/messages/slots.rs
+++ b/crates/swiftshunt-gateway/src/messages/slots.rs
@@ -92,7 +92,7 @@
 }
 
 impl SlotRequest {
-    pub(crate) fn question(&self) -> PlacementRequest<'_> {
+    pub(crate) fn placement_request(&self) -> PlacementRequest<'_> {
         PlacementRequest {
             bids: &self.bids,
             prompt: Prompt {
--- a/crates/swiftshunt-gateway/src/running.rs
+++ b/crates/swiftshunt-gateway/src/running.rs
@@ -75,7 +75,7 @@
     /// Records how long an item is expected to run yet.
     pub(crate) fn needs(&self, id: &ItemId, needs: Duration) {
         if let Some(item) = lock(&self.items).get_mut(id) {
-            item.times.needs = needs;
+            item.times.expected_run = needs;
         }
     }
 
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -58,7 +58,8 @@
             allocator.apply_report(from, report, now);
             let assignable = self.assignable(&workers, cell, now);
             let are_spared = assignable.len() < workers.len();
-            let placed = allocator.place(from, &request.question(), &assignable, &rates, now);
+            let placed =
+                allocator.place(from, &request.placement_request(), &assignable, &rates, now);
             placed.map_err(|why| {
                 if are_spared {
                     PlacementError::Full
--- a/crates/swiftshunt-scheduler/src/slots/mod.rs
+++ b/crates/swiftshunt-scheduler/src/slots/mod.rs
@@ -58,11 +58,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ItemTimes {
     /// When it is due.
-    pub due: Duration,
+    pub due_at: Duration,
     /// When it is given up.
-    pub given_up: Duration,
+    pub expires_at: Duration,
     /// How long it is expected to run yet.
-    pub needs: Duration,
+    pub expected_run: Duration,
 }
 
 /// Part of the expected run that an item surely needs: lengths differ.
@@ -72,11 +72,11 @@
     /// The rank now. One that is late goes before all others again after half of the time until it
     /// is given up: it must not wait for ever behind new ones.
     pub fn rank(&self, now: Duration) -> Rank {
-        let is_late = now + self.needs.mul_f64(SURE_SHARE) > self.due;
-        let patient_until = self.due + self.given_up.saturating_sub(self.due) / 2;
+        let is_late = now + self.expected_run.mul_f64(SURE_SHARE) > self.due_at;
+        let patient_until = self.due_at + self.expires_at.saturating_sub(self.due_at) / 2;
         Rank {
             is_late: is_late && now < patient_until,
-            due_in_ms: self.due.as_millis() as i64 - now.as_millis() as i64,
+            due_in_ms: self.due_at.as_millis() as i64 - now.as_millis() as i64,
         }
     }
 }
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -130,11 +130,11 @@
 fn what_silent_gateways_may_let_in_is_set_aside() {
     let mut bucket = full_bucket();
     for gateway in 0..10 {
-        let question = CreditRequest {
+        let request = CreditRequest {
             recent: 10,
             ..needs(5)
         };
-        bucket.grant_credits(gateway, question, &TOLERANCE, at(6_000));
+        bucket.grant_credits(gateway, request, &TOLERANCE, at(6_000));
     }
     assert!(bucket.is_near_limit(&TOLERANCE));
     bucket.reserve_for_silent(&[7, 8, 9], 10, &TOLERANCE, at(6_000));
@@ -149,8 +149,8 @@
 fn a_request_takes_a_credit_or_asks() {
     let mut limiter = TenantLimiter::default();
     assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
-    let question = limiter.credit_request(1, COUNTER, START);
-    assert_eq!((question.need, question.held), (1, 0));
+    let request = limiter.credit_request(1, COUNTER, START);
+    assert_eq!((request.need, request.held), (1, 0));
     let granted = CreditResponse::Granted {
         credits: 2,
         recent: 5,
@@ -229,10 +229,10 @@
         limiter.credit_request(1, COUNTER, at(100)).left_elsewhere,
         None
     );
-    let question = limiter.credit_request(1, COUNTER + 1, at(100));
-    assert!(question.left_elsewhere.is_some());
+    let request = limiter.credit_request(1, COUNTER + 1, at(100));
+    assert!(request.left_elsewhere.is_some());
     let mut bucket = full_bucket();
-    let first = credits(bucket.grant_credits(1, question, &TOLERANCE, at(100)));
+    let first = credits(bucket.grant_credits(1, request, &TOLERANCE, at(100)));
     let rest: u32 = (0..40)
         .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, at(100))))
         .sum();
@@ -301,11 +301,11 @@
 fn a_counter_that_takes_over_leaves_silent_gateways_the_share_that_nobody_else_has() {
     let mut bucket = empty_bucket();
     for gateway in 0..4 {
-        let question = CreditRequest {
+        let request = CreditRequest {
             share: Some(0.1),
             ..needs(1)
         };
-        bucket.grant_credits(gateway, question, &TOLERANCE, START);
+        bucket.grant_credits(gateway, request, &TOLERANCE, START);
     }
     bucket.reserve_for_silent(&[4], 5, &TOLERANCE, START);
     let given = given_within(&mut bucket, 0, 10_000);
@@ -317,12 +317,12 @@
 fn what_a_silent_gateway_saved_while_nothing_was_set_aside_is_taken_off_again() {
     let mut bucket = full_bucket();
     for gateway in 0..2 {
-        let question = CreditRequest {
+        let request = CreditRequest {
             recent: 25,
             by_all: 50,
             ..needs(11)
         };
-        bucket.grant_credits(gateway, question, &TOLERANCE, at(6_000));
+        bucket.grant_credits(gateway, request, &TOLERANCE, at(6_000));
     }
     bucket.reserve_for_silent(&[0], 2, &TOLERANCE, at(6_000));
     bucket.release_reserved(&TOLERANCE, at(6_100));
--- a/crates/swiftshunt-scheduler/tests/rates_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/rates_simulation.rs
@@ -113,7 +113,7 @@
             return false;
         }
         let count = self.gateways.len();
-        let question = self.gateways[from]
+        let credit_request = self.gateways[from]
             .limiter
             .credit_request(need, counter as u64, now);
         let silent: Vec<usize> = (0..count)
@@ -133,7 +133,7 @@
             };
             (Bucket::new(limit, 1, level, now), None)
         });
-        let verdict: CreditResponse = bucket.grant_credits(from, question, &TOLERANCE, now);
+        let verdict: CreditResponse = bucket.grant_credits(from, credit_request, &TOLERANCE, now);
         if bucket.is_near_limit(&TOLERANCE) {
             let since = *looked.get_or_insert(now);
             if now >= since + LOOK_AROUND {
--- a/crates/swiftshunt-scheduler/tests/slots/failing.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/failing.rs
@@ -5,7 +5,9 @@
 use swiftshunt_scheduler::slots::allocator::{PlacementRequest, SlotAllocator};
 use swiftshunt_scheduler::slots::{SlotReport, WorkerKey};
 
-use crate::support::{RATES, SETTLED, SLOTS, bids, gateway, key, question, waiting, workers};
+use crate::support::{
+    RATES, SETTLED, SLOTS, bids, gateway, key, placement_request, waiting, workers,
+};
 
 /// A request that may not be repeated, or may, to two workers of which the first would be better.
 fn place_unless_failing(
@@ -14,11 +16,11 @@
     now: Duration,
 ) -> WorkerKey {
     let bids = bids(&[0, 50]);
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         may_repeat,
-        ..question(&bids)
+        ..placement_request(&bids)
     };
-    let placed = allocator.place(gateway(2), &question, &workers(2), &RATES, now);
+    let placed = allocator.place(gateway(2), &request, &workers(2), &RATES, now);
     placed.expect("a worker").worker
 }
 
--- a/crates/swiftshunt-scheduler/tests/slots/grants.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/grants.rs
@@ -39,9 +39,9 @@
 #[test_case(40, false; "late for long")]
 fn items_that_will_be_late_go_behind_the_others_for_a_while(now: u64, is_late: bool) {
     let times = ItemTimes {
-        due: Duration::from_secs(18),
-        given_up: Duration::from_secs(58),
-        needs: Duration::from_secs(5),
+        due_at: Duration::from_secs(18),
+        expires_at: Duration::from_secs(58),
+        expected_run: Duration::from_secs(5),
     };
     assert_eq!(times.rank(Duration::from_secs(now)).is_late, is_late);
 }
--- a/crates/swiftshunt-scheduler/tests/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/prompts.rs
@@ -35,14 +35,14 @@
 ) -> Result<Placement, PlacementError> {
     let bids: Vec<Bid> = bids(&vec![0; workers.len()]);
     let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         bids: &bids,
         prompt: Prompt { parts, tokens },
         may_wait,
         max_wait: None,
         may_repeat: true,
     };
-    allocator.place(gateway(2), &question, workers, &RATES, now)
+    allocator.place(gateway(2), &request, workers, &RATES, now)
 }
 
 /// Requests with a shared beginning go where it was read, whichever gateway asks and also where an
--- a/crates/swiftshunt-scheduler/tests/slots/requests.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/requests.rs
@@ -5,7 +5,8 @@
 use swiftshunt_scheduler::slots::allocator::{PlacementError, PlacementRequest, SlotAllocator};
 
 use crate::support::{
-    RATES, SETTLED, bids, gateway, held, key, place, place_at, question, report, waiting, workers,
+    RATES, SETTLED, bids, gateway, held, key, place, place_at, placement_request, report, waiting,
+    workers,
 };
 
 #[test]
@@ -50,16 +51,22 @@
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     let mut place = |may_wait| {
         let bids = bids(&[0]);
-        let question = PlacementRequest {
+        let request = PlacementRequest {
             may_wait,
-            ..question(&bids)
+            ..placement_request(&bids)
         };
-        allocator.place(gateway(2), &question, &workers(1), &RATES, SETTLED)
+        allocator.place(gateway(2), &request, &workers(1), &RATES, SETTLED)
     };
     assert_eq!(place(false), Err(PlacementError::Full));
     assert!(place(true).expect("a worker").waits);
     let mut unknown = SlotAllocator::default();
-    let none = unknown.place(gateway(2), &question(&bids(&[0])), &[], &RATES, SETTLED);
+    let none = unknown.place(
+        gateway(2),
+        &placement_request(&bids(&[0])),
+        &[],
+        &RATES,
+        SETTLED,
+    );
     assert_eq!(none, Err(PlacementError::NoWorker));
 }
 
@@ -148,11 +155,11 @@
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(5, 0))]), SETTLED);
     let bids = bids(&[0]);
     let mut place = |max_wait: Option<u64>| {
-        let question = PlacementRequest {
+        let request = PlacementRequest {
             max_wait: max_wait.map(Duration::from_millis),
-            ..question(&bids)
+            ..placement_request(&bids)
         };
-        allocator.place(gateway(2), &question, &workers(1), &RATES, SETTLED)
+        allocator.place(gateway(2), &request, &workers(1), &RATES, SETTLED)
     };
     let slot = RATES.slot_ms as u64 / 4;
     // One waits before it: it is the second for whom a slot must come free.
@@ -174,18 +181,18 @@
         SETTLED,
     );
     let bids = bids(&[0, 0]);
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         max_wait: Some(Duration::ZERO),
-        ..question(&bids)
+        ..placement_request(&bids)
     };
-    let free = allocator.place(gateway(2), &question, &workers(2), &RATES, SETTLED);
+    let free = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(free.expect("a worker").worker, key(1));
-    let of_item = allocator.place(gateway(2), &question, &workers(2), &RATES, SETTLED);
+    let of_item = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(
         of_item.expect("a worker").preempted_gateway,
         Some(gateway(1))
     );
-    let full = allocator.place(gateway(2), &question, &workers(2), &RATES, SETTLED);
+    let full = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(full, Err(PlacementError::Full));
 }
 
@@ -195,13 +202,13 @@
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     let bids = bids(&[0]);
-    let question = PlacementRequest {
+    let request = PlacementRequest {
         max_wait: Some(Duration::ZERO),
-        ..question(&bids)
+        ..placement_request(&bids)
     };
     let now = SETTLED + Duration::from_secs(1);
     allocator.apply_report(gateway(1), report(2, 0, &[(0, held(4, 0))]), now);
-    let full = allocator.place(gateway(2), &question, &workers(1), &RATES, now);
+    let full = allocator.place(gateway(2), &request, &workers(1), &RATES, now);
     assert_eq!(full, Err(PlacementError::Full));
     allocator.apply_report(gateway(1), report(3, 0, &[]), now);
     allocator.apply_report(gateway(3), waiting(5, 1_000), now);
--- a/crates/swiftshunt-scheduler/tests/slots/support.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/support.rs
@@ -79,7 +79,7 @@
 }
 
 /// A request without a prompt that may wait.
-pub(crate) fn question(bids: &[Bid]) -> PlacementRequest<'_> {
+pub(crate) fn placement_request(bids: &[Bid]) -> PlacementRequest<'_> {
     PlacementRequest {
         bids,
         prompt: Prompt::default(),
@@ -106,5 +106,11 @@
 ) -> Result<Placement, PlacementError> {
     let workers = workers(costs.len() as u64);
     let bids = bids(costs);
-    allocator.place(gateway(from), &question(&bids), &workers, &RATES, now)
+    allocator.place(
+        gateway(from),
+        &placement_request(&bids),
+        &workers,
+        &RATES,
+        now,
+    )
 }
