--- a/crates/swiftshunt-gateway/src/earlier_builds/values.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/values.rs
@@ -10,12 +10,12 @@
     AppendOutcome, KeyedRecord, Lease, LogError, NewestPage, ReadOutcome, TailPart, Topic, frames,
 };
 use swiftshunt_scheduler::prefix_cache::PromptPart;
-use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, Tried, WorkerEnd};
-use swiftshunt_scheduler::rates::bucket::{self, Left};
-use swiftshunt_scheduler::slots::book::NotPlaced;
+use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, RequestIdentity, WorkerEnd};
+use swiftshunt_scheduler::rates::bucket::{self, RemainingCredits};
+use swiftshunt_scheduler::slots::allocator::PlacementError;
 use swiftshunt_scheduler::slots::cell::Cell;
-use swiftshunt_scheduler::slots::prompts::Reading;
-use swiftshunt_scheduler::slots::{Bid, Held, Rank, Report, Waiting, WorkerKey};
+use swiftshunt_scheduler::slots::prompts::PrefillEstimate;
+use swiftshunt_scheduler::slots::{Bid, HeldSlots, Rank, SlotReport, WaitingItems, WorkerKey};
 use swiftshunt_types::{RateLimit, TenantName};
 
 use crate::log_relay::message::{LogAnswer, LogCall};
@@ -37,7 +37,7 @@
 }
 
 fn fingerprint() -> Fingerprint {
-    Fingerprint::of(&Tried {
+    Fingerprint::of(&RequestIdentity {
         caller: "tenant-1",
         host: "host",
         method: "POST",
@@ -63,19 +63,19 @@
     ]
 }
 
-pub(super) fn report() -> Report {
-    Report {
+pub(super) fn report() -> SlotReport {
+    SlotReport {
         life: 5,
         number: 6,
         seen: 7,
         held: vec![(
             WorkerKey(8),
-            Held {
+            HeldSlots {
                 online: 2,
                 batch: 1,
             },
         )],
-        waiting: Waiting {
+        waiting: WaitingItems {
             items: 3,
             first: Rank {
                 is_late: true,
@@ -126,7 +126,7 @@
         number: 22,
         waits: true,
         frees: false,
-        reading: Reading {
+        reading: PrefillEstimate {
             missing_tokens: 250,
             time: Duration::from_millis(3),
         },
@@ -137,8 +137,8 @@
         elsewhere: None,
     };
     entry("assigned", answer(Ok(assigned)));
-    entry("no-worker", answer(Err(NotPlaced::NoWorker)));
-    entry("full", answer(Err(NotPlaced::Full)));
+    entry("no-worker", answer(Err(PlacementError::NoWorker)));
+    entry("full", answer(Err(PlacementError::Full)));
     entry(
         "grant",
         SlotMessage::Grant {
@@ -198,7 +198,7 @@
     let ask = |left_elsewhere| RateMessage::Ask {
         ask: 41,
         tenant: tenant(),
-        question: bucket::Question {
+        question: bucket::CreditRequest {
             need: 1,
             ahead: 2,
             held: 3,
@@ -212,7 +212,7 @@
         limit: VersionedLimit::new(limit, 17),
     };
     entry("ask", ask(None));
-    let left = Left {
+    let left = RemainingCredits {
         requests: 8,
         age: Duration::from_millis(90),
     };
@@ -221,7 +221,7 @@
     let counted = |verdict| answer(CounterAnswer::Counted(verdict));
     entry(
         "granted",
-        counted(bucket::Verdict::Granted {
+        counted(bucket::CreditResponse::Granted {
             credits: 3,
             recent: 20,
             left: 4,
@@ -229,12 +229,12 @@
     );
     entry(
         "exhausted",
-        counted(bucket::Verdict::Exhausted {
+        counted(bucket::CreditResponse::Exhausted {
             again_after: Duration::from_millis(120),
             recent: 20,
         }),
     );
-    entry("alone", counted(bucket::Verdict::DecideAlone));
+    entry("alone", counted(bucket::CreditResponse::DecideAlone));
     entry("counted-by", answer(CounterAnswer::CountedBy(address(3))));
     entry("not-yet", answer(CounterAnswer::NotYet));
     entry("ping", RateMessage::Ping);
--- a/crates/swiftshunt-gateway/src/quarantine/directory.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/directory.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use swiftshunt_scheduler::listed::RemovedWorker;
-use swiftshunt_scheduler::quarantine::{Evidence, SETTLES_WITHIN};
+use swiftshunt_scheduler::quarantine::{Evidence, LAPSE_SETTLE_DELAY};
 use swiftshunt_scheduler::slots::WorkerKey;
 
 use super::Quarantine;
@@ -21,7 +21,7 @@
         address: SocketAddr,
         before: Option<&str>,
     ) {
-        if lock(&self.departures).is_back(WorkerKey::of(incarnation)) {
+        if lock(&self.lapsed_workers).remove_returned(WorkerKey::of(incarnation)) {
             self.refute_end(
                 WorkerKey::of(incarnation),
                 Evidence::Proved,
@@ -41,16 +41,16 @@
             return;
         }
         let now = self.clock.now();
-        let mut departures = lock(&self.departures);
+        let mut lapsed_workers = lock(&self.lapsed_workers);
         for worker in departed {
             let key = WorkerKey::of(&worker.incarnation);
-            departures.add(key, &worker.zone, now);
+            lapsed_workers.record_lapse(key, &worker.zone, now);
         }
-        drop(departures);
+        drop(lapsed_workers);
         let quarantine = Arc::clone(self);
         let incarnations: Vec<String> = departed.iter().map(|it| it.incarnation.clone()).collect();
         tokio::spawn(async move {
-            tokio::time::sleep(SETTLES_WITHIN).await;
+            tokio::time::sleep(LAPSE_SETTLE_DELAY).await;
             quarantine.prove_lapsed_ends(&incarnations);
         });
     }
@@ -59,7 +59,7 @@
         let ended = {
             let selector = self.fleet_state.selector();
             let listed = |zone: &str| selector.listed_count(zone);
-            lock(&self.departures).ended(listed, self.clock.now())
+            lock(&self.lapsed_workers).take_ended(listed, self.clock.now())
         };
         let is_ended = |life: &&String| ended.contains(&WorkerKey::of(life));
         for life in incarnations.iter().filter(is_ended) {
@@ -71,7 +71,7 @@
     fn prove_end(&self, incarnation: &str) {
         let doubted = self.take_doubted_ends(incarnation);
         let worker = WorkerKey::of(incarnation);
-        let suspected = lock(&self.table).prove(worker, Clock::unix_ms(), self.clock.now());
+        let suspected = lock(&self.table).mark_proved(worker, Clock::unix_ms(), self.clock.now());
         if doubted.is_empty() && suspected.is_empty() {
             return;
         }
@@ -84,12 +84,12 @@
 
     /// The tail of the directory was read here, in which these workers renewed their entries.
     pub(crate) fn handle_renewals(&self, incarnations: &[String]) {
-        let accused: Vec<WorkerKey> = lock(&self.table).accusers().collect();
+        let accused: Vec<WorkerKey> = lock(&self.table).ended_workers().collect();
         let renewed: Vec<WorkerKey> = incarnations
             .iter()
             .map(|life| WorkerKey::of(life))
             .collect();
-        let alive = lock(&self.signs_of_life).read(accused.into_iter(), &renewed);
+        let alive = lock(&self.renewal_tracker).record_reading(accused.into_iter(), &renewed);
         for worker in alive {
             self.refute_end(worker, Evidence::Proved, "it renews its entry");
         }
--- a/crates/swiftshunt-gateway/src/quarantine/worker_ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/worker_ends.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, SUSPECTED_FOR, WorkerEnd};
+use swiftshunt_scheduler::quarantine::{Evidence, Fingerprint, SUSPECTED_END_TTL, WorkerEnd};
 use swiftshunt_scheduler::selection::ChosenWorker;
 use swiftshunt_scheduler::slots::WorkerKey;
 
@@ -157,7 +157,7 @@
     fn doubt(&self, chosen: ChosenWorker, ends: Vec<(Fingerprint, WorkerEnd)>) {
         let since = self.clock.now();
         let mut doubted = lock(&self.doubted);
-        doubted.retain(|worker| since < worker.since + SUSPECTED_FOR);
+        doubted.retain(|worker| since < worker.since + SUSPECTED_END_TTL);
         if doubted.len() < MAX_DOUBTED_WORKERS {
             doubted.push(DoubtedWorker {
                 chosen,
@@ -176,7 +176,7 @@
         let proved: Vec<DoubtedWorker> = lock(&self.doubted).extract_if(.., is_it).collect();
         let in_time = proved
             .into_iter()
-            .filter(|worker| now < worker.since + SUSPECTED_FOR);
+            .filter(|worker| now < worker.since + SUSPECTED_END_TTL);
         let ends = in_time.flat_map(|worker| worker.ends);
         ends.map(|(request, end)| {
             let evidence = Evidence::Proved;
--- a/crates/swiftshunt-gateway/src/running.rs
+++ b/crates/swiftshunt-gateway/src/running.rs
@@ -75,7 +75,7 @@
     /// Records how long an item is expected to run yet.
     pub(crate) fn set_remaining_time(&self, id: &ItemId, needs: Duration) {
         if let Some(item) = lock(&self.items).get_mut(id) {
-            item.times.needs = needs;
+            item.times.expected_run = needs;
         }
     }
 
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -15,9 +15,9 @@
 
 use rand::RngCore;
 use swiftshunt_scheduler::selection::{ChosenWorker, Demand};
-use swiftshunt_scheduler::slots::book::{Book, NotPlaced};
+use swiftshunt_scheduler::slots::allocator::{PlacementError, SlotAllocator};
 use swiftshunt_scheduler::slots::cell::Cell;
-use swiftshunt_scheduler::slots::elsewhere::Elsewhere;
+use swiftshunt_scheduler::slots::remote_capacity::RemoteCapacity;
 use swiftshunt_scheduler::slots::{Bid, ItemTimes, WorkerKey};
 use swiftshunt_topology::Residency;
 use tokio::sync::oneshot;
@@ -90,12 +90,12 @@
     clock: Clock,
     /// Share of a cell's slots that is kept free of batch items.
     headroom: f64,
-    books: Mutex<BTreeMap<Cell, Book>>,
+    allocators: Mutex<BTreeMap<Cell, SlotAllocator>>,
     last_reports: Mutex<BTreeMap<Cell, LastReport>>,
     /// Cells that had no slot for a request, and when.
     full: Mutex<BTreeMap<Cell, Duration>>,
     asks: Mutex<HashMap<u64, oneshot::Sender<OwnerReply>>>,
-    elsewhere: Mutex<Elsewhere>,
+    remote_capacity: Mutex<RemoteCapacity>,
     last_ask: AtomicU64,
     last_report_number: AtomicU64,
     queue: Queue,
@@ -147,11 +147,11 @@
             metrics,
             clock,
             headroom,
-            books: Mutex::default(),
+            allocators: Mutex::default(),
             last_reports: Mutex::default(),
             full: Mutex::default(),
             asks: Mutex::default(),
-            elsewhere: Mutex::default(),
+            remote_capacity: Mutex::default(),
             last_ask: AtomicU64::new(0),
             last_report_number: AtomicU64::new(0),
             queue: Queue::default(),
@@ -208,7 +208,7 @@
                         self.accept_assignment(&query, &cell, assigned, chosen),
                     );
                 }
-                Some(Err(NotPlaced::Full)) if is_last => {
+                Some(Err(PlacementError::Full)) if is_last => {
                     self.mark_full(&cell);
                     crossing.offer_target(elsewhere);
                     if let Some(elsewhere) = crossing.take_target() {
@@ -223,7 +223,7 @@
                         PlacementOutcome::Worker(chosen)
                     };
                 }
-                Some(Err(NotPlaced::Full)) => {
+                Some(Err(PlacementError::Full)) => {
                     crossing.offer_target(elsewhere);
                     self.mark_full(&cell);
                     full.push(cell);
@@ -234,7 +234,7 @@
                 None if next_owner_left && self.members.owner(&cell) != owner => {
                     next_owner_left = false;
                 }
-                Some(Err(NotPlaced::NoWorker)) | None => {
+                Some(Err(PlacementError::NoWorker)) | None => {
                     log::info!(request = query.request, cell = cell.index, answer:? = answer,
                         worker = chosen.incarnation.as_str();
                         "the owner of the slots decided nothing");
@@ -359,8 +359,8 @@
                 self.members.record_answer(owner, took);
                 let answer = match reply.verdict {
                     Ok(_) => SlotAnswer::Assigned,
-                    Err(NotPlaced::Full) => SlotAnswer::Full,
-                    Err(NotPlaced::NoWorker) => SlotAnswer::Unknown,
+                    Err(PlacementError::Full) => SlotAnswer::Full,
+                    Err(PlacementError::NoWorker) => SlotAnswer::Unknown,
                 };
                 let reply = Some(reply);
                 AskOutcome { answer, reply }
@@ -377,7 +377,7 @@
 
     /// An owner's answer to a question about its cell.
     fn owner_reply(&self, cell: &Cell, verdict: SlotVerdict) -> OwnerReply {
-        let is_full = verdict == Err(NotPlaced::Full);
+        let is_full = verdict == Err(PlacementError::Full);
         let elsewhere = is_full.then(|| self.overflow_cell(cell)).flatten();
         OwnerReply { verdict, elsewhere }
     }
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::slots::cell::Cell;
-use swiftshunt_scheduler::slots::{Held, Report, Waiting, WorkerKey};
+use swiftshunt_scheduler::slots::{HeldSlots, SlotReport, WaitingItems, WorkerKey};
 
 use super::Slots;
 use crate::fleet_state::lock;
@@ -30,15 +30,15 @@
     at: Duration,
     /// When it was first asked for a sign of life that has not come.
     asked_at: Option<Duration>,
-    report: Report,
+    report: SlotReport,
     /// The highest assignment of this owner that was taken up here.
     pub(super) seen: u64,
 }
 
 /// What this gateway holds in a cell.
 pub(super) struct LocalUsage {
-    held: Vec<(WorkerKey, Held)>,
-    waiting: Waiting,
+    held: Vec<(WorkerKey, HeldSlots)>,
+    waiting: WaitingItems,
 }
 
 /// What the owner of a cell is to be told.
@@ -61,7 +61,7 @@
     }
 
     /// A report for the owner of a cell, recorded as told.
-    pub(super) fn report(&self, cell: &Cell, owner: SocketAddr, local_usage: LocalUsage) -> Report {
+    pub(super) fn report(&self, cell: &Cell, owner: SocketAddr, local_usage: LocalUsage) -> SlotReport {
         let now = self.clock.now();
         let LocalUsage { held, waiting } = local_usage;
         let mut all = lock(&self.last_reports);
@@ -71,7 +71,7 @@
         let (asked_at, seen) = before.map_or((None, 0), |last_report| {
             (last_report.asked_at, last_report.seen)
         });
-        let report = Report {
+        let report = SlotReport {
             life: self.life,
             number: self.last_report_number.fetch_add(1, Ordering::Relaxed) + 1,
             seen,
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -242,10 +242,9 @@
         let now = self.clock.now();
         match counters.get_mut(allowance) {
             None if self.is_stopping() => {}
-            Some(counter) => counter.verified(register, reading.read_at, now),
+            Some(counter) => counter.confirm_register(register, reading.read_at, now),
             None => {
-                let counter =
-                    Counter::begin(register, limit, reading.read_at, now, self.partitions);
+                let counter = Counter::new(register, limit, reading.read_at, now, self.partitions);
                 counters.insert(allowance.clone(), counter);
                 self.wakeup.notify_one();
             }
--- a/crates/swiftshunt-scheduler/src/candidate.rs
+++ b/crates/swiftshunt-scheduler/src/candidate.rs
@@ -10,7 +10,7 @@
 use crate::selection::{ChosenWorker, ReportedLoad};
 use crate::slots::WorkerKey;
 use crate::slots::cell::Cell;
-use crate::slots::prompts::Reading;
+use crate::slots::prompts::PrefillEstimate;
 use crate::warmup::WarmupState;
 
 /// Age at which what a worker told of others' requests counts half, and the service's mean half.
@@ -91,7 +91,7 @@
     }
 
     /// It is chosen for a request, for which it has to read this.
-    pub(crate) fn to_chosen_worker(&self, reading: Reading, has_prompt: bool) -> ChosenWorker {
+    pub(crate) fn to_chosen_worker(&self, reading: PrefillEstimate, has_prompt: bool) -> ChosenWorker {
         ChosenWorker {
             service: self.entry.service.clone(),
             id: self.entry.life.id.clone(),
--- a/crates/swiftshunt-scheduler/src/cells.rs
+++ b/crates/swiftshunt-scheduler/src/cells.rs
@@ -13,8 +13,8 @@
     ChosenWorker, Demand, Selector, missing_tokens, shared_tokens, tie_break_cost,
 };
 use crate::slots::cell::{Cell, cell_count};
-use crate::slots::prompts::{EngineRates, Reading};
-use crate::slots::{Bid, CellWorker, Held, WorkerKey};
+use crate::slots::prompts::{EngineRates, PrefillEstimate};
+use crate::slots::{Bid, CellWorker, HeldSlots, WorkerKey};
 
 /// Age up to which the load that a worker told counts as what it holds now: within a few steps of
 /// an engine.
@@ -209,8 +209,8 @@
             CellWorker {
                 key: candidate.key,
                 slots: candidate.slots(),
-                told: told.map(|(load, _, _)| load.running + load.waiting),
-                is_sound: !self.is_zone_evacuated(candidate)
+                reported_load: told.map(|(load, _, _)| load.running + load.waiting),
+                accepts_batch: !self.is_zone_evacuated(candidate)
                     && candidate.ejected_until <= now
                     && candidate.silence(now) <= USUAL_SILENCE * 2,
             }
@@ -219,14 +219,14 @@
     }
 
     /// What this node holds at the workers of a cell, also at those that are leaving.
-    pub fn held_slots_in(&self, cell: &Cell) -> Vec<(WorkerKey, Held)> {
+    pub fn held_slots_in(&self, cell: &Cell) -> Vec<(WorkerKey, HeldSlots)> {
         let members = self.candidates.values().filter(|candidate| {
             candidate.own_requests() > 0
                 && candidate.entry.service == cell.service
                 && candidate.is_in(cell)
         });
         let held = members.map(|candidate| {
-            let held = Held {
+            let held = HeldSlots {
                 online: candidate.own_online,
                 batch: candidate.own_batch,
             };
@@ -275,7 +275,7 @@
         service: &str,
         key: WorkerKey,
         demand: &Demand,
-        reading: Reading,
+        reading: PrefillEstimate,
     ) -> Option<ChosenWorker> {
         let candidate = self.open_by_key(service, key, &demand.residency)?;
         Some(candidate.to_chosen_worker(reading, demand.prompt_tokens > 0))
--- a/crates/swiftshunt-scheduler/src/selection.rs
+++ b/crates/swiftshunt-scheduler/src/selection.rs
@@ -14,7 +14,7 @@
 use crate::directory::Availability;
 use crate::evacuations::Evacuations;
 use crate::prefix_cache::PromptPart;
-use crate::slots::prompts::Reading;
+use crate::slots::prompts::PrefillEstimate;
 
 /// Load that a worker told with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -247,7 +247,7 @@
     ) -> ChosenWorker {
         let times = self.services.get(&candidate.entry.service);
         let reading = expected_prefill(candidate, times, missing_tokens, now);
-        let reading = Reading {
+        let reading = PrefillEstimate {
             missing_tokens,
             time: Duration::from_secs_f64(reading / 1e3),
         };
--- a/crates/swiftshunt-scheduler/tests/offers.rs
+++ b/crates/swiftshunt-scheduler/tests/offers.rs
@@ -9,7 +9,7 @@
 use swiftshunt_scheduler::prefix_cache::PromptPart;
 use swiftshunt_scheduler::selection::{Class, Demand, Selector};
 use swiftshunt_scheduler::slots::WorkerKey;
-use swiftshunt_scheduler::slots::prompts::Reading;
+use swiftshunt_scheduler::slots::prompts::PrefillEstimate;
 use swiftshunt_scheduler::warmup::WarmupState;
 use swiftshunt_topology::{Residency, Topology};
 use swiftshunt_types::RegionName;
@@ -121,12 +121,12 @@
         None
     );
     assert_eq!(
-        selector.assigned_worker_for("s", key, &all, Reading::default()),
+        selector.assigned_worker_for("s", key, &all, PrefillEstimate::default()),
         None
     );
     let workers = selector.cell_workers(&cell, START);
     assert!(
-        workers.iter().all(|worker| !worker.is_sound),
+        workers.iter().all(|worker| !worker.accepts_batch),
         "items are granted it"
     );
     assert!(!selector.has_eligible_worker("s", &all.residency));
