--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -120,7 +120,10 @@
             let service = self.dispatcher.fleet_state.next_service(&route, &residency);
             let needs = self.run_time_estimate.expected().saturating_sub(output.ran);
             self.running.set_remaining_time(id, needs);
-            let times = ItemTimes { expected_run: needs, ..times };
+            let times = ItemTimes {
+                expected_run: needs,
+                ..times
+            };
             let slots = &self.dispatcher.slots;
             let slot = slots.wait_for_slot(&service, times, &residency);
             // The route may change or the item's time be over while it waits.
--- a/crates/swiftshunt-gateway/src/quarantine/mod.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/mod.rs
@@ -169,7 +169,9 @@
         let now = self.clock.now();
         match lock(&self.table).status(fingerprint, now) {
             QuarantineStatus::Allowed => None,
-            QuarantineStatus::Quarantined { ends, time_left } => Some(QuarantineHold { ends, time_left }),
+            QuarantineStatus::Quarantined { ends, time_left } => {
+                Some(QuarantineHold { ends, time_left })
+            }
         }
     }
 
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -61,7 +61,12 @@
     }
 
     /// A report for the owner of a cell, recorded as told.
-    pub(super) fn report(&self, cell: &Cell, owner: SocketAddr, local_usage: LocalUsage) -> SlotReport {
+    pub(super) fn report(
+        &self,
+        cell: &Cell,
+        owner: SocketAddr,
+        local_usage: LocalUsage,
+    ) -> SlotReport {
         let now = self.clock.now();
         let LocalUsage { held, waiting } = local_usage;
         let mut all = lock(&self.last_reports);
--- a/crates/swiftshunt-scheduler/src/candidate.rs
+++ b/crates/swiftshunt-scheduler/src/candidate.rs
@@ -91,7 +91,11 @@
     }
 
     /// It is chosen for a request, for which it has to read this.
-    pub(crate) fn to_chosen_worker(&self, reading: PrefillEstimate, has_prompt: bool) -> ChosenWorker {
+    pub(crate) fn to_chosen_worker(
+        &self,
+        reading: PrefillEstimate,
+        has_prompt: bool,
+    ) -> ChosenWorker {
         ChosenWorker {
             service: self.entry.service.clone(),
             id: self.entry.life.id.clone(),
--- a/crates/swiftshunt-scheduler/tests/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/prompts.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use swiftshunt_scheduler::prefix_cache::PromptPart;
-use swiftshunt_scheduler::slots::allocator::{Placement, PlacementError, PlacementRequest, SlotAllocator,
+use swiftshunt_scheduler::slots::allocator::{
+    Placement, PlacementError, PlacementRequest, SlotAllocator,
 };
 use swiftshunt_scheduler::slots::prompts::Prompt;
 use swiftshunt_scheduler::slots::{Bid, CellWorker};
