--- a/crates/swiftshunt-scheduler/src/admission.rs
+++ b/crates/swiftshunt-scheduler/src/admission.rs
@@ -1,90 +1,93 @@
-//! When a request that found no worker goes on looking, and when a caller that is refused is to come
-//! back. Pure: what was observed goes in, a decision comes out.
+//! Decides whether a request for which no worker was found retries placement or is refused, and
+//! when a refused caller should retry. The functions are pure.
 //!
-//! A caller that is refused loses a part of its time and one of its few tries, so a request waits while
-//! slots are likely to become free for it: until each has been taken and left once. Workers that turn
-//! it away for longer than that do so for another reason, or serve others first; holding it on would
-//! only cost its caller time. What surely cannot be served is refused at once.
+//! A refused caller loses part of its time and one of its few attempts, so a request waits while
+//! slots are likely to become free for it: for one slot time, in which each slot has been released
+//! once. Workers that still reject the request after that time do so for another reason or serve
+//! other requests first, so more waiting would only cost the caller time. A request that certainly
+//! cannot be served is refused at once.
 
 use std::time::Duration;
 
-/// Why no worker has taken a request.
+/// The reason why no worker has accepted a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// No worker of the service takes new work.
+    /// No worker of the service accepts new requests.
     NoWorker,
-    /// None could be reached from here, though others may reach them.
+    /// This node could not reach any worker; other nodes may reach them.
     Unreachable,
-    /// Those that answered have no room.
+    /// The workers that responded have no free slot.
     Full,
-    /// All zones of the service's workers to which it may go are evacuated.
+    /// All zones in which the service has workers and the request may be handled are evacuated.
     Evacuated {
-        /// For how long.
+        /// How long ago the last of these zones was evacuated.
         lasted: Duration,
     },
-    /// No worker of the service stands in a region in which it may be handled.
+    /// No worker of the service is in a region in which the request may be handled.
     OutsideResidency,
 }
 
-/// What is known of a request that found no worker.
+/// The state of a request for which no worker was found.
 #[derive(Clone, Copy, Debug)]
 pub struct Situation {
-    /// Why.
+    /// The reason why no worker was found.
     pub obstacle: Obstacle,
-    /// Time since it came.
+    /// Time since the request arrived.
     pub waited: Duration,
-    /// Time until its caller gives up.
+    /// Time until the caller's deadline.
     pub time_left: Duration,
-    /// Time for which a slot of its service is taken.
+    /// Mean time for which a request occupies a slot of the service.
     pub slot_time: Duration,
-    /// Slots of the service.
+    /// Number of slots of the service.
     pub slots: u32,
 }
 
-/// What becomes of it.
+/// The decision about a request for which no worker was found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The workers are asked again after this time.
+    /// Try the workers again after this time.
     AskAgain(Duration),
-    /// It is refused; its caller may come back after this time.
+    /// Refuse the request; the caller should retry after this time.
     Refuse(Duration),
 }
 
-/// Shortest and longest pause before full workers are asked again.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(15);
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
-/// When a caller comes back whose gateway stops or reaches no worker.
-const COME_BACK_ELSEWHERE: Duration = Duration::from_millis(100);
-/// When a caller comes back to a service without workers: its entries are listed again within two
-/// seconds after the log is back, a restarted worker's sooner.
-const COME_BACK_FOR_WORKERS: Duration = Duration::from_millis(800);
-/// Time that a gateway takes from its start until it serves, where the log answers: 0.8 s at 295
-/// gateways that start together, as their logs show.
-const STARTS_WITHIN: Duration = Duration::from_millis(900);
-/// Shortest time after which a caller comes back to a gateway that knows no configuration.
-const SHORTEST_COME_BACK: Duration = Duration::from_millis(250);
-/// When a caller comes back to a route whose limit is reached.
-const ROOM_AFTER: Duration = Duration::from_secs(1);
-/// Part of a caller's time that a refusal may take: with more it has no time left for a second one.
-const SHARE_OF_TIME_LEFT: u32 = 3;
-/// Share by which come-back times differ, so that those who were refused together do not return
-/// together.
-const SPREAD: f64 = 0.3;
+/// Bounds of the pause before full workers are tried again.
+const MIN_PLACEMENT_PAUSE: Duration = Duration::from_millis(15);
+const MAX_PLACEMENT_PAUSE: Duration = Duration::from_millis(100);
+/// Retry-After for callers of a gateway that stops or reaches no worker.
+const RETRY_AFTER_ELSEWHERE: Duration = Duration::from_millis(100);
+/// Retry-After for callers of a service without workers. The directory lists the entries again
+/// within two seconds after the log has recovered, and a restarted worker's entry sooner.
+const RETRY_AFTER_NO_WORKER: Duration = Duration::from_millis(800);
+/// Time from the start of a gateway until it serves requests, if the log is available: 0.8 s in the
+/// logs of 295 gateways that started at the same time.
+const STARTUP_TIME: Duration = Duration::from_millis(900);
+/// Lower bound of Retry-After while a gateway has no configuration or the log is unavailable.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Retry-After for callers of a route whose limit is reached.
+const RETRY_AFTER_LIMIT: Duration = Duration::from_secs(1);
+/// Retry-After is at most the caller's remaining time divided by this number; a longer wait would
+/// leave no time for a second attempt.
+const TIME_LEFT_DIVISOR: u32 = 3;
+/// Relative jitter of Retry-After, so that callers that were refused at the same time do not return
+/// at the same time.
+const RETRY_AFTER_JITTER: f64 = 0.3;
 
-/// Decides about a request that found no worker. `draw` is a random number from 0 to 1.
+/// Decides about a request for which no worker was found. `draw` is a random number from 0 to 1.
 pub fn decide(situation: &Situation, draw: f64) -> Decision {
-    let refuse = |come_back| Decision::Refuse(spread(come_back, situation.time_left, draw));
+    let refuse =
+        |retry_after| Decision::Refuse(limited_retry_after(retry_after, situation.time_left, draw));
     match situation.obstacle {
-        Obstacle::NoWorker | Obstacle::OutsideResidency => refuse(COME_BACK_FOR_WORKERS),
-        Obstacle::Evacuated { lasted } => refuse(come_back_to_zones(lasted)),
-        Obstacle::Unreachable => refuse(COME_BACK_ELSEWHERE),
+        Obstacle::NoWorker | Obstacle::OutsideResidency => refuse(RETRY_AFTER_NO_WORKER),
+        Obstacle::Evacuated { lasted } => refuse(retry_after_evacuation(lasted)),
+        Obstacle::Unreachable => refuse(RETRY_AFTER_ELSEWHERE),
         Obstacle::Full => {
             let next_slot = situation.slot_time / situation.slots.max(1);
-            let pause = next_slot.clamp(SHORTEST_PAUSE, LONGEST_PAUSE);
-            let all_turned_over = situation.waited >= situation.slot_time;
-            // Served after that it would not be done in its time.
+            let pause = next_slot.clamp(MIN_PLACEMENT_PAUSE, MAX_PLACEMENT_PAUSE);
+            let all_slots_released = situation.waited >= situation.slot_time;
+            // A request that starts after the pause would miss its deadline.
             let is_too_late = pause + situation.slot_time >= situation.time_left;
-            if all_turned_over || is_too_late {
+            if all_slots_released || is_too_late {
                 return refuse(situation.slot_time);
             }
             Decision::AskAgain(pause)
@@ -92,49 +95,51 @@
     }
 }
 
-/// When a caller comes back to a service whose zones have been evacuated for `lasted`: nobody here knows when an
-/// operator withdraws it, so after as long again.
-fn come_back_to_zones(lasted: Duration) -> Duration {
-    lasted.max(COME_BACK_FOR_WORKERS)
+/// Returns Retry-After for a service whose zones have been evacuated for `lasted`. Gateways do not
+/// know when an operator will withdraw the evacuation, so the estimate is the elapsed time.
+fn retry_after_evacuation(lasted: Duration) -> Duration {
+    lasted.max(RETRY_AFTER_NO_WORKER)
 }
 
-/// When a caller comes back that a gateway refuses which knows no configuration, `age` after its
-/// start.
+/// Returns Retry-After for a caller that is refused because the gateway has no configuration yet,
+/// `age` after the start of the gateway.
 pub fn retry_after_startup(age: Duration, draw: f64) -> Duration {
-    let rest = STARTS_WITHIN.saturating_sub(age);
-    let overdue = age.saturating_sub(STARTS_WITHIN);
-    jittered(rest.max(overdue).max(SHORTEST_COME_BACK), draw)
+    let remaining = STARTUP_TIME.saturating_sub(age);
+    let overdue = age.saturating_sub(STARTUP_TIME);
+    jittered(remaining.max(overdue).max(MIN_RETRY_AFTER), draw)
 }
 
-/// When a caller comes back whose request needs the log, which has been away for `outage`: after as
-/// long again. A caller that has the time for it is refused five times in an outage of 7 s, and one of
-/// any length costs it about twice its length at most.
+/// Returns Retry-After for a request that needs the log, which has been unavailable for `outage`:
+/// the elapsed time of the outage. With enough time left, a caller is refused five times in an
+/// outage of 7 s, and an outage of any length delays it by at most about twice that length.
 pub fn retry_after_log_outage(outage: Duration, time_left: Duration, draw: f64) -> Duration {
-    spread(outage.max(SHORTEST_COME_BACK), time_left, draw)
+    limited_retry_after(outage.max(MIN_RETRY_AFTER), time_left, draw)
 }
 
-/// When a caller comes back to a route whose limit is reached: some items have ended by then.
+/// Returns Retry-After for a route whose limit is reached; some items have ended by then.
 pub fn retry_after_route_limit(time_left: Duration, draw: f64) -> Duration {
-    spread(ROOM_AFTER, time_left, draw)
+    limited_retry_after(RETRY_AFTER_LIMIT, time_left, draw)
 }
 
-/// When a caller comes back whose tenant has reached its limit, and for which there may be room again after
-/// `again_after`: those that are refused meanwhile come back spread over the next second, as room comes evenly.
+/// Returns Retry-After for a tenant that has reached its limit and may have capacity again after
+/// `again_after`. Callers that are refused meanwhile are spread over the following second, since
+/// capacity returns evenly.
 pub fn retry_after_tenant_limit(again_after: Duration, time_left: Duration, draw: f64) -> Duration {
-    let come_back = again_after + ROOM_AFTER.mul_f64(draw.clamp(0.0, 1.0));
-    come_back.min(time_left / SHARE_OF_TIME_LEFT)
+    let retry_after = again_after + RETRY_AFTER_LIMIT.mul_f64(draw.clamp(0.0, 1.0));
+    retry_after.min(time_left / TIME_LEFT_DIVISOR)
 }
 
-/// When a caller comes back whose gateway stops or reaches nobody: at once, since it comes to another.
+/// Returns Retry-After for a caller whose gateway stops or reaches no worker: a short time, since
+/// the retry goes to another gateway.
 pub fn retry_after_elsewhere(draw: f64) -> Duration {
-    jittered(COME_BACK_ELSEWHERE, draw)
+    jittered(RETRY_AFTER_ELSEWHERE, draw)
 }
 
-/// A come-back time within a part of the time that a caller has left.
-fn spread(come_back: Duration, time_left: Duration, draw: f64) -> Duration {
-    jittered(come_back, draw).min(time_left / SHARE_OF_TIME_LEFT)
+/// Returns Retry-After with jitter, limited to a part of the caller's remaining time.
+fn limited_retry_after(retry_after: Duration, time_left: Duration, draw: f64) -> Duration {
+    jittered(retry_after, draw).min(time_left / TIME_LEFT_DIVISOR)
 }
 
 fn jittered(time: Duration, draw: f64) -> Duration {
-    time.mul_f64(1.0 - SPREAD + 2.0 * SPREAD * draw.clamp(0.0, 1.0))
+    time.mul_f64(1.0 - RETRY_AFTER_JITTER + 2.0 * RETRY_AFTER_JITTER * draw.clamp(0.0, 1.0))
 }
--- a/crates/swiftshunt-scheduler/src/affinity.rs
+++ b/crates/swiftshunt-scheduler/src/affinity.rs
@@ -5,7 +5,8 @@
 
 use swiftshunt_types::WorkerId;
 
-/// Hash of the first block of a prompt, which decides its home.
+/// Returns the hash of the first `block` characters of a prompt, which decides the worker that
+/// requests with this prefix prefer.
 pub fn prefix_hash(prompt: &str, block: usize) -> u64 {
     let head: String = prompt.chars().take(block).collect();
     let mut hasher = DefaultHasher::new();
@@ -13,7 +14,8 @@
     hasher.finish()
 }
 
-/// Rendezvous weight of a worker for a prefix: stable when other workers come and go.
+/// Returns the rendezvous weight of a worker for a prefix, which does not change when other workers
+/// come and go.
 pub fn rendezvous_weight(prefix: u64, worker: &WorkerId) -> u64 {
     let mut hasher = DefaultHasher::new();
     prefix.hash(&mut hasher);
--- a/crates/swiftshunt-scheduler/src/batch.rs
+++ b/crates/swiftshunt-scheduler/src/batch.rs
@@ -5,8 +5,9 @@
 use crate::SchedulerConfig;
 use crate::workers::Worker;
 
-/// Batch requests that may run on `worker`: the free slots less the headroom, and none while
-/// online work waits there. `expected` is the online work that events announce for it, in slots.
+/// Returns the number of batch requests that may run on `worker`: the free slots less the headroom,
+/// and none while requests wait there. `expected` is the online work that events announce for the
+/// worker, in slots.
 pub fn batch_slots(worker: &Worker, expected: u32, config: &SchedulerConfig) -> u32 {
     let waiting = worker.report.map_or(0, |(report, _)| report.waiting);
     if waiting > 0 {
@@ -17,7 +18,8 @@
     worker.slots().saturating_sub(online + headroom)
 }
 
-/// Slots on each of `engines` engines that `requests_per_second` will use.
+/// Returns the number of slots that `requests_per_second` online requests will use on each of
+/// `engines` engines.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 pub fn expected_slots(requests_per_second: u64, engines: usize, config: &SchedulerConfig) -> u32 {
     let concurrent = requests_per_second as f64 * config.event_request_seconds;
@@ -29,18 +31,18 @@
     (f64::from(slots) * config.batch_headroom).floor() as u32
 }
 
-/// What ordering needs to know of a job.
+/// The properties of a job that decide its order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobDemand {
-    /// Which job.
+    /// The job.
     pub job: JobId,
-    /// When it should be done, in seconds of Unix time.
+    /// The deadline of the job, in seconds of Unix time.
     pub deadline: u64,
-    /// Items not recorded yet.
+    /// Items whose results are not recorded yet.
     pub remaining: u32,
 }
 
-/// Orders jobs by slack: time to the deadline less the time that the rest needs.
+/// Orders jobs by slack: the time to the deadline less the expected time for the remaining items.
 ///
 /// `now` is in seconds of Unix time, `seconds_per_item` is the measured mean.
 pub fn least_slack_first(jobs: &mut [JobDemand], now: u64, seconds_per_item: f64) {
--- a/crates/swiftshunt-scheduler/src/candidate.rs
+++ b/crates/swiftshunt-scheduler/src/candidate.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one worker, and how it ages.
+//! The state that a node keeps for one worker, and how observations decay with age.
 
 use std::time::Duration;
 
@@ -13,41 +13,46 @@
 use crate::slots::prompts::PrefillEstimate;
 use crate::warmup::WarmupState;
 
-/// Age at which what a worker told of others' requests counts half, and the service's mean half.
+/// Half-life of a load report: at this age the reported load of other nodes' requests has half of
+/// the weight, and the mean of the service has the other half.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(1_500);
-/// First pause for a worker that does not answer; doubled with each failure in a row.
+/// Ejection time after the first failure to reach a worker; doubles with each failure in a row.
 const FIRST_EJECTION: Duration = Duration::from_millis(400);
-/// Longest pause.
+/// Upper bound of the ejection time.
 const LONGEST_EJECTION: Duration = Duration::from_secs(5);
-/// Weight of one failure in the failure rate.
+/// Weight of one outcome in the moving failure rate.
 const FAILURE_SMOOTHING: f64 = 0.1;
-/// Time in which a failure rate halves by itself: a worker that gets no requests must not be
-/// passed over for ever.
+/// Half-life of a failure rate: a worker that gets no requests, and thus no successes, must not be
+/// avoided for ever.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(1);
 
-/// What a node knows of one worker.
+/// The state that a node keeps for one worker.
 #[derive(Debug)]
 pub(crate) struct Candidate {
     pub(crate) entry: WorkerEntry,
-    /// Until when it serves on though its entry lapsed; none while it is listed.
+    /// End of the grace period in which the worker stays usable though its directory entry lapsed;
+    /// `None` while the entry is listed.
     pub(crate) grace_until: Option<Duration>,
     pub(crate) key: WorkerKey,
-    /// Its region, where there is more than one.
+    /// The region; `None` in a deployment of one region.
     pub(crate) region: Option<RegionName>,
-    /// When it is warm, by its entry.
+    /// The time at which the worker is warm according to its directory entry.
     pub(crate) cold_until: Duration,
     pub(crate) cold_suspicion: ColdSuspicion,
-    /// Until when its keepers have no start left, and what an owner of its slots may still assign.
+    /// The time until which the permit issuers have no start permit, and the number of requests
+    /// that the slot owner may still assign.
     pub(crate) known_permits: KnownPermits,
     pub(crate) own_online: u32,
     pub(crate) own_batch: u32,
+    /// Missing tokens of this node's requests that have no first event yet.
     pub(crate) pending_tokens: u64,
-    /// When requests of this node that have no first event yet were sent, oldest first.
+    /// Times at which this node sent the requests that have no first event yet, oldest first.
     pub(crate) pending_since: Vec<Duration>,
-    /// When the latest request that has its first event was sent.
+    /// The latest send time among the requests that have had their first event.
     pub(crate) latest_started_sent_at: Duration,
-    /// When the worker will have read the long prompts that other nodes sent it.
+    /// The time at which the worker will have prefilled the long prompts that other nodes sent.
     pub(crate) peer_prefill_until: Duration,
+    /// The last load report, the number of this node's requests at that time, and the time.
     pub(crate) last_report: Option<(ReportedLoad, u32, Duration)>,
     pub(crate) prefix_cache: PrefixCacheEstimate,
     pub(crate) failure_rate: f64,
@@ -55,6 +60,7 @@
     pub(crate) failures_in_row: u32,
     pub(crate) ejected_until: Duration,
     pub(crate) last_activity_at: Duration,
+    /// Moving average of the duration of online requests without a prompt, in milliseconds.
     pub(crate) duration_ms: Option<f64>,
 }
 
@@ -90,10 +96,10 @@
         }
     }
 
-    /// It is chosen for a request, for which it has to read this.
+    /// Returns this worker as the choice for a request with the given prefill.
     pub(crate) fn to_chosen_worker(
         &self,
-        reading: PrefillEstimate,
+        prefill: PrefillEstimate,
         has_prompt: bool,
     ) -> ChosenWorker {
         ChosenWorker {
@@ -102,13 +108,13 @@
             incarnation: self.entry.incarnation.clone(),
             address: self.entry.address,
             zone: self.entry.zone.clone(),
-            missing_tokens: reading.missing_tokens,
-            expected_prefill: reading.time,
+            missing_tokens: prefill.missing_tokens,
+            expected_prefill: prefill.time,
             has_prompt,
         }
     }
 
-    /// Whether it is in a cell of its service.
+    /// Returns whether the worker belongs to a cell of its service.
     pub(crate) fn is_in(&self, cell: &Cell) -> bool {
         self.region == cell.region && self.key.cell_index(cell.count) == cell.index
     }
@@ -126,23 +132,25 @@
     }
 
     pub(crate) fn slots(&self) -> u32 {
-        let told = self.last_report.map(|(load, _, _)| load.slots);
-        told.filter(|slots| *slots > 0)
+        let reported = self.last_report.map(|(load, _, _)| load.slots);
+        reported
+            .filter(|slots| *slots > 0)
             .unwrap_or(self.entry.slots)
             .max(1)
     }
 
-    /// Requests of others that it was told to hold, and how much that still counts.
+    /// Returns the number of other nodes' requests in the last load report, and the weight of that
+    /// report by its age.
     pub(crate) fn others_load(&self, now: Duration) -> Option<(f64, f64)> {
-        let (told, own_then, at) = self.last_report?;
-        let others = f64::from((told.running + told.waiting).saturating_sub(own_then));
+        let (reported, own_at_report, at) = self.last_report?;
+        let others = f64::from((reported.running + reported.waiting).saturating_sub(own_at_report));
         let age = now.saturating_sub(at).as_secs_f64() / LOAD_HALF_LIFE.as_secs_f64();
         Some((others, 0.5_f64.powf(age)))
     }
 
-    /// Requests that it holds, as far as known; `mean_others_load` is what its like hold of others.
-    /// What its like hold is no reason to believe that it is crowded: it counts up to half of the
-    /// slots.
+    /// Returns the estimated number of requests at the worker. `mean_others_load` is the mean
+    /// number of other nodes' requests at the service's workers. That mean is no evidence that this
+    /// worker is full, so it counts for at most half of the slots.
     pub(crate) fn load(&self, mean_others_load: f64, now: Duration) -> f64 {
         let own = f64::from(self.own_requests());
         let mean_others_load = mean_others_load.min(f64::from(self.slots()) / 2.0);
@@ -152,18 +160,18 @@
         }
     }
 
-    /// How long this node's request that waits longest has waited for its first event.
+    /// Returns how long this node's oldest pending request has waited for its first event.
     pub(crate) fn longest_wait(&self, now: Duration) -> Duration {
         let oldest = self.pending_since.first();
         oldest.map_or(Duration::ZERO, |sent| now.saturating_sub(*sent))
     }
 
-    /// Another node sent a prompt that takes `reading` to read.
+    /// Adds the prefill time of a prompt that another node sent.
     pub(crate) fn add_peer_prefill(&mut self, prefill: Duration, now: Duration) {
         self.peer_prefill_until = self.peer_prefill_until.max(now) + prefill;
     }
 
-    /// How long the worker still reads prompts that other nodes sent.
+    /// Returns the remaining time in which the worker prefills the prompts that other nodes sent.
     pub(crate) fn peer_prefill_time(&self, now: Duration) -> Duration {
         self.peer_prefill_until.saturating_sub(now)
     }
@@ -176,8 +184,9 @@
         }
     }
 
-    /// Whether a request sent later has its first event: workers begin requests in their order, so
-    /// one that waits on was left hanging.
+    /// Returns whether a request that was sent after `sent_at` has had its first event. Workers
+    /// start requests in the order of arrival, so one that was sent earlier and is still pending is
+    /// hanging.
     pub(crate) fn has_overtaken(&self, sent_at: Duration) -> bool {
         self.latest_started_sent_at > sent_at
     }
--- a/crates/swiftshunt-scheduler/src/cells.rs
+++ b/crates/swiftshunt-scheduler/src/cells.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells the owners of cells of its own view, and what it makes of their answers.
+//! What a gateway reports of its view to the owners of cells, and how it uses their assignments.
 
 use std::time::Duration;
 
@@ -16,15 +16,14 @@
 use crate::slots::prompts::{EngineRates, PrefillEstimate};
 use crate::slots::{Bid, CellWorker, HeldSlots, WorkerKey};
 
-/// Age up to which the load that a worker told counts as what it holds now: within a few steps of
-/// an engine.
-const TOLD_NOW: Duration = Duration::from_millis(100);
-/// Reading time of a shared beginning from which its requests are kept together in one cell: several
-/// times what a worse place within another cell costs.
-const KEPT_TOGETHER: Duration = Duration::from_millis(25);
+/// Age up to which a load report counts as the present load of a worker: a few steps of an engine.
+const LOAD_REPORT_MAX_AGE: Duration = Duration::from_millis(100);
+/// Prefill time of a shared prefix from which requests with that prefix are sent to one cell:
+/// several times the cost of a worse worker within another cell.
+const MIN_AFFINITY_PREFILL: Duration = Duration::from_millis(25);
 
 impl Selector {
-    /// The cells of a service.
+    /// Returns the cells of a service: one or more for each region with ready workers.
     pub fn cells(&self, service: &str) -> impl Iterator<Item = Cell> {
         let mut regions: Vec<Option<RegionName>> = self
             .ready_workers(service)
@@ -46,28 +45,28 @@
         cells.collect::<Vec<_>>().into_iter()
     }
 
-    /// Regions with workers of a service that may be offered something, the own one first; one without a name
-    /// where there is one alone.
+    /// Returns the regions with eligible workers of a service, the own region first; a single
+    /// `None` in a deployment of one region.
     pub fn regions(&self, service: &str, residency: &Residency) -> Vec<Option<RegionName>> {
         if !self.topology.spans_regions() {
             return vec![None];
         }
-        let open = self.eligible_workers(service, residency);
-        let mut regions: Vec<_> = open.map(|candidate| candidate.region.clone()).collect();
+        let eligible = self.eligible_workers(service, residency);
+        let mut regions: Vec<_> = eligible.map(|candidate| candidate.region.clone()).collect();
         let own = self.topology.own_region();
         regions.sort_by_key(|region| (region.as_ref() != own, region.clone()));
         regions.dedup();
         regions
     }
 
-    /// How many cells a service has in a region.
+    /// Returns the number of cells that a service has in a region.
     fn cell_count(&self, service: &str, region: Option<&RegionName>) -> u32 {
         let in_region = self.ready_workers(service);
         let in_region = in_region.filter(|candidate| candidate.region.as_ref() == region);
         cell_count(in_region.count())
     }
 
-    /// The cell that a worker is in.
+    /// Returns the cell of a worker.
     pub fn cell_of(&self, chosen: &ChosenWorker) -> Cell {
         let region = self.topology.dividing_region_of(&chosen.zone);
         let count = self.cell_count(&chosen.service, region);
@@ -79,8 +78,8 @@
         }
     }
 
-    /// Chooses as [`Selector::choose`] does, outside of some cells of the service, and in the own region as long
-    /// as a worker is left there.
+    /// Chooses like [`Selector::choose`], outside the cells in `full`, and within the own region as
+    /// long as it has a healthy worker that was not tried.
     pub fn choose_outside_cells(
         &self,
         service: &str,
@@ -89,13 +88,14 @@
         full: &[Cell],
         now: Duration,
     ) -> Option<ChosenWorker> {
-        let reach = self.reach(service, demand, tried, now);
+        let region_filter = self.region_filter(service, demand, tried, now);
         self.choose_among(service, demand, now, |candidate| {
-            reach.includes(candidate) && is_left(candidate, tried, full)
+            region_filter.includes(candidate) && is_untried_outside_cells(candidate, tried, full)
         })
     }
 
-    /// Chooses as [`Selector::choose`] does, in the own region as long as a sound worker is there.
+    /// Chooses like [`Selector::choose`], within the own region as long as it has a healthy worker
+    /// that was not tried.
     pub fn choose_preferring_own_region(
         &self,
         service: &str,
@@ -106,25 +106,33 @@
         self.choose_outside_cells(service, demand, tried, &[], now)
     }
 
-    /// Where a request is looked at first: in the own region, as long as a sound worker is there that was not
-    /// tried. That one has no room is for the owners of its cells to say: they know where there is some.
-    fn reach(&self, service: &str, demand: &Demand, tried: &[String], now: Duration) -> Reach<'_> {
+    /// Returns the region to which a choice is limited: the own region, as long as it has a healthy
+    /// worker that was not tried, that is, one that is not ejected and does not lack start permits.
+    /// Full cells do not count here: the owners of the cells decide whether another region has free
+    /// slots.
+    fn region_filter(
+        &self,
+        service: &str,
+        demand: &Demand,
+        tried: &[String],
+        now: Duration,
+    ) -> RegionFilter<'_> {
         let own = self.topology.own_region();
         let own = own.filter(|_| self.topology.spans_regions());
-        let mut open = self.eligible_workers(service, &demand.residency);
-        let stays = open.any(|candidate| {
+        let mut eligible = self.eligible_workers(service, &demand.residency);
+        let has_healthy_worker = eligible.any(|candidate| {
             candidate.region.as_ref() == own
                 && candidate.ejected_until <= now
                 && !self.lacks_start_permits(candidate, now)
-                && is_left(candidate, tried, &[])
+                && is_untried_outside_cells(candidate, tried, &[])
         });
-        Reach(own.filter(|_| stays))
+        RegionFilter(own.filter(|_| has_healthy_worker))
     }
 
-    /// Where a request with a long shared beginning is looked for first, outside of some cells of the
-    /// service: the worker that weighs most for the beginning, among those that answer. Every gateway
-    /// finds the same first, second and third one, so that few cells read the beginning. None where
-    /// it is short.
+    /// Chooses the preferred worker for a request with a long shared prefix, outside the cells in
+    /// `full`: the one with the highest rendezvous weight for the prefix among the workers that are
+    /// not ejected. Every gateway of a region finds the same first, second and third worker, so
+    /// that few cells cache the prefix. Returns `None` if the prefix is short.
     pub fn choose_affinity_target(
         &self,
         service: &str,
@@ -133,29 +141,30 @@
         full: &[Cell],
         now: Duration,
     ) -> Option<ChosenWorker> {
-        if self.prefill_time(service, shared_tokens(demand)) < KEPT_TOGETHER {
+        if self.prefill_time(service, shared_tokens(demand)) < MIN_AFFINITY_PREFILL {
             return None;
         }
-        let reach = self.reach(service, demand, tried, now);
-        let is_open = |candidate: &Candidate| {
+        let region_filter = self.region_filter(service, demand, tried, now);
+        let is_acceptable = |candidate: &Candidate| {
             candidate.ejected_until <= now
                 && !self.lacks_start_permits(candidate, now)
-                && reach.includes(candidate)
-                && is_left(candidate, tried, full)
+                && region_filter.includes(candidate)
+                && is_untried_outside_cells(candidate, tried, full)
         };
-        let affinity_target = self.affinity_target_among(service, demand, is_open)?;
+        let affinity_target = self.affinity_target_among(service, demand, is_acceptable)?;
         let missing = missing_tokens(affinity_target, demand);
         Some(self.to_chosen_worker(affinity_target, missing, true, now))
     }
 
-    /// Cells of other regions whose owners are told of one.
+    /// Returns the cells of other regions whose owners are informed of the free slots of this cell.
     pub fn counterparts(&self, cell: &Cell) -> Vec<Cell> {
         let regions = self.topology.regions().into_iter();
         let others = regions.filter(|region| cell.region.as_ref().is_some_and(|own| own != region));
         let counterparts = others.filter_map(|region| {
             let workers = self.ready_workers(&cell.service);
-            let there = workers.filter(|candidate| candidate.region.as_ref() == Some(&region));
-            let workers = there.count();
+            let region_workers =
+                workers.filter(|candidate| candidate.region.as_ref() == Some(&region));
+            let workers = region_workers.count();
             (workers > 0).then(|| cell.counterpart(&region, workers))
         });
         counterparts.collect()
@@ -166,23 +175,26 @@
             .filter(|candidate| candidate.is_in(cell))
     }
 
-    /// Where in a cell a request may go, and what speaks against each worker beside its load and what
-    /// it has to read. Those in `tried` are left out, and ejected ones as long as others are there.
+    /// Returns the workers of a cell that a request may go to, each with its cost apart from load
+    /// and prefill. Workers in `tried` are excluded, and so are ejected workers unless all are
+    /// ejected.
     pub fn bids(&self, cell: &Cell, demand: &Demand, tried: &[String], now: Duration) -> Vec<Bid> {
-        let open: Vec<&Candidate> = self
+        let eligible: Vec<&Candidate> = self
             .members(cell)
             .filter(|candidate| self.withhold_reason(candidate, &demand.residency).is_none())
             .filter(|candidate| !tried.contains(&candidate.entry.incarnation))
             .filter(|candidate| !self.lacks_start_permits(candidate, now))
             .collect();
-        let any_sound = open.iter().any(|candidate| candidate.ejected_until <= now);
+        let any_healthy = eligible
+            .iter()
+            .any(|candidate| candidate.ejected_until <= now);
         let affinity_target = self.affinity_target(&cell.service, demand);
         let affinity_miss_cost = self.affinity_miss_cost(&cell.service, demand);
         let times = self.services.get(&cell.service);
-        let offered = open
+        let acceptable = eligible
             .into_iter()
-            .filter(|candidate| !any_sound || candidate.ejected_until <= now);
-        let bids = offered.map(|candidate| {
+            .filter(|candidate| !any_healthy || candidate.ejected_until <= now);
+        let bids = acceptable.map(|candidate| {
             let incarnation = candidate.entry.incarnation.as_str();
             let mut cost = load_independent_cost(candidate, times, now)
                 + unexplained_wait(candidate, times, now)
@@ -199,17 +211,17 @@
         bids.collect()
     }
 
-    /// The ready workers of a cell.
+    /// Returns the ready workers of a cell.
     pub fn cell_workers(&self, cell: &Cell, now: Duration) -> Vec<CellWorker> {
         let members = self.members(cell);
         let workers = members.map(|candidate| {
-            let told = candidate
+            let reported = candidate
                 .last_report
-                .filter(|(_, _, at)| now < *at + TOLD_NOW);
+                .filter(|(_, _, at)| now < *at + LOAD_REPORT_MAX_AGE);
             CellWorker {
                 key: candidate.key,
                 slots: candidate.slots(),
-                reported_load: told.map(|(load, _, _)| load.running + load.waiting),
+                reported_load: reported.map(|(load, _, _)| load.running + load.waiting),
                 accepts_batch: !self.is_zone_evacuated(candidate)
                     && candidate.ejected_until <= now
                     && candidate.silence(now) <= USUAL_SILENCE * 2,
@@ -218,7 +230,8 @@
         workers.collect()
     }
 
-    /// What this node holds at the workers of a cell, also at those that are leaving.
+    /// Returns the slots that this node uses at the workers of a cell, including workers that are
+    /// draining.
     pub fn held_slots_in(&self, cell: &Cell) -> Vec<(WorkerKey, HeldSlots)> {
         let members = self.candidates.values().filter(|candidate| {
             candidate.own_requests() > 0
@@ -235,7 +248,7 @@
         held.collect()
     }
 
-    /// How the engines of a service work.
+    /// Returns the observed speed and the prefix cache size of a service's engines.
     pub fn engine_rates(&self, service: &str) -> EngineRates {
         let times = self.services.get(service);
         EngineRates {
@@ -245,7 +258,7 @@
         }
     }
 
-    fn open_by_key(
+    fn eligible_worker_by_key(
         &self,
         service: &str,
         key: WorkerKey,
@@ -257,7 +270,7 @@
         candidate.filter(|candidate| self.withhold_reason(candidate, residency).is_none())
     }
 
-    /// The worker that an owner assigned, if it may still be offered what may be handled in these regions.
+    /// Returns the worker that a slot owner assigned, if it is still eligible for this residency.
     pub fn assigned_worker(
         &self,
         service: &str,
@@ -265,33 +278,34 @@
         residency: &Residency,
         now: Duration,
     ) -> Option<ChosenWorker> {
-        let candidate = self.open_by_key(service, key, residency)?;
+        let candidate = self.eligible_worker_by_key(service, key, residency)?;
         Some(self.to_chosen_worker(candidate, 0, true, now))
     }
 
-    /// The same, for a request; `reading` is what the owner says that the worker has to read for it.
+    /// Returns the worker that a slot owner assigned for a request, if it is still eligible;
+    /// `prefill` is the owner's estimate of the prefill at that worker.
     pub fn assigned_worker_for(
         &self,
         service: &str,
         key: WorkerKey,
         demand: &Demand,
-        reading: PrefillEstimate,
+        prefill: PrefillEstimate,
     ) -> Option<ChosenWorker> {
-        let candidate = self.open_by_key(service, key, &demand.residency)?;
-        Some(candidate.to_chosen_worker(reading, demand.prompt_tokens > 0))
+        let candidate = self.eligible_worker_by_key(service, key, &demand.residency)?;
+        Some(candidate.to_chosen_worker(prefill, demand.prompt_tokens > 0))
     }
 }
 
-/// A region within which is chosen; any where there is none.
-struct Reach<'s>(Option<&'s RegionName>);
+/// The region to which a choice is limited; `None` allows any region.
+struct RegionFilter<'s>(Option<&'s RegionName>);
 
-impl Reach<'_> {
+impl RegionFilter<'_> {
     fn includes(&self, candidate: &Candidate) -> bool {
         self.0.is_none() || candidate.region.as_ref() == self.0
     }
 }
 
-/// Whether a worker is neither tried nor in a full cell.
-fn is_left(candidate: &Candidate, tried: &[String], full: &[Cell]) -> bool {
+/// Returns whether a worker is neither in `tried` nor in a cell of `full`.
+fn is_untried_outside_cells(candidate: &Candidate, tried: &[String], full: &[Cell]) -> bool {
     !tried.contains(&candidate.entry.incarnation) && !full.iter().any(|cell| candidate.is_in(cell))
 }
--- a/crates/swiftshunt-scheduler/src/cold/mod.rs
+++ b/crates/swiftshunt-scheduler/src/cold/mod.rs
@@ -1,9 +1,11 @@
-//! Starts at cold workers: how many requests all nodes together may send to one, and who hands them out.
+//! Start permits for cold workers: how many requests all nodes together may send to a cold worker,
+//! and which nodes issue the permits.
 //!
-//! A request goes to a cold worker with a start alone. Starts are handed out by the worker's keepers ([`permit_issuer`]):
-//! the first nodes in an order that is the worker's own and depends on nothing but which nodes are listed. Each
-//! keeper has a part of the bound for itself, so that a keeper that is gone, out of touch or believed gone takes
-//! away its part and adds nothing to the others'. Nobody else hands out anything. All of it is pure: time is given.
+//! A request may be sent to a cold worker only with a start permit. The permits of a worker are
+//! issued by a few nodes ([`permit_issuer`]): the first ones in an order that depends only on the
+//! worker and on the listed nodes. Each issuer has its own part of the bound. If an issuer has
+//! ended, is unreachable or is believed dead, its part is lost and the parts of the others do not
+//! grow. No other node issues permits. The module is pure: callers pass the time.
 
 pub mod permit_issuer;
 pub mod permit_rate;
@@ -11,35 +13,37 @@
 
 use std::time::Duration;
 
-/// Time from a question for a start after which the start has lapsed: some ways to a keeper and back, and the
-/// making of a connection.
+/// Lifetime of a start permit, counted from the request for it: several round trips to an issuer
+/// and the time to open a connection.
 pub const START_PERMIT_TTL: Duration = Duration::from_millis(150);
-/// Allowance for clocks that run unlike, and for what lies between the last look at the clock and the send.
-const DRIFT: Duration = Duration::from_millis(50);
-/// Time over which the bound counts sends.
-const COUNTED_OVER: Duration = Duration::from_secs(1);
+/// Allowance for clock drift and for the time between the last check of the clock and the send.
+const DRIFT_ALLOWANCE: Duration = Duration::from_millis(50);
+/// Window in which the bound limits the number of sends.
+const COUNTING_WINDOW: Duration = Duration::from_secs(1);
 
-/// Sends within the time over which the bound counts were handed out within this time.
-pub(crate) const ISSUE_WINDOW: Duration = COUNTED_OVER
+/// Permits whose requests may be sent within one counting window were all issued within this
+/// window.
+pub(crate) const ISSUE_WINDOW: Duration = COUNTING_WINDOW
     .saturating_add(START_PERMIT_TTL)
-    .saturating_add(DRIFT);
+    .saturating_add(DRIFT_ALLOWANCE);
 
-/// What a cold worker may get from all nodes together.
+/// The bound on the requests that all nodes together may send to a cold worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdBound {
     /// How long a worker is cold after a start.
     pub cold_period: Duration,
-    /// Requests in each second in the long run.
+    /// Sustained rate in requests per second.
     pub per_second: f64,
-    /// Requests in any one second.
+    /// Upper bound of the requests in any period of one second.
     pub max_in_one_second: f64,
 }
 
 impl ColdBound {
-    /// What follows from the rate that a service's workers bear: `share` times as many may be sent, and in any
-    /// one second `requests` more.
-    pub fn new(cold_period: Duration, bears: f64, share: f64, requests: f64) -> Self {
-        let per_second = bears * share;
+    /// Derives the bound from the rate that a service's cold workers sustain, `sustained_rate` in
+    /// requests per second: `share` times that rate may be sent, and `requests` more in any one
+    /// second.
+    pub fn new(cold_period: Duration, sustained_rate: f64, share: f64, requests: f64) -> Self {
+        let per_second = sustained_rate * share;
         Self {
             cold_period,
             per_second,
--- a/crates/swiftshunt-scheduler/src/cold/permit_issuer.rs
+++ b/crates/swiftshunt-scheduler/src/cold/permit_issuer.rs
@@ -1,4 +1,4 @@
-//! The nodes that hand out the starts at a worker, and what each of them has handed out.
+//! The nodes that issue start permits for a worker, and the permits that a node has issued.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,20 +8,22 @@
 use super::{ColdBound, ISSUE_WINDOW};
 use crate::readers::top_ranked;
 
-/// Keepers of a worker: one may be gone or out of touch.
+/// Number of permit issuers of a worker: two, since one may have ended or be unreachable.
 pub const MAX_ISSUERS: usize = 2;
-/// Part of the bound that is the first keeper's.
-const FIRST_PART: f64 = 0.6;
-/// Fewest starts in a second for which a second keeper is worth the parting.
-const FEWEST_FOR_SECOND: u32 = 2;
-/// Time from its start in which a keeper hands out nothing: another life of it may have handed out some a moment
-/// ago, and others have to learn first that it is there, by a list that is read every four seconds.
+/// Share of the bound that belongs to the first issuer.
+const FIRST_ISSUER_SHARE: f64 = 0.6;
+/// Fewest permits in any one second in the second issuer's part for which the bound is split.
+const MIN_SECOND_ISSUER_PERMITS: u32 = 2;
+/// Time after its start in which an issuer issues no permits. An earlier life of the node may have
+/// issued some just before, and other nodes have to learn first that this node is listed, from a
+/// list that is read every four seconds.
 pub const ISSUER_SETTLE_DELAY: Duration = Duration::from_secs(5);
-/// Time for which a node that is no longer listed still counts in the order of keepers: others learn of it by
-/// then, and what it has handed out is over.
+/// Time for which a node that is no longer listed still counts in the order of issuers. Within it,
+/// the other nodes learn that the node is gone, and the permits that it issued expire.
 pub const UNLISTED_NODE_TTL: Duration = Duration::from_secs(5);
 
-/// The keepers of a worker among the nodes that are listed or were a moment ago, by their rank.
+/// Returns the permit issuers of a worker by rank. `nodes` are the nodes that are listed or were
+/// listed within [`UNLISTED_NODE_TTL`].
 pub fn permit_issuers(
     worker: &str,
     nodes: impl IntoIterator<Item = SocketAddr>,
@@ -29,13 +31,13 @@
     top_ranked(&("starts", worker), nodes, MAX_ISSUERS)
 }
 
-/// The pace of the keeper of this rank, from 0 on.
+/// Returns the rate at which the issuer of this rank issues permits; ranks count from 0.
 pub fn issue_rate(bound: &ColdBound, rank: usize) -> PermitRate {
-    let whole = bound.max_in_one_second.max(0.0).floor() as u32;
-    let first = (f64::from(whole) * FIRST_PART).ceil() as u32;
-    let second = whole - first;
-    let (first, second) = if second < FEWEST_FOR_SECOND {
-        (whole, 0)
+    let total = bound.max_in_one_second.max(0.0).floor() as u32;
+    let first = (f64::from(total) * FIRST_ISSUER_SHARE).ceil() as u32;
+    let second = total - first;
+    let (first, second) = if second < MIN_SECOND_ISSUER_PERMITS {
+        (total, 0)
     } else {
         (first, second)
     };
@@ -44,41 +46,43 @@
         1 => second,
         _ => 0,
     };
-    let share = f64::from(part) / f64::from(whole.max(1));
+    let share = f64::from(part) / f64::from(total.max(1));
     PermitRate::within(part, bound.per_second * share)
 }
 
-/// Whether the keeper of the second rank is asked first, by a random number from 0 to 1: as often as its part is
-/// large.
+/// Returns whether the second issuer is asked first, by a random number from 0 to 1: with a
+/// probability equal to its share of the rate.
 pub fn prefers_second_issuer(bound: &ColdBound, draw: f64) -> bool {
     let (first, second) = (issue_rate(bound, 0), issue_rate(bound, 1));
     draw * (first.per_second + second.per_second) >= first.per_second && second.burst >= 1.0
 }
 
-/// What a keeper has handed out, by worker.
+/// The permits that this node has issued, by worker.
 #[derive(Debug)]
 pub struct PermitIssuer {
-    began_at: Duration,
-    /// By the worker's identifier: another life of it counts as the same.
+    settle_start: Duration,
+    /// Bucket and time of the last request for a permit, keyed by the worker's identifier: all
+    /// lives of a worker share one bucket.
     buckets: HashMap<String, (PermitBucket, Duration)>,
 }
 
 impl PermitIssuer {
-    /// Those of a keeper that starts now.
+    /// Creates the state of an issuer that starts at `now`.
     pub fn new(now: Duration) -> Self {
         Self {
-            began_at: now,
+            settle_start: now,
             buckets: HashMap::new(),
         }
     }
 
-    /// Others could not know of this keeper before this moment.
+    /// Makes the settling delay begin no earlier than `known_since`, before which other nodes could
+    /// not know of this issuer.
     pub fn settle_from(&mut self, known_since: Duration) {
-        self.began_at = self.began_at.max(known_since);
+        self.settle_start = self.settle_start.max(known_since);
     }
 
-    /// Hands out a start at a worker as the keeper of this rank; gives the time until there may be one where
-    /// there is none.
+    /// Issues a permit for a worker as the issuer of this rank. If none is available, the error is
+    /// the time until there may be one.
     pub fn issue_permit(
         &mut self,
         worker: &str,
@@ -86,16 +90,16 @@
         rank: usize,
         now: Duration,
     ) -> Result<(), Duration> {
-        let settled = self.began_at + ISSUER_SETTLE_DELAY;
-        if now < settled {
-            return Err(settled - now);
+        let settled_at = self.settle_start + ISSUER_SETTLE_DELAY;
+        if now < settled_at {
+            return Err(settled_at - now);
         }
         let permit_rate = issue_rate(bound, rank);
         self.buckets
-            .retain(|_, (_, asked_at)| now < *asked_at + ISSUE_WINDOW * 2);
+            .retain(|_, (_, requested_at)| now < *requested_at + ISSUE_WINDOW * 2);
         let full = (PermitBucket::full(permit_rate, now), now);
-        let (bucket, asked_at) = self.buckets.entry(worker.to_owned()).or_insert(full);
-        *asked_at = now;
+        let (bucket, requested_at) = self.buckets.entry(worker.to_owned()).or_insert(full);
+        *requested_at = now;
         bucket.try_take(permit_rate, now)
     }
 }
--- a/crates/swiftshunt-scheduler/src/cold/worker_state.rs
+++ b/crates/swiftshunt-scheduler/src/cold/worker_state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of cold workers, and what it does not: a worker that may be cold is treated as one that is.
+//! What a node knows of cold workers. A worker that may be cold is treated as cold.
 
 use std::time::Duration;
 
@@ -11,32 +11,33 @@
 use crate::slots::WorkerKey;
 use crate::warmup::WarmupState;
 
-/// Time from a worker's listing until its entry is sure to tell whether it is cold: entries are renewed about
-/// every second, and one may be on its way.
-const ENTRY_TELLS: Duration = Duration::from_secs(2);
+/// Time after a worker is listed until its entry is certain to say whether it is cold: entries are
+/// renewed about every second, and a renewal may be in transit.
+const ENTRY_SETTLE_DELAY: Duration = Duration::from_secs(2);
 
-/// Why a worker may be cold though its entry does not say so.
+/// Evidence that a worker may be cold although its entry does not say so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ColdSuspicion {
-    /// When it was listed first, or again.
+    /// When the worker was listed for the first time, or again after its entry had lapsed.
     listed_at: Duration,
-    /// Whether the latest send to it met nobody: it may have ended, and start again.
+    /// Whether a send has failed since the last complete response: the worker may have ended and be
+    /// about to start again.
     is_failing: bool,
-    /// When it answered again after that.
-    back_at: Option<Duration>,
+    /// When the worker last responded again after a failed send.
+    recovered_at: Option<Duration>,
 }
 
 impl ColdSuspicion {
-    /// Of a worker that is listed now.
+    /// Creates the state of a worker that is listed at `now`.
     pub(crate) fn listed(now: Duration) -> Self {
         Self {
             listed_at: now,
             is_failing: false,
-            back_at: None,
+            recovered_at: None,
         }
     }
 
-    /// A request left the worker.
+    /// Records the outcome of a request to the worker.
     pub(crate) fn observe(&mut self, outcome: AttemptOutcome, now: Duration) {
         match outcome {
             AttemptOutcome::Unreachable | AttemptOutcome::Broken | AttemptOutcome::TimedOut => {
@@ -44,7 +45,7 @@
             }
             AttemptOutcome::Answered if self.is_failing => {
                 self.is_failing = false;
-                self.back_at = Some(now);
+                self.recovered_at = Some(now);
             }
             AttemptOutcome::Answered
             | AttemptOutcome::Declined
@@ -54,22 +55,26 @@
     }
 
     fn is_active(&self, cold_period: Duration, now: Duration) -> bool {
-        let is_back = |back_at| now < back_at + cold_period;
-        self.is_failing || now < self.listed_at + ENTRY_TELLS || self.back_at.is_some_and(is_back)
+        let recovered_recently = |recovered_at| now < recovered_at + cold_period;
+        self.is_failing
+            || now < self.listed_at + ENTRY_SETTLE_DELAY
+            || self.recovered_at.is_some_and(recovered_recently)
     }
 }
 
-/// What a node knows of the starts left at a worker.
+/// What a node knows of the start permits that are left for a worker.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KnownPermits {
-    /// Until when its keepers said that there is none.
+    /// The time until which the issuers have no permit.
     none_until: Duration,
-    /// What this node, as the owner of the worker's slots, may still assign.
+    /// The requests that this node may still assign as the owner of the worker's slots; `None`
+    /// before the first assignment.
     assignable: Option<PermitBucket>,
 }
 
 impl Selector {
-    /// Tells what the workers of a service bear after a start; none if they bear their usual load.
+    /// Sets the bound for the cold workers of a service; `None` if they sustain their usual load
+    /// from the start.
     pub fn set_cold_bound(&mut self, service: &str, bound: Option<ColdBound>) {
         match bound {
             Some(bound) => drop(self.cold.insert(service.to_owned(), bound)),
@@ -77,61 +82,63 @@
         }
     }
 
-    /// What the cold workers of a service may get.
+    /// Returns the bound for the cold workers of a service; `None` if there is none.
     pub fn cold_bound(&self, service: &str) -> Option<&ColdBound> {
         self.cold.get(service)
     }
 
     pub(crate) fn warmup_state_of(&self, candidate: &Candidate, now: Duration) -> WarmupState {
-        let told = candidate.warmup_state(now);
+        let listed_state = candidate.warmup_state(now);
         let Some(bound) = self.cold.get(&candidate.entry.service) else {
-            return told;
+            return listed_state;
         };
-        if told != WarmupState::Warm {
-            return told;
+        if listed_state != WarmupState::Warm {
+            return listed_state;
         }
         let withdrawn_at = self.evacuations.withdrawn_at(&candidate.entry.zone);
-        let is_just_back =
-            withdrawn_at.is_some_and(|at| now < at + bound.cold_period + ENTRY_TELLS);
-        if is_just_back || candidate.cold_suspicion.is_active(bound.cold_period, now) {
+        let reopened_recently =
+            withdrawn_at.is_some_and(|at| now < at + bound.cold_period + ENTRY_SETTLE_DELAY);
+        if reopened_recently || candidate.cold_suspicion.is_active(bound.cold_period, now) {
             return WarmupState::Unknown;
         }
         WarmupState::Warm
     }
 
-    /// What a worker may get from all nodes together, if it is cold or may be: a request goes there with a
-    /// start alone.
+    /// Returns the bound of a worker that is cold or may be: a request may be sent there only with
+    /// a start permit. Returns `None` if no permit is needed.
     pub fn required_cold_bound(&self, chosen: &ChosenWorker, now: Duration) -> Option<ColdBound> {
         let bound = self.cold.get(&chosen.service)?;
         let is_warm = self.warmup_state(&chosen.incarnation, now) == WarmupState::Warm;
         (!is_warm).then_some(*bound)
     }
 
-    /// A worker's keepers have no start until then.
+    /// Records that a worker's issuers have no permit until `until`.
     pub fn record_no_permits_until(&mut self, incarnation: &str, until: Duration) {
         if let Some(candidate) = self.candidates.get_mut(incarnation) {
             candidate.known_permits.none_until = until;
         }
     }
 
-    /// Whether a worker is cold, or may be, and its keepers said that there is no start.
-    /// Whether a cold worker of a service takes a request as soon as there is a start at it again.
+    /// Returns whether any eligible worker of a service lacks start permits at present and may thus
+    /// accept a request as soon as there is a permit.
     pub fn awaits_start_permits(
         &self,
         service: &str,
         residency: &Residency,
         now: Duration,
     ) -> bool {
-        let mut open = self.eligible_workers(service, residency);
-        open.any(|candidate| self.lacks_start_permits(candidate, now))
+        let mut eligible = self.eligible_workers(service, residency);
+        eligible.any(|candidate| self.lacks_start_permits(candidate, now))
     }
 
+    /// Returns whether a worker is cold, or may be, and its issuers have no permit for it.
     pub(crate) fn lacks_start_permits(&self, candidate: &Candidate, now: Duration) -> bool {
         now < candidate.known_permits.none_until
             && self.warmup_state_of(candidate, now) != WarmupState::Warm
     }
 
-    /// Whether the owner of a worker's slots may assign it: it is warm, or a start there is likely to be had.
+    /// Returns whether the owner of a worker's slots may assign a request to it: the worker is
+    /// warm, or a start permit is likely to be available.
     pub fn is_assignable(&self, worker: WorkerKey, service: &str, now: Duration) -> bool {
         let Some(bound) = self.cold.get(service) else {
             return true;
@@ -146,7 +153,7 @@
         self.warmup_state_of(candidate, now) == WarmupState::Warm || has_permit
     }
 
-    /// The owner of a worker's slots has assigned it.
+    /// Records that this node, as the owner of a worker's slots, assigned a request to it.
     pub fn record_assignment(&mut self, worker: WorkerKey, service: &str, now: Duration) {
         let Some(bound) = self.cold.get(service) else {
             return;
@@ -157,8 +164,8 @@
         if let Some(candidate) = candidate {
             let bucket = candidate.known_permits.assignable;
             let mut bucket = bucket.unwrap_or_else(|| PermitBucket::full(permit_rate, now));
-            // More than was left counts as all that was: it is a hint.
-            let _spent = bucket.try_take(permit_rate, now);
+            // The bucket is only a hint: a request beyond the permits that are left takes nothing.
+            let _result = bucket.try_take(permit_rate, now);
             candidate.known_permits.assignable = Some(bucket);
         }
     }
--- a/crates/swiftshunt-scheduler/src/config.rs
+++ b/crates/swiftshunt-scheduler/src/config.rs
@@ -15,19 +15,19 @@
     /// How old a load report may be before its worker counts as unreachable.
     #[serde(with = "humantime_serde")]
     pub load_expiry: Duration,
-    /// Most load a worker may carry, relative to the mean, before prefix affinity is given up.
+    /// Most load a worker may carry, relative to the mean, and still be chosen by prefix affinity.
     pub affinity_load_factor: f64,
-    /// Characters of the prompt in one affinity block.
+    /// Characters at the beginning of the prompt that decide its affinity.
     pub affinity_block: usize,
-    /// Online requests a worker may hold per batch slot of its engine, running and waiting.
+    /// Online requests that a worker may hold per slot of its engine, running and waiting.
     pub online_queue_factor: f64,
-    /// Retries allowed as a share of first tries.
+    /// Retries allowed as a share of first attempts.
     pub retry_ratio: f64,
-    /// Retries allowed at once after a quiet time.
+    /// Retries allowed at once after a period without retries.
     pub retry_burst: f64,
-    /// Share of a worker's slots kept free of batch work while online work is expected.
+    /// Share of a worker's slots that is kept free of batch requests.
     pub batch_headroom: f64,
-    /// Workers of its zone and of each pool that a node sends to.
+    /// Number of workers of its zone, in each pool, among which a node chooses first.
     pub subset_size: usize,
     /// How long before an event's start its slots are kept free.
     #[serde(with = "humantime_serde")]
@@ -37,7 +37,7 @@
     /// How long an engine may keep an online request before its first token.
     #[serde(with = "humantime_serde")]
     pub first_token_timeout: Duration,
-    /// How long an engine may pause between tokens before the stream goes on elsewhere.
+    /// How long an engine may pause between tokens before the stream continues at another engine.
     #[serde(with = "humantime_serde")]
     pub token_timeout: Duration,
     /// How long batch grants last without renewal.
@@ -66,18 +66,18 @@
     }
 }
 
-/// A scheduler setting that cannot work.
+/// An invalid setting of the scheduler.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{field}: {reason}")]
 pub struct SchedulerConfigError {
-    /// The field at fault.
+    /// The name of the invalid field.
     pub field: &'static str,
-    /// Why it cannot work.
+    /// The requirement that the value does not meet.
     pub reason: &'static str,
 }
 
 impl SchedulerConfig {
-    /// Refuses settings that cannot work.
+    /// Returns an error for the first invalid setting.
     pub fn validate(&self) -> Result<(), SchedulerConfigError> {
         let refuse = |field, reason| Err(SchedulerConfigError { field, reason });
         if self.load_interval.is_zero() {
--- a/crates/swiftshunt-scheduler/src/cost.rs
+++ b/crates/swiftshunt-scheduler/src/cost.rs
@@ -1,29 +1,28 @@
-//! The expected time to the first event of a request at a worker, in milliseconds, and what it is
-//! reckoned from.
+//! Estimates the time to the first event of a request at a worker, in milliseconds.
 
 use std::time::Duration;
 
 use crate::candidate::Candidate;
 
-/// Silence, with requests in progress, that is nothing unusual.
+/// Time without activity while requests are in progress that is still normal.
 pub(crate) const USUAL_SILENCE: Duration = Duration::from_millis(120);
-/// Cost of a second of silence beyond that, in milliseconds.
+/// Cost of each second without activity, in milliseconds, once the normal time is exceeded.
 const SILENCE_COST: f64 = 2_000.0;
-/// Cost of a worker that has just started, in milliseconds.
+/// Cost of a cold worker, in milliseconds.
 const COLD_COST: f64 = 50.0;
-/// Cost of full slots against empty ones, in milliseconds.
+/// Additional cost of a worker with full slots over an idle one, in milliseconds.
 const OCCUPANCY_COST: f64 = 8.0;
-/// Cost of a certain failure, in milliseconds.
+/// Cost of a failure rate of 1, in milliseconds.
 const FAILURE_COST: f64 = 1_000.0;
-/// Tokens a millisecond that engines read, until it has been observed.
+/// Prefill rate of engines in tokens per millisecond, until it has been observed.
 const ASSUMED_PREFILL_RATE: f64 = 40.0;
-/// Time that a slot is taken, in milliseconds, until it has been observed.
+/// Time for which a request occupies a slot, in milliseconds, until it has been observed.
 const ASSUMED_DURATION: f64 = 500.0;
 
-/// What is known of a service's workers as a whole.
+/// Observed averages of all workers of a service.
 #[derive(Debug)]
 pub(crate) struct ServiceTimes {
-    /// Tokens a millisecond.
+    /// Tokens per millisecond.
     pub(crate) prefill_rate: f64,
     pub(crate) duration_ms: f64,
     pub(crate) memory_tokens: u64,
@@ -39,29 +38,31 @@
     }
 }
 
-/// How long engines of a service take to read `tokens`.
+/// Returns the time in which engines of a service prefill `tokens` tokens, in milliseconds.
 pub(crate) fn prefill_ms(times: Option<&ServiceTimes>, tokens: u64) -> f64 {
     tokens as f64 / prefill_rate(times)
 }
 
-/// Tokens that an engine of a service reads in a millisecond.
+/// Returns the prefill rate of a service's engines in tokens per millisecond.
 pub(crate) fn prefill_rate(times: Option<&ServiceTimes>) -> f64 {
     times.map_or(ASSUMED_PREFILL_RATE, |times| times.prefill_rate)
 }
 
-/// How long a worker reads until it has read `missing` tokens behind what waits there.
+/// Returns the time until a worker has prefilled `missing` tokens after the prompts that are
+/// pending there, in milliseconds.
 pub(crate) fn expected_prefill(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
     missing: u64,
     now: Duration,
 ) -> f64 {
-    let for_others = candidate.peer_prefill_time(now).as_secs_f64() * 1e3;
-    prefill_ms(times, candidate.pending_tokens) + prefill_ms(times, missing) + for_others
+    let peer_prefill = candidate.peer_prefill_time(now).as_secs_f64() * 1e3;
+    prefill_ms(times, candidate.pending_tokens) + prefill_ms(times, missing) + peer_prefill
 }
 
-/// The time until a worker has read `missing` tokens of a request, behind what waits there, with
-/// what speaks against it: a slower worker, one that has been silent, failed or just started.
+/// Returns the expected time until a worker has prefilled `missing` tokens of a request after the
+/// work that is queued there, in milliseconds, with penalties for a worker that is slower than
+/// others, has been silent, has failed or is cold.
 pub(crate) fn expected_wait(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
@@ -72,20 +73,21 @@
     let mean_slot_ms = mean_slot_ms(times);
     let slots = f64::from(candidate.slots());
     let load = candidate.load(mean_others_load, now);
-    let ahead = (load - slots + 1.0).max(0.0);
-    let queue = ahead * mean_slot_ms / slots;
+    let queued = (load - slots + 1.0).max(0.0);
+    let queue = queued * mean_slot_ms / slots;
     let occupancy = load / slots * OCCUPANCY_COST;
     let unexplained = unexplained_wait(candidate, times, now);
     queue.max(unexplained) + occupancy + wait_in_slot(candidate, times, missing, now)
 }
 
-/// How long a slot of a service is taken, in milliseconds.
+/// Returns the mean time for which a request occupies a slot of a service, in milliseconds.
 pub(crate) fn mean_slot_ms(times: Option<&ServiceTimes>) -> f64 {
     times.map_or(ASSUMED_DURATION, |times| times.duration_ms)
 }
 
-/// How long this node's request that waits longest has waited beyond the reading of what it sent:
-/// others wait there, or the worker has stopped.
+/// Returns how much longer this node's oldest pending request has waited than the prefill of this
+/// node's pending prompts takes, in milliseconds: other nodes' requests wait there, or the worker
+/// has stalled.
 pub(crate) fn unexplained_wait(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
@@ -106,8 +108,8 @@
     expected_prefill(candidate, times, missing, now) + load_independent_cost(candidate, times, now)
 }
 
-/// What speaks against a worker whatever it holds and reads: that it is slower than others, has been
-/// silent, failed or just started.
+/// Returns the penalties of a worker that do not depend on its load and prefill, in milliseconds:
+/// it is slower than others, has been silent, has failed or is cold.
 pub(crate) fn load_independent_cost(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
--- a/crates/swiftshunt-scheduler/src/directory.rs
+++ b/crates/swiftshunt-scheduler/src/directory.rs
@@ -1,31 +1,31 @@
-//! What the directory says of a worker.
+//! Entries of the worker directory.
 
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Whether a worker may be given new work.
+/// Whether a worker accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes new work.
+    /// The worker accepts new requests.
     Ready,
-    /// It is leaving.
+    /// The worker finishes its requests and accepts no new ones.
     Draining,
 }
 
-/// One life of a worker. A worker that starts again has another life, though it may keep its identifier: it
-/// holds and knows nothing of what it did before.
+/// One life of a worker: the time from a start of its process to its end. A worker that restarts
+/// has a new life, even under the same identifier, and keeps none of its state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerLife {
-    /// The identifier, under which it is listed.
+    /// The identifier under which the worker is listed.
     pub id: String,
-    /// When it started, in milliseconds of Unix time; none where workers do not tell. Those start again under
-    /// another identifier.
+    /// The start of the life, in milliseconds of Unix time; `None` for workers that do not report
+    /// it. Those restart under another identifier.
     pub started_unix_ms: Option<u64>,
 }
 
 impl WorkerLife {
-    /// The incarnation: a text that no other life has.
+    /// Returns the incarnation, a string that is unique to this life.
     pub fn incarnation(&self) -> String {
         match self.started_unix_ms {
             Some(started) => format!("{}@{started}", self.id),
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Whether this life of a worker came before another one, after it, or is that one. One that does not tell
-    /// its start is taken for the one that does.
+    /// Compares this life of a worker with a known one by the time of the start. A life without a
+    /// start time is taken to be the known one.
     pub(crate) fn compare(&self, known: &Self) -> Ordering {
         match (self.started_unix_ms, known.started_unix_ms) {
             (None, Some(_)) => Ordering::Equal,
@@ -43,23 +43,23 @@
     }
 }
 
-/// An entry of the directory: one life of a worker.
+/// A directory entry, which describes one life of a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerEntry {
-    /// The life.
+    /// The life that the entry describes.
     pub life: WorkerLife,
-    /// Its incarnation.
+    /// The incarnation of that life.
     pub incarnation: String,
-    /// The service it belongs to.
+    /// The service that the worker belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address on which the worker accepts requests.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the worker.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Requests that the worker runs concurrently.
     pub slots: u32,
-    /// Whether it may be given new work.
+    /// Whether the worker accepts new requests.
     pub availability: Availability,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the worker is cold after its start; zero if it is warm.
     pub cold_left: Duration,
 }
--- a/crates/swiftshunt-scheduler/src/eligibility.rs
+++ b/crates/swiftshunt-scheduler/src/eligibility.rs
@@ -1,4 +1,5 @@
-//! May this worker be offered this request now? All placement asks it, whatever is placed, and so does each send.
+//! Decides whether a request may be offered to a worker now. Every kind of placement checks this,
+//! and so does each send.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,36 +14,36 @@
 use crate::selection::Selector;
 use crate::warmup::WarmupState;
 
-/// Why a worker may not be offered a request.
+/// The reason why a request may not be offered to a worker.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum Withheld {
-    /// The directory does not list it.
+    /// The directory does not list the worker.
     #[display("it is not listed")]
     Unlisted,
-    /// It is leaving.
+    /// The worker is draining.
     #[display("it is leaving")]
     Leaving,
-    /// Its zone is evacuated.
+    /// The worker's zone is evacuated.
     #[display("zone {zone} is evacuated")]
     Evacuated {
-        /// The zone.
+        /// The evacuated zone.
         zone: String,
-        /// Since when, on the own clock.
+        /// When this node learned of the evacuation, on its own clock.
         since: Duration,
     },
-    /// It stands where the request may not go.
+    /// The worker is in a region in which the request may not be handled.
     #[display("the request may not go to {}", region.as_ref().map_or("an unknown region", RegionName::as_str))]
     OutsideResidency {
-        /// Its region, if it is known.
+        /// The worker's region, if it is known.
         region: Option<RegionName>,
     },
-    /// It is cold, or may be, and this request has no start there.
+    /// The worker is cold, or may be, and the request has no start permit.
     #[display("it is cold, and no start there is to be had")]
     Cold,
 }
 
 impl Selector {
-    /// Whether a worker may be offered a request that may be handled in these regions.
+    /// Checks whether a request with this residency may be offered to a worker.
     pub fn may_offer(&self, incarnation: &str, residency: &Residency) -> Result<(), Withheld> {
         let candidate = self.candidates.get(incarnation).ok_or(Withheld::Unlisted)?;
         self.withhold_reason(candidate, residency)
@@ -72,7 +73,7 @@
         })
     }
 
-    /// Workers of a service that may be offered a request.
+    /// Returns the workers of a service to which a request with this residency may be offered.
     pub(crate) fn eligible_workers<'s>(
         &'s self,
         service: &str,
@@ -83,43 +84,44 @@
             .filter(move |candidate| self.withhold_reason(candidate, &residency).is_none())
     }
 
-    /// Whether any worker of a service may be offered a request.
+    /// Returns whether a request with this residency may be offered to any worker of the service.
     pub fn has_eligible_worker(&self, service: &str, residency: &Residency) -> bool {
         self.eligible_workers(service, residency).next().is_some()
     }
 
-    /// Why no worker of a service may be offered a request though some take new work; none where one may be.
+    /// Returns why a request may not be offered to any of the service's ready workers. Returns
+    /// `None` if it may be offered to one, or if no worker is ready.
     pub fn service_obstacle(
         &self,
         service: &str,
         residency: &Residency,
         now: Duration,
     ) -> Option<Obstacle> {
-        let mut is_elsewhere = false;
+        let mut is_any_outside_residency = false;
         let mut evacuated_since = None;
         for candidate in self.ready_workers(service) {
             match self.withhold_reason(candidate, residency) {
                 None => return None,
-                // Closed since the last of its zones was.
+                // The service is unavailable since its last zone was evacuated.
                 Some(Withheld::Evacuated { since, .. })
-                    if self.stands_within(candidate, residency) =>
+                    if self.is_within_residency(candidate, residency) =>
                 {
                     evacuated_since = evacuated_since.max(Some(since));
                 }
-                Some(_) => is_elsewhere = true,
+                Some(_) => is_any_outside_residency = true,
             }
         }
         let evacuated = evacuated_since.map(|since| Obstacle::Evacuated {
             lasted: now.saturating_sub(since),
         });
-        evacuated.or(is_elsewhere.then_some(Obstacle::OutsideResidency))
+        evacuated.or(is_any_outside_residency.then_some(Obstacle::OutsideResidency))
     }
 
-    fn stands_within(&self, candidate: &Candidate, residency: &Residency) -> bool {
+    fn is_within_residency(&self, candidate: &Candidate, residency: &Residency) -> bool {
         residency.allows(self.topology.region_of(&candidate.entry.zone))
     }
 
-    /// Whether a worker bears its usual load.
+    /// Returns whether a worker sustains its usual load; `Unknown` for a worker that is not known.
     pub fn warmup_state(&self, incarnation: &str, now: Duration) -> WarmupState {
         let candidate = self.candidates.get(incarnation);
         candidate.map_or(WarmupState::Unknown, |candidate| {
@@ -127,17 +129,19 @@
         })
     }
 
-    /// A zone's workers are to get nothing; gives whether that is new.
+    /// Stops the placement of requests in a zone. Returns whether the zone was not evacuated
+    /// before.
     pub fn evacuate(&mut self, zone: &str, now: Duration) -> bool {
         self.evacuations.begin(zone, now)
     }
 
-    /// A zone's workers may get something again; gives whether that is new.
+    /// Resumes the placement of requests in a zone. Returns whether the zone was evacuated.
     pub fn withdraw_evacuation(&mut self, zone: &str, now: Duration) -> bool {
         self.evacuations.withdraw(zone, now)
     }
 
-    /// The zones that are evacuated, and what this gateway has in progress at the workers of each.
+    /// Returns the evacuated zones, each with the number of requests that this gateway has in
+    /// progress at the zone's workers.
     pub fn evacuated_zones(&self) -> BTreeMap<String, u32> {
         let zones = self.evacuations.zones().map(|zone| (zone.to_owned(), 0));
         let mut zones: BTreeMap<String, u32> = zones.collect();
@@ -149,16 +153,18 @@
         zones
     }
 
-    /// Workers that long items are to leave: their zones have been evacuated for `after` or longer, and others of
-    /// their service and region are open.
+    /// Returns the workers whose long-running batch items are to be moved: their zones have been
+    /// evacuated for at least `after`, and another worker of the same service and region is
+    /// eligible.
     pub fn workers_to_vacate(&self, after: Duration, now: Duration) -> BTreeSet<String> {
         let due = self.candidates.values().filter(|candidate| {
             let since = self.evacuations.since(&candidate.entry.zone);
             candidate.own_batch > 0 && since.is_some_and(|since| now >= since + after)
         });
         let due = due.filter(|candidate| {
-            let mut open = self.eligible_workers(&candidate.entry.service, &Residency::anywhere());
-            open.any(|other| other.region == candidate.region)
+            let mut eligible =
+                self.eligible_workers(&candidate.entry.service, &Residency::anywhere());
+            eligible.any(|other| other.region == candidate.region)
         });
         due.map(|candidate| candidate.entry.incarnation.clone())
             .collect()
--- a/crates/swiftshunt-scheduler/src/evacuations.rs
+++ b/crates/swiftshunt-scheduler/src/evacuations.rs
@@ -1,19 +1,19 @@
-//! Zones whose workers are to get nothing, as operators say.
+//! The zones that operators have evacuated: no request is placed there.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The zones that are evacuated, and those that were.
+/// The evacuated zones, and the zones whose evacuation was withdrawn.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// Since when, on the own clock.
+    /// Start of the evacuation on the own clock, by zone.
     evacuated: BTreeMap<String, Duration>,
-    /// When each was withdrawn, on the own clock.
+    /// Time of the withdrawal on the own clock, by zone.
     withdrawn: BTreeMap<String, Duration>,
 }
 
 impl Evacuations {
-    /// A zone is to be evacuated; gives whether that is new.
+    /// Starts the evacuation of a zone. Returns whether the zone was not evacuated before.
     pub fn begin(&mut self, zone: &str, now: Duration) -> bool {
         self.withdrawn.remove(zone);
         let is_new = !self.evacuated.contains_key(zone);
@@ -21,7 +21,7 @@
         is_new
     }
 
-    /// A zone is no longer to be evacuated; gives whether it was.
+    /// Ends the evacuation of a zone. Returns whether the zone was evacuated.
     pub fn withdraw(&mut self, zone: &str, now: Duration) -> bool {
         let was_evacuated = self.evacuated.remove(zone).is_some();
         if was_evacuated {
@@ -30,17 +30,18 @@
         was_evacuated
     }
 
-    /// Since when a zone is evacuated, if it is.
+    /// Returns the start of a zone's evacuation; `None` if the zone is not evacuated.
     pub fn since(&self, zone: &str) -> Option<Duration> {
         self.evacuated.get(zone).copied()
     }
 
-    /// When the evacuation of a zone was withdrawn last, unless it is evacuated again.
+    /// Returns when the evacuation of a zone was last withdrawn; `None` if it never was or if the
+    /// zone is evacuated again.
     pub fn withdrawn_at(&self, zone: &str) -> Option<Duration> {
         self.withdrawn.get(zone).copied()
     }
 
-    /// The zones that are evacuated.
+    /// Returns the evacuated zones.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.evacuated.keys().map(String::as_str)
     }
--- a/crates/swiftshunt-scheduler/src/grants.rs
+++ b/crates/swiftshunt-scheduler/src/grants.rs
@@ -1,14 +1,15 @@
-//! Batch grants: for each zone and pool one node hands out the batch slots of the zone's engines.
+//! Batch grants: for each zone and pool, one node distributes the batch slots of the zone's
+//! engines.
 //!
-//! Grants are soft state that expires within a second. Two granters for a moment do no harm, since
-//! engines honour priorities.
+//! Grants are soft state that expires within a second. Two nodes that grant slots at the same time
+//! for a moment do no harm, since engines honour priorities.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{Monotonic, NodeId, WorkerId};
 
-/// Slots on one engine.
+/// Batch slots on one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The engine.
@@ -31,11 +32,11 @@
 }
 
 impl GrantTable {
-    /// Renews what `holder` has, up to `wanted` slots. `allowances` says how many batch requests
-    /// each engine may run now, whoever runs them.
+    /// Renews the grants of `holder`, up to `wanted` slots. `allowances` are the numbers of batch
+    /// requests that each engine may run now, from all holders.
     ///
     /// Slots are shared so that no holder gets more while another that wants them has less. A
-    /// holder keeps its engines where it can, so that running requests need not move.
+    /// holder keeps its engines where possible, so that running requests need not move.
     pub fn renew(
         &mut self,
         holder: NodeId,
@@ -45,13 +46,13 @@
         lifetime: Monotonic,
     ) -> Vec<Grant> {
         self.holders.retain(|_, held| now < held.expires_at);
-        let before = self.holders.remove(&holder);
+        let previous = self.holders.remove(&holder);
         let total = allowances.iter().map(|(_, slots)| *slots).sum();
         let share = self.fair_share(wanted, total);
         let mut free = self.free(allowances);
         let mut grants = Vec::new();
         let mut left = share;
-        for kept in before.iter().flat_map(|before| &before.grants) {
+        for kept in previous.iter().flat_map(|previous| &previous.grants) {
             left -= take(&mut free, &mut grants, &kept.worker, kept.slots.min(left));
         }
         while left > 0 {
@@ -73,7 +74,8 @@
         grants
     }
 
-    /// Max-min share of one that wants `wanted` beside the other holders.
+    /// Returns the max-min fair share of a holder that wants `wanted` slots beside the other
+    /// holders.
     fn fair_share(&self, wanted: u32, total: u32) -> u32 {
         let mut wants: Vec<u32> = self.holders.values().map(|held| held.wanted).collect();
         wants.push(wanted);
@@ -90,7 +92,7 @@
         0
     }
 
-    /// What each engine has left beside the other holders' grants.
+    /// Returns the slots of each engine that the other holders' grants leave free.
     fn free(&self, allowances: &[(WorkerId, u32)]) -> BTreeMap<WorkerId, u32> {
         let mut free: BTreeMap<WorkerId, u32> = allowances.iter().cloned().collect();
         for grant in self.holders.values().flat_map(|held| &held.grants) {
@@ -102,7 +104,7 @@
     }
 }
 
-/// Moves up to `slots` of a worker from `free` to `grants`; returns how many.
+/// Moves up to `slots` slots of a worker from `free` to `grants`. Returns the number moved.
 fn take(
     free: &mut BTreeMap<WorkerId, u32>,
     grants: &mut Vec<Grant>,
--- a/crates/swiftshunt-scheduler/src/lib.rs
+++ b/crates/swiftshunt-scheduler/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decisions about who runs what, without I/O: choice of worker, limits, retries, batch admission.
+//! Scheduling decisions without I/O: choice of a worker, limits, retries and batch admission.
 
 pub mod admission;
 pub mod affinity;
--- a/crates/swiftshunt-scheduler/src/limits.rs
+++ b/crates/swiftshunt-scheduler/src/limits.rs
@@ -2,7 +2,7 @@
 
 use swiftshunt_types::Monotonic;
 
-/// A bucket that refills evenly.
+/// A token bucket that refills at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     tokens: f64,
@@ -10,7 +10,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn full(capacity: f64, now: Monotonic) -> Self {
         Self {
             tokens: capacity,
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Takes one token, or tells after how long one will be there.
+    /// Takes one token. If none is available, the error is the time until the next one, limited to
+    /// 60 s.
     pub fn try_take(&mut self, rate: f64, capacity: f64, now: Monotonic) -> Result<(), Monotonic> {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.tokens = (self.tokens + elapsed * rate).min(capacity);
@@ -31,9 +32,9 @@
     }
 }
 
-/// Longest wait that is told to anybody; also the answer for a rate of zero.
-const LONGEST_WAIT: Monotonic = Monotonic::from_secs(60);
+/// Upper bound of the reported wait, which is also the wait for a rate of zero.
+const MAX_WAIT: Monotonic = Monotonic::from_secs(60);
 
 fn wait_for(seconds: f64) -> Monotonic {
-    Monotonic::try_from_secs_f64(seconds).map_or(LONGEST_WAIT, |wait| wait.min(LONGEST_WAIT))
+    Monotonic::try_from_secs_f64(seconds).map_or(MAX_WAIT, |wait| wait.min(MAX_WAIT))
 }
--- a/crates/swiftshunt-scheduler/src/listed.rs
+++ b/crates/swiftshunt-scheduler/src/listed.rs
@@ -1,5 +1,5 @@
-//! Which workers a node knows: those that the directory lists, and for a short while those whose entries
-//! lapsed while the log was away.
+//! The workers that a node knows: those that the directory lists and, for a grace period, those
+//! whose entries lapsed while the log was unavailable.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,31 +10,33 @@
 use crate::directory::WorkerEntry;
 use crate::selection::Selector;
 
-/// Difference between what entries tell of the same cold time, by their ways.
-const COLDER_BY: Duration = Duration::from_millis(400);
+/// Tolerance for entries that describe the same cold period: their delays on the way to this node
+/// differ.
+const COLD_PERIOD_TOLERANCE: Duration = Duration::from_millis(400);
 
-/// A worker that is gone.
+/// A worker that was removed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RemovedWorker {
-    /// Its incarnation.
+    /// The incarnation of the worker.
     pub incarnation: String,
-    /// Its zone.
+    /// The zone of the worker.
     pub zone: String,
 }
 
-/// What became of workers that the directory no longer lists.
+/// The result of removing workers that the directory no longer lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UnlistOutcome {
-    /// Those that are gone.
+    /// Workers that were removed.
     pub removed: Vec<RemovedWorker>,
-    /// Those that serve on until their entries are back or the time for that is over.
+    /// Incarnations that stay usable until their entries return or the grace period ends.
     pub lapsed: Vec<String>,
 }
 
 impl Selector {
-    /// Takes an entry of the directory; gives whether its availability or address is new.
+    /// Applies a directory entry. Returns whether the worker's life, availability or address is
+    /// new, or its entry had lapsed. An entry of an earlier life is ignored.
     pub fn apply_entry(&mut self, mut entry: WorkerEntry, now: Duration) -> bool {
-        if let Some(known) = self.known(&entry.life.id) {
+        if let Some(known) = self.known_candidate(&entry.life.id) {
             let WorkerEntry {
                 life, incarnation, ..
             } = &known.entry;
@@ -68,17 +70,18 @@
         true
     }
 
-    /// What is known of a worker's life.
-    fn known(&self, id: &str) -> Option<&Candidate> {
+    /// Returns the known state of a worker, by its identifier.
+    fn known_candidate(&self, id: &str) -> Option<&Candidate> {
         self.candidates.get(self.incarnations.get(id)?)
     }
 
-    /// The incarnation of a worker's life that is known.
+    /// Returns the known incarnation of a worker, by its identifier.
     pub fn incarnation(&self, id: &str) -> Option<&str> {
         self.incarnations.get(id).map(String::as_str)
     }
 
-    /// How many workers are listed in a zone.
+    /// Returns the number of workers in a zone that are listed; those in a grace period do not
+    /// count.
     pub fn listed_count(&self, zone: &str) -> usize {
         let listed = self.candidates.values();
         listed
@@ -86,7 +89,7 @@
             .count()
     }
 
-    /// Removes a worker, and all that is believed of it.
+    /// Removes a worker with all of its state.
     fn remove(&mut self, incarnation: &str) -> Option<RemovedWorker> {
         let candidate = self.candidates.remove(incarnation)?;
         self.incarnations.remove(&candidate.entry.life.id);
@@ -96,10 +99,10 @@
         })
     }
 
-    /// Whether an entry says something that matters for a choice and is not known; entries are written
-    /// anew every second or so, and most of them say nothing new.
+    /// Returns whether an entry differs from the known one in something that matters for placement.
+    /// Entries are renewed about every second, and most renewals change nothing.
     pub fn differs_from_known(&self, entry: &WorkerEntry) -> bool {
-        let Some(known) = self.known(&entry.life.id) else {
+        let Some(known) = self.known_candidate(&entry.life.id) else {
             return true;
         };
         match entry.life.compare(&known.entry.life) {
@@ -107,28 +110,29 @@
             Ordering::Greater => return true,
             Ordering::Equal => {}
         }
-        let before = WorkerEntry {
+        let known_entry = WorkerEntry {
             life: entry.life.clone(),
             incarnation: entry.incarnation.clone(),
             cold_left: entry.cold_left,
             ..known.entry.clone()
         };
-        let is_cold_as_before = known.entry.cold_left.is_zero() == entry.cold_left.is_zero();
-        known.grace_until.is_some() || before != *entry || !is_cold_as_before
+        let is_cold_unchanged = known.entry.cold_left.is_zero() == entry.cold_left.is_zero();
+        known.grace_until.is_some() || known_entry != *entry || !is_cold_unchanged
     }
 
-    /// Whether an entry says that a worker is cold for longer than is known: it has turned cold again.
+    /// Returns whether an entry extends the known cold period of a worker: the worker has become
+    /// cold again.
     pub fn extends_cold_period(&self, entry: &WorkerEntry, now: Duration) -> bool {
-        let known = self.known(&entry.life.id);
-        known.is_some_and(|known| now + entry.cold_left > known.cold_until + COLDER_BY)
+        let known = self.known_candidate(&entry.life.id);
+        known.is_some_and(|known| now + entry.cold_left > known.cold_until + COLD_PERIOD_TOLERANCE)
     }
 
-    /// Removes workers, by their identifiers, that one reading of the directory no longer lists.
+    /// Removes the workers with these identifiers, which a read of the directory no longer lists.
     ///
-    /// A log that was away has dropped the entries of workers that could not renew them, and they
-    /// list themselves again a moment after its return. `grace_until` is the end of that moment,
-    /// while it lasts: until then the workers of a service serve on of which more than half vanished
-    /// at once. Few of many that vanish are taken as gone.
+    /// While the log is unavailable, entries that cannot be renewed expire, and the workers list
+    /// themselves again shortly after the log has recovered. `grace_until` is the end of that
+    /// period, or `None` outside of it. If more than half of a service's workers are missing at
+    /// once, the missing ones stay usable until then; otherwise they are removed.
     pub fn remove_unlisted(
         &mut self,
         ids: &BTreeSet<String>,
@@ -137,15 +141,15 @@
         let mut unlisted = UnlistOutcome::default();
         let listed = ids.iter().filter_map(|id| self.incarnations.get(id));
         let incarnations: BTreeSet<String> = listed.cloned().collect();
-        let lapsing = match grace_until {
-            Some(_) => self.mostly_in(&incarnations),
+        let lapsed_services = match grace_until {
+            Some(_) => self.services_mostly_among(&incarnations),
             None => BTreeSet::new(),
         };
         for incarnation in incarnations {
             let Some(candidate) = self.candidates.get_mut(&incarnation) else {
                 continue;
             };
-            if lapsing.contains(&candidate.entry.service) {
+            if lapsed_services.contains(&candidate.entry.service) {
                 candidate.grace_until = grace_until;
                 unlisted.lapsed.push(incarnation);
             } else {
@@ -155,30 +159,33 @@
         unlisted
     }
 
-    /// Removes workers whose entries lapsed and are not back in time; gives them.
+    /// Removes and returns the workers whose entries lapsed and did not return within the grace
+    /// period.
     pub fn remove_lapsed(&mut self, now: Duration) -> Vec<RemovedWorker> {
-        let over = self.candidates.iter().filter(|(_, candidate)| {
+        let overdue = self.candidates.iter().filter(|(_, candidate)| {
             let until = candidate.grace_until;
             until.is_some_and(|until| until <= now)
         });
-        let removed: Vec<String> = over.map(|(incarnation, _)| incarnation.clone()).collect();
+        let removed: Vec<String> = overdue
+            .map(|(incarnation, _)| incarnation.clone())
+            .collect();
         removed
             .iter()
             .filter_map(|incarnation| self.remove(incarnation))
             .collect()
     }
 
-    /// Services of which more than half of the workers are among these.
-    fn mostly_in(&self, incarnations: &BTreeSet<String>) -> BTreeSet<String> {
+    /// Returns the services of which more than half of the workers are among `incarnations`.
+    fn services_mostly_among(&self, incarnations: &BTreeSet<String>) -> BTreeSet<String> {
         let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
         for candidate in self.candidates.values() {
-            let (all, among) = counts.entry(&candidate.entry.service).or_default();
+            let (all, missing) = counts.entry(&candidate.entry.service).or_default();
             *all += 1;
-            *among += usize::from(incarnations.contains(&candidate.entry.incarnation));
+            *missing += usize::from(incarnations.contains(&candidate.entry.incarnation));
         }
-        let most = counts
+        let affected = counts
             .into_iter()
-            .filter(|(_, (all, among))| among * 2 > *all);
-        most.map(|(service, _)| service.to_owned()).collect()
+            .filter(|(_, (all, missing))| missing * 2 > *all);
+        affected.map(|(service, _)| service.to_owned()).collect()
     }
 }
--- a/crates/swiftshunt-scheduler/src/observed.rs
+++ b/crates/swiftshunt-scheduler/src/observed.rs
@@ -1,4 +1,4 @@
-//! What a node observes of its workers: what it sends, and what comes back.
+//! Records what a node observes of its workers: the requests that it sends, and their outcomes.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 
 /// Weight of a new observation in a moving average.
 const SMOOTHING: f64 = 0.2;
-/// Time without a first event after which a request that was overtaken counts as left hanging.
-const HANGING: Duration = Duration::from_secs(2);
-/// Prompts whose missing part is at least this long show the rate.
-const RATE_SAMPLE_TOKENS: u64 = 2_000;
+/// Time without a first event after which an overtaken request counts as hanging.
+const HANGING_TIMEOUT: Duration = Duration::from_secs(2);
+/// Fewest missing tokens of a prompt from which its time to the first event is a sample of the
+/// prefill rate.
+const MIN_RATE_SAMPLE_TOKENS: u64 = 2_000;
 
 impl Selector {
     fn get_mut(&mut self, incarnation: &str) -> Option<&mut Candidate> {
         self.candidates.get_mut(incarnation)
     }
 
-    /// Records that a request goes to a worker.
+    /// Records that this node sends a request to a worker.
     pub fn record_send(&mut self, chosen: &ChosenWorker, demand: &Demand, now: Duration) {
         let Some(candidate) = self.get_mut(&chosen.incarnation) else {
             return;
@@ -35,8 +36,8 @@
         candidate.prefix_cache.record_prompt(&demand.prompt);
     }
 
-    /// Records that another node has sent a worker a prompt of which it is to read
-    /// `missing_tokens`.
+    /// Records that another node sent a prompt to a worker, which has to prefill `missing_tokens`
+    /// of it.
     pub fn record_peer_send(
         &mut self,
         incarnation: &str,
@@ -54,14 +55,14 @@
         }
     }
 
-    /// Records that a worker gave a sign of life.
+    /// Records activity of a worker.
     pub fn record_activity(&mut self, incarnation: &str, now: Duration) {
         if let Some(candidate) = self.get_mut(incarnation) {
             candidate.record_activity(now);
         }
     }
 
-    /// Records the load that an answer carried.
+    /// Records the load that a response reported.
     pub fn record_load(&mut self, incarnation: &str, load: ReportedLoad, now: Duration) {
         if let Some(candidate) = self.get_mut(incarnation) {
             let own = candidate.own_requests();
@@ -78,7 +79,7 @@
         let sent_at = now.saturating_sub(waited);
         candidate.latest_started_sent_at = candidate.latest_started_sent_at.max(sent_at);
         candidate.remove_pending(sent_at, chosen.missing_tokens);
-        if chosen.missing_tokens < RATE_SAMPLE_TOKENS {
+        if chosen.missing_tokens < MIN_RATE_SAMPLE_TOKENS {
             return;
         }
         let rate = chosen.missing_tokens as f64 / (waited.as_secs_f64() * 1e3).max(1.0);
@@ -87,7 +88,8 @@
         times.prefill_rate += SMOOTHING * (rate - times.prefill_rate);
     }
 
-    /// Records that a request has left a worker after `held`; `had_first_event` as told before.
+    /// Records the outcome of a request that was at a worker for `held`. `had_first_event` says
+    /// whether [`Selector::record_first_event`] was called for the request.
     pub fn record_outcome(
         &mut self,
         chosen: &ChosenWorker,
@@ -108,7 +110,8 @@
         if !had_first_event {
             candidate.remove_pending(sent_at, chosen.missing_tokens);
         }
-        let was_hanging = !had_first_event && held >= HANGING && candidate.has_overtaken(sent_at);
+        let was_hanging =
+            !had_first_event && held >= HANGING_TIMEOUT && candidate.has_overtaken(sent_at);
         candidate.cold_suspicion.observe(outcome, now);
         match outcome {
             AttemptOutcome::Answered => {
--- a/crates/swiftshunt-scheduler/src/placement.rs
+++ b/crates/swiftshunt-scheduler/src/placement.rs
@@ -6,36 +6,37 @@
 use crate::affinity::{prefix_hash, rendezvous_weight};
 use crate::workers::{Worker, WorkerTable};
 
-/// Why no worker was chosen.
+/// The reason why no worker was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoWorker {
-    /// The pool has no worker that takes work.
+    /// No worker of the pool accepts new requests.
     NoneAccepting,
-    /// Every worker holds as much as it may.
+    /// Every worker has reached its limit of requests, was excluded, or does not serve the model.
     AllFull,
 }
 
-/// What a request asks of a placement.
+/// The properties of a request that decide its placement.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'a> {
     /// The pool that serves the model.
     pub pool: &'a PoolName,
-    /// The zone of the deciding node.
+    /// The zone of the node that places the request.
     pub zone: &'a ZoneName,
-    /// The model.
+    /// The requested model.
     pub model: &'a ModelName,
-    /// The prompt, for affinity.
+    /// The prompt, whose beginning decides the prefix affinity.
     pub prompt: &'a str,
-    /// The deciding node's subset of its zone's workers.
+    /// The subset of the zone's workers that this node prefers.
     pub subset: &'a [WorkerId],
-    /// Workers already tried.
+    /// Workers that were already tried.
     pub excluded: &'a [WorkerId],
 }
 
 /// Chooses the worker with the highest affinity among those within the load bound.
 ///
 /// The bound is `affinity_load_factor` times the mean load, and never more than the queue limit of
-/// the worker. If the zone's workers are all full, workers of other zones are tried.
+/// the worker. The node's subset is tried first, then all workers of the zone, then those of all
+/// zones.
 pub fn choose<'a>(
     table: &'a WorkerTable,
     request: PlacementRequest<'_>,
@@ -70,21 +71,22 @@
     request: PlacementRequest<'_>,
     config: &SchedulerConfig,
 ) -> Option<&'a Worker> {
-    let open: Vec<&'a Worker> = candidates
+    let eligible: Vec<&'a Worker> = candidates
         .iter()
         .copied()
         .filter(|worker| !request.excluded.contains(&worker.machine.id))
         .filter(|worker| worker.serves(request.model))
         .filter(|worker| worker.online_load() < queue_limit(worker, config))
         .collect();
-    let bound = load_bound(&open, config);
+    let bound = load_bound(&eligible, config);
     let prefix = prefix_hash(request.prompt, config.affinity_block);
-    open.into_iter()
+    eligible
+        .into_iter()
         .filter(|worker| worker.online_load() < bound)
         .max_by_key(|worker| rendezvous_weight(prefix, &worker.machine.id))
 }
 
-/// Online requests that a worker may hold, running and waiting.
+/// Returns the number of online requests that a worker may hold, running and waiting.
 fn queue_limit(worker: &Worker, config: &SchedulerConfig) -> u32 {
     scaled(f64::from(worker.slots()), config.online_queue_factor)
 }
--- a/crates/swiftshunt-scheduler/src/prefix_cache.rs
+++ b/crates/swiftshunt-scheduler/src/prefix_cache.rs
@@ -1,20 +1,20 @@
-//! Which prompt parts a worker's memory is believed to hold.
+//! Estimates which prompt parts a worker's prefix cache holds.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// One part of a prompt: parts are shared between prompts, and count only if every part before them
-/// is there as well.
+/// One part of a prompt. Prompts may share parts; a cached part is only of use if every part before
+/// it is cached as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// Names the part's content.
+    /// Identifies the content of the part.
     pub id: u64,
-    /// Its size.
+    /// The size of the part in tokens.
     pub tokens: u32,
 }
 
-/// The parts that one worker read lately, within its memory.
+/// The prompt parts that one worker processed recently, within the capacity of its prefix cache.
 #[derive(Debug)]
 pub struct PrefixCacheEstimate {
     capacity: u64,
@@ -30,7 +30,7 @@
 }
 
 impl PrefixCacheEstimate {
-    /// Nothing held yet, in a memory of `capacity` tokens.
+    /// Creates an empty estimate for a prefix cache of `capacity` tokens.
     pub fn new(capacity: u64) -> Self {
         Self {
             capacity,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Tokens at the beginning of a prompt that need not be read again.
+    /// Returns the number of tokens at the beginning of a prompt that are believed to be cached.
     pub fn cached_tokens(&self, prompt: &[PromptPart]) -> u64 {
         let held = prompt
             .iter()
@@ -48,7 +48,8 @@
         held.map(|part| u64::from(part.tokens)).sum()
     }
 
-    /// Records that the worker reads a prompt; what was unused longest gives way.
+    /// Records that the worker processes a prompt. The least recently used parts are evicted when
+    /// the capacity is exceeded.
     pub fn record_prompt(&mut self, prompt: &[PromptPart]) {
         for part in prompt {
             self.sequence += 1;
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Shrinks to three quarters of the memory, so that scans are rare.
+    /// Evicts the least recently used parts down to three quarters of the capacity, so that the
+    /// scan of all parts is rare.
     fn evict(&mut self) {
         let mut by_use: Vec<(u64, u64)> = self
             .parts
@@ -75,9 +77,9 @@
             .map(|(id, held)| (held.used, *id))
             .collect();
         by_use.sort_unstable();
-        let goal = self.capacity / 4 * 3;
+        let target = self.capacity / 4 * 3;
         for (_, id) in by_use {
-            if self.held <= goal {
+            if self.held <= target {
                 return;
             }
             if let Some(held) = self.parts.remove(&id) {
--- a/crates/swiftshunt-scheduler/src/retry.rs
+++ b/crates/swiftshunt-scheduler/src/retry.rs
@@ -1,10 +1,11 @@
-//! The retry budget: retries are a share of first tries, so that they cannot multiply an overload.
+//! The retry budget: retries are limited to a share of first attempts, so that they cannot multiply
+//! an overload.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Retries that a node may still make.
+/// The retries that a node may still make.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -13,7 +14,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget: `ratio` retries are added for each first attempt, up to `burst`.
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self {
             ratio,
@@ -22,12 +23,12 @@
         }
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn record_first_attempt(&mut self) {
         self.available = (self.available + self.ratio).min(self.burst);
     }
 
-    /// Takes a retry, if the budget holds one.
+    /// Takes a retry from the budget. Returns whether there was one.
     pub fn try_take_retry(&mut self) -> bool {
         if self.available < 1.0 {
             return false;
@@ -37,13 +38,14 @@
     }
 }
 
-/// Longest pause between tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// Upper bound of the pause between attempts.
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 /// Doublings after which the pause no longer grows.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
-/// The pause before try number `attempt`, with full jitter: between half and all of an exponential.
+/// Returns the pause before attempt number `attempt`, with jitter: a random time between half and
+/// all of the exponential backoff.
 pub fn backoff(base: Duration, attempt: u32, random: &mut impl Rng) -> Duration {
-    let longest = (base * 2_u32.pow(attempt.min(MOST_DOUBLINGS))).min(LONGEST_PAUSE);
-    longest.mul_f64(random.random_range(0.5..=1.0))
+    let max_pause = (base * 2_u32.pow(attempt.min(MAX_DOUBLINGS))).min(MAX_PAUSE);
+    max_pause.mul_f64(random.random_range(0.5..=1.0))
 }
--- a/crates/swiftshunt-scheduler/src/selection.rs
+++ b/crates/swiftshunt-scheduler/src/selection.rs
@@ -1,5 +1,6 @@
-//! Choice of a worker by expected time to the first event, under a slow view: a node sees its own
-//! requests at once, those of others through the load that answers carry.
+//! Chooses a worker by the expected time to the first event of a response. A node's view of the
+//! load is partly stale: it counts its own requests at once and learns of other nodes' requests
+//! only from the load that responses report.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -16,112 +17,117 @@
 use crate::prefix_cache::PromptPart;
 use crate::slots::prompts::PrefillEstimate;
 
-/// Load that a worker told with an answer.
+/// The load that a worker reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests running.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests that run at once.
+    /// Requests that the worker runs concurrently.
     pub slots: u32,
 }
 
-/// Which capacity a request uses.
+/// The class of a request, which decides the capacity that the request may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// A caller waits for it.
+    /// A caller waits for the response.
     Online,
-    /// It may wait, and may be interrupted.
+    /// The request may be delayed and interrupted.
     Batch,
 }
 
-/// What a request needs.
+/// The requirements of a request.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// Its class.
+    /// The class, which decides the capacity that the request may use.
     pub class: Class,
-    /// Its prompt; empty where tokens do not matter.
+    /// The parts of the prompt; empty where the number of tokens does not matter.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// The length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Where it may be handled.
+    /// The regions in which the request may be handled.
     pub residency: Residency,
-    /// A random number: spreads requests of many nodes over workers that are equally good.
+    /// A random number that breaks ties, so that many nodes spread their requests over equally good
+    /// workers.
     pub salt: u64,
 }
 
 /// A chosen worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenWorker {
-    /// Its service.
+    /// The service that the worker belongs to.
     pub service: String,
-    /// Its identifier.
+    /// The identifier, which may be the same after a restart.
     pub id: String,
-    /// Its incarnation.
+    /// The incarnation, which identifies one life of the worker.
     pub incarnation: String,
-    /// Its address.
+    /// The address of the worker.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The zone of the worker.
     pub zone: String,
-    /// Prompt tokens that it is expected to read.
+    /// Prompt tokens that the worker is expected not to have in its prefix cache.
     pub missing_tokens: u64,
-    /// How long it is expected to read until the first event: what waits there, and these tokens.
+    /// Expected prefill time until the first event: the prompts that are pending at the worker and
+    /// the missing tokens of this one.
     pub expected_prefill: Duration,
-    /// Whether there is a prompt: the time of a stream is that of its length and tells nothing of
-    /// the worker's speed.
+    /// Whether the request has a prompt. The duration of a stream depends on its length and is no
+    /// measure of the worker's speed.
     pub has_prompt: bool,
 }
 
-/// How a request left a worker.
+/// The outcome of sending a request to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// With a whole answer.
+    /// The worker returned a complete response.
     Answered,
-    /// The worker declared that it did not run it.
+    /// The worker declared that it did not run the request.
     Declined,
     /// The connection could not be made.
     Unreachable,
-    /// The connection or the answer broke off, or was spoiled.
+    /// The connection or the response broke off or was corrupted.
     Broken,
-    /// The worker answered that it failed.
+    /// The worker responded that it failed.
     Failed,
-    /// No answer in the time it had.
+    /// The worker did not respond within the timeout.
     TimedOut,
-    /// The caller left, or the product took it back.
+    /// The caller disconnected, or the gateway cancelled the request.
     Cancelled,
 }
 
-/// Cost of a worker in another zone, in milliseconds.
+/// Cost of a worker in another zone of the same region, in milliseconds.
 const OTHER_ZONE_COST: f64 = 2.0;
 /// Cost of a worker in another region, in milliseconds.
 const OTHER_REGION_COST: f64 = 60.0;
-/// Differences of cost that do not matter, in milliseconds.
-const SPREAD: f64 = 2.0;
-/// Cost of a worker at which a shared beginning is not looked for first, against the time of reading
-/// it: nodes that do not know yet where it was read choose the same worker.
+/// Upper bound of the random cost that breaks ties, in milliseconds: smaller differences of cost do
+/// not matter.
+const MAX_TIE_BREAK_COST: f64 = 2.0;
+/// Cost of a worker other than the affinity target, as a share of the time to prefill the prompt's
+/// shared prefix. It lets nodes that do not know yet where the prefix is cached choose the same
+/// worker.
 const AFFINITY_MISS_FACTOR: f64 = 0.1;
-/// The workers that a node knows, and the choice among them.
+
+/// The workers that a node knows, with the choice among them.
 #[derive(Debug)]
 pub struct Selector {
     pub(crate) topology: Topology,
     pub(crate) evacuations: Evacuations,
-    /// By incarnation.
+    /// Keyed by incarnation.
     pub(crate) candidates: BTreeMap<String, Candidate>,
-    /// The incarnation of each worker that is listed, by its identifier.
+    /// The incarnation of each known worker, keyed by the worker's identifier.
     pub(crate) incarnations: BTreeMap<String, String>,
     pub(crate) services: BTreeMap<String, ServiceTimes>,
-    /// Services whose workers bear less after a start.
+    /// Bounds of the services whose workers sustain less than their usual load after a start.
     pub(crate) cold: BTreeMap<String, ColdBound>,
 }
 
 impl Selector {
-    /// A selector of a node in `zone` of a deployment of one region.
+    /// Creates the selector of a node in `zone` of a deployment with one region.
     pub fn new(zone: &str) -> Self {
         Self::with_topology(Topology::one_region(zone))
     }
 
-    /// A selector of a node at its place.
+    /// Creates the selector of a node with the given topology.
     pub fn with_topology(topology: Topology) -> Self {
         Self {
             topology,
@@ -133,24 +139,25 @@
         }
     }
 
-    /// Tells how much the memory of a service's engines holds.
+    /// Sets the capacity of the prefix caches of a service's engines, in tokens.
     pub fn set_prefix_cache_size(&mut self, service: &str, tokens: u64) {
         let times = self.services.entry(service.to_owned()).or_default();
         times.memory_tokens = tokens;
     }
 
-    /// Tokens that the memory of a service's engines holds; as good as no limit where none is told.
+    /// Returns the capacity of the prefix caches of a service's engines, in tokens; practically
+    /// unlimited until it is set.
     pub(crate) fn memory_tokens(&self, service: &str) -> u64 {
         let times = self.services.get(service);
         times.map_or(u64::MAX / 2, |times| times.memory_tokens)
     }
 
-    /// Whether the directory lists any worker.
+    /// Returns whether no worker is known.
     pub fn is_empty(&self) -> bool {
         self.candidates.is_empty()
     }
 
-    /// Whether a service has a worker that takes new work.
+    /// Returns whether a service has a worker to which new requests may be sent.
     pub fn is_served(&self, service: &str) -> bool {
         self.has_eligible_worker(service, &Residency::anywhere())
     }
@@ -166,32 +173,32 @@
         })
     }
 
-    /// Whether a worker still takes new work.
+    /// Returns whether a worker accepts new requests.
     pub fn is_ready(&self, incarnation: &str) -> bool {
         self.candidates
             .get(incarnation)
             .is_some_and(|candidate| candidate.entry.availability == Availability::Ready)
     }
 
-    /// Whether any worker gave a sign of life after `since`.
+    /// Returns whether any worker has shown activity after `since`.
     pub fn has_activity_since(&self, since: Duration) -> bool {
         let mut candidates = self.candidates.values();
         candidates.any(|candidate| candidate.last_activity_at > since)
     }
 
-    /// How many workers of a service take new work.
+    /// Returns the number of workers of a service that accept new requests.
     pub fn ready_count(&self, service: &str) -> usize {
         self.ready_workers(service).count()
     }
 
-    /// Slots together of a service's workers that may be offered something.
+    /// Returns the total number of slots of the service's eligible workers.
     pub fn slots(&self, service: &str) -> u32 {
-        let open = self.eligible_workers(service, &Residency::anywhere());
-        open.map(Candidate::slots).sum()
+        let eligible = self.eligible_workers(service, &Residency::anywhere());
+        eligible.map(Candidate::slots).sum()
     }
 
     /// Chooses the worker with the shortest expected time to the first event. Workers in `tried`
-    /// are passed over, and ejected ones as long as others are there.
+    /// are excluded; ejected workers are chosen only if no other worker is left.
     pub fn choose(
         &self,
         service: &str,
@@ -204,22 +211,22 @@
         })
     }
 
-    /// The same among the workers that `may` accepts.
+    /// Chooses like [`Selector::choose`], among the workers that `is_allowed` accepts.
     pub(crate) fn choose_among(
         &self,
         service: &str,
         demand: &Demand,
         now: Duration,
-        may: impl Fn(&Candidate) -> bool,
+        is_allowed: impl Fn(&Candidate) -> bool,
     ) -> Option<ChosenWorker> {
         let affinity_target = self.affinity_target(service, demand);
-        let open = self.eligible_workers(service, &demand.residency);
-        let open =
-            open.filter(|candidate| may(candidate) && !self.lacks_start_permits(candidate, now));
+        let eligible = self.eligible_workers(service, &demand.residency);
+        let eligible = eligible
+            .filter(|candidate| is_allowed(candidate) && !self.lacks_start_permits(candidate, now));
         let times = self.services.get(service);
         let mean_others_load = self.mean_others_load(service, now);
         let affinity_miss_cost = self.affinity_miss_cost(service, demand);
-        let scored = open.map(|candidate| {
+        let scored = eligible.map(|candidate| {
             let missing = missing_tokens(candidate, demand);
             let mut cost = expected_wait(candidate, times, missing, mean_others_load, now)
                 + self.distance_cost(candidate);
@@ -246,29 +253,30 @@
         now: Duration,
     ) -> ChosenWorker {
         let times = self.services.get(&candidate.entry.service);
-        let reading = expected_prefill(candidate, times, missing_tokens, now);
-        let reading = PrefillEstimate {
+        let prefill = expected_prefill(candidate, times, missing_tokens, now);
+        let prefill = PrefillEstimate {
             missing_tokens,
-            time: Duration::from_secs_f64(reading / 1e3),
+            time: Duration::from_secs_f64(prefill / 1e3),
         };
-        candidate.to_chosen_worker(reading, has_prompt)
+        candidate.to_chosen_worker(prefill, has_prompt)
     }
 
-    /// How long a worker with requests of this node has given no sign of life; none if the worker
-    /// is no longer listed.
+    /// Returns how long a worker that holds requests of this node has shown no activity; zero if it
+    /// holds none, `None` if the worker is not known.
     pub fn silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
         let candidate = self.candidates.get(incarnation);
         candidate.map(|candidate| candidate.silence(now))
     }
 
-    /// Whether a worker has begun requests that were sent after `sent_at`.
+    /// Returns whether the worker has started a request that was sent after `sent_at`.
     pub fn has_overtaken(&self, incarnation: &str, sent_at: Duration) -> bool {
         self.candidates
             .get(incarnation)
             .is_some_and(|candidate| candidate.has_overtaken(sent_at))
     }
 
-    /// Whether an online request would have to wait at a worker as far as known.
+    /// Returns whether an online request would have to queue at the worker, by the known load;
+    /// false for an unknown worker.
     pub fn is_full(&self, incarnation: &str, now: Duration) -> bool {
         let Some(candidate) = self.candidates.get(incarnation) else {
             return false;
@@ -277,26 +285,28 @@
         candidate.load(mean_others_load, now) >= f64::from(candidate.slots())
     }
 
-    /// Requests of other nodes that a ready worker of the service holds in the mean, by what was
-    /// told last.
+    /// Returns the mean number of other nodes' requests at a ready worker of the service, weighted
+    /// by the age of the load reports.
     fn mean_others_load(&self, service: &str, now: Duration) -> f64 {
-        let told = self
+        let reported = self
             .ready_workers(service)
             .filter_map(|candidate| candidate.others_load(now));
-        let (sum, weights) = told.fold((0.0, 0.0), |(sum, weights), (others, weight)| {
+        let (sum, weights) = reported.fold((0.0, 0.0), |(sum, weights), (others, weight)| {
             (sum + others * weight, weights + weight)
         });
-        // Where nobody tells anything any more, the memory of it fades.
+        // A total weight below 1 counts as 1, so that the mean decays to zero when no reports
+        // arrive.
         sum / weights.max(1.0)
     }
 
-    /// Cost of a worker that is not the home of the prompt's shared beginning, in milliseconds.
+    /// Returns the cost of a worker that is not the affinity target of the prompt's shared prefix,
+    /// in milliseconds.
     pub(crate) fn affinity_miss_cost(&self, service: &str, demand: &Demand) -> f64 {
         let times = self.services.get(service);
         prefill_ms(times, shared_tokens(demand)) * AFFINITY_MISS_FACTOR
     }
 
-    /// How far a zone is from this node.
+    /// Returns the distance class of a zone as seen from this node.
     pub fn distance_to(&self, zone: &str) -> Distance {
         self.topology.distance_to(zone)
     }
@@ -309,25 +319,25 @@
         }
     }
 
-    /// The worker at which every node of a region first looks for a shared beginning of a prompt, so that it
-    /// is read at few workers without a word between nodes.
+    /// Returns the incarnation of the worker that every node of a region prefers for the prompt's
+    /// shared prefix; without coordination between nodes, few workers cache the prefix.
     pub(crate) fn affinity_target(&self, service: &str, demand: &Demand) -> Option<&str> {
         let affinity_target = self.affinity_target_among(service, demand, |_| true);
         affinity_target.map(|candidate| candidate.entry.incarnation.as_str())
     }
 
-    /// The same among the workers that `may` accepts.
+    /// Returns the affinity target among the workers that `is_allowed` accepts.
     pub(crate) fn affinity_target_among(
         &self,
         service: &str,
         demand: &Demand,
-        may: impl Fn(&Candidate) -> bool,
+        is_allowed: impl Fn(&Candidate) -> bool,
     ) -> Option<&Candidate> {
         let (_, shared) = demand.prompt.split_last()?;
         let last = shared.last()?;
-        let open = self.eligible_workers(service, &demand.residency);
-        let open = open.filter(|candidate| may(candidate));
-        let weighted = open.map(|candidate| {
+        let eligible = self.eligible_workers(service, &demand.residency);
+        let eligible = eligible.filter(|candidate| is_allowed(candidate));
+        let weighted = eligible.map(|candidate| {
             let mut hasher = DefaultHasher::new();
             last.id.hash(&mut hasher);
             candidate.entry.incarnation.hash(&mut hasher);
@@ -338,27 +348,28 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// How long a service's engines take to read `tokens`.
+    /// Returns the time in which the service's engines prefill `tokens` tokens.
     pub fn prefill_time(&self, service: &str, tokens: u64) -> Duration {
         let times = self.services.get(service);
         Duration::from_secs_f64(prefill_ms(times, tokens) / 1e3)
     }
 }
 
-/// A small cost that differs between requests.
+/// Returns a small pseudo-random cost that differs between requests and workers.
 pub(crate) fn tie_break_cost(salt: u64, incarnation: &str) -> f64 {
     let mut hasher = DefaultHasher::new();
     salt.hash(&mut hasher);
     incarnation.hash(&mut hasher);
-    (hasher.finish() % 1_024) as f64 / 1_024.0 * SPREAD
+    (hasher.finish() % 1_024) as f64 / 1_024.0 * MAX_TIE_BREAK_COST
 }
 
 pub(crate) fn missing_tokens(candidate: &Candidate, demand: &Demand) -> u64 {
-    let resident = candidate.prefix_cache.cached_tokens(&demand.prompt);
-    demand.prompt_tokens.saturating_sub(resident)
+    let cached = candidate.prefix_cache.cached_tokens(&demand.prompt);
+    demand.prompt_tokens.saturating_sub(cached)
 }
 
-/// Tokens of a prompt that other requests may have, too.
+/// Returns the number of tokens in the prompt's shared prefix: all parts but the last one, which
+/// other requests may share.
 pub(crate) fn shared_tokens(demand: &Demand) -> u64 {
     let shared = demand.prompt.split_last();
     let shared = shared.map_or(&[][..], |(_, shared)| shared);
--- a/crates/swiftshunt-scheduler/src/targets.rs
+++ b/crates/swiftshunt-scheduler/src/targets.rs
@@ -1,42 +1,42 @@
-//! Which engines must load a model now, so that a target is met in time.
+//! Chooses the engines that must load a model now, so that a replica target is met in time.
 
 use std::collections::BTreeMap;
 
 use swiftshunt_types::{ModelName, WorkerId, ZoneName};
 
-/// What planning needs to know of an engine.
+/// The state of an engine that planning depends on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineView {
-    /// Which engine.
+    /// The engine.
     pub worker: WorkerId,
-    /// Its zone.
+    /// The zone of the engine.
     pub zone: ZoneName,
     /// Whether the model is loaded.
     pub has_model: bool,
     /// Whether an order to load it is outstanding.
     pub is_ordered: bool,
-    /// Requests on it.
+    /// Number of requests at the engine.
     pub load: u32,
 }
 
-/// What must be ready by when.
+/// The number of engines in each zone that must have a model ready by a deadline.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaTarget {
     /// The model.
     pub model: ModelName,
-    /// Engines in each zone.
+    /// Required number of engines in each zone.
     pub replicas: u32,
-    /// By when, in seconds of Unix time.
+    /// The deadline, in seconds of Unix time.
     pub ready_by: u64,
 }
 
-/// Loads take this much longer than the weight store's rate says.
+/// Factor by which loads may take longer than the transfer rate of the weight store implies.
 const SAFETY_FACTOR: f64 = 1.5;
-/// Time beside the transfer, in seconds.
+/// Time in addition to the transfers, in seconds.
 const FIXED_SECONDS: f64 = 2.0;
 
-/// The engines that must be ordered now. All loads go through the store's one rate, so planning
-/// backward from the deadline counts them one after the other.
+/// Returns the engines that must be ordered to load the model now. All loads share the bandwidth of
+/// the weight store, so planning backward from the deadline counts them one after the other.
 pub fn due_loads(
     demand: &ReplicaTarget,
     engines: &[EngineView],
@@ -48,15 +48,15 @@
         .iter()
         .filter(|engine| engine.is_ordered && !engine.has_model);
     let loads = missing.len() + outstanding.count();
-    let needed = loads as f64 * seconds_per_load * SAFETY_FACTOR + FIXED_SECONDS;
-    let left = demand.ready_by as f64 - now as f64;
-    if left > needed {
+    let required_seconds = loads as f64 * seconds_per_load * SAFETY_FACTOR + FIXED_SECONDS;
+    let seconds_left = demand.ready_by as f64 - now as f64;
+    if seconds_left > required_seconds {
         return Vec::new();
     }
     missing
 }
 
-/// For each zone, the least loaded engines that would fill its replicas.
+/// Returns, for each zone, the least loaded engines that complete its replicas.
 fn missing_engines(demand: &ReplicaTarget, engines: &[EngineView]) -> Vec<WorkerId> {
     let mut by_zone: BTreeMap<&ZoneName, Vec<&EngineView>> = BTreeMap::new();
     for engine in engines {
@@ -68,11 +68,11 @@
         let covered = zone
             .iter()
             .filter(|engine| engine.has_model || engine.is_ordered);
-        let lacking = (demand.replicas as usize).saturating_sub(covered.count());
+        let shortfall = (demand.replicas as usize).saturating_sub(covered.count());
         let free = zone
             .iter()
             .filter(|engine| !engine.has_model && !engine.is_ordered);
-        missing.extend(free.take(lacking).map(|engine| engine.worker.clone()));
+        missing.extend(free.take(shortfall).map(|engine| engine.worker.clone()));
     }
     missing
 }
--- a/crates/swiftshunt-scheduler/src/warmup.rs
+++ b/crates/swiftshunt-scheduler/src/warmup.rs
@@ -1,14 +1,16 @@
-//! Whether a worker bears its usual load yet.
+//! Whether a worker is warm.
 
 use std::time::Duration;
 
-/// Whether a worker bears its usual load. A cold one bears few requests a second and fails well above that.
+/// Whether a worker sustains its usual load. A cold worker sustains only a few requests per second
+/// and fails well above that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmupState {
-    /// It does.
+    /// The worker is warm.
     Warm,
-    /// It does not until then, on the own clock.
+    /// The worker is cold until this time on the own clock.
     ColdUntil(Duration),
-    /// It may have started a moment ago: until its entry says, it is to be treated as cold.
+    /// The worker may have started recently: it is treated as cold until its entry says whether it
+    /// is.
     Unknown,
 }
--- a/crates/swiftshunt-scheduler/src/workers.rs
+++ b/crates/swiftshunt-scheduler/src/workers.rs
@@ -1,5 +1,5 @@
-//! What a node knows of each worker: its place in the machine list, its lagging load report, and
-//! what the node itself has sent since that report.
+//! The state that a node keeps for each worker: its entry in the machine list, its last load
+//! report, which lags behind, and the node's own requests in progress.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,38 +14,38 @@
 /// A load report of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Requests that are running.
     pub running: u32,
-    /// Of those, batch requests.
+    /// Batch requests among the running ones.
     pub running_batch: u32,
-    /// Requests waiting.
+    /// Requests that are queued.
     pub waiting: u32,
-    /// Requests the worker runs at once.
+    /// Requests that the worker runs concurrently.
     pub slots: u32,
-    /// The worker itself says that it takes nothing new.
+    /// Whether the worker reports that it accepts no new requests.
     pub leaving: bool,
 }
 
-/// One worker.
+/// The state of one worker.
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its entry in the machine list.
+    /// The worker's entry in the machine list.
     pub machine: Machine,
-    /// Models loaded; empty if the worker does not say.
+    /// Loaded models; empty if the worker does not report them.
     pub models: Vec<ModelName>,
-    /// The newest report and when it was asked for.
+    /// The latest load report and the time of the request for it.
     pub report: Option<(LoadReport, Monotonic)>,
-    /// This node's online requests in progress on it.
+    /// This node's online requests in progress at the worker.
     pub own_online: u32,
-    /// This node's batch requests in progress on it.
+    /// This node's batch requests in progress at the worker.
     pub own_batch: u32,
-    /// When this node last failed to connect to it.
+    /// When this node last failed to connect to the worker.
     pub failed_at: Option<Monotonic>,
 }
 
 impl Worker {
-    /// Online requests that it holds, as far as known: the report's, or this node's own if those
-    /// are more, since a report lags behind.
+    /// Returns the estimated number of online requests at the worker: that of the report, or of
+    /// this node's own requests if there are more, since a report lags behind.
     pub fn online_load(&self) -> u32 {
         let reported = self.report.map_or(0, |(report, _)| {
             (report.running + report.waiting).saturating_sub(report.running_batch)
@@ -53,23 +53,23 @@
         reported.max(self.own_online)
     }
 
-    /// Requests the worker runs at once; 1 until it has reported.
+    /// Returns the number of requests that the worker runs concurrently; 1 until it has reported.
     pub fn slots(&self) -> u32 {
         self.report.map_or(1, |(report, _)| report.slots.max(1))
     }
 
-    /// Whether no connection to it failed a short while ago.
+    /// Returns whether no connection to the worker has failed recently.
     pub fn is_reachable(&self, now: Monotonic) -> bool {
         self.failed_at.is_none_or(|at| now >= at + FAILURE_PENALTY)
     }
 
-    /// Whether it serves `model`, as far as known.
+    /// Returns whether the worker serves `model`; true if it does not report its models.
     pub fn serves(&self, model: &ModelName) -> bool {
         self.models.is_empty() || self.models.contains(model)
     }
 }
 
-/// Every worker that a node knows.
+/// All workers that a node knows.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerTable {
     version: u64,
@@ -77,11 +77,11 @@
     leaving: BTreeSet<(WorkerId, SocketAddr)>,
 }
 
-/// A worker that could not be connected to is passed over for this long, unless none is left.
+/// Time for which a worker is avoided after a failed connection, unless no other worker is left.
 const FAILURE_PENALTY: Duration = Duration::from_millis(500);
 
 impl WorkerTable {
-    /// Takes over a machine list if it is newer than the one held; returns whether it was.
+    /// Applies a machine list if it is newer than the current one. Returns whether it was.
     pub fn apply_list(&mut self, list: &MachineList) -> bool {
         if list.version <= self.version {
             return false;
@@ -108,12 +108,12 @@
         true
     }
 
-    /// Version of the machine list held.
+    /// Returns the version of the current machine list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Records a report that was asked for at `asked_at`.
+    /// Records a report that was requested at `asked_at`.
     pub fn record_report(
         &mut self,
         id: &WorkerId,
@@ -132,12 +132,13 @@
         }
     }
 
-    /// Records that a worker at an address takes nothing new, learnt from another node.
+    /// Records that a worker at an address accepts no new requests, as learned from another node.
     pub fn mark_leaving(&mut self, id: WorkerId, address: SocketAddr) {
         self.leaving.insert((id, address));
     }
 
-    /// Workers known to be leaving by their own word, for passing on.
+    /// Returns the workers that declared that they accept no new requests, so that other nodes can
+    /// be informed.
     pub fn self_declared_leaving(&self) -> impl Iterator<Item = &(WorkerId, SocketAddr)> {
         self.leaving.iter()
     }
@@ -149,14 +150,15 @@
         }
     }
 
-    /// Whether the worker may be given new work, by the list and by its own word.
+    /// Returns whether the worker accepts new requests, according to the machine list and to its
+    /// own reports.
     pub fn is_accepting(&self, worker: &Worker) -> bool {
         let key = (worker.machine.id.clone(), worker.machine.address);
         worker.machine.state == MachineState::Live && !self.leaving.contains(&key)
     }
 
-    /// Workers of a pool that may be given new work, those of `zone` first if any is there.
-    /// Recently unreachable ones are left out as long as others remain.
+    /// Returns the workers of a pool that accept new requests, only those in `zone` if there are
+    /// any. Recently unreachable workers are excluded as long as others remain.
     pub fn candidates(&self, pool: &PoolName, zone: &ZoneName, now: Monotonic) -> Vec<&Worker> {
         let accepting: Vec<&Worker> = self
             .workers
@@ -185,8 +187,9 @@
         }
     }
 
-    /// The workers of a pool in a zone among which a node chooses: all of them, or a stable subset
-    /// of `size` that differs from node to node, so that a node's costs do not grow with the fleet.
+    /// Returns the workers of a pool in a zone among which a node chooses: all of them, or a stable
+    /// subset of `size` that differs between nodes, so that the cost of a node does not grow with
+    /// the fleet.
     pub fn subset(
         &self,
         node: NodeId,
@@ -210,17 +213,17 @@
         weighted.into_iter().map(|(_, id)| id.clone()).collect()
     }
 
-    /// A worker by name.
+    /// Returns a worker by its identifier.
     pub fn get(&self, id: &WorkerId) -> Option<&Worker> {
         self.workers.get(id)
     }
 
-    /// A worker by name, for counting this node's own requests.
+    /// Returns a worker by its identifier, to update the count of this node's requests.
     pub fn get_mut(&mut self, id: &WorkerId) -> Option<&mut Worker> {
         self.workers.get_mut(id)
     }
 
-    /// Every worker.
+    /// Iterates over all workers.
     pub fn iter(&self) -> impl Iterator<Item = &Worker> {
         self.workers.values()
     }
