--- a/crates/swiftshunt-scheduler/tests/admission.rs
+++ b/crates/swiftshunt-scheduler/tests/admission.rs
@@ -1,4 +1,4 @@
-//! When a request goes on looking for a worker, and when refused callers come back.
+//! Tests when a request without a worker retries placement, and when refused callers should retry.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 use test_case::test_case;
 
-const MIDDLE: f64 = 0.5;
+const MEAN_DRAW: f64 = 0.5;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -25,15 +25,16 @@
     }
 }
 
-/// However much of the objective is over: a caller that is refused has one try less.
+/// A refusal costs the caller one of its attempts, so a request waits for full workers for one slot
+/// time, however much of its latency objective has passed.
 #[test]
-fn a_request_waits_for_full_workers_until_their_slots_have_turned_over() {
+fn a_request_waits_for_full_workers_for_one_slot_time() {
     let full = |waited, time_left| {
         let situation = Situation {
             waited: ms(waited),
             ..situation(Obstacle::Full, time_left)
         };
-        decide(&situation, MIDDLE)
+        decide(&situation, MEAN_DRAW)
     };
     assert_eq!(full(0, 5_000), Decision::AskAgain(ms(25)));
     assert_eq!(full(690, 5_000), Decision::AskAgain(ms(25)));
@@ -41,32 +42,33 @@
 }
 
 #[test]
-fn a_request_that_would_not_be_done_in_its_time_is_refused_at_once() {
-    let wait = decide(&situation(Obstacle::Full, 730), MIDDLE);
+fn a_request_that_would_miss_its_deadline_is_refused_at_once() {
+    let wait = decide(&situation(Obstacle::Full, 730), MEAN_DRAW);
     assert_eq!(wait, Decision::AskAgain(ms(25)));
-    let refuse = decide(&situation(Obstacle::Full, 720), MIDDLE);
+    let refuse = decide(&situation(Obstacle::Full, 720), MEAN_DRAW);
     assert_eq!(refuse, Decision::Refuse(ms(240)));
 }
 
 #[test_case(Obstacle::NoWorker, 800; "no worker is listed")]
-#[test_case(Obstacle::Unreachable, 100; "none is reached from here")]
-fn what_cannot_be_served_here_is_refused_at_once(obstacle: Obstacle, come_back: u64) {
-    let decision = decide(&situation(obstacle, 5_000), MIDDLE);
-    assert_eq!(decision, Decision::Refuse(ms(come_back)));
+#[test_case(Obstacle::Unreachable, 100; "no worker is reachable from this node")]
+fn a_request_without_reachable_workers_is_refused_at_once(obstacle: Obstacle, retry_after: u64) {
+    let decision = decide(&situation(obstacle, 5_000), MEAN_DRAW);
+    assert_eq!(decision, Decision::Refuse(ms(retry_after)));
 }
 
-/// Callers who were refused come back ever later while an outage lasts, within their time.
+/// Retry-After grows with the age of an outage, within the caller's remaining time.
 #[test]
-fn come_back_times_follow_the_age_of_an_outage() {
-    let times =
-        [0, 500, 1_000, 2_000].map(|age| retry_after_log_outage(ms(age), ms(8_000), MIDDLE));
+fn retry_after_follows_the_age_of_an_outage() {
+    let times = [0, 500, 1_000, 2_000]
+        .map(|outage_age| retry_after_log_outage(ms(outage_age), ms(8_000), MEAN_DRAW));
     assert_eq!(times, [250, 500, 1_000, 2_000].map(ms));
-    // A caller that has the time for it is refused as often as the age doubles.
+    // A caller with enough time left is refused once for each doubling of the outage's age.
     let refusals = |outage: u64| {
-        let (mut age, mut refusals) = (200, 0);
-        while age < outage {
+        let (mut outage_age, mut refusals) = (200, 0);
+        while outage_age < outage {
             refusals += 1;
-            age += retry_after_log_outage(ms(age), ms(60_000), MIDDLE).as_millis() as u64;
+            outage_age +=
+                retry_after_log_outage(ms(outage_age), ms(60_000), MEAN_DRAW).as_millis() as u64;
         }
         refusals
     };
@@ -74,22 +76,22 @@
 }
 
 #[test]
-fn callers_of_a_gateway_that_starts_come_back_when_it_serves() {
-    assert_eq!(retry_after_startup(ms(100), MIDDLE), ms(800));
-    assert_eq!(retry_after_startup(ms(850), MIDDLE), ms(250));
-    assert_eq!(retry_after_startup(ms(4_900), MIDDLE), ms(4_000));
+fn retry_after_of_a_starting_gateway_ends_when_it_serves() {
+    assert_eq!(retry_after_startup(ms(100), MEAN_DRAW), ms(800));
+    assert_eq!(retry_after_startup(ms(850), MEAN_DRAW), ms(250));
+    assert_eq!(retry_after_startup(ms(4_900), MEAN_DRAW), ms(4_000));
 }
 
 proptest! {
-    /// No come-back time takes more than a third of a caller's time, and those of two callers
-    /// differ.
+    /// No Retry-After takes more than a third of a caller's remaining time, and callers with
+    /// different draws get different times.
     #[test]
-    fn come_back_times_fit_and_spread(age in 0_u64..60_000, left in 0_u64..60_000, draws in (0.0..0.4_f64, 0.6..1.0_f64)) {
+    fn retry_after_fits_the_remaining_time_and_is_jittered(outage_age in 0_u64..60_000, left in 0_u64..60_000, draws in (0.0..0.4_f64, 0.6..1.0_f64)) {
         let (one, other) = draws;
-        for time in [retry_after_log_outage(ms(age), ms(left), other), retry_after_route_limit(ms(left), other)] {
+        for time in [retry_after_log_outage(ms(outage_age), ms(left), other), retry_after_route_limit(ms(left), other)] {
             prop_assert!(time <= ms(left) / 3);
         }
         prop_assert!(retry_after_elsewhere(one) < retry_after_elsewhere(other));
-        prop_assert!(retry_after_log_outage(ms(age), ms(1 << 40), one) < retry_after_log_outage(ms(age), ms(1 << 40), other));
+        prop_assert!(retry_after_log_outage(ms(outage_age), ms(1 << 40), one) < retry_after_log_outage(ms(outage_age), ms(1 << 40), other));
     }
 }
--- a/crates/swiftshunt-scheduler/tests/cold.rs
+++ b/crates/swiftshunt-scheduler/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Which workers are cold, or may be, and what follows for placing and sending.
+//! Tests which workers count as cold, and what follows for placement and sends.
 
 use std::time::Duration;
 
@@ -10,12 +10,13 @@
 use swiftshunt_topology::Residency;
 
 const START: Duration = Duration::from_secs(100);
-/// When the entry of a worker listed at `START` is sure to tell whether it is cold.
-const TOLD: Duration = Duration::from_secs(103);
-const LASTS: Duration = Duration::from_secs(3);
+/// Time at which the entry of a worker that is listed at `START` is certain to say whether the
+/// worker is cold.
+const ENTRY_SETTLED: Duration = Duration::from_secs(103);
+const COLD_PERIOD: Duration = Duration::from_secs(3);
 
 fn bound() -> ColdBound {
-    ColdBound::new(LASTS, 5.5, 1.5, 5.0)
+    ColdBound::new(COLD_PERIOD, 5.5, 1.5, 5.0)
 }
 
 fn entry(id: &str, cold_left: Duration) -> WorkerEntry {
@@ -27,7 +28,7 @@
         incarnation: life.incarnation(),
         life,
         service: "s".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("parse the worker's address"),
         zone: "a".to_owned(),
         slots: 4,
         availability: Availability::Ready,
@@ -59,116 +60,122 @@
     selector.choose("s", &demand(), &tried, now)
 }
 
-fn one(selector: &Selector, now: Duration) -> ChosenWorker {
-    choose(selector, &["two"], now).expect("a worker")
+fn choose_one(selector: &Selector, now: Duration) -> ChosenWorker {
+    choose(selector, &["two"], now).expect("choose a worker")
 }
 
-fn leaves(selector: &mut Selector, outcome: AttemptOutcome, now: Duration) {
-    let chosen = one(selector, now);
+fn record_attempt(selector: &mut Selector, outcome: AttemptOutcome, now: Duration) {
+    let chosen = choose_one(selector, now);
     selector.record_send(&chosen, &demand(), now);
     selector.record_outcome(&chosen, Class::Online, outcome, false, Duration::ZERO, now);
 }
 
 #[test]
-fn a_worker_that_was_just_listed_may_be_cold() {
+fn a_worker_that_was_just_listed_counts_as_possibly_cold() {
     let selector = selector();
     assert_eq!(selector.warmup_state("one", START), WarmupState::Unknown);
     assert_eq!(
-        selector.required_cold_bound(&one(&selector, START), START),
+        selector.required_cold_bound(&choose_one(&selector, START), START),
         Some(bound())
     );
-    assert_eq!(selector.warmup_state("one", TOLD), WarmupState::Warm);
     assert_eq!(
-        selector.required_cold_bound(&one(&selector, TOLD), TOLD),
+        selector.warmup_state("one", ENTRY_SETTLED),
+        WarmupState::Warm
+    );
+    assert_eq!(
+        selector.required_cold_bound(&choose_one(&selector, ENTRY_SETTLED), ENTRY_SETTLED),
         None
     );
 }
 
 #[test]
-fn nothing_is_asked_for_where_no_cold_rate_is_known() {
+fn no_permit_is_required_without_a_cold_bound() {
     let mut selector = selector();
     selector.set_cold_bound("s", None);
-    selector.apply_entry(entry("one", LASTS), START);
+    selector.apply_entry(entry("one", COLD_PERIOD), START);
     assert_eq!(
-        selector.required_cold_bound(&one(&selector, START), START),
+        selector.required_cold_bound(&choose_one(&selector, START), START),
         None
     );
 }
 
 #[test]
-fn a_zone_whose_evacuation_was_withdrawn_may_be_cold() {
+fn workers_of_a_zone_whose_evacuation_was_withdrawn_may_be_cold() {
     let mut selector = selector();
-    selector.evacuate("a", TOLD);
-    let back = TOLD + Duration::from_secs(8);
-    selector.withdraw_evacuation("a", back);
+    selector.evacuate("a", ENTRY_SETTLED);
+    let withdrawn_at = ENTRY_SETTLED + Duration::from_secs(8);
+    selector.withdraw_evacuation("a", withdrawn_at);
     assert_eq!(
-        selector.warmup_state("one", back + LASTS),
+        selector.warmup_state("one", withdrawn_at + COLD_PERIOD),
         WarmupState::Unknown
     );
-    let over = back + LASTS * 2;
-    assert_eq!(selector.warmup_state("one", over), WarmupState::Warm);
+    let cold_period_end = withdrawn_at + COLD_PERIOD * 2;
+    assert_eq!(
+        selector.warmup_state("one", cold_period_end),
+        WarmupState::Warm
+    );
 }
 
 #[test]
-fn a_worker_that_could_not_be_reached_may_be_cold_until_it_has_answered_for_a_while() {
+fn a_worker_that_failed_may_be_cold_until_a_cold_period_after_its_next_response() {
     for outcome in [
         AttemptOutcome::Unreachable,
         AttemptOutcome::Broken,
         AttemptOutcome::TimedOut,
     ] {
         let mut selector = selector();
-        leaves(&mut selector, outcome, TOLD);
-        let later = TOLD + Duration::from_secs(60);
+        record_attempt(&mut selector, outcome, ENTRY_SETTLED);
+        let later = ENTRY_SETTLED + Duration::from_secs(60);
         assert_eq!(selector.warmup_state("one", later), WarmupState::Unknown);
-        leaves(&mut selector, AttemptOutcome::Answered, later);
-        let soon = later + LASTS / 2;
+        record_attempt(&mut selector, AttemptOutcome::Answered, later);
+        let soon = later + COLD_PERIOD / 2;
         assert_eq!(selector.warmup_state("one", soon), WarmupState::Unknown);
         assert_eq!(
-            selector.warmup_state("one", later + LASTS),
+            selector.warmup_state("one", later + COLD_PERIOD),
             WarmupState::Warm
         );
     }
 }
 
 #[test]
-fn an_entry_that_is_cold_again_is_news_and_one_of_the_same_cold_time_is_not() {
+fn only_an_entry_with_a_later_end_extends_the_cold_period() {
     let mut selector = selector();
-    selector.apply_entry(entry("one", LASTS), TOLD);
+    selector.apply_entry(entry("one", COLD_PERIOD), ENTRY_SETTLED);
     let second = Duration::from_secs(1);
-    let same = entry("one", LASTS - second);
-    assert!(!selector.extends_cold_period(&same, TOLD + second));
-    let again = entry("one", LASTS);
-    assert!(selector.extends_cold_period(&again, TOLD + second));
+    let same = entry("one", COLD_PERIOD - second);
+    assert!(!selector.extends_cold_period(&same, ENTRY_SETTLED + second));
+    let again = entry("one", COLD_PERIOD);
+    assert!(selector.extends_cold_period(&again, ENTRY_SETTLED + second));
 }
 
 #[test]
-fn a_worker_without_starts_is_passed_over_until_there_may_be_one() {
+fn a_cold_worker_without_permits_is_not_chosen_until_there_may_be_one() {
     let mut selector = selector();
-    selector.apply_entry(entry("one", LASTS), TOLD);
-    selector.apply_entry(entry("two", LASTS), TOLD);
-    let until = TOLD + Duration::from_millis(100);
+    selector.apply_entry(entry("one", COLD_PERIOD), ENTRY_SETTLED);
+    selector.apply_entry(entry("two", COLD_PERIOD), ENTRY_SETTLED);
+    let until = ENTRY_SETTLED + Duration::from_millis(100);
     selector.record_no_permits_until("one", until);
-    let chosen = choose(&selector, &[], TOLD).expect("the other one");
+    let chosen = choose(&selector, &[], ENTRY_SETTLED).expect("choose the worker that has permits");
     assert_eq!(chosen.incarnation, "two");
-    assert_eq!(choose(&selector, &["two"], TOLD), None);
+    assert_eq!(choose(&selector, &["two"], ENTRY_SETTLED), None);
     assert!(choose(&selector, &["two"], until).is_some());
 }
 
 #[test]
-fn a_warm_worker_is_not_passed_over_for_want_of_starts() {
+fn a_warm_worker_without_permits_is_chosen() {
     let mut selector = selector();
-    selector.record_no_permits_until("one", TOLD + LASTS);
-    assert!(choose(&selector, &["two"], TOLD).is_some());
+    selector.record_no_permits_until("one", ENTRY_SETTLED + COLD_PERIOD);
+    assert!(choose(&selector, &["two"], ENTRY_SETTLED).is_some());
 }
 
 #[test]
-fn the_owner_of_slots_assigns_a_cold_worker_at_its_pace_and_a_warm_one_at_any() {
+fn a_slot_owner_limits_assignments_to_a_cold_worker_only() {
     let mut selector = selector();
     let key = WorkerKey::of("one");
-    selector.apply_entry(entry("one", LASTS), TOLD);
+    selector.apply_entry(entry("one", COLD_PERIOD), ENTRY_SETTLED);
     let mut assigned = 0_u32;
     for millisecond in 0..2_000 {
-        let now = TOLD + Duration::from_millis(millisecond);
+        let now = ENTRY_SETTLED + Duration::from_millis(millisecond);
         if selector.is_assignable(key, "s", now) {
             selector.record_assignment(key, "s", now);
             assigned += 1;
@@ -178,9 +185,9 @@
     let allowed = (steady - 1.0)..=(steady + 3.0);
     assert!(
         allowed.contains(&f64::from(assigned)),
-        "{assigned} assigned"
+        "{assigned} requests assigned, {allowed:?} allowed"
     );
-    let warm = TOLD + LASTS * 2;
+    let warm = ENTRY_SETTLED + COLD_PERIOD * 2;
     for _ in 0..100 {
         assert!(selector.is_assignable(key, "s", warm));
         selector.record_assignment(key, "s", warm);
--- a/crates/swiftshunt-scheduler/tests/cold_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/cold_simulation.rs
@@ -1,5 +1,6 @@
-//! Thousands of seeded days on which nodes send all that they may to one cold worker, while nodes die, start anew,
-//! come, go and are cut off, questions and sends are delayed or lost, and views differ, against an exact count.
+//! Simulates, with thousands of seeds, nodes that send as many requests as permitted to one cold
+//! worker. Nodes stop, restart, join, leave and are partitioned; permit requests and sends are
+//! delayed or lost; and the nodes' views differ. The sends are compared with an exact count.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,58 +13,58 @@
 use swiftshunt_scheduler::cold::{ColdBound, START_PERMIT_TTL};
 
 const SEEDS: u64 = 3_000;
-const DAY: u64 = 20_000_000;
+const RUN_TIME: u64 = 20_000_000;
 const SECOND: u64 = 1_000_000;
-/// Time within which nodes learn that another one has come.
-const COMING_TOLD: u64 = 1_500_000;
-/// The same of one that has gone.
-const GOING_TOLD: u64 = 3_500_000;
-const LOST: f64 = 0.02;
+/// Time within which nodes learn that another node has joined, in microseconds.
+const MAX_JOIN_LAG: u64 = 1_500_000;
+/// Time within which nodes learn that another node has left, in microseconds.
+const MAX_LEAVE_LAG: u64 = 3_500_000;
+const LOSS_RATE: f64 = 0.02;
 const WORKER: &str = "worker";
 
-/// When a node is there, in microseconds.
+/// A simulated node; times are in microseconds.
 struct Node {
     address: SocketAddr,
-    comes: u64,
-    goes: u64,
-    /// Starts anew after a kill: what it handed out is forgotten.
+    joins_at: u64,
+    leaves_at: u64,
+    /// Times of restarts after a kill, at which the node forgets the permits that it issued.
     restarts: Vec<u64>,
-    /// When it reaches no other node.
-    cuts: Vec<(u64, u64)>,
-    starts: PermitIssuer,
-    lives: usize,
+    /// Periods in which the node cannot reach other nodes.
+    partitions: Vec<(u64, u64)>,
+    permits: PermitIssuer,
+    seen_restarts: usize,
 }
 
-/// When a node sees that another one comes and goes.
+/// When a node learns that another node joins and leaves.
 #[derive(Clone, Copy)]
-struct Sight {
-    comes: u64,
-    goes: u64,
+struct MembershipView {
+    joins_at: u64,
+    leaves_at: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A node wants to send.
-    Wants { node: usize },
-    /// A question reaches a keeper.
-    Asks {
+    /// A node has a request to send.
+    WantToSend { node: usize },
+    /// A permit request reaches an issuer.
+    RequestPermit {
         issuer: usize,
         node: usize,
-        asked_at: u64,
+        requested_at: u64,
     },
-    /// A request is written to the worker.
-    Sends { asked_at: u64 },
+    /// A node sends a request to the worker.
+    Send { requested_at: u64 },
 }
 
-struct World {
+struct Simulation {
     random: StdRng,
     bound: ColdBound,
     nodes: Vec<Node>,
-    /// What each node sees of each.
-    sights: Vec<Vec<Sight>>,
+    /// What each node knows of each other node, by the indices of both.
+    views: Vec<Vec<MembershipView>>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     last_event: u64,
-    /// When requests were sent, and when they arrived.
+    /// Send time and arrival time of each request.
     sends: Vec<(u64, u64)>,
 }
 
@@ -71,48 +72,52 @@
     Duration::from_micros(micros)
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
-        let bears = random.random_range(0.5..8.0);
+        let sustained = random.random_range(0.5..8.0);
         let share = random.random_range(1.0..2.0);
         let requests = f64::from(random.random_range(0..8_u32));
         let count: usize = random.random_range(2..14);
         let mut nodes = Vec::new();
-        let mut sights = Vec::new();
+        let mut views = Vec::new();
         for index in 0..count {
             let node = node(&mut random, index);
             nodes.push(node);
         }
-        for seer in 0..count {
-            let seen = nodes.iter().enumerate().map(|(index, node)| Sight {
-                comes: if index == seer {
-                    0
-                } else {
-                    node.comes + random.random_range(0..COMING_TOLD)
-                },
-                goes: if index == seer {
-                    u64::MAX
-                } else {
-                    node.goes.saturating_add(random.random_range(0..GOING_TOLD))
-                },
-            });
-            sights.push(seen.collect());
+        for observer in 0..count {
+            let visible = nodes
+                .iter()
+                .enumerate()
+                .map(|(index, node)| MembershipView {
+                    joins_at: if index == observer {
+                        0
+                    } else {
+                        node.joins_at + random.random_range(0..MAX_JOIN_LAG)
+                    },
+                    leaves_at: if index == observer {
+                        u64::MAX
+                    } else {
+                        node.leaves_at
+                            .saturating_add(random.random_range(0..MAX_LEAVE_LAG))
+                    },
+                });
+            views.push(visible.collect());
         }
-        let mut world = Self {
+        let mut simulation = Self {
             random,
-            bound: ColdBound::new(Duration::from_secs(3), bears, share, requests),
+            bound: ColdBound::new(Duration::from_secs(3), sustained, share, requests),
             nodes,
-            sights,
+            views,
             events: BinaryHeap::new(),
             last_event: 0,
             sends: Vec::new(),
         };
         for node in 0..count {
-            let first = world.random.random_range(0..50_000);
-            world.add(first, Event::Wants { node });
+            let first = simulation.random.random_range(0..50_000);
+            simulation.add(first, Event::WantToSend { node });
         }
-        world
+        simulation
     }
 
     fn add(&mut self, at: u64, event: Event) {
@@ -120,26 +125,27 @@
         self.events.push(Reverse((at, self.last_event, event)));
     }
 
-    fn is_there(&self, node: usize, now: u64) -> bool {
+    fn is_running(&self, node: usize, now: u64) -> bool {
         let node = &self.nodes[node];
         let is_down = |at: &u64| (*at..*at + 200_000).contains(&now);
-        (node.comes..node.goes).contains(&now) && !node.restarts.iter().any(is_down)
+        (node.joins_at..node.leaves_at).contains(&now) && !node.restarts.iter().any(is_down)
     }
 
-    fn is_cut(&self, node: usize, now: u64) -> bool {
-        let cuts = &self.nodes[node].cuts;
-        cuts.iter()
+    fn is_partitioned(&self, node: usize, now: u64) -> bool {
+        let partitions = &self.nodes[node].partitions;
+        partitions
+            .iter()
             .any(|(from, until)| (*from..*until).contains(&now))
     }
 
-    /// The keepers as a node sees them.
-    fn issuers(&self, seer: usize, now: u64) -> Vec<usize> {
-        let sights = self.sights[seer].iter().zip(&self.nodes);
-        let seen = sights.filter(|(sight, _)| {
-            let remembered = UNLISTED_NODE_TTL.as_micros() as u64;
-            (sight.comes..sight.goes.saturating_add(remembered)).contains(&now)
+    /// Returns the permit issuers in the view of a node.
+    fn issuers(&self, observer: usize, now: u64) -> Vec<usize> {
+        let views = self.views[observer].iter().zip(&self.nodes);
+        let visible = views.filter(|(view, _)| {
+            let unlisted_ttl = UNLISTED_NODE_TTL.as_micros() as u64;
+            (view.joins_at..view.leaves_at.saturating_add(unlisted_ttl)).contains(&now)
         });
-        let issuers = permit_issuers(WORKER, seen.map(|(_, node)| node.address));
+        let issuers = permit_issuers(WORKER, visible.map(|(_, node)| node.address));
         let index = |address: &SocketAddr| {
             let mut nodes = self.nodes.iter();
             nodes.position(|node| node.address == *address)
@@ -147,8 +153,8 @@
         issuers.iter().filter_map(index).collect()
     }
 
-    /// Ways are short but for some that are long.
-    fn way(&mut self) -> u64 {
+    /// Returns a network delay; one in twenty is long.
+    fn delay(&mut self) -> u64 {
         if self.random.random_bool(0.05) {
             self.random.random_range(0..120_000)
         } else {
@@ -156,32 +162,32 @@
         }
     }
 
-    fn wants(&mut self, node: usize, now: u64) {
+    fn want_to_send(&mut self, node: usize, now: u64) {
         let pause = self.random.random_range(2_000..60_000);
-        self.add(now + pause, Event::Wants { node });
-        if !self.is_there(node, now) {
+        self.add(now + pause, Event::WantToSend { node });
+        if !self.is_running(node, now) {
             return;
         }
         for issuer in self.issuers(node, now) {
-            let is_cut = self.is_cut(node, now) || self.is_cut(issuer, now);
-            if issuer != node && (is_cut || self.random.random_bool(LOST)) {
+            let is_partitioned = self.is_partitioned(node, now) || self.is_partitioned(issuer, now);
+            if issuer != node && (is_partitioned || self.random.random_bool(LOSS_RATE)) {
                 continue;
             }
-            let way = if issuer == node { 0 } else { self.way() };
-            let asked_at = now;
+            let delay = if issuer == node { 0 } else { self.delay() };
+            let requested_at = now;
             self.add(
-                now + way,
-                Event::Asks {
+                now + delay,
+                Event::RequestPermit {
                     issuer,
                     node,
-                    asked_at,
+                    requested_at,
                 },
             );
         }
     }
 
-    fn asks(&mut self, issuer: usize, node: usize, asked_at: u64, now: u64) {
-        if !self.is_there(issuer, now) {
+    fn request_permit(&mut self, issuer: usize, node: usize, requested_at: u64, now: u64) {
+        if !self.is_running(issuer, now) {
             return;
         }
         let rank = self
@@ -191,56 +197,59 @@
         let Some(rank) = rank else {
             return;
         };
-        let lives = &mut self.nodes[issuer];
-        let life = lives.restarts.iter().filter(|at| **at <= now).count();
-        if life != lives.lives {
-            lives.lives = life;
-            let began = lives.restarts.iter().rev().find(|at| **at <= now);
-            lives.starts = PermitIssuer::new(time(began.copied().unwrap_or_default()));
+        let issuer_node = &mut self.nodes[issuer];
+        let restart_count = issuer_node.restarts.iter().filter(|at| **at <= now).count();
+        if restart_count != issuer_node.seen_restarts {
+            issuer_node.seen_restarts = restart_count;
+            let restarted_at = issuer_node.restarts.iter().rev().find(|at| **at <= now);
+            issuer_node.permits =
+                PermitIssuer::new(time(restarted_at.copied().unwrap_or_default()));
         }
         let bound = self.bound;
-        let handed_out = lives.starts.issue_permit(WORKER, &bound, rank, time(now));
-        if handed_out.is_err() {
+        let issued = issuer_node
+            .permits
+            .issue_permit(WORKER, &bound, rank, time(now));
+        if issued.is_err() {
             return;
         }
-        let back = if issuer == node { 0 } else { self.way() };
-        // It is sent at any moment of its life: at once, held up, or at its end.
-        let life = START_PERMIT_TTL.as_micros() as u64;
-        let held_up = match self.random.random_range(0..3) {
+        let back = if issuer == node { 0 } else { self.delay() };
+        // The permit is used at any moment of its lifetime: at once, after a delay, or at its end.
+        let lifetime = START_PERMIT_TTL.as_micros() as u64;
+        let wait = match self.random.random_range(0..3) {
             0 => 0,
-            1 => self.random.random_range(0..life),
-            _ => (asked_at + life - 1).saturating_sub(now + back),
+            1 => self.random.random_range(0..lifetime),
+            _ => (requested_at + lifetime - 1).saturating_sub(now + back),
         };
-        self.add(now + back + held_up, Event::Sends { asked_at });
+        self.add(now + back + wait, Event::Send { requested_at });
     }
 
-    fn sends(&mut self, asked_at: u64, now: u64) {
-        if now >= asked_at + START_PERMIT_TTL.as_micros() as u64 {
+    fn send(&mut self, requested_at: u64, now: u64) {
+        if now >= requested_at + START_PERMIT_TTL.as_micros() as u64 {
             return;
         }
-        let arrives = now + self.way();
+        let arrives = now + self.delay();
         self.sends.push((now, arrives));
     }
 
-    fn play(&mut self) {
+    fn run(&mut self) {
         while let Some(Reverse((now, _, event))) = self.events.pop() {
-            if now >= DAY {
+            if now >= RUN_TIME {
                 return;
             }
             match event {
-                Event::Wants { node } => self.wants(node, now),
-                Event::Asks {
+                Event::WantToSend { node } => self.want_to_send(node, now),
+                Event::RequestPermit {
                     issuer,
                     node,
-                    asked_at,
-                } => self.asks(issuer, node, asked_at, now),
-                Event::Sends { asked_at } => self.sends(asked_at, now),
+                    requested_at,
+                } => self.request_permit(issuer, node, requested_at, now),
+                Event::Send { requested_at } => self.send(requested_at, now),
             }
         }
     }
 
-    /// Most requests that were sent and arrived within one second.
-    fn most_in_a_second(&self) -> usize {
+    /// Returns the largest number of requests that were sent and arrived within the same second.
+    fn max_requests_in_one_second(&self) -> usize {
         let seconds = self.sends.iter().map(|(from, _)| {
             let until = from + SECOND;
             let is_within = |(sent, arrived): &&(u64, u64)| sent >= from && *arrived <= until;
@@ -252,59 +261,64 @@
 
 fn node(random: &mut StdRng, index: usize) -> Node {
     let address = SocketAddr::from(([10, 0, 0, 1], 1_000 + index as u16));
-    let comes = if random.random_bool(0.3) {
-        random.random_range(0..DAY)
+    let joins_at = if random.random_bool(0.3) {
+        random.random_range(0..RUN_TIME)
     } else {
         0
     };
-    let goes = if random.random_bool(0.2) {
-        random.random_range(comes..DAY)
+    let leaves_at = if random.random_bool(0.2) {
+        random.random_range(joins_at..RUN_TIME)
     } else {
         u64::MAX
     };
     let restarts = if random.random_bool(0.3) {
-        let mut restarts: Vec<u64> = (0..2).map(|_| random.random_range(comes..DAY)).collect();
+        let mut restarts: Vec<u64> = (0..2)
+            .map(|_| random.random_range(joins_at..RUN_TIME))
+            .collect();
         restarts.sort_unstable();
         restarts
     } else {
         Vec::new()
     };
-    let cut_at = random.random_range(0..DAY);
-    let cuts = if random.random_bool(0.4) {
-        vec![(cut_at, cut_at + random.random_range(0..5 * SECOND))]
+    let partition_start = random.random_range(0..RUN_TIME);
+    let partitions = if random.random_bool(0.4) {
+        vec![(
+            partition_start,
+            partition_start + random.random_range(0..5 * SECOND),
+        )]
     } else {
         Vec::new()
     };
     Node {
         address,
-        comes,
-        goes,
+        joins_at,
+        leaves_at,
         restarts,
-        cuts,
-        starts: PermitIssuer::new(time(comes)),
-        lives: 0,
+        partitions,
+        permits: PermitIssuer::new(time(joins_at)),
+        seen_restarts: 0,
     }
 }
 
 #[test]
-fn a_cold_worker_never_gets_more_in_a_second_than_it_may() {
+fn a_cold_worker_never_gets_more_requests_in_a_second_than_the_bound() {
     let mut sent = 0;
     for seed in 0..SEEDS {
-        let mut world = World::new(seed);
-        world.play();
-        let most = world.most_in_a_second();
-        let bound = world.bound.max_in_one_second;
+        let mut simulation = Simulation::new(seed);
+        simulation.run();
+        let most = simulation.max_requests_in_one_second();
+        let bound = simulation.bound.max_in_one_second;
         assert!(
             most as f64 <= bound,
-            "seed {seed}: {most} in a second, {bound} allowed"
+            "seed {seed}: {most} requests in one second, {bound} allowed"
         );
-        sent += world.sends.len();
+        sent += simulation.sends.len();
     }
-    println!("{sent} requests were sent on {SEEDS} days");
+    println!("{sent} requests were sent in {SEEDS} simulated runs");
 }
 
 #[test]
-fn what_the_bound_allows_is_used() {
+fn two_issuers_issue_at_least_the_sustained_rate() {
     let bound = ColdBound::new(Duration::from_secs(3), 5.5, 1.5, 5.0);
     let mut issuers = [
         PermitIssuer::new(Duration::ZERO),
@@ -318,44 +332,45 @@
             sent += u32::from(issuer.issue_permit(WORKER, &bound, rank, now).is_ok());
         }
     }
-    let bears = 5.5 * 3.0;
+    let sustained = 5.5 * 3.0;
     assert!(
-        f64::from(sent) >= bears,
-        "{sent} starts in three seconds, {bears} borne"
+        f64::from(sent) >= sustained,
+        "{sent} permits in three seconds, the worker sustains {sustained}"
     );
 }
 
-/// All that is handed out within a second and the life of a start may be sent within one second.
+/// Permits that are issued within one second plus the lifetime of a permit may all be used within
+/// one second.
 #[test]
-fn no_more_than_the_bound_is_handed_out_for_any_one_second() {
+fn permits_for_sends_in_one_second_stay_within_the_bound() {
     let window = Duration::from_secs(1) + START_PERMIT_TTL;
-    for bears in [1.0, 5.5, 20.0, 60.0] {
+    for sustained in [1.0, 5.5, 20.0, 60.0] {
         for requests in [0.0, 2.0, 5.0, 12.0] {
-            let bound = ColdBound::new(Duration::from_secs(3), bears, 1.5, requests);
+            let bound = ColdBound::new(Duration::from_secs(3), sustained, 1.5, requests);
             let mut issuers = [
                 PermitIssuer::new(Duration::ZERO),
                 PermitIssuer::new(Duration::ZERO),
             ];
-            let mut handed_out = Vec::new();
+            let mut issued = Vec::new();
             for step in 0..6_000 {
                 let now = Duration::from_secs(10) + Duration::from_millis(step);
                 for (rank, issuer) in issuers.iter_mut().enumerate() {
                     while issuer.issue_permit(WORKER, &bound, rank, now).is_ok() {
-                        handed_out.push(now);
+                        issued.push(now);
                     }
                 }
             }
             let within = |from: &Duration| {
-                let times = handed_out.iter();
+                let times = issued.iter();
                 times
                     .filter(|at| (*from..=*from + window).contains(at))
                     .count()
             };
-            let most = handed_out.iter().map(within).max().unwrap_or_default();
+            let most = issued.iter().map(within).max().unwrap_or_default();
             let allowed = bound.max_in_one_second;
             assert!(
                 most as f64 <= allowed,
-                "{most} within {window:?}, {allowed} allowed"
+                "{most} permits within {window:?}, {allowed} allowed"
             );
         }
     }
--- a/crates/swiftshunt-scheduler/tests/decisions.rs
+++ b/crates/swiftshunt-scheduler/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of the scheduler: grants, placement, targets, limits, order among jobs.
+//! Tests the scheduler's decisions: grants, placement, targets, limits and the order of jobs.
 
 use std::time::Duration;
 
@@ -29,17 +29,17 @@
 }
 
 proptest! {
-    /// Whoever asks in whatever order, no engine is granted beyond its allowance.
+    /// In any order of requests from any holders, no engine is granted beyond its allowance.
     #[test]
     fn grants_never_exceed_allowances(
         slots in prop::collection::vec(0_u32..20, 1..6),
-        asks in prop::collection::vec((0_u64..5, 0_u32..40, 0_u64..400), 1..60),
+        renewals in prop::collection::vec((0_u64..5, 0_u32..40, 0_u64..400), 1..60),
     ) {
         let mut table = GrantTable::default();
         let allowances = allowances(&slots);
         let mut held = std::collections::BTreeMap::new();
         let mut now = NOW;
-        for (holder, wanted, pause) in asks {
+        for (holder, wanted, pause) in renewals {
             now += Duration::from_millis(pause);
             let grants = table.renew(NodeId(holder), wanted, &allowances, now, LIFETIME);
             prop_assert!(total(&grants) <= wanted);
@@ -51,15 +51,15 @@
                     .filter(|grant| grant.worker == *worker)
                     .map(|grant| grant.slots)
                     .sum();
-                prop_assert!(granted <= *allowed, "{granted} of {allowed} on {worker}");
+                prop_assert!(granted <= *allowed, "{granted} slots granted on {worker}, {allowed} allowed");
             }
         }
     }
 
-    /// Holders that renew get shares that differ by less than one slot for each holder: what cannot
-    /// be split goes to those that ask first.
+    /// The shares of holders that renew differ by less than one slot for each holder: the remainder
+    /// of an even split goes to the holders that ask first.
     #[test]
-    fn shares_even_out(holders in 1_u64..6, slots in 6_u32..40) {
+    fn shares_of_renewing_holders_even_out(holders in 1_u64..6, slots in 6_u32..40) {
         let mut table = GrantTable::default();
         let allowances = allowances(&[slots, slots]);
         let mut shares = Vec::new();
@@ -71,12 +71,12 @@
         let (least, most) = (shares.iter().min(), shares.iter().max());
         let spread = u64::from(most.unwrap_or(&0) - least.unwrap_or(&0));
         prop_assert!(spread < holders.max(2), "{shares:?}");
-        prop_assert_eq!(shares.iter().sum::<u32>(), slots * 2, "slots are left over: {:?}", shares);
+        prop_assert_eq!(shares.iter().sum::<u32>(), slots * 2, "slots are left unassigned: {:?}", shares);
     }
 }
 
 #[test]
-fn a_holder_keeps_its_engines() {
+fn a_holder_keeps_its_engines_on_renewal() {
     let mut table = GrantTable::default();
     let allowances = allowances(&[4, 4, 4]);
     let first = table.renew(NodeId(1), 6, &allowances, NOW, LIFETIME);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn expired_grants_are_given_to_others() {
+fn expired_grants_are_granted_to_other_holders() {
     let mut table = GrantTable::default();
     let allowances = allowances(&[4]);
     table.renew(NodeId(1), 4, &allowances, NOW, LIFETIME);
@@ -139,21 +139,23 @@
 }
 
 #[test]
-fn the_same_prefix_goes_to_the_same_engine_until_that_carries_too_much() {
+fn the_same_prefix_goes_to_the_same_engine_up_to_the_load_bound() {
     let mut table = table(4);
-    let home = place(&table, "prefix").expect("an engine");
-    assert_eq!(place(&table, "prefix"), Ok(home.clone()));
-    let index: usize = home.as_str()["engine-".len()..].parse().expect("an index");
+    let preferred = place(&table, "prefix").expect("choose an engine");
+    assert_eq!(place(&table, "prefix"), Ok(preferred.clone()));
+    let index: usize = preferred.as_str()["engine-".len()..]
+        .parse()
+        .expect("parse the engine's index");
     report(&mut table, index, 8);
     assert_ne!(
         place(&table, "prefix"),
-        Ok(home),
-        "affinity must not pile load up"
+        Ok(preferred),
+        "affinity kept a request at a worker above the load bound"
     );
 }
 
 #[test]
-fn full_engines_refuse() {
+fn full_engines_are_not_chosen() {
     let mut table = table(2);
     for engine in 0..2 {
         report(&mut table, engine, 1000);
@@ -162,21 +164,25 @@
 }
 
 #[test]
-fn an_older_list_changes_nothing() {
+fn an_older_machine_list_is_ignored() {
     let mut table = table(2);
     assert!(!table.apply_list(&MachineList::default()));
     assert_eq!(table.iter().count(), 2);
 }
 
 #[test]
-fn online_work_and_announced_work_leave_fewer_batch_slots() {
+fn online_load_and_announced_events_reduce_batch_slots() {
     let mut table = table(1);
     let config = SchedulerConfig::default();
     let slots = |table: &WorkerTable, expected| {
-        batch_slots(table.iter().next().expect("an engine"), expected, &config)
+        batch_slots(
+            table.iter().next().expect("get the engine"),
+            expected,
+            &config,
+        )
     };
-    assert_eq!(slots(&table, 0), 6, "a quarter is headroom");
-    assert_eq!(slots(&table, 4), 2, "an event announces four");
+    assert_eq!(slots(&table, 0), 6, "a quarter of the slots is headroom");
+    assert_eq!(slots(&table, 4), 2, "an event announces four slots");
     report(&mut table, 0, 5);
     assert_eq!(slots(&table, 0), 1);
 }
@@ -191,9 +197,9 @@
     }
 }
 
-#[test_case(1000 => Vec::<WorkerId>::new(); "too early")]
-#[test_case(1025 => vec![WorkerId::from("a2"), WorkerId::from("b1")]; "just in time, least loaded first")]
-fn loads_begin_backward_from_ready_by(now: u64) -> Vec<WorkerId> {
+#[test_case(1000 => Vec::<WorkerId>::new(); "no load before it is due")]
+#[test_case(1025 => vec![WorkerId::from("a2"), WorkerId::from("b1")]; "the least loaded engine of each zone when due")]
+fn loads_are_ordered_in_time_for_ready_by(now: u64) -> Vec<WorkerId> {
     let engines = [
         engine("a1", "a", false, false, 5),
         engine("a2", "a", false, false, 1),
@@ -206,7 +212,7 @@
         replicas: 1,
         ready_by: 1060,
     };
-    // Three loads of ten seconds through one store, with half as much again and two to spare.
+    // Three loads of ten seconds each through one store, times 1.5, plus two seconds.
     due_loads(&demand, &engines, 10.0, now)
 }
 
@@ -228,26 +234,29 @@
 }
 
 #[test]
-fn a_bucket_tells_when_the_next_token_comes() {
+fn a_bucket_returns_the_time_until_the_next_token() {
     let mut bucket = TokenBucket::full(2.0, NOW);
     assert_eq!(bucket.try_take(10.0, 2.0, NOW), Ok(()));
     assert_eq!(bucket.try_take(10.0, 2.0, NOW), Ok(()));
-    let wait = bucket.try_take(10.0, 2.0, NOW).expect_err("empty");
+    let wait = bucket
+        .try_take(10.0, 2.0, NOW)
+        .expect_err("take from an empty bucket");
     assert_eq!(bucket.try_take(10.0, 2.0, NOW + wait), Ok(()));
     assert!(
         bucket.try_take(0.0, 2.0, NOW + wait).is_err(),
-        "no rate, no token"
+        "a rate of zero returned a token"
     );
 }
 
 #[test]
-fn retries_are_a_share_of_first_tries() {
+fn retries_are_a_share_of_first_attempts() {
     let mut budget = RetryBudget::new(0.1, 2.0);
     let mut retries = 0;
     for _ in 0..100 {
         budget.record_first_attempt();
         retries += u32::from(budget.try_take_retry());
     }
-    // The first try finds the budget full, so a tenth of the other 99 is added to the burst.
+    // The budget is full at the first attempt, so a tenth of the other 99 attempts is added to the
+    // burst.
     assert_eq!(retries, 11);
 }
--- a/crates/swiftshunt-scheduler/tests/offers.rs
+++ b/crates/swiftshunt-scheduler/tests/offers.rs
@@ -1,4 +1,4 @@
-//! May this worker be offered this request now?
+//! Tests whether a request may be offered to a worker.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
         incarnation: life.incarnation(),
         life,
         service: "s".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("parse the worker's address"),
         zone: zone.to_owned(),
         slots: 4,
         availability,
@@ -38,11 +38,12 @@
     }
 }
 
-/// A worker in each of zones a and b of the north and c of the south, seen from a.
+/// Returns a selector of a node in zone a, with one worker in each of the zones a and b of the
+/// region north and c of the region south.
 fn selector() -> Selector {
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     let zones = zones.map(|(zone, name)| (zone.to_owned(), region(name)));
-    let topology = Topology::new("a", BTreeMap::from(zones)).expect("sound");
+    let topology = Topology::new("a", BTreeMap::from(zones)).expect("build the topology");
     let mut selector = Selector::with_topology(topology);
     for zone in ["a", "b", "c"] {
         selector.apply_entry(entry(zone, Availability::Ready), START);
@@ -64,9 +65,9 @@
     Residency::within([region("south")])
 }
 
-#[test_case(Residency::anywhere(), "in-a"; "the nearest one")]
-#[test_case(south(), "in-c"; "the only one in its region")]
-fn a_request_goes_to(residency: Residency, worker: &str) {
+#[test_case(Residency::anywhere(), "in-a"; "the nearest worker")]
+#[test_case(south(), "in-c"; "the only worker in the allowed region")]
+fn a_request_goes_to_the_nearest_allowed_worker(residency: Residency, worker: &str) {
     let chosen = selector().choose("s", &demand(residency), &[], START);
     assert_eq!(
         chosen.map(|chosen| chosen.incarnation).as_deref(),
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_worker_is_withheld_for_a_reason() {
+fn may_offer_returns_the_reason_against_a_worker() {
     let mut selector = selector();
     let anywhere = Residency::anywhere();
     assert_eq!(selector.may_offer("in-a", &anywhere), Ok(()));
@@ -93,7 +94,10 @@
         Err(Withheld::Leaving)
     );
     assert!(selector.evacuate("c", START));
-    assert!(!selector.evacuate("c", START), "no news");
+    assert!(
+        !selector.evacuate("c", START),
+        "a repeated evacuation counted as new"
+    );
     let evacuated = Withheld::Evacuated {
         zone: "c".to_owned(),
         since: START,
@@ -104,13 +108,13 @@
 }
 
 #[test]
-fn nothing_is_placed_in_an_evacuated_zone_by_any_way() {
+fn no_kind_of_placement_uses_an_evacuated_zone() {
     let mut selector = selector();
     let all = demand(south());
     let cell = selector
         .cells("s")
         .find(|cell| cell.region == Some(region("south")));
-    let cell = cell.expect("a cell in the south");
+    let cell = cell.expect("find a cell in the south");
     let key = WorkerKey::of("in-c");
     assert_eq!(selector.bids(&cell, &all, &[], START).len(), 1);
     selector.evacuate("c", START);
@@ -127,14 +131,14 @@
     let workers = selector.cell_workers(&cell, START);
     assert!(
         workers.iter().all(|worker| !worker.accepts_batch),
-        "items are granted it"
+        "a worker in an evacuated zone accepts batch items"
     );
     assert!(!selector.has_eligible_worker("s", &all.residency));
     assert!(selector.has_eligible_worker("s", &Residency::anywhere()));
 }
 
 #[test]
-fn cells_are_a_regions_own_where_there_are_several() {
+fn cells_do_not_span_regions() {
     let selector = selector();
     let regions: Vec<_> = selector.cells("s").map(|cell| cell.region).collect();
     assert_eq!(regions, [Some(region("north")), Some(region("south"))]);
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn a_worker_that_has_just_started_is_cold_for_a_while() {
+fn a_worker_is_cold_for_the_time_in_its_entry() {
     let mut selector = selector();
     let cold_left = Duration::from_secs(3);
     selector.apply_entry(
@@ -164,9 +168,9 @@
     assert_eq!(selector.warmup_state("nobody", START), WarmupState::Unknown);
 }
 
-/// Why a service is closed to a request decides what its caller is told.
+/// The reason why no worker is eligible decides the response to the caller.
 #[test]
-fn a_service_is_closed_for_a_reason() {
+fn service_obstacle_returns_the_reason_against_a_service() {
     let mut selector = selector();
     let anywhere = Residency::anywhere();
     let later = START + Duration::from_secs(9);
@@ -181,7 +185,7 @@
     let evacuated = Some(Obstacle::Evacuated { lasted });
     assert_eq!(selector.service_obstacle("s", &south(), later), evacuated);
     assert_eq!(selector.slots("s"), 8);
-    // The last of the zones closed it.
+    // The obstacle lasts since the evacuation of the last zone.
     let last = START + Duration::from_secs(4);
     selector.evacuate("a", last);
     selector.evacuate("b", last);
@@ -192,24 +196,30 @@
     assert_eq!(selector.service_obstacle("s", &anywhere, later), None);
 }
 
-/// Where a request goes whose own region has these workers tried and these cells full.
-#[test_case(&[], false, Some("in-a"); "the nearest one")]
-#[test_case(&["in-a"], false, Some("in-b"); "another of the region")]
-#[test_case(&["in-a", "in-b"], false, Some("in-c"); "another region, once none is left")]
-#[test_case(&[], true, None; "no other region, where only the owner knows whether it has room")]
-fn a_request_stays_in_its_region_while_it_can(tried: &[&str], is_full: bool, worker: Option<&str>) {
+/// Checks the worker of a request, given the workers that were tried and whether the cells of its
+/// own region are full.
+#[test_case(&[], false, Some("in-a"); "the nearest worker")]
+#[test_case(&["in-a"], false, Some("in-b"); "another worker of the region")]
+#[test_case(&["in-a", "in-b"], false, Some("in-c"); "another region once all workers of the own one were tried")]
+#[test_case(&[], true, None; "no other region while only the cells of the own one are full")]
+fn a_request_stays_in_its_region_while_an_untried_worker_is_there(
+    tried: &[&str],
+    is_full: bool,
+    worker: Option<&str>,
+) {
     let selector = selector();
     let tried: Vec<String> = tried.iter().map(|id| (*id).to_owned()).collect();
-    let north = selector.cells("s").next().expect("a cell");
+    let north = selector.cells("s").next().expect("find a cell");
     let full: Vec<_> = is_full.then_some(north).into_iter().collect();
     let anywhere = demand(Residency::anywhere());
     let chosen = selector.choose_outside_cells("s", &anywhere, &tried, &full, START);
     assert_eq!(chosen.map(|chosen| chosen.incarnation).as_deref(), worker);
 }
 
-/// Each region reads a shared beginning at a worker of its own, and all gateways of a region at the same one.
+/// Each region has its own affinity target for a shared prefix, and all gateways of a region choose
+/// the same one.
 #[test]
-fn a_shared_beginning_has_a_home_in_each_region() {
+fn a_shared_prefix_has_an_affinity_target_in_each_region() {
     let part = |id| PromptPart {
         id,
         tokens: 100_000,
@@ -221,8 +231,9 @@
         ("d", "south"),
     ];
     let zones = zones.map(|(zone, name)| (zone.to_owned(), region(name)));
-    let home_seen_from = |own: &str, id: u64| {
-        let topology = Topology::new(own, BTreeMap::from(zones.clone())).expect("sound");
+    let target_zone_seen_from = |own: &str, id: u64| {
+        let topology =
+            Topology::new(own, BTreeMap::from(zones.clone())).expect("build the topology");
         let mut selector = Selector::with_topology(topology);
         for zone in ["a", "b", "c", "d"] {
             selector.apply_entry(entry(zone, Availability::Ready), START);
@@ -232,27 +243,27 @@
             prompt_tokens: 200_000,
             ..demand(Residency::anywhere())
         };
-        let home = selector.choose_affinity_target("s", &demand, &[], &[], START);
-        home.expect("a home").zone
+        let affinity_target = selector.choose_affinity_target("s", &demand, &[], &[], START);
+        affinity_target.expect("choose an affinity target").zone
     };
     for id in 0..20 {
-        let north = home_seen_from("a", id);
+        let north = target_zone_seen_from("a", id);
         assert!(["a", "b"].contains(&north.as_str()), "{id}: {north}");
-        assert_eq!(north, home_seen_from("b", id));
-        let south = home_seen_from("c", id);
+        assert_eq!(north, target_zone_seen_from("b", id));
+        let south = target_zone_seen_from("c", id);
         assert!(["c", "d"].contains(&south.as_str()), "{id}: {south}");
-        assert_eq!(south, home_seen_from("d", id));
+        assert_eq!(south, target_zone_seen_from("d", id));
     }
 }
 
-/// One owner in each other region is told of a cell's room.
+/// In each other region, one owner is informed of a cell's free slots.
 #[test]
-fn a_cell_has_a_counterpart_in_each_other_region() {
+fn a_cell_has_one_counterpart_in_each_other_region() {
     let selector = selector();
     let cells: Vec<_> = selector.cells("s").collect();
     assert_eq!(selector.counterparts(&cells[0]), [cells[1].clone()]);
     let mut alone = Selector::new("a");
     alone.apply_entry(entry("a", Availability::Ready), START);
-    let cell = alone.cells("s").next().expect("a cell");
+    let cell = alone.cells("s").next().expect("find a cell");
     assert_eq!(alone.counterparts(&cell), []);
 }
--- a/crates/swiftshunt-scheduler/tests/selection.rs
+++ b/crates/swiftshunt-scheduler/tests/selection.rs
@@ -1,4 +1,4 @@
-//! The choice of a worker under a slow view.
+//! Tests the choice of a worker with a partly stale view of the load.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -21,7 +21,7 @@
         incarnation: life.incarnation(),
         life,
         service: "s".to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("parse the worker's address"),
         zone: zone.to_owned(),
         slots: 8,
         availability: Availability::Ready,
@@ -56,12 +56,15 @@
     }
 }
 
-/// Chooses and sends `count` requests that stay, and counts them by worker.
+/// Chooses workers for `count` requests that stay in progress, records the sends, and counts the
+/// requests by worker.
 fn spread(selector: &mut Selector, count: u64, now: Duration) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for salt in 0..count {
         let demand = demand(salt);
-        let chosen = selector.choose("s", &demand, &[], now).expect("a worker");
+        let chosen = selector
+            .choose("s", &demand, &[], now)
+            .expect("choose a worker");
         selector.record_send(&chosen, &demand, now);
         *counts.entry(chosen.incarnation).or_default() += 1;
     }
@@ -80,7 +83,7 @@
         service: "s".to_owned(),
         id: name.to_owned(),
         incarnation: name.to_owned(),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("parse the worker's address"),
         zone: "z".to_owned(),
         missing_tokens: 0,
         expected_prefill: Duration::ZERO,
@@ -97,9 +100,9 @@
     );
 }
 
-/// By the age of their unchanged entries old workers looked stale.
+/// Guards against treating a worker as stale because its unchanged entry is old.
 #[test]
-fn an_old_entry_is_as_good_as_a_new_one() {
+fn the_age_of_an_entry_does_not_count_against_a_worker() {
     let mut selector = selector(3);
     let later = START + Duration::from_secs(60);
     selector.apply_entry(entry("new", "z"), later);
@@ -107,9 +110,10 @@
     assert!(counts["new"] <= 14, "{counts:?}");
 }
 
-/// A failure rate that only answers could mend kept workers out for ever.
+/// Guards against avoiding a worker for ever: without requests it has no successes that could lower
+/// its failure rate.
 #[test]
-fn failures_are_forgotten_by_time_alone() {
+fn a_failure_rate_decays_without_requests() {
     let mut selector = selector(2);
     for _ in 0..20 {
         fail(&mut selector, &chosen("w0"), AttemptOutcome::Failed, START);
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn an_unreachable_worker_is_passed_over_while_another_is_there() {
+fn an_unreachable_worker_is_chosen_only_if_no_other_is_left() {
     let mut selector = selector(2);
     fail(
         &mut selector,
@@ -137,7 +141,7 @@
 }
 
 #[test]
-fn leaving_and_tried_workers_are_never_chosen() {
+fn draining_and_tried_workers_are_never_chosen() {
     let mut selector = selector(2);
     let leaving = WorkerEntry {
         availability: Availability::Draining,
@@ -149,20 +153,21 @@
     assert_eq!(selector.choose("s", &demand(1), &tried, START), None);
 }
 
-/// Told load decayed to nothing while the queue it did not tell of grew.
+/// Guards against choosing a worker whose old load report has decayed although its queue has grown
+/// since.
 #[test]
-fn a_worker_at_which_requests_wait_is_passed_over_though_it_tells_nothing() {
+fn a_worker_with_a_pending_request_is_avoided_without_a_load_report() {
     let mut selector = selector(2);
     let waiting = prompt(1, 2, 3);
     selector.record_send(&chosen("w0"), &waiting, START);
     let later = START + Duration::from_millis(800);
-    // It does answer others, so it is not silent.
+    // The worker responds to other requests, so it does not count as silent.
     selector.record_activity("w0", later);
     assert_eq!(spread(&mut selector, 4, later).get("w0"), None);
 }
 
 #[test]
-fn a_silent_worker_with_requests_is_passed_over() {
+fn a_silent_worker_with_requests_is_avoided() {
     let mut selector = selector(2);
     selector.record_send(&chosen("w0"), &demand(0), START);
     let later = START + Duration::from_millis(400);
@@ -174,39 +179,39 @@
 }
 
 #[test]
-fn a_request_that_was_left_hanging_counts_against_its_worker() {
+fn a_hanging_request_counts_as_a_failure_of_its_worker() {
     let mut selector = selector(2);
     let hanging = chosen("w0");
     selector.record_send(&hanging, &demand(0), START);
     let next = START + Duration::from_millis(10);
     selector.record_send(&hanging, &demand(1), next);
-    let begun = START + Duration::from_millis(50);
-    selector.record_first_event(&hanging, begun - next, begun);
+    let first_event_at = START + Duration::from_millis(50);
+    selector.record_first_event(&hanging, first_event_at - next, first_event_at);
     selector.record_outcome(
         &hanging,
         Class::Online,
         AttemptOutcome::Answered,
         true,
-        begun - next,
-        begun,
+        first_event_at - next,
+        first_event_at,
     );
     assert!(selector.has_overtaken("w0", START));
     assert!(!selector.has_overtaken("w0", next));
-    let given_up = START + Duration::from_secs(2);
-    let held = given_up - START;
+    let cancelled_at = START + Duration::from_secs(2);
+    let held = cancelled_at - START;
     selector.record_outcome(
         &hanging,
         Class::Online,
         AttemptOutcome::Cancelled,
         false,
         held,
-        given_up,
+        cancelled_at,
     );
-    assert_eq!(spread(&mut selector, 4, given_up).get("w0"), None);
+    assert_eq!(spread(&mut selector, 4, cancelled_at).get("w0"), None);
 }
 
 #[test]
-fn told_load_counts_and_fades() {
+fn reported_load_counts_and_decays() {
     let mut selector = selector(2);
     let full = ReportedLoad {
         running: 8,
@@ -221,30 +226,35 @@
 }
 
 #[test]
-fn every_node_looks_for_a_shared_beginning_at_the_same_worker() {
-    let homes = (0..20).map(|shared| {
+fn all_nodes_choose_the_same_worker_for_a_shared_prefix() {
+    let targets = (0..20).map(|shared| {
         let nodes = (0..5).map(|node| {
             let demand = prompt(shared, 1_000 + node, node);
             let chosen = selector(6).choose("s", &demand, &[], START);
-            chosen.expect("a worker").incarnation
+            chosen.expect("choose a worker").incarnation
         });
         let mut nodes: Vec<String> = nodes.collect();
         nodes.dedup();
         assert_eq!(nodes.len(), 1, "prompt {shared}: {nodes:?}");
         nodes.remove(0)
     });
-    let homes: std::collections::BTreeSet<String> = homes.collect();
-    assert!(homes.len() >= 4, "homes are not spread: {homes:?}");
+    let targets: std::collections::BTreeSet<String> = targets.collect();
+    assert!(
+        targets.len() >= 4,
+        "affinity targets are not spread over the workers: {targets:?}"
+    );
 }
 
-/// Others are told how much a worker is to read: a shared beginning that nobody has read yet is
-/// part of it.
+/// Other nodes learn how many tokens a worker has to prefill, which includes a shared prefix that
+/// is not cached yet.
 #[test]
-fn a_shared_beginning_is_read_once_and_counts_until_then() {
+fn a_shared_prefix_counts_as_missing_until_it_is_sent_once() {
     let mut first = selector(6);
     let mut second = selector(6);
     let demand = prompt(7, 1, 1);
-    let chosen = first.choose("s", &demand, &[], START).expect("a worker");
+    let chosen = first
+        .choose("s", &demand, &[], START)
+        .expect("choose a worker");
     assert_eq!(chosen.missing_tokens, 10_500);
     first.record_send(&chosen, &demand, START);
     second.record_peer_send(
@@ -258,42 +268,42 @@
     first.record_first_event(&chosen, waited, later);
     for selector in [first, second] {
         let next = selector.choose("s", &prompt(7, 2, 2), &[], later);
-        let next = next.expect("a worker");
+        let next = next.expect("choose a worker");
         assert_eq!(next.incarnation, chosen.incarnation);
         assert_eq!(next.missing_tokens, 500);
     }
 }
 
 #[test]
-fn a_crowded_home_is_left_for_another_worker() {
+fn a_full_affinity_target_is_avoided() {
     let mut selector = selector(4);
     let first = selector.choose("s", &prompt(7, 1, 1), &[], START);
-    let home = first.expect("a worker").incarnation;
+    let affinity_target = first.expect("choose a worker").incarnation;
     let full = ReportedLoad {
         running: 8,
         waiting: 40,
         slots: 8,
     };
-    selector.record_load(&home, full, START);
+    selector.record_load(&affinity_target, full, START);
     let next = selector.choose("s", &prompt(7, 2, 2), &[], START);
-    assert_ne!(next.expect("a worker").incarnation, home);
+    assert_ne!(next.expect("choose a worker").incarnation, affinity_target);
 }
 
 #[test]
-fn memory_holds_what_was_read_last() {
+fn the_prefix_cache_keeps_the_most_recent_prompts() {
     let part = |id| PromptPart { id, tokens: 100 };
-    let mut memory = PrefixCacheEstimate::new(1_000);
+    let mut cache = PrefixCacheEstimate::new(1_000);
     for id in 0..20 {
-        memory.record_prompt(&[part(id)]);
+        cache.record_prompt(&[part(id)]);
     }
-    assert_eq!(memory.cached_tokens(&[part(19)]), 100);
-    assert_eq!(memory.cached_tokens(&[part(0)]), 0);
-    // A part counts only if every part before it is held as well.
-    assert_eq!(memory.cached_tokens(&[part(0), part(19)]), 0);
+    assert_eq!(cache.cached_tokens(&[part(19)]), 100);
+    assert_eq!(cache.cached_tokens(&[part(0)]), 0);
+    // A part counts only if every part before it is cached as well.
+    assert_eq!(cache.cached_tokens(&[part(0), part(19)]), 0);
 }
 
 #[test]
-fn a_long_prompt_that_another_node_sent_counts_until_it_is_read() {
+fn a_long_prompt_of_another_node_counts_until_it_is_prefilled() {
     let mut selector = selector(2);
     let part = PromptPart {
         id: 7,
@@ -302,20 +312,20 @@
     selector.record_peer_send("w0", &[part], 40_000, START);
     for salt in 0..20 {
         let chosen = selector.choose("s", &demand(salt), &[], START);
-        assert_eq!(chosen.expect("a worker").incarnation, "w1");
+        assert_eq!(chosen.expect("choose a worker").incarnation, "w1");
     }
-    let reading = selector.prefill_time("s", 40_000);
-    let later = START + reading;
+    let prefill = selector.prefill_time("s", 40_000);
+    let later = START + prefill;
     let counts = spread(&mut selector, 20, later);
     assert!(counts.contains_key("w0"), "{counts:?}");
-    // What another node sent is believed to be there: it need not be read again.
+    // The prompt of another node is believed to be cached, so no tokens of it are missing.
     let again = Demand {
         prompt: vec![part],
         prompt_tokens: 40_000,
         ..demand(0)
     };
     let chosen = selector.choose("s", &again, &[], later);
-    let chosen = chosen.expect("a worker");
+    let chosen = chosen.expect("choose a worker");
     assert_eq!(
         (chosen.incarnation.as_str(), chosen.missing_tokens),
         ("w0", 0)
