--- a/crates/swiftshunt-scheduler/src/quarantine/evidence.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! What says that a worker has ended.
+//! Evidence that a worker has ended.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 use super::{PROVED_END_TTL, SUSPECTED_END_TTL};
 
-/// What says that a worker has ended; more is greater.
+/// Evidence that a worker has ended; stronger evidence is greater.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Evidence {
-    /// Several places found its connections refused. So does a zone that is cut off.
+    /// Connections to the worker were refused from several places. A zone that is cut off causes
+    /// the same.
     #[default]
     Suspected,
     /// The worker lists a later life, or its entry lapsed while others of its zone renewed theirs.
@@ -17,12 +18,12 @@
 }
 
 impl Evidence {
-    /// Whether it is a suspicion alone.
+    /// Returns whether it is only a suspicion.
     pub fn is_suspicion(&self) -> bool {
         *self == Self::Suspected
     }
 
-    /// How long an end is remembered on it.
+    /// Returns how long an end with this evidence is remembered.
     pub fn ttl(self) -> Duration {
         match self {
             Self::Suspected => SUSPECTED_END_TTL,
--- a/crates/swiftshunt-scheduler/src/quarantine/fingerprint.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request.
+//! Fingerprints that identify repeated tries of the same request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,35 +6,36 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a fingerprint: two requests of the 10^12 that a year brings share one by chance once in 10^14
-/// years, and one of them must end workers for it to matter.
+/// Bytes of a fingerprint. Of the 10^12 requests of a year, two share a fingerprint by chance once
+/// in 10^14 years, and it matters only if one of them ends workers.
 const FINGERPRINT_BYTES: usize = 16;
-/// Keeps these digests apart from all others.
+/// Key derivation context that keeps these digests apart from all others.
 const FINGERPRINT_CONTEXT: &str = "swiftshunt fingerprint of a request";
 
-/// A digest of what a request is, however often and wherever it comes. Nothing of it can be read back.
+/// Digest of a request's identity, equal for all tries of the request. The request cannot be
+/// derived from it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// What of a try makes it the same request as another one. Identifiers, deadlines and all else that a caller
-/// draws anew for each try are left out.
+/// Parts of a try that identify the request. Identifiers, deadlines and all else that a caller
+/// generates anew for each try are left out.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'t> {
-    /// For whom it runs.
+    /// Caller that the request runs for.
     pub caller: &'t str,
-    /// The host that it names.
+    /// Host named by the request.
     pub host: &'t str,
-    /// Its method.
+    /// HTTP method.
     pub method: &'t str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'t str,
-    /// Its body.
+    /// Body of the request.
     pub body: &'t [u8],
 }
 
 impl Fingerprint {
-    /// The fingerprint of a try.
+    /// Computes the fingerprint of a try.
     pub fn of(identity: &RequestIdentity<'_>) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(FINGERPRINT_CONTEXT);
         for part in [
@@ -43,7 +44,7 @@
             identity.method,
             identity.path,
         ] {
-            // The length in front keeps the border between two parts.
+            // The length prefix marks the boundary between two parts.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part.as_bytes());
         }
@@ -54,11 +55,11 @@
     }
 }
 
-/// Why a text is no fingerprint.
+/// Error of parsing a fingerprint.
 #[derive(Debug, Display, Error)]
 #[display("not a fingerprint: {source}")]
 pub struct ParseFingerprintError {
-    /// What of its digits is wrong.
+    /// Why the hexadecimal digits are invalid.
     pub source: hex::FromHexError,
 }
 
--- a/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
@@ -1,19 +1,21 @@
-//! Workers whose entries lapsed. One that lapses while others of its zone renew theirs has ended; where most of
-//! a zone lapse together, the zone is cut off from the log.
+//! Workers whose directory entries lapsed. A worker that lapses while others of its zone renew
+//! their entries has ended; if most workers of a zone lapse together, the zone is cut off from the
+//! log.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::slots::WorkerKey;
 
-/// Time after a lapse in which those that lapse for the same cause have lapsed, too: workers write every second
-/// or so, and changes of the directory are gathered for part of one.
+/// Time after a lapse within which all workers that lapse for the same cause have lapsed: workers
+/// renew about once a second, and the directory collects changes for part of a second.
 pub const LAPSE_SETTLE_DELAY: Duration = Duration::from_secs(2);
-/// How long a lapse is remembered: a zone that is cut off is back within it.
+/// Time for which a lapse is remembered; a zone that was cut off is connected again within it.
 const LAPSE_TTL: Duration = Duration::from_secs(120);
-/// Lapses that are remembered at most.
+/// Most lapses that are remembered.
 const MAX_LAPSES: usize = 4_096;
-/// Workers of a zone that may lapse together with as few left before the zone is taken for the cause.
+/// Fewest workers of a zone that lapse together for the zone to be the cause, if no more workers of
+/// it are still listed.
 const FEWEST_TOGETHER: usize = 2;
 
 #[derive(Debug)]
@@ -24,14 +26,14 @@
     is_judged: bool,
 }
 
-/// Workers that lapsed of late.
+/// Workers that lapsed recently.
 #[derive(Debug, Default)]
 pub struct LapsedWorkers {
     recent: VecDeque<Lapse>,
 }
 
 impl LapsedWorkers {
-    /// The entry of a worker lapsed.
+    /// Records that the entry of a worker lapsed.
     pub fn record_lapse(&mut self, worker: WorkerKey, zone: &str, now: Duration) {
         self.recent.retain(|lapse| now < lapse.at + LAPSE_TTL);
         if self.recent.len() >= MAX_LAPSES {
@@ -45,8 +47,8 @@
         });
     }
 
-    /// Workers of which it is certain by now that they have ended, each once. `listed` gives how many workers of
-    /// a zone are listed.
+    /// Returns the workers that are certain to have ended, each once. `listed` returns the number
+    /// of listed workers of a zone.
     pub fn take_ended(&mut self, listed: impl Fn(&str) -> usize, now: Duration) -> Vec<WorkerKey> {
         let due: Vec<usize> = (0..self.recent.len())
             .filter(|index| {
@@ -64,7 +66,8 @@
         ended
     }
 
-    /// Whether most workers of a zone lapsed at about the moment at which one did.
+    /// Returns whether at least as many workers of the zone lapsed at about the same time as are
+    /// still listed.
     fn is_of_a_zone(&self, lapse: &Lapse, listed: &impl Fn(&str) -> usize) -> bool {
         let together = self.recent.iter().filter(|other| {
             other.zone == lapse.zone && other.at.abs_diff(lapse.at) <= LAPSE_SETTLE_DELAY
@@ -73,7 +76,8 @@
         together >= FEWEST_TOGETHER && together >= listed(&lapse.zone)
     }
 
-    /// A worker lists itself; gives whether it is back in the life in which it lapsed.
+    /// Removes the lapse of a worker that lists itself again. Returns whether there was one, so
+    /// that the worker is back in the same life.
     pub fn remove_returned(&mut self, worker: WorkerKey) -> bool {
         let before = self.recent.len();
         self.recent.retain(|lapse| lapse.worker != worker);
--- a/crates/swiftshunt-scheduler/src/quarantine/mod.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/mod.rs
@@ -1,18 +1,20 @@
-//! Requests that end the workers that run them.
+//! Quarantine of requests that end the workers that run them.
 //!
-//! A worker that ends while it runs six requests accuses six, and one did it. What is known is therefore a
-//! set: which workers ended while they ran which requests. It is the same set wherever it is put together, in
-//! any order and from whatever sources, and what follows for a request is a function of it ([`Quarantine`]):
+//! A worker that ends while it runs six requests makes all six suspect, although only one is the
+//! cause. The state is therefore a set of facts: which workers ended while they ran which requests.
+//! The set does not depend on the order or the source of the facts, and the status of a request is
+//! a function of the set ([`Quarantine`]):
 //!
-//! - Each life of a worker counts once. Of many that end at one moment, and did not all run the
-//!   request, one counts: a rack that dies while a popular request runs on half of its workers says no more
-//!   than one worker would.
-//! - Ends that a request shares with another one which has ended more workers are that one's, and do not
-//!   count.
-//! - A run that ended well clears a request.
-//! - What is known lapses after [`PROVED_END_TTL`].
-//! - A refused connection looks like the end of a process, and may be the way to it: it is a suspicion, and
-//!   lapses after [`SUSPECTED_END_TTL`] unless the end is proved ([`Evidence`]). A sign of life refutes it.
+//! - Each life of a worker counts once. If many workers end at one moment and not all of them ran
+//!   the request, they count as one: a rack that fails while a popular request runs on half of its
+//!   workers is no more evidence than one worker.
+//! - An end does not count for a request if another request that ran on the worker has ended more
+//!   workers: the other request explains it.
+//! - A run that ends well clears a request.
+//! - A fact expires after [`PROVED_END_TTL`].
+//! - A refused connection looks like the end of a process, but may be a network fault. It is only a
+//!   suspicion, which expires after [`SUSPECTED_END_TTL`] unless the end is proved ([`Evidence`]).
+//!   An entry that the worker renews refutes it.
 
 mod evidence;
 mod fingerprint;
@@ -32,51 +34,53 @@
 pub use renewal_tracker::RenewalTracker;
 pub use table::Quarantine;
 
-/// Ends of workers after which a request is not sent any more. Two come together by chance: a request that
-/// goes on at another worker, and meets the one there that ended its first.
+/// Number of worker ends from which a request is no longer sent. Two can coincide by chance: a
+/// request is retried at another worker and meets there the request that ended its first worker.
 pub const QUARANTINE_THRESHOLD: usize = 3;
-/// How long an end is remembered: a request is tried again after it, at the risk of as many workers. Callers'
-/// own tries end within minutes, and a worker's software is replaced within an hour.
+/// Time for which a proved end is remembered. After it the request is tried again, at the risk of
+/// as many workers. Callers' own retries stop within minutes, and a worker's software is replaced
+/// within an hour.
 pub const PROVED_END_TTL: Duration = Duration::from_secs(15 * 60);
-/// How long an end is remembered that is only suspected. The entry of a worker that has ended lapses within
-/// three signs of life, some four seconds, and what lapsed with it is looked at for two more.
+/// Time for which a suspected end is remembered. The entry of a worker that has ended lapses within
+/// three renewal intervals, some four seconds, and other lapses of its zone are awaited for two
+/// more.
 pub const SUSPECTED_END_TTL: Duration = Duration::from_secs(8);
-/// Ends within this time of each other are one moment, unless the later run began after the earlier end. What
-/// dies together is noticed within a few times the way to and fro within a region.
+/// Ends within this time of each other count as one moment, unless the later run began after the
+/// earlier end. Ends with one cause are noticed within a few round trips of a region.
 pub const SIMULTANEITY_WINDOW: Duration = Duration::from_millis(30);
 
-/// A worker that ended while it ran a request.
+/// The end of a worker while it ran a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerEnd {
     /// The worker.
     pub worker: WorkerKey,
-    /// When the request was sent to it, in milliseconds of Unix time.
+    /// When the request was sent to the worker, in milliseconds of Unix time.
     pub sent_unix_ms: u64,
-    /// When its end was seen, in milliseconds of Unix time.
+    /// When the end was noticed, in milliseconds of Unix time.
     pub ended_unix_ms: u64,
-    /// What says that it has ended. A gateway that does not tell had seen a connection refused.
+    /// Evidence for the end. If a gateway sends none, it is a refused connection.
     #[serde(default, skip_serializing_if = "Evidence::is_suspicion")]
     pub evidence: Evidence,
 }
 
 impl WorkerEnd {
-    /// Whether both are the same end, on whatever evidence.
+    /// Returns whether both are the same end, regardless of the evidence.
     pub fn is_same(&self, other: &Self) -> bool {
         (self.worker, self.sent_unix_ms, self.ended_unix_ms)
             == (other.worker, other.sent_unix_ms, other.ended_unix_ms)
     }
 }
 
-/// What follows for a request from the ends of workers that ran it.
+/// Whether a request may be sent, by the ends of workers that ran it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// It may be sent.
+    /// The request may be sent.
     Allowed,
-    /// It may not be sent.
+    /// The request may not be sent.
     Quarantined {
-        /// Workers that have ended while they ran it.
+        /// Number of worker ends known for the request, one per life of a worker.
         ends: usize,
-        /// How long it is held yet.
+        /// Time until the request may be sent again.
         time_left: Duration,
     },
 }
--- a/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
@@ -1,24 +1,25 @@
-//! Entries that workers renew after they are said to have ended.
+//! Finds workers that renew their directory entries after they were recorded as ended.
 
 use std::collections::HashMap;
 
 use crate::slots::WorkerKey;
 
-/// Readings of the directory after one that ended when an accusation was known already: that one may have been
-/// answered before, the next one was asked for after it, so that what comes with a later one was written after it.
+/// Number of readings after the first one at whose end the worker was known as ended. That reading
+/// may have been answered before the end was recorded, and the next one was requested after it;
+/// entries that a later reading returns were therefore written after it.
 const READINGS_BEFORE: u64 = 2;
 
-/// Renewals, counted in readings of the directory's tail.
+/// Renewals since workers were recorded as ended, counted in readings of the directory's tail.
 #[derive(Debug, Default)]
 pub struct RenewalTracker {
     readings: u64,
-    /// The first reading at whose end each accused worker was known to be.
+    /// The first reading at whose end each worker was recorded as ended.
     accused_at: HashMap<WorkerKey, u64>,
 }
 
 impl RenewalTracker {
-    /// A reading has ended in which these workers renewed their entries; gives those of the accused that did so
-    /// after they were accused.
+    /// Records the end of a reading in which the workers `renewed` renewed their entries. Returns
+    /// those that renewed after they were recorded as ended.
     pub fn record_reading(
         &mut self,
         accused: impl Iterator<Item = WorkerKey>,
--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! Which workers ended while they ran which requests.
+//! Table of the workers that ended while they ran a request.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,35 +8,36 @@
 };
 use crate::slots::WorkerKey;
 
-/// Requests that are remembered at most: those of a rack of 40 workers, 30 times over. Some 300 bytes each.
+/// Most requests that are remembered: those of a rack of 40 workers, 30 times over. Each takes some
+/// 300 bytes.
 const MAX_REQUESTS: usize = 8_192;
-/// Workers that end at one moment by chance. More have a cause in common: a rack, or copies of one request that
-/// came together.
+/// Most workers that end at one moment by chance. More have a common cause: a rack, or copies of
+/// one request that arrived together.
 const MAX_COINCIDENT_ENDS: u32 = 3;
-/// Share of the workers that ended at one moment which must have run a request that is the cause. The rest is
-/// for those that ended by chance, or ran a second such request.
+/// Share of the workers that ended at one moment which must have run a request for it to be the
+/// cause. The others may have ended by chance or run a second such request.
 const MIN_CAUSE_SHARE: f64 = 0.75;
-/// Ends of workers that are remembered for one request.
+/// Most worker ends that are remembered for one request.
 const MAX_ENDS_PER_REQUEST: usize = 16;
 
-/// An end as it is remembered here.
+/// A recorded end and its expiry.
 #[derive(Clone, Copy, Debug)]
 struct KnownEnd {
     end: WorkerEnd,
-    /// When it is forgotten.
+    /// When the end is forgotten.
     lapses_at: Duration,
 }
 
 /// A worker that has ended.
 #[derive(Debug)]
 struct EndedWorker {
-    /// When, in milliseconds of Unix time, by the first who saw it.
+    /// The earliest time at which its end was noticed, in milliseconds of Unix time.
     ended_unix_ms: u64,
-    /// The requests that it ran.
+    /// The requests that the worker ran when it ended.
     requests: BTreeSet<Fingerprint>,
 }
 
-/// The ends of workers, by request.
+/// Ends of workers by request.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<Fingerprint, Vec<KnownEnd>>,
@@ -44,8 +45,9 @@
 }
 
 impl Quarantine {
-    /// A worker ended while it ran a request; gives whether that is new. `unix_ms` is the time of day: an end
-    /// that is learnt late, from the log, lapses as early as elsewhere.
+    /// Records the end of a worker while it ran a request. Returns whether the end is new or its
+    /// evidence is stronger than before. `unix_ms` is the current Unix time: an end that is learnt
+    /// late, from the log, expires at the same time as elsewhere.
     pub fn record_end(
         &mut self,
         request: Fingerprint,
@@ -83,7 +85,7 @@
         true
     }
 
-    /// What follows for a request.
+    /// Returns whether a request may be sent.
     pub fn status(&self, request: &Fingerprint, now: Duration) -> QuarantineStatus {
         let Some(known) = self.requests.get(request) else {
             return QuarantineStatus::Allowed;
@@ -95,7 +97,7 @@
         });
         let mut lapses = self.moments(request, own);
         lapses.sort_unstable();
-        // Held until all but the two that lapse last have lapsed.
+        // Quarantined until fewer ends than the threshold remain.
         let held_by = lapses.len().checked_sub(QUARANTINE_THRESHOLD);
         match held_by.and_then(|index| lapses.get(index)) {
             Some(until) => QuarantineStatus::Quarantined {
@@ -106,23 +108,23 @@
         }
     }
 
-    /// Whether any end is known.
+    /// Returns whether no end is known.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many requests are known to have run on workers that ended.
+    /// Returns the number of requests for which an end is known.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The ends that are known for a request.
+    /// Returns the ends that are known for a request.
     pub fn ends(&self, request: &Fingerprint) -> impl Iterator<Item = WorkerEnd> {
         let known = self.requests.get(request).into_iter().flatten();
         known.map(|known| known.end)
     }
 
-    /// Forgets that a worker ended at a time while it ran a request.
+    /// Removes the end of a worker at `ended_unix_ms` from a request.
     pub fn forget(&mut self, request: &Fingerprint, worker: WorkerKey, ended_unix_ms: u64) {
         if let Some(known) = self.requests.get_mut(request) {
             known.retain(|known| {
@@ -147,12 +149,13 @@
         }
     }
 
-    /// The workers that are known to have ended.
+    /// Returns the workers that are known to have ended.
     pub fn ended_workers(&self) -> impl Iterator<Item = WorkerKey> {
         self.workers.keys().copied()
     }
 
-    /// The end of a worker is proved: gives its ends that were only suspected, as they are known from now on.
+    /// Marks all ends of a worker as proved. Returns those that were only suspected, with their new
+    /// evidence.
     pub fn mark_proved(
         &mut self,
         worker: WorkerKey,
@@ -168,8 +171,8 @@
         proved
     }
 
-    /// What says that a worker has ended is no evidence any more, up to `evidence`: gives those of its ends, which
-    /// are forgotten by that.
+    /// Removes the ends of a worker whose evidence is at most `evidence`, since it is refuted.
+    /// Returns the removed ends.
     pub fn refute(
         &mut self,
         worker: WorkerKey,
@@ -195,7 +198,7 @@
         ends.collect()
     }
 
-    /// A run of a request ended well: gives the ends that are forgotten by that.
+    /// Removes all ends of a request after a run of it ended well. Returns the removed ends.
     pub fn clear(&mut self, request: &Fingerprint) -> Vec<WorkerEnd> {
         let ends: Vec<WorkerEnd> = self.ends(request).collect();
         for end in &ends {
@@ -204,7 +207,7 @@
         ends
     }
 
-    /// Forgets what has lapsed, and gives it.
+    /// Removes the expired ends and returns them.
     pub fn remove_expired(&mut self, now: Duration) -> Vec<(Fingerprint, WorkerEnd)> {
         let all = self.requests.iter().flat_map(|(request, known)| {
             let lapsed = known.iter().filter(|known| known.lapses_at <= now);
@@ -217,7 +220,8 @@
         lapsed
     }
 
-    /// Whether another request that ran on a worker as it ended has ended more workers than this one.
+    /// Returns whether another request that ran on the worker has ended enough workers to be
+    /// quarantined, and more than this one.
     fn is_explained(&self, request: &Fingerprint, worker: &WorkerKey, own_ends: usize) -> bool {
         let Some(ended_worker) = self.workers.get(worker) else {
             return false;
@@ -231,8 +235,8 @@
         })
     }
 
-    /// When those ends of a request, in their order, lapse that count: of many that have another cause the
-    /// first alone.
+    /// Returns the expiry times of the ends that count for a request. Of simultaneous ends with
+    /// another cause, only the first counts.
     fn moments(
         &self,
         request: &Fingerprint,
@@ -249,7 +253,8 @@
         counting.into_iter().map(|known| known.lapses_at).collect()
     }
 
-    /// Whether many workers ended at the moment at which one did, of which enough did not run the request.
+    /// Returns whether many workers ended at the same moment as this one, of which too few ran the
+    /// request for it to be the cause.
     fn is_one_of_many(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
         let ended_worker = self.workers.get(&end.worker);
         let own = ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
@@ -279,8 +284,9 @@
     }
 }
 
-/// The ends in their order, one for each life: of one worker the later ones count whose request was sent after the one before
-/// had ended, since what has ended runs nothing. A worker may start again under the name that it had.
+/// Returns the ends in order of time, one for each life of a worker. A later end of a worker counts
+/// only if the request was sent after the previous end, since a worker that has ended runs nothing.
+/// A worker may start again under the same name.
 fn lives(known: &[KnownEnd]) -> Vec<KnownEnd> {
     let mut sorted = known.to_vec();
     sorted.sort_by_key(|known| (known.end.ended_unix_ms, known.end.worker));
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -1,4 +1,4 @@
-//! The counter's side: a token bucket that hands out credits to gateways.
+//! Counter side of a tenant's rate limit: a token bucket that grants credits to gateways.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::Hash;
@@ -8,43 +8,46 @@
 
 use super::{CREDIT_TTL, Tolerance, USAGE_WINDOW, gateway_share, max_saved_requests};
 
-/// Part of the capacity that gateways may hold together without a request that waits for it.
+/// Part of the capacity that gateways together may hold as prefetched credits.
 const HELD_SHARE: f64 = 0.5;
-/// Part of what the bucket holds that one gateway may take ahead of need.
+/// Part of the bucket's level that one request may prefetch.
 const PREFETCH_SHARE: f64 = 0.5;
-/// Part of the capacity below which a tenant counts as near its limit: the steps of load of a tenant that
-/// keeps its limit seldom take a bucket below it.
+/// Part of the capacity below which a tenant counts as near its limit. Load steps of a tenant that
+/// keeps its limit seldom take the bucket below it.
 const NEAR_LIMIT: f64 = 0.35;
-/// Time after which a gateway that no longer asks is forgotten: its share, if it is cut off, lasts as long.
+/// Time after which a gateway that no longer asks is removed. The share of a gateway that is cut
+/// off stays known for as long.
 const GATEWAY_TTL: Duration = Duration::from_secs(600);
-/// Gateways that asked within this time share what comes next.
+/// Gateways that asked within this time are expected to share the next credits.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
-/// Shortest and longest time that a gateway is told to wait before it asks again.
+/// Shortest and longest delay after which a refused gateway is told to ask again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(10);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A gateway's question.
+/// A gateway's request for credits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct CreditRequest {
     /// Requests that wait for a credit.
     pub need: u32,
-    /// Credits wanted ahead of need.
+    /// Credits to prefetch.
     pub ahead: u32,
     /// Credits that the gateway holds.
     pub held: u32,
-    /// Credits that it could not spend in time since its last question.
+    /// Credits that expired unspent since its last request.
     pub unused: u32,
-    /// Requests that it let in within the last [`USAGE_WINDOW`].
+    /// Requests that the gateway admitted within the last [`USAGE_WINDOW`].
     pub recent: u32,
-    /// Requests that it let in alone, as far as they were saved up and have not come again.
+    /// Requests that it admitted from its own share and that the share's refill has not made up
+    /// for.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub spent_alone: u32,
-    /// Its share of the rate, if it has one.
+    /// Own share of the rate, if it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
-    /// Requests of all gateways within that window, the most that it was told of late.
+    /// Requests of all gateways within that window, the highest count that counters recently
+    /// reported to it.
     pub by_all: u32,
-    /// What another counter said of late that it had left.
+    /// Credits that another counter recently reported as left.
     pub left_elsewhere: Option<RemainingCredits>,
 }
 
@@ -52,54 +55,55 @@
     *number == 0
 }
 
-/// What a counter had left.
+/// Credits that a counter had left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct RemainingCredits {
-    /// Requests.
+    /// Number of credits.
     pub requests: u32,
-    /// How long ago.
+    /// Age of the report.
     pub age: Duration,
 }
 
-/// The counter's answer.
+/// The counter's response to a credit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum CreditResponse {
-    /// Credits to spend.
+    /// Credits are granted.
     Granted {
-        /// How many.
+        /// Number of granted credits, possibly 0.
         credits: u32,
-        /// Requests of the tenant let in by all gateways within the last [`USAGE_WINDOW`].
+        /// Requests of the tenant admitted by all gateways within the last [`USAGE_WINDOW`].
         recent: u32,
-        /// What is left.
+        /// Credits left in the bucket.
         left: u32,
     },
     /// The limit is reached.
     Exhausted {
-        /// When there is likely to be something for this gateway.
+        /// Time after which a credit for this gateway is likely to be available.
         again_after: Duration,
-        /// As above.
+        /// Requests of the tenant admitted by all gateways within the last [`USAGE_WINDOW`].
         recent: u32,
     },
-    /// The counter is out of touch with most gateways, and another one may count for them: each gateway is to
-    /// let in its own share alone.
+    /// The counter has lost contact with most gateways, and another counter may serve them: each
+    /// gateway must decide by its own share.
     DecideAlone,
 }
 
-/// A gateway that asked.
+/// Last request of a gateway, and what the counter knows of it.
 #[derive(Clone, Copy, Debug)]
 struct GatewayRecord {
     heard_at: Duration,
     held: u32,
     held_until: Duration,
     recent: u32,
-    /// The most that it was told of the requests of all gateways, this answer included: its share of the
-    /// limit follows from that and its own.
+    /// Highest count of all gateways' requests that the gateway knows, this response included. Its
+    /// share follows from this count and its own.
     by_all: u32,
-    /// Its share when it asked here first, as another counter or a start gave it.
+    /// Share that it reported with its first request here, set by another counter's reports or at
+    /// its start.
     first_share: Option<f64>,
 }
 
-/// What is left of a tenant's limit.
+/// Token bucket of a tenant's limit.
 #[derive(Debug)]
 pub struct Bucket<G> {
     limit: RateLimit,
@@ -108,16 +112,17 @@
     refilled_at: Duration,
     began: Duration,
     records: HashMap<G, GatewayRecord>,
-    /// Share of the rate that is set aside for gateways that are silent.
+    /// Share of the rate that is reserved for silent gateways.
     set_aside: f64,
-    /// The gateways whose shares these are.
+    /// The silent gateways whose shares are reserved.
     set_aside_for: HashSet<G>,
-    /// Until when what a gateway lets in alone was set aside or taken off.
+    /// Time up to which a gateway's own-share admissions are covered by a reservation or a
+    /// deduction.
     deducted_until: HashMap<G, Duration>,
 }
 
 impl<G: Copy + Eq + Hash> Bucket<G> {
-    /// A bucket that holds `level`, by the limit of a version of the configuration.
+    /// Creates a bucket with `level` credits, for the limit of configuration version `version`.
     pub fn new(limit: RateLimit, version: u64, level: f64, now: Duration) -> Self {
         Self {
             limit,
@@ -132,13 +137,13 @@
         }
     }
 
-    /// When a gateway asked last.
+    /// Returns when a gateway last asked.
     pub fn last_request_at(&self) -> Duration {
         let asked = self.records.values().map(|record| record.heard_at);
         asked.max().unwrap_or(self.refilled_at)
     }
 
-    /// Takes the limit of a newer version of the configuration.
+    /// Replaces the limit if `version` of the configuration is newer.
     pub fn update_limit(
         &mut self,
         limit: RateLimit,
@@ -155,7 +160,7 @@
         self.level = self.level.min(self.room(tolerance, now));
     }
 
-    /// Answers a gateway.
+    /// Answers a gateway's credit request.
     pub fn grant_credits(
         &mut self,
         from: G,
@@ -185,7 +190,7 @@
         let needed = f64::from(request.need).min(self.level).floor() as u32;
         let ahead = self.ahead(&request, needed, tolerance, now);
         if let Some(record) = self.records.get_mut(&from) {
-            // What is needed is spent as soon as it comes.
+            // Credits for waiting requests are spent on arrival, so they do not count as held.
             record.held += ahead;
         }
         let credits = needed + ahead;
@@ -197,8 +202,9 @@
         }
     }
 
-    /// Another counter had so much left: this bucket has filled while that one gave credits, and the two
-    /// together must not give more than one.
+    /// Limits the level to the credits that another counter had left, plus the refill since: this
+    /// bucket filled while the other one granted credits, and together they must not grant more
+    /// than one bucket.
     fn limit_to_predecessor(&mut self, left: RemainingCredits) {
         let since = left.age.as_secs_f64() * self.limit.per_second;
         self.level = self.level.min(f64::from(left.requests) + since);
@@ -220,13 +226,14 @@
             .retain(|_, record| now < record.heard_at + GATEWAY_TTL);
     }
 
-    /// Whether little is left: then it matters what gateways let in that are out of touch.
+    /// Returns whether few credits are left, so that requests admitted by gateways out of contact
+    /// matter.
     pub fn is_near_limit(&self, tolerance: &Tolerance) -> bool {
         self.level < NEAR_LIMIT * tolerance.capacity(self.limit)
     }
 
-    /// Of `gateways` gateways these are silent: each may let in its own share alone, and that is set aside;
-    /// what it may have saved up of it is taken off.
+    /// Reserves the own shares of the `silent` gateways among `gateways`, since each may admit
+    /// requests without the counter. Deducts what a newly silent gateway may have saved up.
     pub fn reserve_for_silent(
         &mut self,
         silent: &[G],
@@ -253,8 +260,8 @@
         self.set_aside = set_aside.min(1.0);
     }
 
-    /// The share of each silent gateway that never asked here: together they may have all that those which
-    /// did had not when they came.
+    /// Returns the share assumed for each silent gateway that never asked here: together they may
+    /// have all that the shares of the others leave to 1.
     fn share_of_unknown(&self, silent: &[G], gateways: usize) -> f64 {
         let unknown = silent.iter();
         let unknown = unknown.filter(|gateway| !self.records.contains_key(gateway));
@@ -268,7 +275,8 @@
         (left / unknown.max(1) as f64).max(gateway_share(0, 0, gateways))
     }
 
-    /// Takes off what a gateway spent of its share, unless that was set aside for it.
+    /// Deducts the requests that a gateway admitted from its own share, unless that share is
+    /// reserved.
     fn deduct_spent_alone(&mut self, gateway: G, spent: u32, now: Duration) {
         if spent > 0 && !self.set_aside_for.contains(&gateway) {
             let come = self.max_saved_since_deduction(gateway, 1.0, now);
@@ -277,8 +285,9 @@
         }
     }
 
-    /// Most that a gateway with a share may have saved up since that was last allowed for. After a start of
-    /// all gateways it has saved nothing before it.
+    /// Returns the most requests that a gateway with this share may have saved up since the last
+    /// deduction or reservation for it, or else since the bucket was created: when all gateways
+    /// start together, none has saved any before.
     fn max_saved_since_deduction(&self, gateway: G, share: f64, now: Duration) -> f64 {
         let deducted_until = self.deducted_until.get(&gateway).copied();
         let since = deducted_until.unwrap_or(self.began);
@@ -286,7 +295,7 @@
         come.min(max_saved_requests(self.limit, share))
     }
 
-    /// Nothing is to be set aside any more.
+    /// Releases all reserved shares.
     pub fn release_reserved(&mut self, tolerance: &Tolerance, now: Duration) {
         self.refill(tolerance, now);
         self.set_aside = 0.0;
@@ -295,7 +304,7 @@
         }
     }
 
-    /// Credits that a gateway gets ahead of need.
+    /// Returns the number of credits to prefetch for a gateway.
     fn ahead(
         &self,
         request: &CreditRequest,
@@ -310,7 +319,7 @@
         ahead as u32
     }
 
-    /// Credits that gateways hold and may still spend.
+    /// Returns the credits that gateways hold and may still spend.
     fn outstanding(&self, now: Duration) -> f64 {
         let holding = self
             .records
@@ -319,13 +328,13 @@
         holding.map(|record| f64::from(record.held)).sum()
     }
 
-    /// Most that the bucket may hold beside what gateways hold.
+    /// Returns the highest level that the bucket may have beside the credits that gateways hold.
     fn room(&self, tolerance: &Tolerance, now: Duration) -> f64 {
         let capacity = tolerance.capacity(self.limit);
         (capacity - self.outstanding(now)).max(0.0)
     }
 
-    /// Requests that all gateways let in of late.
+    /// Returns the requests that all gateways recently admitted.
     fn recent(&self, now: Duration) -> u32 {
         let of_late = self.records.values();
         let of_late = of_late.filter(|record| now < record.heard_at + USAGE_WINDOW);
@@ -339,7 +348,7 @@
         self.level = (self.level + elapsed * rate).min(self.room(tolerance, now));
     }
 
-    /// When one more has come for each gateway that asks.
+    /// Returns the time until the bucket holds a credit for each active gateway.
     fn again_after(&self, now: Duration) -> Duration {
         let active = self.records.values();
         let active = active.filter(|record| now < record.heard_at + ACTIVE_WINDOW);
--- a/crates/swiftshunt-scheduler/src/rates/limiter.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -1,4 +1,5 @@
-//! A gateway's side: credits for one tenant's requests, and what is let in without the counter.
+//! Gateway side of a tenant's rate limit: credits from the counter, and the gateway's own share for
+//! times without a counter.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,65 +9,66 @@
 use super::bucket::{CreditRequest, CreditResponse, RemainingCredits};
 use super::{CREDIT_TTL, USAGE_WINDOW, Usage, gateway_share, max_saved_requests};
 
-/// Time for which credits are asked for ahead, by the requests of late.
+/// Time for which credits are prefetched, at the recent rate of requests.
 const PREFETCH_WINDOW: Duration = Duration::from_millis(1_500);
-/// Most credits that are asked for ahead.
+/// Most credits that a gateway prefetches.
 const MAX_PREFETCH: u32 = 64;
-/// Pause between two questions ahead of need: one may be lost.
+/// Pause before a prefetch is repeated, since the previous one may be lost.
 const PREFETCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Age up to which the counter's word on the requests of all gateways is believed.
+/// Age up to which the counter's report of all gateways' requests is used.
 const COUNTER_REPORT_TTL: Duration = Duration::from_secs(30);
 
-/// How long the most of these words is kept in mind.
+/// Time for which the highest of these reports is remembered.
 const PEAK_TTL: Duration = Duration::from_secs(15);
-/// Time for which a gateway decides alone after the counter told it so.
+/// Time for which a gateway decides by its own share after the counter told it to.
 const OWN_SHARE_PERIOD: Duration = Duration::from_millis(500);
 
-/// Credits of one answer.
+/// Credits granted by one response.
 #[derive(Clone, Copy, Debug)]
 struct Credits {
     count: u32,
     until: Duration,
 }
 
-/// What the counter told last.
+/// The last report of a counter.
 #[derive(Clone, Copy, Debug)]
 struct CounterReport {
-    /// Requests let in by all gateways.
+    /// Requests admitted by all gateways within the usage window.
     recent: u32,
-    /// What the counter had left.
+    /// Credits that the counter had left.
     left: u32,
     counter: u64,
     at: Duration,
 }
 
-/// What this gateway may let in alone: its part of the rate, less what it has let in.
+/// Requests that this gateway may admit without the counter: its share of the rate, less the
+/// requests admitted.
 #[derive(Clone, Copy, Debug)]
 struct OwnShare {
     share: f64,
     level: f64,
-    /// Most that it may have saved up.
+    /// Highest level that the share may save up to.
     most: f64,
     refilled_at: Duration,
 }
 
-/// What becomes of a request.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmitDecision {
-    /// It is let in.
+    /// The request is admitted.
     Admitted,
-    /// The counter is to be asked.
+    /// The counter must be asked.
     AskCounter,
-    /// It is to be decided by this gateway's share alone.
+    /// The request must be decided by this gateway's own share.
     UseOwnShare,
-    /// The limit is reached: there is likely to be room after this time.
+    /// The limit is reached.
     Refused {
-        /// The time.
+        /// Time after which a credit is likely to be available.
         again_after: Duration,
     },
 }
 
-/// One tenant's requests at one gateway.
+/// Rate limiter of one tenant at one gateway.
 #[derive(Debug, Default)]
 pub struct TenantLimiter {
     credits: VecDeque<Credits>,
@@ -77,17 +79,18 @@
     asked_at: Option<Duration>,
     exhausted_until: Duration,
     last_report: Option<CounterReport>,
-    /// The most that was told of late.
+    /// The highest recent report.
     peak: Option<CounterReport>,
     alone_until: Duration,
     own: Option<OwnShare>,
-    /// Requests let in alone that no counter has answered for, and how many of them the last question named.
+    /// Requests admitted from the own share that no counter has acknowledged, and how many of them
+    /// the last credit request covered.
     alone: u32,
     alone_reported: u32,
 }
 
 impl TenantLimiter {
-    /// Decides about a request, by the credits that are here.
+    /// Decides about a request from the credits held here.
     pub fn admit(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> AdmitDecision {
         self.used_at = now;
         self.expire(now);
@@ -108,7 +111,7 @@
         AdmitDecision::AskCounter
     }
 
-    /// Decides about a request by this gateway's share alone.
+    /// Decides about a request from this gateway's own share. Returns whether it is admitted.
     pub fn admit_from_own_share(
         &mut self,
         limit: RateLimit,
@@ -126,8 +129,8 @@
         true
     }
 
-    /// The share, brought up to date. It begins with nothing: a gateway that has just started does not know
-    /// what was let in before.
+    /// Returns the own share, refilled up to `now`. It starts at level 0, since a gateway that has
+    /// just started does not know how many requests were admitted before.
     fn own_share(&mut self, limit: RateLimit, gateways: usize, now: Duration) -> &mut OwnShare {
         let own = self.own.get_or_insert(OwnShare {
             share: gateway_share(0, 0, gateways),
@@ -143,13 +146,13 @@
         own
     }
 
-    /// When a request was decided last.
+    /// Returns when a request was last decided.
     pub fn used_at(&self) -> Duration {
         self.used_at
     }
 
-    /// How many requests were let in here of late, how many by all gateways as of the counter's last word,
-    /// and the age of that.
+    /// Returns the requests recently admitted here, the requests admitted by all gateways as last
+    /// reported by the counter, and the age of that report.
     pub fn figures(&mut self, now: Duration) -> UsageFigures {
         let last_report = self
             .last_report
@@ -161,14 +164,15 @@
         }
     }
 
-    /// A request that was let in was sent to nobody.
+    /// Returns the credit of an admitted request that was not sent to any worker.
     pub fn refund_credit(&mut self, now: Duration) {
-        // Nearly over, so that it is not spent after credits that were granted with it.
+        // The credit expires soon, so that it does not outlive credits that were granted with it.
         let until = now + PREFETCH_RETRY_INTERVAL;
         self.credits.push_front(Credits { count: 1, until });
     }
 
-    /// The question to a counter, which a number names, for so many requests that wait.
+    /// Builds the credit request to the counter identified by `counter`, for `need` waiting
+    /// requests.
     pub fn credit_request(&mut self, need: u32, counter: u64, now: Duration) -> CreditRequest {
         self.expire(now);
         let last_report = self.last_report.filter(|report| report.counter != counter);
@@ -191,13 +195,14 @@
         }
     }
 
-    /// What was let in alone and has not come back since: a counter that did not know of it has saved as much.
+    /// Returns the requests admitted from the own share that have not been refilled since. A
+    /// counter that did not know of them has saved up as many credits too many.
     fn spent_alone(&self) -> u32 {
         let missing = self.own.map_or(0.0, |own| own.most - own.level);
         self.alone.min(missing.max(0.0).ceil() as u32)
     }
 
-    /// Whether the counter is to be asked though no request waits.
+    /// Returns whether credits should be prefetched although no request waits.
     pub fn should_prefetch(&mut self, now: Duration) -> bool {
         let was_asked = self
             .asked_at
@@ -207,12 +212,12 @@
         !was_asked && is_low && now >= self.exhausted_until
     }
 
-    /// When the counter was asked last.
+    /// Returns when the counter was last asked.
     pub fn asked_at(&self) -> Option<Duration> {
         self.asked_at
     }
 
-    /// A counter, which a number names, answered a question of `asked_at`.
+    /// Applies the response of the counter identified by `counter` to a request sent at `asked_at`.
     pub fn apply_response(
         &mut self,
         verdict: CreditResponse,
@@ -264,7 +269,8 @@
         let began = *self.began.get_or_insert(now);
         let share = gateway_share(here, by_all, gateways);
         if let Some(own) = &mut self.own {
-            // Before a window is full the shares of all gateways make more than one.
+            // Until a whole usage window has passed, the shares of all gateways may add up to more
+            // than 1.
             own.share = if now < began + USAGE_WINDOW {
                 share.min(gateway_share(0, 0, gateways))
             } else {
@@ -273,7 +279,8 @@
         }
     }
 
-    /// Where the counter has nothing left, no gateway has saved anything.
+    /// Sets the saved part of the own share to 0: when the counter has no credits left, no gateway
+    /// has saved any requests.
     fn clear_saved(&mut self, now: Duration) {
         if let Some(own) = &mut self.own {
             own.level = 0.0;
@@ -281,7 +288,8 @@
         }
     }
 
-    /// The most that was told of late: a counter that has just begun knows of few requests.
+    /// Returns the highest recent count of all gateways' requests. A single report may be too low:
+    /// a counter that has just begun knows of few requests.
     fn peak(&self, now: Duration) -> u32 {
         let peak = self.peak.filter(|peak| now < peak.at + PEAK_TTL);
         peak.map_or(0, |peak| peak.recent)
@@ -321,13 +329,14 @@
     }
 }
 
-/// What is known of a tenant's requests.
+/// Recent requests of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UsageFigures {
-    /// Requests let in here within the last [`USAGE_WINDOW`].
+    /// Requests admitted here within the last [`USAGE_WINDOW`].
     pub here: u32,
-    /// The same of all gateways, as the counter told last.
+    /// Requests admitted by all gateways within that window, as the counter last reported; `None`
+    /// without a recent report.
     pub by_all: Option<u32>,
-    /// Age of that.
+    /// Age of that report.
     pub age: Option<Duration>,
 }
--- a/crates/swiftshunt-scheduler/src/rates/usage.rs
+++ b/crates/swiftshunt-scheduler/src/rates/usage.rs
@@ -1,15 +1,15 @@
-//! How many requests were let in of late.
+//! Counts requests admitted within a sliding window.
 
 use std::time::Duration;
 
-/// Parts of the window, each forgotten as a whole.
+/// Number of parts of the window; each is cleared as a whole.
 const PARTS: usize = 10;
-/// Time of a part.
+/// Length of a part.
 const PART: Duration = Duration::from_millis(500);
-/// Time over which requests are counted.
+/// Length of the window over which requests are counted.
 pub const USAGE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Requests of the last [`USAGE_WINDOW`].
+/// Number of requests within the last [`USAGE_WINDOW`].
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
     parts: [u32; PARTS],
@@ -17,13 +17,13 @@
 }
 
 impl Usage {
-    /// Counts one.
+    /// Counts one request.
     pub fn add(&mut self, now: Duration) {
         self.roll(now);
         self.parts[self.newest as usize % PARTS] += 1;
     }
 
-    /// How many there were.
+    /// Returns the number of requests in the window that ends `now`.
     pub fn total(&mut self, now: Duration) -> u32 {
         self.roll(now);
         self.parts.iter().sum()
--- a/crates/swiftshunt-scheduler/src/slots/allocator.rs
+++ b/crates/swiftshunt-scheduler/src/slots/allocator.rs
@@ -1,5 +1,5 @@
-//! The book of a cell: what every gateway holds there, and the decisions made by it. Pure: time is
-//! given.
+//! Slot allocator of a cell: tracks what every gateway holds there, assigns workers and grants
+//! slots. It does no I/O; callers pass the time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,99 +13,99 @@
 use super::worker_health::{FailureTracker, WorkerHealth};
 use super::{Bid, CellWorker, SlotReport, WorkerKey};
 
-/// Age from which a report no longer counts: its gateway is gone or asks elsewhere. Gateways that
-/// hold something report at least three times in this time.
+/// Age from which a report no longer counts, since its gateway is gone or uses another owner.
+/// Gateways that hold a slot report at least three times in this period.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
-/// Time in which an assignment shows in a report, or was lost: a few times the way to and fro and the
+/// Time after which an assignment that no report shows counts as lost: a few round trips plus the
 /// pause before a report.
 const ASSIGNMENT_TTL: Duration = Duration::from_millis(250);
-/// Time in which an item that is to step aside has gone, or the order was lost.
+/// Time after which a preemption order counts as lost if the item is still held.
 const PREEMPTION_TTL: Duration = Duration::from_millis(150);
-/// Time after a request found no slot in time for which free slots are not granted to batch items: its gateway
-/// asks again within it, and an item would have to leave at once.
+/// Time after a request found no slot in time during which batch items get no free slots: the
+/// request's gateway retries within it, and a granted item would have to be preempted at once.
 const ONLINE_RESERVATION_TIME: Duration = Duration::from_millis(150);
-/// Requests beyond the book's that a worker may tell of without anybody else sending there: what has
-/// ended a moment ago.
+/// Requests by which a worker's own count may exceed the allocator's without any other sender:
+/// requests that ended a moment ago.
 const REPORTED_LOAD_SLACK: u32 = 2;
 
-/// What all gateways together hold at a worker.
+/// Slots that all gateways together hold at a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that callers wait for.
+    /// Slots held by online requests.
     pub online: u32,
-    /// Batch items, without those that were told to step aside.
+    /// Slots held by batch items, without items that are being preempted.
     pub batch: u32,
 }
 
 impl Load {
-    /// Slots that are taken.
+    /// Returns the number of slots that are in use.
     pub fn taken(self) -> u32 {
         self.online + self.batch
     }
 }
 
-/// Where a request goes.
+/// The worker assigned to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// The assignment's number.
+    /// Number of the assignment.
     pub number: u64,
-    /// The worker.
+    /// The assigned worker.
     pub worker: WorkerKey,
-    /// The gateway that must take one of its batch items away from that worker.
+    /// The gateway that must remove one of its batch items from the worker, if one is preempted.
     pub preempted_gateway: Option<SocketAddr>,
     /// Whether the request has to wait for a slot.
     pub waits: bool,
-    /// What the worker has to read for it.
+    /// Prompt tokens that the worker has to prefill for the request, and the expected time.
     pub prefill: PrefillEstimate,
 }
 
-/// What a request asks the owner of a cell for.
+/// A request's query to the owner of a cell.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementRequest<'q> {
-    /// Where it may go, and what speaks against each worker.
+    /// Workers that the request may go to, with the cost of each.
     pub bids: &'q [Bid],
-    /// Its prompt.
+    /// Prompt of the request.
     pub prompt: Prompt<'q>,
-    /// Whether it may be assigned a worker at which it has to wait for a slot.
+    /// Whether the request may be assigned a worker at which it has to wait for a slot.
     pub may_wait: bool,
-    /// Time within which it must get a slot to be in time; none if it takes any that comes.
+    /// Longest wait for a slot with which the request is still in time; `None` if any wait will do.
     pub max_wait: Option<Duration>,
-    /// Whether it may go to another worker if this one fails while it runs.
+    /// Whether the request may be sent to another worker if this one fails while it runs.
     pub may_repeat: bool,
 }
 
-/// Why a request gets no worker.
+/// Reason why a request gets no worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PlacementError {
     /// No bid names a worker of the cell.
     NoWorker,
-    /// It would have to wait for a slot.
+    /// The request would have to wait for a slot, and may not wait or would wait too long.
     Full,
 }
 
-/// A slot for a batch item.
+/// A slot granted to a batch item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// The assignment's number.
+    /// Number of the assignment.
     pub number: u64,
-    /// The gateway whose item gets it.
+    /// The gateway whose item gets the slot.
     pub to: SocketAddr,
-    /// The worker.
+    /// The worker that the slot belongs to.
     pub worker: WorkerKey,
 }
 
-/// Slots of a cell, by use.
+/// Slots of a cell by use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlotUsage {
-    /// Held by requests that callers wait for, also those that wait for a slot.
+    /// Number of online requests that hold a slot or wait for one.
     pub online: u32,
-    /// Held by batch items.
+    /// Number of slots held by batch items.
     pub batch: u32,
-    /// Free.
+    /// Number of free slots.
     pub free: u32,
 }
 
-/// The book of a cell.
+/// Slot allocator of a cell.
 #[derive(Debug, Default)]
 pub struct SlotAllocator {
     gateways: HashMap<SocketAddr, GatewayState>,
@@ -114,12 +114,12 @@
     last_number: u64,
     opened_at: Option<Duration>,
     heard_at: Duration,
-    /// When a request found no slot in time.
+    /// When a request last found no slot in time.
     rejected_at: Option<Duration>,
 }
 
 impl SlotAllocator {
-    /// Takes a gateway's report, unless a later one of it is known.
+    /// Replaces the gateway's previous report, unless that one is newer.
     pub fn apply_report(&mut self, from: SocketAddr, report: SlotReport, now: Duration) {
         self.opened_at.get_or_insert(now);
         self.heard_at = now;
@@ -129,18 +129,21 @@
         }
     }
 
-    /// Forgets what is too old to count.
+    /// Removes reports, assignments, preemption orders and failures that are too old to count.
     pub fn expire(&mut self, now: Duration) {
         self.gateways
             .retain(|_, state| now < state.heard_at + REPORT_TTL);
         self.failure_tracker.expire(now);
         for state in self.gateways.values_mut() {
             state.unconfirmed.retain(|it| now < it.at + ASSIGNMENT_TTL);
-            state.leaving.retain(|(_, at)| now < *at + PREEMPTION_TTL);
+            state
+                .preempting
+                .retain(|(_, at)| now < *at + PREEMPTION_TTL);
         }
     }
 
-    /// A gateway's send to a worker failed; tells whether requests keep clear of it from now on.
+    /// Records that a gateway's send to a worker failed. Returns whether requests avoid the worker
+    /// from now on.
     pub fn record_failure(&mut self, worker: WorkerKey, now: Duration) -> bool {
         self.failure_tracker.record_failure(worker, now)
     }
@@ -149,23 +152,23 @@
         self.failure_tracker.health(worker, now) == WorkerHealth::Failing
     }
 
-    /// Whether a gateway other than `own` has reported of late.
+    /// Returns whether a gateway other than `own` has reported recently.
     pub fn has_reports_from_others(&self, own: SocketAddr) -> bool {
         self.gateways.keys().any(|gateway| *gateway != own)
     }
 
-    /// Whether nobody has reported for long.
+    /// Returns whether no gateway has reported within the lifetime of a report.
     pub fn has_no_recent_reports(&self, now: Duration) -> bool {
         now >= self.heard_at + REPORT_TTL
     }
 
-    /// Whether every gateway has had the time to report since the book was opened.
+    /// Returns whether every gateway has had time to report since the first report arrived.
     pub fn is_warmed_up(&self, now: Duration) -> bool {
         self.opened_at
             .is_some_and(|opened_at| now >= opened_at + REPORT_TTL / 3)
     }
 
-    /// What is held at a worker.
+    /// Returns the slots in use at a worker, by the gateways' reports and the assignments since.
     pub fn load(&self, worker: WorkerKey) -> Load {
         let mut load = Load::default();
         for state in self.gateways.values() {
@@ -176,8 +179,8 @@
         load
     }
 
-    /// The same, or what the worker itself told where that is more: requests of gateways that do not
-    /// report here.
+    /// Returns the load at a worker, raised to the count that the worker itself reported if that is
+    /// clearly higher: the difference is requests of gateways that do not report here.
     pub(super) fn effective_load(&self, worker: &CellWorker) -> Load {
         let mut load = self.load(worker.key);
         let reported = worker.reported_load.unwrap_or(0);
@@ -187,11 +190,12 @@
         load
     }
 
-    /// Assigns a worker to a request of `from`: the one with the lowest cost among the bids, with
-    /// the exact load and what each worker holds of the prompt. A request that may not wait goes to
-    /// the best worker that has room, before it is told that the cell is full; so does one that would be
-    /// late by its wait. Workers take requests in the order in which they come: one that is late in any
-    /// case would make all behind it late, too, until the peak is over.
+    /// Assigns to a request of `from` the worker with the lowest cost among its bids, given the
+    /// exact load and the estimated prompt cache of each worker. If the request may not wait at the
+    /// best worker, or would be late there, it gets the best worker at which it is in time; it is
+    /// refused as [`PlacementError::Full`] only if there is none. A late request is refused because
+    /// workers take requests in order of arrival: it would make all requests behind it late, too,
+    /// until the peak is over.
     pub fn place(
         &mut self,
         from: SocketAddr,
@@ -237,7 +241,8 @@
         })
     }
 
-    /// Has a gateway take an item away from a worker: `from` itself if it has one there.
+    /// Preempts a batch item at a worker. Returns the gateway that holds the item: `from` itself if
+    /// it has one there.
     fn preempt_item(
         &mut self,
         worker: WorkerKey,
@@ -257,7 +262,7 @@
         Some(gateway)
     }
 
-    /// The gateway with the most items at a worker that may still be told to leave.
+    /// Returns the gateway with the most items at a worker that may still be preempted.
     fn gateway_to_preempt(&self, worker: WorkerKey) -> Option<SocketAddr> {
         let preemptible_items = self
             .gateways
@@ -267,16 +272,16 @@
         (items > 0).then_some(gateway)
     }
 
-    /// Counts an item of a gateway's as one that was told to leave a worker.
+    /// Marks one of a gateway's items at a worker as being preempted.
     fn record_preemption(&mut self, gateway: SocketAddr, worker: WorkerKey, now: Duration) {
         if let Some(state) = self.gateways.get_mut(&gateway) {
-            state.leaving.push((worker, now));
+            state.preempting.push((worker, now));
         }
     }
 
-    /// Orders items away from workers that hold more than they have slots for, until what is left
-    /// fits: assignments that were made without knowing everything, and orders that were lost, heal
-    /// by it. Gives the gateway and the worker of each order.
+    /// Preempts items at workers whose load exceeds their slots, until the rest fits. This corrects
+    /// assignments made with incomplete information, and preemption orders that were lost. Returns
+    /// the gateway and the worker of each order.
     pub fn preempt_surplus(
         &mut self,
         workers: &[CellWorker],
@@ -311,8 +316,8 @@
         number
     }
 
-    /// Grants free slots to waiting items, the most urgent first, as long as `reserved` of the
-    /// cell's slots stay free.
+    /// Grants free slots to waiting items, the most urgent first. The share `reserved` of the
+    /// cell's slots stays free.
     pub fn grant(&mut self, workers: &[CellWorker], reserved: f64, now: Duration) -> Vec<Grant> {
         self.expire(now);
         let mut grants = Vec::new();
@@ -350,7 +355,8 @@
         grants
     }
 
-    /// The gateway whose waiting item has the lowest rank; one item of it no longer counts as waiting.
+    /// Returns the gateway whose waiting item has the lowest rank, and removes one item from its
+    /// waiting count.
     fn most_urgent(&mut self, now: Duration) -> Option<SocketAddr> {
         let waiting = self.gateways.iter_mut();
         let waiting = waiting.filter(|(_, state)| state.waiting.items > 0);
@@ -363,13 +369,13 @@
         Some(*gateway)
     }
 
-    /// Forgets what is known of workers that are no longer in the cell.
+    /// Removes the prompt caches of workers that are no longer in the cell.
     pub fn forget_gone(&mut self, workers: &[CellWorker]) {
         let is_there = |key| workers.iter().any(|worker| worker.key == key);
         self.prompts.retain(is_there);
     }
 
-    /// How the slots of the cell are used.
+    /// Returns how the slots of the cell are used.
     pub fn usage(&self, workers: &[CellWorker]) -> SlotUsage {
         let mut usage = SlotUsage::default();
         for worker in workers {
--- a/crates/swiftshunt-scheduler/src/slots/mod.rs
+++ b/crates/swiftshunt-scheduler/src/slots/mod.rs
@@ -1,13 +1,15 @@
-//! Slots of workers that online requests and batch items share, decided in one place.
+//! Worker slots shared by online requests and batch items, allocated by one gateway per cell.
 //!
 //! The workers of a service are divided into cells of a few workers each. Every cell has one owner
-//! among the gateways ([`cell`]). Gateways report to it what they hold at the cell's workers, and ask
-//! it for a worker when a request comes; it keeps the exact load in a [`allocator`], assigns the worker,
-//! grants slots to batch items, and takes exactly one back for each request that would wait. What its
-//! workers hold of shared beginnings of prompts it knows by what it assigned ([`prompts`]), and which of
-//! them fail by what all gateways tell it ([`worker_health`]).
+//! among the gateways ([`cell`]). Gateways report to the owner the slots that they hold at the
+//! cell's workers, and ask the owner for a worker when a request arrives. The owner tracks the
+//! exact load in a [`allocator`]: it assigns workers, grants slots to batch items, and preempts
+//! exactly one batch item for each request that would otherwise wait. It estimates which prompt
+//! prefixes its workers cache from its own assignments ([`prompts`]), and detects failing workers
+//! from the failures that all gateways report ([`worker_health`]).
 //!
-//! All of it is a hint: an owner that is gone, late or doubled costs a worse choice and nothing else.
+//! Every decision is a hint: if an owner is gone or late, or a cell has two owners, requests get a
+//! worse placement but are still served.
 
 pub mod allocator;
 pub mod cell;
@@ -21,56 +23,57 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A worker's incarnation, hashed: short enough for a datagram.
+/// Hash of a worker's incarnation, short enough for a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkerKey(pub u64);
 
-/// What one gateway holds at a worker.
+/// Slots that one gateway holds at a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSlots {
-    /// Requests that callers wait for.
+    /// Slots held by online requests.
     pub online: u32,
-    /// Batch items.
+    /// Slots held by batch items.
     pub batch: u32,
 }
 
 /// Batch items of a gateway that wait for a slot of a cell.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingItems {
-    /// How many.
+    /// Number of waiting items.
     pub items: u32,
-    /// Rank of the first of them.
+    /// Rank of the most urgent waiting item.
     pub first: Rank,
 }
 
-/// Which of the items that wait goes first: the lowest.
+/// Urgency of a waiting item: the item with the lowest rank gets a slot first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rank {
-    /// Whether it will be late in any case: it goes behind those that can still be in time, since
-    /// else each of them would wait until it is late, too.
+    /// Whether the item will miss its due time in any case. Late items rank behind items that can
+    /// still be in time; otherwise each of those would wait until it is late, too.
     pub is_late: bool,
-    /// Milliseconds until it is due; negative once that is over.
+    /// Milliseconds until the item is due; negative after the due time.
     pub due_in_ms: i64,
 }
 
 /// Times of a batch item, on the clock of its gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ItemTimes {
-    /// When it is due.
+    /// When the item is due.
     pub due_at: Duration,
-    /// When it is given up.
+    /// When the gateway gives up the item.
     pub expires_at: Duration,
-    /// How long it is expected to run yet.
+    /// How much longer the item is expected to run.
     pub expected_run: Duration,
 }
 
-/// Part of the expected run that an item surely needs: lengths differ.
+/// Part of the expected run that an item is sure to need, since run lengths vary.
 const SURE_SHARE: f64 = 0.6;
 
 impl ItemTimes {
-    /// The rank now. One that is late goes before all others again after half of the time until it
-    /// is given up: it must not wait for ever behind new ones.
+    /// Returns the rank at `now`. Once half of the time between `due_at` and `expires_at` has
+    /// passed, a late item no longer counts as late and ranks before all others: it must not wait
+    /// forever behind new items.
     pub fn rank(&self, now: Duration) -> Rank {
         let is_late = now + self.expected_run.mul_f64(SURE_SHARE) > self.due_at;
         let patient_until = self.due_at + self.expires_at.saturating_sub(self.due_at) / 2;
@@ -81,41 +84,43 @@
     }
 }
 
-/// All that a gateway holds in a cell. Each report replaces the one before, so that one that is lost
-/// or doubled does no harm.
+/// All that a gateway holds in a cell. Each report replaces the previous one, so a lost or
+/// duplicated report does no harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotReport {
-    /// Drawn at each start of the gateway.
+    /// Identifier of the gateway's process, drawn at random at each start.
     pub life: u64,
-    /// Rises with each report of that life.
+    /// Number of the report, which rises with each report of the same `life`.
     pub number: u64,
-    /// The highest number of an assignment that is counted in it, or 0.
+    /// The highest assignment number that the report takes into account, or 0.
     pub seen: u64,
-    /// What is held, without the workers at which nothing is.
+    /// Held slots by worker, without the workers at which the gateway holds none.
     pub held: Vec<(WorkerKey, HeldSlots)>,
-    /// Items that wait.
+    /// Batch items that wait for a slot.
     pub waiting: WaitingItems,
 }
 
-/// A worker at which a gateway would have its request, and what speaks against it there beside the
-/// requests that it holds.
+/// A worker that a request may go to, and the cost of sending it there apart from the cell's own
+/// load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bid {
     /// The worker.
     pub worker: WorkerKey,
-    /// Expected milliseconds until the first event if a slot were free and nothing had to be read.
+    /// Expected milliseconds until the first event if a slot were free and no prompt tokens had to
+    /// be prefilled.
     pub cost_ms: u32,
 }
 
-/// A worker of a cell as its owner knows it.
+/// A worker of a cell as the cell's owner knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CellWorker {
-    /// The worker.
+    /// Key of the worker.
     pub key: WorkerKey,
-    /// Requests that it runs at once.
+    /// Number of requests that the worker runs at once.
     pub slots: u32,
-    /// Requests that it told to hold a moment ago, if it did.
+    /// Number of requests that the worker itself reported most recently; `None` if there is no
+    /// recent report.
     pub reported_load: Option<u32>,
-    /// Whether batch items may go there: it answers.
+    /// Whether batch items may be sent to the worker, which requires that it answers.
     pub accepts_batch: bool,
 }
--- a/crates/swiftshunt-scheduler/src/slots/placement_options.rs
+++ b/crates/swiftshunt-scheduler/src/slots/placement_options.rs
@@ -1,4 +1,4 @@
-//! What the workers of a cell would cost a request, by the book.
+//! Estimated cost of a request at each worker of a cell, by the load that the allocator knows.
 
 use std::time::Duration;
 
@@ -6,21 +6,23 @@
 use super::allocator::{Load, PlacementRequest, SlotAllocator};
 use super::prompts::{EngineRates, PrefillEstimate};
 
-/// Cost of full slots against empty ones, in milliseconds: spreads requests over equal workers.
+/// Cost of a worker with all slots in use over one with none, in milliseconds; spreads requests
+/// over otherwise equal workers.
 const OCCUPANCY_COST: f64 = 8.0;
-/// Cost of a slot that a batch item must leave first, in milliseconds: the order's way, and that its
-/// prompt is read again elsewhere.
+/// Cost of a slot that a batch item must leave first, in milliseconds: the time that the preemption
+/// order takes, and the repeated prefill of the item's prompt elsewhere.
 const PREEMPTION_COST: f64 = 30.0;
-/// Reading time of a prompt from which streams that run beside it are disturbed: an engine reads a piece
-/// of it before each of their tokens, and their pauses grow with what is left.
-const DISTURBING: Duration = Duration::from_millis(150);
-/// Cost of a disturbed stream, against the time by which the reading exceeds that: a stream that pauses
-/// for too long loses about as much as the prompt's own request would.
+/// Prefill time of a prompt above which it disturbs streams that run beside it: an engine prefills
+/// a piece of the prompt before each of their tokens, and their pauses grow with what is left.
+const DISTURBING_PREFILL_TIME: Duration = Duration::from_millis(150);
+/// Cost of a disturbed stream per time by which the prefill exceeds `DISTURBING_PREFILL_TIME`: a stream that
+/// pauses for too long loses about as much as the prompt's own request would.
 const DISTURBANCE_COST: f64 = 0.5;
 
-/// A worker that a request may be assigned to.
+/// A worker that a request may be assigned to, with its cost.
 pub(super) struct PlacementOption<'w> {
-    /// Whether the worker fails, and the request goes there only for want of another.
+    /// Whether the worker should be avoided because it fails, so that the request goes there only
+    /// if there is no other.
     pub(super) is_last_resort: bool,
     cost_ms: f64,
     pub(super) worker: &'w CellWorker,
@@ -33,12 +35,13 @@
         self.load.taken() >= self.worker.slots
     }
 
-    /// Whether a slot is free, or a batch item may leave one.
+    /// Returns whether a slot is free or can be freed by preempting a batch item.
     pub(super) fn has_room(&self) -> bool {
         !self.is_full() || self.load.batch > 0
     }
 
-    /// Whether a request gets a slot here as soon as it wants one.
+    /// Returns whether the request gets a slot at once, or may wait and gets one within its longest
+    /// wait.
     pub(super) fn is_in_time(&self, request: &PlacementRequest<'_>, rates: &EngineRates) -> bool {
         if self.has_room() {
             return true;
@@ -50,7 +53,7 @@
 }
 
 impl SlotAllocator {
-    /// The workers among the bids, with what each would cost.
+    /// Returns the bids' workers that are in the cell, with the cost of each.
     pub(super) fn placement_options<'w>(
         &self,
         request: &PlacementRequest<'_>,
@@ -80,7 +83,8 @@
     }
 }
 
-/// The best of some openings: the cheapest of those that are no last resort, or of all.
+/// Returns the cheapest option among those that are no last resort, or among all if there is no
+/// other.
 pub(super) fn cheapest<'o, 'w>(
     options: impl Iterator<Item = &'o PlacementOption<'w>>,
 ) -> Option<&'o PlacementOption<'w>>
@@ -97,13 +101,15 @@
     time.as_secs_f64() * 1e3
 }
 
-/// What streams lose by a prompt that takes `reading` to read beside them, in milliseconds.
+/// Returns the expected cost, in milliseconds, of slowing the running streams by a prefill of this
+/// length.
 fn disturbance_cost(load: Load, prefill_time: Duration) -> f64 {
-    let disturbing = milliseconds(prefill_time.saturating_sub(DISTURBING));
+    let disturbing = milliseconds(prefill_time.saturating_sub(DISTURBING_PREFILL_TIME));
     f64::from(load.online) * disturbing * DISTURBANCE_COST
 }
 
-/// Expected milliseconds until a slot is there, for a request that comes now.
+/// Returns the cost, in milliseconds, of the slots in use, of preempting a batch item, and of
+/// waiting for a slot.
 fn queue_cost(load: Load, slots: u32, service_ms: f64) -> f64 {
     let slots = slots.max(1);
     let occupancy = f64::from(load.taken().min(slots)) / f64::from(slots) * OCCUPANCY_COST;
@@ -116,7 +122,8 @@
     occupancy + PREEMPTION_COST + wait_behind(load, slots, service_ms)
 }
 
-/// Expected milliseconds until a slot is free, behind those that run and wait at a full worker.
+/// Returns the expected milliseconds until a slot is free at a full worker, behind the requests
+/// that run and wait there.
 fn wait_behind(load: Load, slots: u32, service_ms: f64) -> f64 {
     let slots = slots.max(1);
     let ahead = f64::from((load.taken() + 1).saturating_sub(slots));
--- a/crates/swiftshunt-scheduler/src/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/src/slots/prompts.rs
@@ -1,6 +1,6 @@
-//! What the workers of a cell hold of prompts and still have to read, by the requests that were
-//! assigned there. The owner of a cell assigns nearly all of them, so it knows far more of it than
-//! any gateway that sends a few.
+//! Estimates which prompt prefixes the workers of a cell cache and how much prefill work is queued
+//! there, from the requests assigned to them. The owner of a cell assigns nearly all of them, so
+//! its estimate is far better than that of a gateway that sends a few.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,66 +10,67 @@
 use super::WorkerKey;
 use crate::prefix_cache::{PrefixCacheEstimate, PromptPart};
 
-/// A prompt that is to be read.
+/// Prompt of a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prompt<'p> {
-    /// Its parts, in order; the last one belongs to the request alone.
+    /// Parts of the prompt, in order; the last part belongs to this request alone.
     pub parts: &'p [PromptPart],
-    /// Tokens in all.
+    /// Tokens of the whole prompt.
     pub tokens: u64,
 }
 
-/// How the engines of a service work, as observed.
+/// Observed speed and memory of a service's engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineRates {
-    /// Milliseconds for which a slot is taken.
+    /// Milliseconds for which a request occupies a slot.
     pub slot_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prompt tokens prefilled per millisecond.
     pub tokens_per_ms: f64,
-    /// Tokens that an engine's memory holds.
+    /// Tokens that the engine's cache holds.
     pub memory_tokens: u64,
 }
 
-/// Slowest reading that is reckoned with, in tokens a millisecond: a rate of none is no rate.
-const SLOWEST_READING: f64 = 0.1;
+/// Lowest prefill rate that is assumed, in tokens per millisecond; keeps an observed rate of 0 from
+/// giving an infinite time.
+const MIN_TOKENS_PER_MS: f64 = 0.1;
 
 impl EngineRates {
-    /// How long a slot is taken.
+    /// Returns how long a request occupies a slot.
     pub fn slot_time(&self) -> Duration {
         Duration::from_secs_f64(self.slot_ms.max(0.0) / 1e3)
     }
 
-    /// How long `tokens` take to read.
+    /// Returns how long the prefill of `tokens` takes.
     pub(super) fn prefill_time(&self, tokens: u64) -> Duration {
-        let ms = tokens as f64 / self.tokens_per_ms.max(SLOWEST_READING);
+        let ms = tokens as f64 / self.tokens_per_ms.max(MIN_TOKENS_PER_MS);
         Duration::from_secs_f64(ms / 1e3)
     }
 }
 
-/// What one worker holds and reads.
+/// Estimated prompt cache and prefill queue of one worker.
 #[derive(Debug)]
-struct Memory {
+struct WorkerCache {
     resident: PrefixCacheEstimate,
-    peer_prefill_until: Duration,
+    prefill_until: Duration,
 }
 
-/// What the workers of a cell hold and read.
+/// Estimated prompt caches and prefill queues of a cell's workers.
 #[derive(Debug, Default)]
 pub(super) struct PromptCaches {
-    workers: HashMap<WorkerKey, Memory>,
+    workers: HashMap<WorkerKey, WorkerCache>,
 }
 
-/// What a worker has to read for a request.
+/// Prefill work of a worker for a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefillEstimate {
-    /// Tokens of the prompt that it does not hold.
+    /// Prompt tokens that the worker does not have in its cache.
     pub missing_tokens: u64,
-    /// Expected time until it has read them, behind the prompts assigned there before.
+    /// Expected time until their prefill is done, behind the prompts assigned there before.
     pub time: Duration,
 }
 
 impl PromptCaches {
-    /// What a worker would have to read.
+    /// Estimates the prefill work of a worker for a prompt.
     pub(super) fn estimate_prefill(
         &self,
         worker: WorkerKey,
@@ -77,10 +78,10 @@
         rates: &EngineRates,
         now: Duration,
     ) -> PrefillEstimate {
-        let memory = self.workers.get(&worker);
-        let held = memory.map_or(0, |memory| memory.resident.cached_tokens(prompt.parts));
-        let ahead = memory.map_or(Duration::ZERO, |memory| {
-            memory.peer_prefill_until.saturating_sub(now)
+        let cache = self.workers.get(&worker);
+        let held = cache.map_or(0, |cache| cache.resident.cached_tokens(prompt.parts));
+        let ahead = cache.map_or(Duration::ZERO, |cache| {
+            cache.prefill_until.saturating_sub(now)
         });
         let missing_tokens = prompt.tokens.saturating_sub(held);
         PrefillEstimate {
@@ -101,15 +102,15 @@
             return;
         }
         let prefill = self.estimate_prefill(worker, prompt, rates, now);
-        let memory = self.workers.entry(worker).or_insert_with(|| Memory {
+        let cache = self.workers.entry(worker).or_insert_with(|| WorkerCache {
             resident: PrefixCacheEstimate::new(rates.memory_tokens),
-            peer_prefill_until: Duration::ZERO,
+            prefill_until: Duration::ZERO,
         });
-        memory.peer_prefill_until = now + prefill.time;
-        memory.resident.record_prompt(prompt.parts);
+        cache.prefill_until = now + prefill.time;
+        cache.resident.record_prompt(prompt.parts);
     }
 
-    /// Forgets workers that are no longer there.
+    /// Removes workers for which `is_there` returns false.
     pub(super) fn retain(&mut self, is_there: impl Fn(WorkerKey) -> bool) {
         self.workers.retain(|worker, _| is_there(*worker));
     }
--- a/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
+++ b/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
@@ -1,7 +1,8 @@
-//! Free slots of a service in other regions, as the owners of cells there tell.
+//! Free slots of a service in other regions, as announced by the owners of cells there.
 //!
-//! The owner of a cell tells the owner of one cell in each other region; that one sends on whoever finds no slot
-//! in time. What is told is seconds old, so each request that is sent on counts as a slot that is taken.
+//! The owner of a cell announces its free slots to the owner of one cell in each other region,
+//! which forwards requests that find no slot in time. An announcement is seconds old, so each
+//! forwarded request is subtracted from it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,35 +11,37 @@
 
 use super::cell::{Cell, cell_count};
 
-/// Time for which what was told counts: a few times the pause between two messages.
+/// Time for which an announcement counts: a few times the pause between two announcements.
 const CAPACITY_TTL: Duration = Duration::from_secs(3);
-/// Pause between two messages that say much the same.
+/// Pause between two announcements, unless the cell becomes full or gets its first free slot.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
-struct Room {
+struct FreeSlots {
     free: u32,
     at: Duration,
 }
 
-/// What other regions have.
+/// Free slots announced by cells of other regions, and those that this owner announced.
 #[derive(Debug, Default)]
 pub struct RemoteCapacity {
-    rooms: BTreeMap<Cell, Room>,
-    announced: BTreeMap<Cell, Room>,
+    free_slots: BTreeMap<Cell, FreeSlots>,
+    announced: BTreeMap<Cell, FreeSlots>,
 }
 
 impl RemoteCapacity {
-    /// The owner of a cell tells how many slots are free there.
+    /// Records how many slots the owner of a cell announced as free.
     pub fn record_free_slots(&mut self, cell: Cell, free: u32, now: Duration) {
-        self.rooms.insert(cell, Room { free, at: now });
+        self.free_slots.insert(cell, FreeSlots { free, at: now });
     }
 
-    /// The cell with the most room in another region, for one request that finds none in `full`.
+    /// Reserves a slot, in the other region with the most free slots, for one request that finds
+    /// none in `full`.
     pub fn reserve_slot(&mut self, full: &Cell, now: Duration) -> Option<Cell> {
-        self.rooms.retain(|_, room| now < room.at + CAPACITY_TTL);
+        self.free_slots
+            .retain(|_, room| now < room.at + CAPACITY_TTL);
         let others = self
-            .rooms
+            .free_slots
             .iter_mut()
             .filter(|(cell, room)| is_elsewhere(cell, full) && room.free > 0);
         let (cell, room) = others.max_by_key(|(_, room)| room.free)?;
@@ -46,26 +49,29 @@
         Some(cell.clone())
     }
 
-    /// Whether the owner of a cell is to tell what is free there: again after a while, and at once when the last
-    /// slot is taken or the first one is free again.
+    /// Returns whether the owner of a cell is to announce its free slots now: once per interval,
+    /// and at once when the last slot becomes used or the first one becomes free again. If so,
+    /// records the announcement.
     pub fn should_announce(&mut self, cell: &Cell, free: u32, now: Duration) -> bool {
-        let is_due = self.announced.get(cell).is_none_or(|told| {
-            now >= told.at + ANNOUNCE_INTERVAL || (told.free == 0) != (free == 0)
+        let is_due = self.announced.get(cell).is_none_or(|last| {
+            now >= last.at + ANNOUNCE_INTERVAL || (last.free == 0) != (free == 0)
         });
         if is_due {
-            self.announced.insert(cell.clone(), Room { free, at: now });
+            self.announced
+                .insert(cell.clone(), FreeSlots { free, at: now });
         }
         is_due
     }
 }
 
-/// Whether a cell is one of the same service in another region.
+/// Returns whether a cell belongs to the same service in another region.
 fn is_elsewhere(cell: &Cell, full: &Cell) -> bool {
     cell.service == full.service && cell.region != full.region
 }
 
 impl Cell {
-    /// The cell of another region whose owner is told of this one, where the service has `workers` there.
+    /// Returns the cell in another region that this cell's free slots are announced to; the service
+    /// has `workers` workers there.
     pub fn counterpart(&self, region: &RegionName, workers: usize) -> Self {
         let count = cell_count(workers);
         Self {
--- a/crates/swiftshunt-scheduler/src/slots/worker_health.rs
+++ b/crates/swiftshunt-scheduler/src/slots/worker_health.rs
@@ -1,43 +1,46 @@
-//! Workers at which sends have failed of late, by what all gateways of a cell saw.
+//! Tracks workers to which sends failed recently, by the failures that all gateways of a cell
+//! report.
 //!
-//! At hundreds of gateways each sends to a given worker once in minutes. If each found out for itself
-//! that a worker resets its connections or takes none, each would lose a request to it.
+//! With hundreds of gateways, each of them sends to a given worker only once in minutes. If each
+//! had to find out for itself that a worker resets or refuses connections, each would lose a
+//! request to it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use super::WorkerKey;
 
-/// Time for which nothing is sent to a worker after a first failure: some tens of requests of a cell
-/// end in it. Doubled with each failure that follows.
+/// Time for which nothing is sent to a worker after its first failure: some tens of a cell's
+/// requests end within it. It doubles with each further failure.
 const FIRST_FAILING_PERIOD: Duration = Duration::from_millis(400);
-/// Time after a first failure in which only what may run again is sent to the worker: a worker that
-/// comes and goes loses what may not. Doubled likewise.
+/// Time after the first failure during which only requests that may be repeated are sent to the
+/// worker: a worker that fails on and off loses those that may not. It doubles likewise.
 const FIRST_DEGRADED_PERIOD: Duration = Duration::from_millis(1_200);
-/// Doublings at most: 3.2 s without requests, after which the directory has dropped a dead worker.
+/// Most doublings. They give 3.2 s without requests, after which the directory has removed a dead
+/// worker.
 const MAX_DOUBLINGS: u32 = 3;
-/// Share of a worker's requests that fail from which it is left: one that loses a request in twenty
-/// still serves the others, and a service of a dozen workers cannot do without half of them (days of
-/// lost answers).
+/// Share of failed requests from which a worker is avoided. A worker that loses one request in
+/// twenty still serves the others, and a service of a dozen workers cannot do without half of them
+/// when answers get lost.
 const FAILING_SHARE: f64 = 0.3;
-/// Time in which what was sent, and what of it failed, counts half.
+/// Time in which the weight of a send or a failure halves.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// Time without a failure after which earlier ones are forgotten.
+/// Time without a failure after which earlier failures are forgotten.
 const FAILURE_TTL: Duration = Duration::from_secs(10);
 
-/// What may be sent to a worker.
+/// Health of a worker, which decides what may be sent to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WorkerHealth {
-    /// Anything.
+    /// Any request may be sent.
     Healthy,
-    /// What may run again, batch items among it.
+    /// Only requests that may be repeated are sent, batch items among them.
     Degraded,
-    /// Nothing.
+    /// No request is sent.
     Failing,
 }
 
 impl WorkerHealth {
-    /// Whether a request is kept away from the worker as long as there is another one.
+    /// Returns whether a request avoids the worker as long as there is another one.
     pub fn should_avoid(self, may_repeat: bool) -> bool {
         match self {
             Self::Healthy => false,
@@ -47,7 +50,7 @@
     }
 }
 
-/// Times at which a worker was left, in a row.
+/// Consecutive times at which a worker was marked as failing.
 #[derive(Clone, Copy, Debug)]
 struct FailureStreak {
     times: u32,
@@ -60,7 +63,7 @@
     }
 }
 
-/// What of late was sent to a worker and failed, each request counting less as it ages.
+/// Recent sends to a worker and failures there; the weight of each decays with its age.
 #[derive(Clone, Copy, Debug, Default)]
 struct Tally {
     sent: f64,
@@ -88,7 +91,7 @@
     }
 }
 
-/// The workers of a cell that fail.
+/// Failures and recent sends of a cell's workers.
 #[derive(Debug, Default)]
 pub(super) struct FailureTracker {
     workers: HashMap<WorkerKey, FailureStreak>,
@@ -103,15 +106,15 @@
         tally.sent += 1.0;
     }
 
-    /// Records a failure; tells whether the worker is left for it from now on.
+    /// Records a failure. Returns whether it marks the worker as failing.
     pub(super) fn record_failure(&mut self, worker: WorkerKey, now: Duration) -> bool {
         self.expire(now);
         let tally = self.tallies.entry(worker).or_default();
         *tally = tally.aged(now);
         tally.failed += 1.0;
-        let fails_much = tally.failing_share() >= FAILING_SHARE;
-        // While nothing is sent, requests fail that were there already.
-        if !fails_much || self.health(worker, now) == WorkerHealth::Failing {
+        let is_above_share = tally.failing_share() >= FAILING_SHARE;
+        // While nothing is sent to the worker, the failures are of requests that were there before.
+        if !is_above_share || self.health(worker, now) == WorkerHealth::Failing {
             return false;
         }
         let before = self.workers.get(&worker).map_or(0, |it| it.times);
@@ -123,7 +126,7 @@
         true
     }
 
-    /// What may be sent to a worker.
+    /// Returns the health of a worker.
     pub(super) fn health(&self, worker: WorkerKey, now: Duration) -> WorkerHealth {
         match self.workers.get(&worker) {
             Some(streak) if now < streak.ends_at(FIRST_FAILING_PERIOD) => WorkerHealth::Failing,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// Forgets what is long ago.
+    /// Removes failures and sends older than `FAILURE_TTL`.
     pub(super) fn expire(&mut self, now: Duration) {
         self.workers
             .retain(|_, streak| now < streak.at + FAILURE_TTL);
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -1,4 +1,4 @@
-//! What the gateway that counts for a limit decides.
+//! Admission decisions of the gateway that is the counter of a limit.
 
 use std::time::Duration;
 
@@ -6,52 +6,53 @@
 use super::register::{FIRST_TERM, Register};
 use super::{GRANT_LIFETIME, IDLE_TIMEOUT, REGISTER_READ_TIMEOUT, REGISTER_TTL};
 
-/// A job that asks for room.
+/// A job that asks for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest<'r> {
-    /// The job.
+    /// Name of the job.
     pub job: &'r str,
-    /// The partition that it lies in.
+    /// Partition that the job is stored in.
     pub partition: u32,
-    /// Its tokens.
+    /// Tokens of the job.
     pub tokens: u64,
-    /// The limit by the configuration of the gateway that asks.
+    /// The limit in the configuration of the gateway that asks.
     pub limit: u64,
 }
 
-/// The moment as of which reports show all that gateways have admitted that count no more since `now` at the latest.
+/// Returns the moment from which reports include all jobs admitted by gateways that stopped
+/// counting by `now`.
 fn surely_shown_from(now: Duration) -> Duration {
     now + REGISTER_TTL + GRANT_LIFETIME
 }
 
-/// What is decided about a job.
+/// Decision about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It fits.
+    /// The job fits.
     Admitted,
-    /// It does not fit now.
+    /// The job does not fit now.
     Full,
-    /// It is not known yet whether it fits; it is after this time.
+    /// Whether the job fits is not known yet; it will be after this time.
     Settling(Duration),
-    /// The register has to be read before: another gateway may count.
+    /// The register must be read first, since another gateway may be the counter now.
     Unverified,
-    /// The register cannot be read here: another gateway is to count.
+    /// This gateway cannot read the register: another gateway should become the counter.
     Lost,
 }
 
-/// A change of the register that the gateway that counts wants.
+/// A change of the register that the counter requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Shares are counted, and free again.
+    /// The shares are included in the known outstanding tokens and become free again.
     Settle(Register),
-    /// All that is free is needed.
+    /// The counter needs all free tokens.
     Raise(Register),
-    /// What is not needed is given back.
+    /// The counter gives back tokens that it does not need.
     GiveBack(Register),
 }
 
 impl Change {
-    /// The register after the change.
+    /// Returns the register after the change.
     pub fn register(&self) -> &Register {
         match self {
             Self::Settle(register) | Self::Raise(register) | Self::GiveBack(register) => register,
@@ -59,36 +60,38 @@
     }
 }
 
-/// The gateway that counts for one limit.
+/// The counter of one limit.
 #[derive(Debug)]
 pub struct Counter {
     register: Register,
-    /// When the read began that showed the register.
+    /// When the last read of the register began that confirmed this counter.
     verified_at: Duration,
-    /// When it was first asked since the register is too old to count by.
+    /// When a job first asked for admission after the register had become too old to count by.
     unverified_since: Option<Duration>,
-    /// Reports as of this moment show what every gateway that counted before has admitted.
+    /// Reports as of this moment include all that previous counters admitted.
     settles_from: Duration,
-    /// Reports have to be as of this moment: when it was asked first after a time without jobs.
+    /// Reports must be as of this moment or later: the first request after a time without jobs.
     needed_from: Duration,
-    /// Whether reports have shown all that stands.
+    /// Whether reports have included all outstanding tokens at least once.
     is_shown: bool,
     /// Tokens of the share that are spent.
     spent: u64,
     outstanding: OutstandingTokens,
     partitions: u32,
-    /// The limit that was asked for last, and when.
+    /// The limit named by the last request, and the time of that request.
     limit: u64,
     asked_at: Duration,
-    /// Tokens for which there must be room so that the last job that found none fits; 0 if there is none.
+    /// Tokens that `counted` or the share must reach so that the last refused job fits; 0 if there
+    /// is none.
     needed: u64,
-    /// Whether it admits nothing more, since its process stops.
+    /// Whether the counter admits nothing more because its process is stopping.
     is_stopping: bool,
 }
 
 impl Counter {
-    /// A gateway that has begun to count, with `limit` tokens in all: `register` says so, by a read that began at
-    /// `verified_at` and has ended `now`. `partitions` is how many the journal has.
+    /// Creates the counter that `register` names, for a limit of `limit` tokens. The read that
+    /// returned the register began at `verified_at` and ended `now`. The journal has `partitions`
+    /// partitions.
     pub fn new(
         register: Register,
         limit: u64,
@@ -118,34 +121,36 @@
         }
     }
 
-    /// Admits nothing more, so that another gateway can take over without waiting for what this one may do.
+    /// Stops admitting jobs, so that another gateway can take over without waiting for grants of
+    /// this one.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// The register that says that it has stopped; none as long as what it admitted may still be recorded, or
-    /// something may be in the hands of others.
+    /// Returns the register that marks this counter as stopped; `None` while a job that it admitted
+    /// may still be recorded, or shares are set aside for others.
     pub fn stopped_register(&self, now: Duration) -> Option<Register> {
         let is_resolved = self.is_stopping && self.outstanding.all_grants_resolved(now);
         (is_resolved && self.has_no_shares_elsewhere()).then(|| self.register.stopped())
     }
 
-    /// Whether it knows what stands, and no room is in the hands of others.
+    /// Returns whether it knows all outstanding tokens and no shares are set aside.
     pub fn has_no_shares_elsewhere(&self) -> bool {
         self.is_settled() && self.register.shares() == 0
     }
 
-    /// The register that it counts by.
+    /// Returns the register that it counts by.
     pub fn register(&self) -> &Register {
         &self.register
     }
 
-    /// What stands, as far as known.
+    /// Returns the outstanding tokens, as far as known.
     pub fn outstanding(&self) -> &OutstandingTokens {
         &self.outstanding
     }
 
-    /// Whether it counts by what stands: that is known, and the register says so. One gateway alone does.
+    /// Returns whether it decides by the outstanding tokens: it knows them, and the register says
+    /// so. At most one gateway does.
     pub fn is_settled(&self) -> bool {
         self.is_shown && self.is_known_to_this()
     }
@@ -154,35 +159,36 @@
         self.register.known_to.as_ref() == Some(&self.register.counter)
     }
 
-    /// The limit that was asked for last.
+    /// Returns the limit named by the last request.
     pub fn limit(&self) -> u64 {
         self.limit
     }
 
-    /// When the read began by which it counts.
+    /// Returns when the read of the register began that it counts by.
     pub fn verified_at(&self) -> Duration {
         self.verified_at
     }
 
-    /// Whether reports have to show what stands as of now.
+    /// Returns whether it needs reports as of now.
     pub fn needs_exact_reports(&self, now: Duration) -> bool {
         let has_shares = !self.is_settled() || self.register.shares() > 0;
         (has_shares && now >= self.settles_from) || !self.is_current()
     }
 
-    /// Whether reports are as new as they have to be.
+    /// Returns whether the reports are as recent as required.
     fn is_current(&self) -> bool {
         self.outstanding
             .covers_partitions_since(self.needed_from, self.partitions)
     }
 
-    /// Whether it was asked of late.
+    /// Returns whether a job recently asked for admission.
     pub fn was_asked_recently(&self, now: Duration) -> bool {
         now < self.asked_at + IDLE_TIMEOUT
     }
 
-    /// A read that began at `read_at` shows that it still counts. Where others counted meanwhile, what they were
-    /// given stays set aside until reports show what became of it.
+    /// Applies a read of the register that began at `read_at` and names this gateway as the
+    /// counter. If others counted in the meantime, their shares stay set aside until reports
+    /// include what they admitted.
     pub fn confirm_register(&mut self, register: Register, read_at: Duration, now: Duration) {
         self.verified_at = self.verified_at.max(read_at);
         self.unverified_since = None;
@@ -195,7 +201,7 @@
         self.register = register;
     }
 
-    /// Takes what a holder reports of a partition.
+    /// Applies a holder's report of a partition.
     pub fn apply_report(&mut self, holding: PartitionTokens) {
         self.outstanding.apply_report(holding);
         self.is_shown |= self.is_all_shown();
@@ -206,12 +212,12 @@
             .covers_partitions_since(self.settles_from, self.partitions)
     }
 
-    /// The record of an admitted job stands.
+    /// Marks an admitted job as recorded.
     pub fn mark_recorded(&mut self, job: &str, now: Duration) {
         self.outstanding.mark_recorded(job, now);
     }
 
-    /// An admitted job was not recorded, and will not be.
+    /// Releases an admitted job that was not recorded and will not be.
     pub fn release(&mut self, job: &str) {
         let tokens = self.outstanding.release(job);
         if !self.is_settled() {
@@ -219,7 +225,7 @@
         }
     }
 
-    /// Decides about a job. The same job is counted once.
+    /// Decides about a job. A job that asks again is counted once.
     pub fn decide(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         self.limit = request.limit;
         if !self.was_asked_recently(now) {
@@ -256,7 +262,7 @@
         if !self.is_current() {
             return Decision::Settling(Duration::ZERO);
         }
-        // Callers name the tokens, and may name any number.
+        // Callers choose the token count, so the sum could overflow.
         let most = self.outstanding.max_tokens().saturating_add(request.tokens);
         if most <= self.register.counted.min(request.limit) {
             return Decision::Admitted;
@@ -281,7 +287,7 @@
         Decision::Settling(self.settles_from.saturating_sub(now))
     }
 
-    /// A change of the register that is due.
+    /// Returns the change of the register that is due, if any.
     pub fn next_change(&mut self) -> Option<Change> {
         if !self.is_shown || self.limit == 0 || self.is_stopping {
             return None;
@@ -295,12 +301,14 @@
         } else {
             Change::GiveBack(self.register.lowered(needed, self.limit)?)
         };
-        // The change may be made though nobody tells: what it gives away is no longer there.
+        // The change may take effect without a confirmation, so tokens that it gives back are no
+        // longer used.
         self.register.counted = self.register.counted.min(change.register().counted);
         Some(change)
     }
 
-    /// Whether shares are set aside of which reports have shown all, or nobody knew what stands.
+    /// Returns whether shares are set aside, or this counter is not yet registered as knowing the
+    /// outstanding tokens, and reports include all of them.
     fn is_to_settle(&self) -> bool {
         let is_due = !self.is_known_to_this() || self.register.shares() > 0;
         is_due && self.is_all_shown()
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
@@ -1,5 +1,5 @@
-//! What stands in the partitions of the journal, as their holders report it, and what was admitted and may not
-//! show there yet.
+//! Outstanding tokens of a limit: tokens that the holders of the journal's partitions report, and
+//! tokens of admitted jobs that the reports may not include yet.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,16 +8,17 @@
 
 use super::{GRANT_LIFETIME, UNRESOLVED_GRANT_TTL};
 
-/// What stands in a partition, as its holder has read it.
+/// Outstanding tokens of a partition, as its holder has read them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionTokens {
-    /// The partition.
+    /// Number of the partition.
     pub partition: u32,
     /// Tokens of unfinished items.
     pub tokens: u64,
-    /// The offset up to which the holder has read: a holder that has read less reports the past.
+    /// Offset up to which the holder has read. A report with a lower offset than a known one is
+    /// outdated.
     pub end: u64,
-    /// A moment whose appends the holder has read.
+    /// Moment up to which the report includes all appends.
     pub as_of: Duration,
 }
 
@@ -27,31 +28,33 @@
     partition: u32,
     tokens: u64,
     at: Duration,
-    /// Gateways that may record it.
+    /// Number of admissions of the job that were not released; each may record it.
     tries: u32,
-    /// When its record stood, as far as that was told.
+    /// When the job was confirmed as recorded.
     recorded_at: Option<Duration>,
 }
 
 impl Grant {
-    /// Whether the report of its partition shows it, or it was never recorded.
+    /// Returns whether the report of its partition includes the job, or is so late that the job was
+    /// never recorded.
     fn is_in(&self, holding: &PartitionTokens) -> bool {
         let from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
         self.partition == holding.partition && holding.as_of >= from
     }
 }
 
-/// All that stands, or may.
+/// Reported and granted tokens.
 #[derive(Debug, Default)]
 pub struct OutstandingTokens {
-    /// By partition, as reported last; what a silent holder reported counts on.
+    /// Last report of each partition. The report of a silent holder still counts.
     reported: BTreeMap<u32, PartitionTokens>,
-    /// By job.
+    /// Admitted jobs by name.
     grants: HashMap<String, Grant>,
 }
 
 impl OutstandingTokens {
-    /// Takes a report; one that has read less of a partition than an earlier one changes nothing.
+    /// Applies a report, unless an earlier report of the partition is more recent by offset or
+    /// time.
     pub fn apply_report(&mut self, holding: PartitionTokens) {
         let known = self.reported.get(&holding.partition);
         if known.is_some_and(|known| known.end > holding.end || known.as_of > holding.as_of) {
@@ -61,7 +64,7 @@
         self.grants.retain(|_, grant| !grant.is_in(&holding));
     }
 
-    /// A job was admitted.
+    /// Records that a job was admitted.
     pub fn grant(&mut self, job: &str, partition: u32, tokens: u64, at: Duration) {
         let grant = Grant {
             partition,
@@ -73,8 +76,8 @@
         self.grants.insert(job.to_owned(), grant);
     }
 
-    /// Whether a job was admitted and may not show in a report yet. Asked for again, it may be recorded again: it
-    /// counts from now on.
+    /// Returns whether a job was admitted and may be missing from the reports. It may then be
+    /// recorded once more, so its lifetime as a grant starts again.
     pub fn grant_again(&mut self, job: &str, now: Duration) -> bool {
         let Some(grant) = self.grants.get_mut(job) else {
             return false;
@@ -84,14 +87,15 @@
         true
     }
 
-    /// The record of an admitted job stands.
+    /// Marks an admitted job as recorded.
     pub fn mark_recorded(&mut self, job: &str, now: Duration) {
         if let Some(grant) = self.grants.get_mut(job) {
             grant.recorded_at.get_or_insert(now);
         }
     }
 
-    /// A gateway did not record an admitted job, and will not; gives the tokens that count no more.
+    /// Releases one admission of a job that its gateway did not record and will not. Returns the
+    /// tokens that no longer count.
     pub fn release(&mut self, job: &str) -> u64 {
         let Some(grant) = self.grants.get_mut(job) else {
             return 0;
@@ -103,29 +107,29 @@
         self.grants.remove(job).map_or(0, |grant| grant.tokens)
     }
 
-    /// Whether of every admitted job it is known that its record stands, or its caller was not told that it was
-    /// taken.
+    /// Returns whether each admitted job is known to be recorded, or is so old that its caller
+    /// cannot be told any more that it was accepted.
     pub fn all_grants_resolved(&self, now: Duration) -> bool {
         let mut grants = self.grants.values();
         grants.all(|grant| grant.recorded_at.is_some() || now >= grant.at + GRANT_LIFETIME)
     }
 
-    /// Tokens that stand as reported.
+    /// Returns the tokens that the partitions report.
     pub fn reported(&self) -> u64 {
         total_tokens(self.reported.values().map(|holding| holding.tokens))
     }
 
-    /// Tokens that are admitted and may not show in a report yet.
+    /// Returns the tokens of admitted jobs that the reports may not include yet.
     pub fn granted(&self) -> u64 {
         total_tokens(self.grants.values().map(|grant| grant.tokens))
     }
 
-    /// Tokens that stand at most, as far as each partition was reported.
+    /// Returns an upper bound of the outstanding tokens in the reported partitions.
     pub fn max_tokens(&self) -> u64 {
         self.reported().saturating_add(self.granted())
     }
 
-    /// Whether each of `partitions` partitions was reported as of a moment or later.
+    /// Returns whether each of `partitions` partitions has a report as of `moment` or later.
     pub fn covers_partitions_since(&self, moment: Duration, partitions: u32) -> bool {
         (0..partitions).all(|partition| {
             let holding = self.reported.get(&partition);
@@ -133,12 +137,12 @@
         })
     }
 
-    /// Partitions that were reported.
+    /// Returns the number of reported partitions.
     pub fn partitions(&self) -> usize {
         self.reported.len()
     }
 
-    /// The moment as of which all reported partitions are known.
+    /// Returns the moment up to which the reports of all reported partitions are complete.
     pub fn as_of(&self) -> Duration {
         let moments = self.reported.values().map(|holding| holding.as_of);
         moments.min().unwrap_or_default()
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
@@ -1,42 +1,45 @@
-//! How a limit is divided, as a record of which the newest version counts.
+//! Division of a limit among gateways, as a versioned record; the newest version is valid.
 
 use serde::{Deserialize, Serialize};
 
-/// The part of a limit up to which a counter admits as long as no more is needed: half. The rest is there for
-/// gateways that take over.
+/// Divisor of the limit that gives the tokens that a counter admits while no more is needed: half
+/// of the limit. The rest is left for gateways that take over.
 const DEFAULT_DIVISOR: u64 = 2;
-/// The part of what is free that a gateway takes as its share when it begins to count: a quarter, so that
+/// Divisor of the free tokens that gives the share of a gateway that takes over: a quarter, so that
 /// several can take over in a row.
 const TAKEOVER_SHARE_DIVISOR: u64 = 4;
-/// The part of a limit below which what waits has to fall before room is given back: an eighth.
+/// Divisor of the limit that gives the outstanding tokens above which a counter gives nothing back:
+/// an eighth.
 const GIVE_BACK_DIVISOR: u64 = 8;
 
-/// The term of the gateway that was the first to count.
+/// Term of the first counter.
 pub const FIRST_TERM: u64 = 1;
 
-/// Who counts for a limit, and in whose hands its room is, in tokens. `counted`, `share` and `earlier_shares`
-/// together never pass the limit by which they were set.
+/// Which gateway counts for a limit, and how its tokens are divided. `counted`, `share` and
+/// `earlier_shares` together never exceed the limit by which they were set.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Register {
     /// Rises by one with each change.
     pub version: u64,
-    /// Rises by one with each gateway that takes over.
+    /// Rises by one each time that a gateway takes over.
     pub term: u64,
-    /// The life of the gateway that counts.
+    /// Process identifier of the gateway that is the counter.
     pub counter: String,
-    /// The life of the gateway that last knew what stands: it alone changes `counted`. None before that.
+    /// Process identifier of the last counter that knew all outstanding tokens: only this counter
+    /// changes `counted`. `None` if there was none.
     pub known_to: Option<String>,
-    /// Tokens up to which a counter that knows what stands lets jobs stand.
+    /// Most outstanding tokens up to which a counter that knows them admits jobs.
     pub counted: u64,
-    /// Tokens that the gateway that counts may admit before it knows what stands.
+    /// Tokens that the counter may admit before it knows the outstanding tokens.
     pub share: u64,
-    /// Shares of gateways that counted before, of which it is not known what became.
+    /// Shares of previous counters, for which the admitted tokens are not known yet.
     pub earlier_shares: u64,
-    /// Whether the gateway that counts has stopped by plan: it admits nothing more, and what it admitted is
-    /// recorded. Another one is to take over.
+    /// Whether the counter was stopped as planned: it admits nothing more, and all that it admitted
+    /// is recorded. Another gateway is to take over.
     #[serde(default, skip_serializing_if = "is_false")]
     pub is_stopped: bool,
-    /// Whether it took over from one that had stopped by plan, and nothing was in the hands of others.
+    /// Whether the previous counter was stopped as planned, and no shares were set aside at that
+    /// time.
     #[serde(default, skip_serializing_if = "is_false")]
     pub follows_stopped: bool,
 }
@@ -46,7 +49,7 @@
 }
 
 impl Register {
-    /// The first register of a limit.
+    /// Returns the first register of a limit.
     pub fn first(counter: &str, limit: u64) -> Self {
         let counted = limit / DEFAULT_DIVISOR;
         Self {
@@ -62,23 +65,25 @@
         }
     }
 
-    /// Tokens that nobody may admit.
+    /// Returns the tokens of the limit that no counter may admit.
     pub fn free(&self, limit: u64) -> u64 {
         let taken = self.counted.saturating_add(self.shares());
         limit.saturating_sub(taken)
     }
 
-    /// Tokens of all shares.
+    /// Returns the tokens of all shares.
     pub fn shares(&self) -> u64 {
         self.share.saturating_add(self.earlier_shares)
     }
 
-    /// The register after `counter` has taken over that does not know what stands: it takes a share.
+    /// Returns the register after a takeover by `counter`, which does not know the outstanding
+    /// tokens: it gets a share of the free tokens.
     pub fn taken_over(&self, counter: &str, limit: u64) -> Self {
         self.with_counter(counter, self.free(limit) / TAKEOVER_SHARE_DIVISOR)
     }
 
-    /// The register after the gateway to which is known what stands counts again: it needs no share.
+    /// Returns the register after the gateway that last knew the outstanding tokens becomes the
+    /// counter again: it needs no share.
     pub fn taken_back(&self, counter: &str) -> Self {
         self.with_counter(counter, 0)
     }
@@ -96,7 +101,7 @@
         }
     }
 
-    /// The register after the gateway that counts has stopped by plan.
+    /// Returns the register after the counter was stopped as planned.
     pub fn stopped(&self) -> Self {
         Self {
             version: self.version + 1,
@@ -105,8 +110,8 @@
         }
     }
 
-    /// The register after the gateway that counts has learned what stands, with all that was admitted from shares;
-    /// it needs room for `needed` tokens.
+    /// Returns the register after the counter has learned all outstanding tokens, those admitted
+    /// from shares included. It needs room for `needed` tokens.
     pub fn settled(&self, needed: u64, limit: u64) -> Self {
         let usual = limit / DEFAULT_DIVISOR;
         Self {
@@ -120,7 +125,7 @@
         }
     }
 
-    /// The register after the gateway that counts has taken all that is free.
+    /// Returns the register after the counter has taken all free tokens.
     pub fn raised(&self, limit: u64) -> Self {
         Self {
             version: self.version + 1,
@@ -129,8 +134,8 @@
         }
     }
 
-    /// The register after the gateway that counts has given back what it does not need; none if it has nothing
-    /// to give back.
+    /// Returns the register after the counter has given back tokens that it does not need; `None`
+    /// if it has none to give back.
     pub fn lowered(&self, waiting: u64, limit: u64) -> Option<Self> {
         let usual = limit / DEFAULT_DIVISOR;
         if self.counted <= usual || waiting > limit / GIVE_BACK_DIVISOR {
