--- a/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
@@ -16,14 +16,14 @@
 const MAX_LAPSES: usize = 4_096;
 /// Fewest workers of a zone that lapse together for the zone to be the cause, if no more workers of
 /// it are still listed.
-const FEWEST_TOGETHER: usize = 2;
+const MIN_ZONE_LAPSES: usize = 2;
 
 #[derive(Debug)]
 struct Lapse {
     worker: WorkerKey,
     zone: String,
     at: Duration,
-    is_judged: bool,
+    is_evaluated: bool,
 }
 
 /// Workers that lapsed recently.
@@ -43,7 +43,7 @@
             worker,
             zone: zone.to_owned(),
             at: now,
-            is_judged: false,
+            is_evaluated: false,
         });
     }
 
@@ -53,27 +53,27 @@
         let due: Vec<usize> = (0..self.recent.len())
             .filter(|index| {
                 let lapse = &self.recent[*index];
-                !lapse.is_judged && now >= lapse.at + LAPSE_SETTLE_DELAY
+                !lapse.is_evaluated && now >= lapse.at + LAPSE_SETTLE_DELAY
             })
             .collect();
         let mut ended = Vec::new();
         for index in due {
-            if !self.is_of_a_zone(&self.recent[index], &listed) {
+            if !self.is_zone_outage(&self.recent[index], &listed) {
                 ended.push(self.recent[index].worker);
             }
-            self.recent[index].is_judged = true;
+            self.recent[index].is_evaluated = true;
         }
         ended
     }
 
     /// Returns whether at least as many workers of the zone lapsed at about the same time as are
     /// still listed.
-    fn is_of_a_zone(&self, lapse: &Lapse, listed: &impl Fn(&str) -> usize) -> bool {
-        let together = self.recent.iter().filter(|other| {
+    fn is_zone_outage(&self, lapse: &Lapse, listed: &impl Fn(&str) -> usize) -> bool {
+        let simultaneous = self.recent.iter().filter(|other| {
             other.zone == lapse.zone && other.at.abs_diff(lapse.at) <= LAPSE_SETTLE_DELAY
         });
-        let together = together.count();
-        together >= FEWEST_TOGETHER && together >= listed(&lapse.zone)
+        let simultaneous = simultaneous.count();
+        simultaneous >= MIN_ZONE_LAPSES && simultaneous >= listed(&lapse.zone)
     }
 
     /// Removes the lapse of a worker that lists itself again. Returns whether there was one, so
--- a/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
@@ -7,14 +7,14 @@
 /// Number of readings after the first one at whose end the worker was known as ended. That reading
 /// may have been answered before the end was recorded, and the next one was requested after it;
 /// entries that a later reading returns were therefore written after it.
-const READINGS_BEFORE: u64 = 2;
+const READINGS_UNTIL_CERTAIN: u64 = 2;
 
 /// Renewals since workers were recorded as ended, counted in readings of the directory's tail.
 #[derive(Debug, Default)]
 pub struct RenewalTracker {
     readings: u64,
     /// The first reading at whose end each worker was recorded as ended.
-    accused_at: HashMap<WorkerKey, u64>,
+    first_readings: HashMap<WorkerKey, u64>,
 }
 
 impl RenewalTracker {
@@ -22,18 +22,20 @@
     /// those that renewed after they were recorded as ended.
     pub fn record_reading(
         &mut self,
-        accused: impl Iterator<Item = WorkerKey>,
+        ended_workers: impl Iterator<Item = WorkerKey>,
         renewed: &[WorkerKey],
     ) -> Vec<WorkerKey> {
         self.readings += 1;
-        let before = std::mem::take(&mut self.accused_at);
-        for worker in accused {
-            let since = before.get(&worker).copied().unwrap_or(self.readings);
-            self.accused_at.insert(worker, since);
+        let before = std::mem::take(&mut self.first_readings);
+        for worker in ended_workers {
+            let first_reading = before.get(&worker).copied().unwrap_or(self.readings);
+            self.first_readings.insert(worker, first_reading);
         }
         let is_alive = |worker: &WorkerKey| {
-            let since = self.accused_at.get(worker);
-            since.is_some_and(|since| self.readings >= since + READINGS_BEFORE)
+            let first_reading = self.first_readings.get(worker);
+            first_reading.is_some_and(|first_reading| {
+                self.readings >= first_reading + READINGS_UNTIL_CERTAIN
+            })
         };
         renewed.iter().copied().filter(is_alive).collect()
     }
--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -25,7 +25,7 @@
 struct KnownEnd {
     end: WorkerEnd,
     /// When the end is forgotten.
-    lapses_at: Duration,
+    expires_at: Duration,
 }
 
 /// A worker that has ended.
@@ -62,7 +62,7 @@
             let is_stronger = end.evidence > known.end.evidence;
             if is_stronger {
                 known.end.evidence = end.evidence;
-                known.lapses_at = now + left;
+                known.expires_at = now + left;
             }
             return is_stronger;
         }
@@ -71,10 +71,10 @@
             return false;
         }
         if self.requests.len() > MAX_REQUESTS {
-            self.forget_next_to_lapse(&request);
+            self.evict_next_to_expire(&request);
         }
-        let lapses_at = now + left;
-        let known = KnownEnd { end, lapses_at };
+        let expires_at = now + left;
+        let known = KnownEnd { end, expires_at };
         self.requests.entry(request).or_default().push(known);
         let ended_worker = self.workers.entry(end.worker).or_insert(EndedWorker {
             ended_unix_ms: end.ended_unix_ms,
@@ -90,16 +90,16 @@
         let Some(known) = self.requests.get(request) else {
             return QuarantineStatus::Allowed;
         };
-        let known = lives(known);
+        let known = one_end_per_life(known);
         let ends = known.len();
         let own = known.into_iter().filter(|one| {
-            one.lapses_at > now && !self.is_explained(request, &one.end.worker, ends)
+            one.expires_at > now && !self.is_explained(request, &one.end.worker, ends)
         });
-        let mut lapses = self.moments(request, own);
-        lapses.sort_unstable();
+        let mut expiries = self.counted_expiries(request, own);
+        expiries.sort_unstable();
         // Quarantined until fewer ends than the threshold remain.
-        let held_by = lapses.len().checked_sub(QUARANTINE_THRESHOLD);
-        match held_by.and_then(|index| lapses.get(index)) {
+        let held_by = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
+        match held_by.and_then(|index| expiries.get(index)) {
             Some(until) => QuarantineStatus::Quarantined {
                 ends,
                 time_left: until.saturating_sub(now),
@@ -210,14 +210,14 @@
     /// Removes the expired ends and returns them.
     pub fn remove_expired(&mut self, now: Duration) -> Vec<(Fingerprint, WorkerEnd)> {
         let all = self.requests.iter().flat_map(|(request, known)| {
-            let lapsed = known.iter().filter(|known| known.lapses_at <= now);
-            lapsed.map(|known| (*request, known.end))
+            let expired = known.iter().filter(|known| known.expires_at <= now);
+            expired.map(|known| (*request, known.end))
         });
-        let lapsed: Vec<_> = all.collect();
-        for (request, end) in &lapsed {
+        let expired: Vec<_> = all.collect();
+        for (request, end) in &expired {
             self.forget(request, end.worker, end.ended_unix_ms);
         }
-        lapsed
+        expired
     }
 
     /// Returns whether another request that ran on the worker has ended enough workers to be
@@ -230,14 +230,14 @@
             let ends = self
                 .requests
                 .get(other)
-                .map_or(0, |known| lives(known).len());
+                .map_or(0, |known| one_end_per_life(known).len());
             other != request && ends >= QUARANTINE_THRESHOLD && ends > own_ends
         })
     }
 
     /// Returns the expiry times of the ends that count for a request. Of simultaneous ends with
     /// another cause, only the first counts.
-    fn moments(
+    fn counted_expiries(
         &self,
         request: &Fingerprint,
         ends: impl Iterator<Item = KnownEnd>,
@@ -245,39 +245,39 @@
         let mut counting: Vec<KnownEnd> = Vec::new();
         for known in ends {
             let last = counting.last();
-            let is_apart = last.is_none_or(|last| is_apart(&last.end, &known.end));
-            if is_apart || !self.is_one_of_many(request, &known.end) {
+            let is_separate = last.is_none_or(|last| is_separate(&last.end, &known.end));
+            if is_separate || !self.has_other_cause(request, &known.end) {
                 counting.push(known);
             }
         }
-        counting.into_iter().map(|known| known.lapses_at).collect()
+        counting.into_iter().map(|known| known.expires_at).collect()
     }
 
     /// Returns whether many workers ended at the same moment as this one, of which too few ran the
     /// request for it to be the cause.
-    fn is_one_of_many(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
+    fn has_other_cause(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
         let ended_worker = self.workers.get(&end.worker);
         let own = ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
-        let moment = SIMULTANEITY_WINDOW.as_millis() as u64;
-        let mut together = 0_u32;
-        let mut ran_it = 0_u32;
+        let window = SIMULTANEITY_WINDOW.as_millis() as u64;
+        let mut simultaneous = 0_u32;
+        let mut ran_request = 0_u32;
         for other in self.workers.values() {
-            if other.ended_unix_ms.abs_diff(own) < moment {
-                together += 1;
-                ran_it += u32::from(other.requests.contains(request));
+            if other.ended_unix_ms.abs_diff(own) < window {
+                simultaneous += 1;
+                ran_request += u32::from(other.requests.contains(request));
             }
         }
-        let share = f64::from(ran_it) / f64::from(together.max(1));
-        together > MAX_COINCIDENT_ENDS && share < MIN_CAUSE_SHARE
+        let share = f64::from(ran_request) / f64::from(simultaneous.max(1));
+        simultaneous > MAX_COINCIDENT_ENDS && share < MIN_CAUSE_SHARE
     }
 
-    fn forget_next_to_lapse(&mut self, kept: &Fingerprint) {
-        let last_lapse = |known: &Vec<KnownEnd>| known.iter().map(|known| known.lapses_at).max();
+    fn evict_next_to_expire(&mut self, kept: &Fingerprint) {
+        let last_expiry = |known: &Vec<KnownEnd>| known.iter().map(|known| known.expires_at).max();
         let next = self
             .requests
             .iter()
             .filter(|(request, _)| *request != kept)
-            .min_by_key(|(_, known)| last_lapse(known));
+            .min_by_key(|(_, known)| last_expiry(known));
         if let Some(request) = next.map(|(request, _)| *request) {
             self.clear(&request);
         }
@@ -287,7 +287,7 @@
 /// Returns the ends in order of time, one for each life of a worker. A later end of a worker counts
 /// only if the request was sent after the previous end, since a worker that has ended runs nothing.
 /// A worker may start again under the same name.
-fn lives(known: &[KnownEnd]) -> Vec<KnownEnd> {
+fn one_end_per_life(known: &[KnownEnd]) -> Vec<KnownEnd> {
     let mut sorted = known.to_vec();
     sorted.sort_by_key(|known| (known.end.ended_unix_ms, known.end.worker));
     let mut lives: Vec<KnownEnd> = Vec::with_capacity(sorted.len());
@@ -301,8 +301,8 @@
     lives
 }
 
-fn is_apart(earlier: &WorkerEnd, later: &WorkerEnd) -> bool {
+fn is_separate(earlier: &WorkerEnd, later: &WorkerEnd) -> bool {
     let began_after = later.sent_unix_ms >= earlier.ended_unix_ms;
-    let between = Duration::from_millis(later.ended_unix_ms.saturating_sub(earlier.ended_unix_ms));
-    began_after || between >= SIMULTANEITY_WINDOW
+    let gap = Duration::from_millis(later.ended_unix_ms.saturating_sub(earlier.ended_unix_ms));
+    began_after || gap >= SIMULTANEITY_WINDOW
 }
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -110,12 +110,12 @@
     version: u64,
     level: f64,
     refilled_at: Duration,
-    began: Duration,
+    created_at: Duration,
     records: HashMap<G, GatewayRecord>,
     /// Share of the rate that is reserved for silent gateways.
-    set_aside: f64,
+    reserved_share: f64,
     /// The silent gateways whose shares are reserved.
-    set_aside_for: HashSet<G>,
+    reserved_for: HashSet<G>,
     /// Time up to which a gateway's own-share admissions are covered by a reservation or a
     /// deduction.
     deducted_until: HashMap<G, Duration>,
@@ -129,10 +129,10 @@
             version,
             level,
             refilled_at: now,
-            began: now,
+            created_at: now,
             records: HashMap::new(),
-            set_aside: 0.0,
-            set_aside_for: HashSet::new(),
+            reserved_share: 0.0,
+            reserved_for: HashSet::new(),
             deducted_until: HashMap::new(),
         }
     }
@@ -188,7 +188,7 @@
             };
         }
         let needed = f64::from(request.need).min(self.level).floor() as u32;
-        let ahead = self.ahead(&request, needed, tolerance, now);
+        let ahead = self.credits_to_prefetch(&request, needed, tolerance, now);
         if let Some(record) = self.records.get_mut(&from) {
             // Credits for waiting requests are spent on arrival, so they do not count as held.
             record.held += ahead;
@@ -244,20 +244,20 @@
         self.refill(tolerance, now);
         let unknown = self.share_of_unknown(silent, gateways);
         let now_silent = silent.iter().copied().collect();
-        let before = std::mem::replace(&mut self.set_aside_for, now_silent);
-        let mut set_aside = 0.0;
+        let before = std::mem::replace(&mut self.reserved_for, now_silent);
+        let mut reserved_share = 0.0;
         for gateway in silent {
             let record = self.records.get(gateway);
             let own = record.map_or(unknown, |record| {
                 gateway_share(record.recent, record.by_all, gateways)
             });
-            set_aside += own;
+            reserved_share += own;
             if !before.contains(gateway) {
                 self.level -= self.max_saved_since_deduction(*gateway, own, now);
             }
             self.deducted_until.insert(*gateway, now);
         }
-        self.set_aside = set_aside.min(1.0);
+        self.reserved_share = reserved_share.min(1.0);
     }
 
     /// Returns the share assumed for each silent gateway that never asked here: together they may
@@ -267,20 +267,22 @@
         let unknown = unknown.filter(|gateway| !self.records.contains_key(gateway));
         let unknown = unknown.count();
         let by_all = self.records.values().map(|record| record.by_all).max();
-        let idle = gateway_share(0, by_all.unwrap_or(0), gateways);
+        let idle_share = gateway_share(0, by_all.unwrap_or(0), gateways);
         let asked = self.records.values();
-        let brought: f64 = asked.map(|record| record.first_share.unwrap_or(idle)).sum();
+        let known_shares: f64 = asked
+            .map(|record| record.first_share.unwrap_or(idle_share))
+            .sum();
         let never_asked = gateways.saturating_sub(unknown + self.records.len());
-        let left = 1.0 - brought - idle * never_asked as f64;
+        let left = 1.0 - known_shares - idle_share * never_asked as f64;
         (left / unknown.max(1) as f64).max(gateway_share(0, 0, gateways))
     }
 
     /// Deducts the requests that a gateway admitted from its own share, unless that share is
     /// reserved.
     fn deduct_spent_alone(&mut self, gateway: G, spent: u32, now: Duration) {
-        if spent > 0 && !self.set_aside_for.contains(&gateway) {
-            let come = self.max_saved_since_deduction(gateway, 1.0, now);
-            self.level -= f64::from(spent).min(come);
+        if spent > 0 && !self.reserved_for.contains(&gateway) {
+            let max_saved = self.max_saved_since_deduction(gateway, 1.0, now);
+            self.level -= f64::from(spent).min(max_saved);
             self.deducted_until.insert(gateway, now);
         }
     }
@@ -290,22 +292,22 @@
     /// start together, none has saved any before.
     fn max_saved_since_deduction(&self, gateway: G, share: f64, now: Duration) -> f64 {
         let deducted_until = self.deducted_until.get(&gateway).copied();
-        let since = deducted_until.unwrap_or(self.began);
-        let come = now.saturating_sub(since).as_secs_f64() * self.limit.per_second * share;
-        come.min(max_saved_requests(self.limit, share))
+        let since = deducted_until.unwrap_or(self.created_at);
+        let refilled = now.saturating_sub(since).as_secs_f64() * self.limit.per_second * share;
+        refilled.min(max_saved_requests(self.limit, share))
     }
 
     /// Releases all reserved shares.
     pub fn release_reserved(&mut self, tolerance: &Tolerance, now: Duration) {
         self.refill(tolerance, now);
-        self.set_aside = 0.0;
-        for gateway in self.set_aside_for.drain() {
+        self.reserved_share = 0.0;
+        for gateway in self.reserved_for.drain() {
             self.deducted_until.insert(gateway, now);
         }
     }
 
     /// Returns the number of credits to prefetch for a gateway.
-    fn ahead(
+    fn credits_to_prefetch(
         &self,
         request: &CreditRequest,
         needed: u32,
@@ -336,14 +338,14 @@
 
     /// Returns the requests that all gateways recently admitted.
     fn recent(&self, now: Duration) -> u32 {
-        let of_late = self.records.values();
-        let of_late = of_late.filter(|record| now < record.heard_at + USAGE_WINDOW);
-        of_late.map(|record| record.recent).sum()
+        let recent_records = self.records.values();
+        let recent_records = recent_records.filter(|record| now < record.heard_at + USAGE_WINDOW);
+        recent_records.map(|record| record.recent).sum()
     }
 
     fn refill(&mut self, tolerance: &Tolerance, now: Duration) {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
-        let rate = self.limit.per_second * (1.0 - self.set_aside);
+        let rate = self.limit.per_second * (1.0 - self.reserved_share);
         self.refilled_at = now;
         self.level = (self.level + elapsed * rate).min(self.room(tolerance, now));
     }
--- a/crates/swiftshunt-scheduler/src/rates/limiter.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -48,7 +48,7 @@
     share: f64,
     level: f64,
     /// Highest level that the share may save up to.
-    most: f64,
+    max_level: f64,
     refilled_at: Duration,
 }
 
@@ -74,19 +74,19 @@
     credits: VecDeque<Credits>,
     unused: u32,
     usage: Usage,
-    began: Option<Duration>,
+    first_response_at: Option<Duration>,
     used_at: Duration,
     asked_at: Option<Duration>,
     exhausted_until: Duration,
     last_report: Option<CounterReport>,
     /// The highest recent report.
     peak: Option<CounterReport>,
-    alone_until: Duration,
+    own_share_until: Duration,
     own: Option<OwnShare>,
     /// Requests admitted from the own share that no counter has acknowledged, and how many of them
     /// the last credit request covered.
-    alone: u32,
-    alone_reported: u32,
+    own_share_admitted: u32,
+    own_share_reported: u32,
 }
 
 impl TenantLimiter {
@@ -105,7 +105,7 @@
                 again_after: self.exhausted_until - now,
             };
         }
-        if now < self.alone_until {
+        if now < self.own_share_until {
             return AdmitDecision::UseOwnShare;
         }
         AdmitDecision::AskCounter
@@ -124,7 +124,7 @@
             return false;
         }
         own.level -= 1.0;
-        self.alone += 1;
+        self.own_share_admitted += 1;
         self.usage.add(now);
         true
     }
@@ -135,13 +135,13 @@
         let own = self.own.get_or_insert(OwnShare {
             share: gateway_share(0, 0, gateways),
             level: 0.0,
-            most: 0.0,
+            max_level: 0.0,
             refilled_at: now,
         });
         let elapsed = now.saturating_sub(own.refilled_at).as_secs_f64();
-        let come = elapsed * limit.per_second * own.share;
-        own.most = max_saved_requests(limit, own.share);
-        own.level = (own.level + come).min(own.most);
+        let refilled = elapsed * limit.per_second * own.share;
+        own.max_level = max_saved_requests(limit, own.share);
+        own.level = (own.level + refilled).min(own.max_level);
         own.refilled_at = now;
         own
     }
@@ -178,7 +178,7 @@
         let last_report = self.last_report.filter(|report| report.counter != counter);
         let last_report = last_report.filter(|report| now < report.at + USAGE_WINDOW);
         self.asked_at = Some(now);
-        self.alone_reported = self.alone;
+        self.own_share_reported = self.own_share_admitted;
         CreditRequest {
             need,
             ahead: self.target_credits(now).saturating_sub(self.held()),
@@ -198,8 +198,8 @@
     /// Returns the requests admitted from the own share that have not been refilled since. A
     /// counter that did not know of them has saved up as many credits too many.
     fn spent_alone(&self) -> u32 {
-        let missing = self.own.map_or(0.0, |own| own.most - own.level);
-        self.alone.min(missing.max(0.0).ceil() as u32)
+        let missing = self.own.map_or(0.0, |own| own.max_level - own.level);
+        self.own_share_admitted.min(missing.max(0.0).ceil() as u32)
     }
 
     /// Returns whether credits should be prefetched although no request waits.
@@ -220,13 +220,13 @@
     /// Applies the response of the counter identified by `counter` to a request sent at `asked_at`.
     pub fn apply_response(
         &mut self,
-        verdict: CreditResponse,
+        response: CreditResponse,
         counter: u64,
         gateways: usize,
         asked_at: Duration,
         now: Duration,
     ) {
-        let (recent, left) = match verdict {
+        let (recent, left) = match response {
             CreditResponse::Granted {
                 credits,
                 recent,
@@ -248,7 +248,7 @@
                 (recent, 0)
             }
             CreditResponse::DecideAlone => {
-                self.alone_until = now + OWN_SHARE_PERIOD;
+                self.own_share_until = now + OWN_SHARE_PERIOD;
                 return;
             }
         };
@@ -259,19 +259,21 @@
             at: now,
         };
         self.last_report = Some(report);
-        self.alone = self.alone.saturating_sub(self.alone_reported);
-        self.alone_reported = 0;
+        self.own_share_admitted = self
+            .own_share_admitted
+            .saturating_sub(self.own_share_reported);
+        self.own_share_reported = 0;
         if recent >= self.peak(now) {
             self.peak = Some(report);
         }
         let here = self.usage.total(now);
         let by_all = self.peak(now);
-        let began = *self.began.get_or_insert(now);
+        let first_response_at = *self.first_response_at.get_or_insert(now);
         let share = gateway_share(here, by_all, gateways);
         if let Some(own) = &mut self.own {
             // Until a whole usage window has passed, the shares of all gateways may add up to more
             // than 1.
-            own.share = if now < began + USAGE_WINDOW {
+            own.share = if now < first_response_at + USAGE_WINDOW {
                 share.min(gateway_share(0, 0, gateways))
             } else {
                 share
@@ -317,15 +319,15 @@
     }
 
     fn expire(&mut self, now: Duration) {
-        let over = |credits: &Credits| now >= credits.until;
+        let is_expired = |credits: &Credits| now >= credits.until;
         let unused: u32 = self
             .credits
             .iter()
-            .filter(|credits| over(credits))
+            .filter(|credits| is_expired(credits))
             .map(|credits| credits.count)
             .sum();
         self.unused += unused;
-        self.credits.retain(|credits| !over(credits));
+        self.credits.retain(|credits| !is_expired(credits));
     }
 }
 
--- a/crates/swiftshunt-scheduler/src/rates/usage.rs
+++ b/crates/swiftshunt-scheduler/src/rates/usage.rs
@@ -5,7 +5,7 @@
 /// Number of parts of the window; each is cleared as a whole.
 const PARTS: usize = 10;
 /// Length of a part.
-const PART: Duration = Duration::from_millis(500);
+const PART_LENGTH: Duration = Duration::from_millis(500);
 /// Length of the window over which requests are counted.
 pub const USAGE_WINDOW: Duration = Duration::from_secs(5);
 
@@ -30,7 +30,7 @@
     }
 
     fn roll(&mut self, now: Duration) {
-        let part = (now.as_millis() / PART.as_millis()) as u64;
+        let part = (now.as_millis() / PART_LENGTH.as_millis()) as u64;
         let passed = part.saturating_sub(self.newest).min(PARTS as u64);
         for step in 1..=passed {
             self.parts[(part - passed + step) as usize % PARTS] = 0;
--- a/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
+++ b/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
@@ -53,7 +53,7 @@
     pub(super) fn preempting_items(&self, worker: WorkerKey) -> u32 {
         self.preempting
             .iter()
-            .filter(|(at, _)| *at == worker)
+            .filter(|(key, _)| *key == worker)
             .count() as u32
     }
 
@@ -70,7 +70,7 @@
             let after = report.held.iter().find(|(key, _)| key == worker);
             let after = after.map_or(0, |(_, held)| held.batch);
             for _ in after..before.batch {
-                let position = self.preempting.iter().position(|(at, _)| at == worker);
+                let position = self.preempting.iter().position(|(key, _)| key == worker);
                 position.map(|position| self.preempting.swap_remove(position));
             }
         }
--- a/crates/swiftshunt-scheduler/src/slots/mod.rs
+++ b/crates/swiftshunt-scheduler/src/slots/mod.rs
@@ -68,17 +68,17 @@
 }
 
 /// Part of the expected run that an item is sure to need, since run lengths vary.
-const SURE_SHARE: f64 = 0.6;
+const MIN_RUN_SHARE: f64 = 0.6;
 
 impl ItemTimes {
     /// Returns the rank at `now`. Once half of the time between `due_at` and `expires_at` has
     /// passed, a late item no longer counts as late and ranks before all others: it must not wait
     /// forever behind new items.
     pub fn rank(&self, now: Duration) -> Rank {
-        let is_late = now + self.expected_run.mul_f64(SURE_SHARE) > self.due_at;
-        let patient_until = self.due_at + self.expires_at.saturating_sub(self.due_at) / 2;
+        let is_late = now + self.expected_run.mul_f64(MIN_RUN_SHARE) > self.due_at;
+        let late_until = self.due_at + self.expires_at.saturating_sub(self.due_at) / 2;
         Rank {
-            is_late: is_late && now < patient_until,
+            is_late: is_late && now < late_until,
             due_in_ms: self.due_at.as_millis() as i64 - now.as_millis() as i64,
         }
     }
--- a/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
+++ b/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
@@ -39,13 +39,13 @@
     /// none in `full`.
     pub fn reserve_slot(&mut self, full: &Cell, now: Duration) -> Option<Cell> {
         self.free_slots
-            .retain(|_, room| now < room.at + CAPACITY_TTL);
+            .retain(|_, slots| now < slots.at + CAPACITY_TTL);
         let others = self
             .free_slots
             .iter_mut()
-            .filter(|(cell, room)| is_elsewhere(cell, full) && room.free > 0);
-        let (cell, room) = others.max_by_key(|(_, room)| room.free)?;
-        room.free -= 1;
+            .filter(|(cell, slots)| is_elsewhere(cell, full) && slots.free > 0);
+        let (cell, slots) = others.max_by_key(|(_, slots)| slots.free)?;
+        slots.free -= 1;
         Some(cell.clone())
     }
 
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -21,7 +21,7 @@
 
 /// Returns the moment from which reports include all jobs admitted by gateways that stopped
 /// counting by `now`.
-fn surely_shown_from(now: Duration) -> Duration {
+fn fully_reported_from(now: Duration) -> Duration {
     now + REGISTER_TTL + GRANT_LIFETIME
 }
 
@@ -69,18 +69,18 @@
     /// When a job first asked for admission after the register had become too old to count by.
     unverified_since: Option<Duration>,
     /// Reports as of this moment include all that previous counters admitted.
-    settles_from: Duration,
+    predecessors_reported_from: Duration,
     /// Reports must be as of this moment or later: the first request after a time without jobs.
-    needed_from: Duration,
+    reports_needed_from: Duration,
     /// Whether reports have included all outstanding tokens at least once.
-    is_shown: bool,
+    has_full_reports: bool,
     /// Tokens of the share that are spent.
     spent: u64,
     outstanding: OutstandingTokens,
     partitions: u32,
     /// The limit named by the last request, and the time of that request.
     limit: u64,
-    asked_at: Duration,
+    last_request_at: Duration,
     /// Tokens that `counted` or the share must reach so that the last refused job fits; 0 if there
     /// is none.
     needed: u64,
@@ -99,23 +99,24 @@
         now: Duration,
         partitions: u32,
     ) -> Self {
-        let settles_from = if register.term == FIRST_TERM || register.follows_stopped {
+        let predecessors_reported_from = if register.term == FIRST_TERM || register.follows_stopped
+        {
             now
         } else {
-            surely_shown_from(now)
+            fully_reported_from(now)
         };
         Self {
             register,
             verified_at,
             unverified_since: None,
-            settles_from,
-            needed_from: Duration::ZERO,
-            is_shown: false,
+            predecessors_reported_from,
+            reports_needed_from: Duration::ZERO,
+            has_full_reports: false,
             spent: 0,
             outstanding: OutstandingTokens::default(),
             partitions,
             limit,
-            asked_at: now,
+            last_request_at: now,
             needed: 0,
             is_stopping: false,
         }
@@ -152,10 +153,10 @@
     /// Returns whether it decides by the outstanding tokens: it knows them, and the register says
     /// so. At most one gateway does.
     pub fn is_settled(&self) -> bool {
-        self.is_shown && self.is_known_to_this()
+        self.has_full_reports && self.is_registered_as_settled()
     }
 
-    fn is_known_to_this(&self) -> bool {
+    fn is_registered_as_settled(&self) -> bool {
         self.register.known_to.as_ref() == Some(&self.register.counter)
     }
 
@@ -172,18 +173,18 @@
     /// Returns whether it needs reports as of now.
     pub fn needs_exact_reports(&self, now: Duration) -> bool {
         let has_shares = !self.is_settled() || self.register.shares() > 0;
-        (has_shares && now >= self.settles_from) || !self.is_current()
+        (has_shares && now >= self.predecessors_reported_from) || !self.is_current()
     }
 
     /// Returns whether the reports are as recent as required.
     fn is_current(&self) -> bool {
         self.outstanding
-            .covers_partitions_since(self.needed_from, self.partitions)
+            .covers_partitions_since(self.reports_needed_from, self.partitions)
     }
 
     /// Returns whether a job recently asked for admission.
     pub fn was_asked_recently(&self, now: Duration) -> bool {
-        now < self.asked_at + IDLE_TIMEOUT
+        now < self.last_request_at + IDLE_TIMEOUT
     }
 
     /// Applies a read of the register that began at `read_at` and names this gateway as the
@@ -196,20 +197,20 @@
             return;
         }
         if register.term > self.register.term {
-            self.settles_from = surely_shown_from(now);
+            self.predecessors_reported_from = fully_reported_from(now);
         }
         self.register = register;
     }
 
     /// Applies a holder's report of a partition.
-    pub fn apply_report(&mut self, holding: PartitionTokens) {
-        self.outstanding.apply_report(holding);
-        self.is_shown |= self.is_all_shown();
+    pub fn apply_report(&mut self, report: PartitionTokens) {
+        self.outstanding.apply_report(report);
+        self.has_full_reports |= self.are_predecessors_reported();
     }
 
-    fn is_all_shown(&self) -> bool {
+    fn are_predecessors_reported(&self) -> bool {
         self.outstanding
-            .covers_partitions_since(self.settles_from, self.partitions)
+            .covers_partitions_since(self.predecessors_reported_from, self.partitions)
     }
 
     /// Marks an admitted job as recorded.
@@ -229,9 +230,9 @@
     pub fn decide(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
         self.limit = request.limit;
         if !self.was_asked_recently(now) {
-            self.needed_from = now;
+            self.reports_needed_from = now;
         }
-        self.asked_at = now;
+        self.last_request_at = now;
         if self.is_stopping {
             return Decision::Unverified;
         }
@@ -263,18 +264,18 @@
             return Decision::Settling(Duration::ZERO);
         }
         // Callers choose the token count, so the sum could overflow.
-        let most = self.outstanding.max_tokens().saturating_add(request.tokens);
-        if most <= self.register.counted.min(request.limit) {
+        let total = self.outstanding.max_tokens().saturating_add(request.tokens);
+        if total <= self.register.counted.min(request.limit) {
             return Decision::Admitted;
         }
-        if most > request.limit {
+        if total > request.limit {
             return Decision::Full;
         }
-        self.needed = self.needed.max(most);
-        if most <= request.limit.saturating_sub(self.register.shares()) {
+        self.needed = self.needed.max(total);
+        if total <= request.limit.saturating_sub(self.register.shares()) {
             return Decision::Settling(Duration::ZERO);
         }
-        Decision::Settling(self.settles_from.saturating_sub(now))
+        Decision::Settling(self.predecessors_reported_from.saturating_sub(now))
     }
 
     fn decide_by_share(&mut self, request: &AdmissionRequest<'_>, now: Duration) -> Decision {
@@ -284,17 +285,17 @@
             return Decision::Admitted;
         }
         self.needed = self.needed.max(request.tokens);
-        Decision::Settling(self.settles_from.saturating_sub(now))
+        Decision::Settling(self.predecessors_reported_from.saturating_sub(now))
     }
 
     /// Returns the change of the register that is due, if any.
     pub fn next_change(&mut self) -> Option<Change> {
-        if !self.is_shown || self.limit == 0 || self.is_stopping {
+        if !self.has_full_reports || self.limit == 0 || self.is_stopping {
             return None;
         }
-        let most = self.outstanding.max_tokens();
-        let needed = std::mem::take(&mut self.needed).max(most);
-        let change = if self.is_to_settle() {
+        let total = self.outstanding.max_tokens();
+        let needed = std::mem::take(&mut self.needed).max(total);
+        let change = if self.should_settle() {
             Change::Settle(self.register.settled(needed, self.limit))
         } else if needed > self.register.counted && self.register.free(self.limit) > 0 {
             Change::Raise(self.register.raised(self.limit))
@@ -309,8 +310,8 @@
 
     /// Returns whether shares are set aside, or this counter is not yet registered as knowing the
     /// outstanding tokens, and reports include all of them.
-    fn is_to_settle(&self) -> bool {
-        let is_due = !self.is_known_to_this() || self.register.shares() > 0;
-        is_due && self.is_all_shown()
+    fn should_settle(&self) -> bool {
+        let is_due = !self.is_registered_as_settled() || self.register.shares() > 0;
+        is_due && self.are_predecessors_reported()
     }
 }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
@@ -29,7 +29,7 @@
     tokens: u64,
     at: Duration,
     /// Number of admissions of the job that were not released; each may record it.
-    tries: u32,
+    admissions: u32,
     /// When the job was confirmed as recorded.
     recorded_at: Option<Duration>,
 }
@@ -37,9 +37,9 @@
 impl Grant {
     /// Returns whether the report of its partition includes the job, or is so late that the job was
     /// never recorded.
-    fn is_in(&self, holding: &PartitionTokens) -> bool {
-        let from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
-        self.partition == holding.partition && holding.as_of >= from
+    fn is_reported_by(&self, report: &PartitionTokens) -> bool {
+        let reported_from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
+        self.partition == report.partition && report.as_of >= reported_from
     }
 }
 
@@ -55,13 +55,14 @@
 impl OutstandingTokens {
     /// Applies a report, unless an earlier report of the partition is more recent by offset or
     /// time.
-    pub fn apply_report(&mut self, holding: PartitionTokens) {
-        let known = self.reported.get(&holding.partition);
-        if known.is_some_and(|known| known.end > holding.end || known.as_of > holding.as_of) {
+    pub fn apply_report(&mut self, report: PartitionTokens) {
+        let known = self.reported.get(&report.partition);
+        if known.is_some_and(|known| known.end > report.end || known.as_of > report.as_of) {
             return;
         }
-        self.reported.insert(holding.partition, holding);
-        self.grants.retain(|_, grant| !grant.is_in(&holding));
+        self.reported.insert(report.partition, report);
+        self.grants
+            .retain(|_, grant| !grant.is_reported_by(&report));
     }
 
     /// Records that a job was admitted.
@@ -70,7 +71,7 @@
             partition,
             tokens,
             at,
-            tries: 1,
+            admissions: 1,
             recorded_at: None,
         };
         self.grants.insert(job.to_owned(), grant);
@@ -83,7 +84,7 @@
             return false;
         };
         grant.at = now;
-        grant.tries += 1;
+        grant.admissions += 1;
         true
     }
 
@@ -100,8 +101,8 @@
         let Some(grant) = self.grants.get_mut(job) else {
             return 0;
         };
-        grant.tries = grant.tries.saturating_sub(1);
-        if grant.tries > 0 || grant.recorded_at.is_some() {
+        grant.admissions = grant.admissions.saturating_sub(1);
+        if grant.admissions > 0 || grant.recorded_at.is_some() {
             return 0;
         }
         self.grants.remove(job).map_or(0, |grant| grant.tokens)
@@ -116,7 +117,7 @@
 
     /// Returns the tokens that the partitions report.
     pub fn reported(&self) -> u64 {
-        total_tokens(self.reported.values().map(|holding| holding.tokens))
+        total_tokens(self.reported.values().map(|report| report.tokens))
     }
 
     /// Returns the tokens of admitted jobs that the reports may not include yet.
@@ -132,8 +133,8 @@
     /// Returns whether each of `partitions` partitions has a report as of `moment` or later.
     pub fn covers_partitions_since(&self, moment: Duration, partitions: u32) -> bool {
         (0..partitions).all(|partition| {
-            let holding = self.reported.get(&partition);
-            holding.is_some_and(|holding| holding.as_of >= moment)
+            let report = self.reported.get(&partition);
+            report.is_some_and(|report| report.as_of >= moment)
         })
     }
 
@@ -144,7 +145,7 @@
 
     /// Returns the moment up to which the reports of all reported partitions are complete.
     pub fn as_of(&self) -> Duration {
-        let moments = self.reported.values().map(|holding| holding.as_of);
+        let moments = self.reported.values().map(|report| report.as_of);
         moments.min().unwrap_or_default()
     }
 }
