--- a/crates/swiftshunt-scheduler/tests/quarantine.rs
+++ b/crates/swiftshunt-scheduler/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held for the ends of workers that ran them.
+//! Quarantine of requests by the ends of workers that ran them.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 const UNIX_MS: u64 = 1_700_000_000_000;
 
 fn request(body: &str) -> Fingerprint {
-    Fingerprint::of(&tried(body))
+    Fingerprint::of(&identity_with_body(body))
 }
 
-fn tried(body: &str) -> RequestIdentity<'_> {
+fn identity_with_body(body: &str) -> RequestIdentity<'_> {
     RequestIdentity {
         caller: "tenant",
         host: "host",
@@ -27,7 +27,8 @@
     }
 }
 
-/// A worker that ended `at` milliseconds after the beginning, 50 ms after the request was sent to it.
+/// Returns the end of a worker `at` milliseconds after the start, 50 ms after the request was sent
+/// to it.
 fn end(worker: u64, at: u64) -> WorkerEnd {
     WorkerEnd {
         worker: WorkerKey(worker),
@@ -43,7 +44,8 @@
     }
 }
 
-/// The first workers end at one moment; each ran a request that no other had.
+/// Records that the first `workers` workers ended at one moment, each while it ran a request of its
+/// own.
 fn end_together(quarantine: &mut Quarantine, workers: u64) {
     for worker in 0..workers {
         let body = format!("rare-{worker}");
@@ -51,14 +53,17 @@
     }
 }
 
-fn is_held(quarantine: &Quarantine, body: &str) -> bool {
+fn is_quarantined(quarantine: &Quarantine, body: &str) -> bool {
     quarantine.status(&request(body), NOW) != QuarantineStatus::Allowed
 }
 
 #[test]
-fn caller_host_method_path_and_body_make_a_request_the_same() {
-    let same = tried("body");
-    assert_eq!(Fingerprint::of(&same), Fingerprint::of(&tried("body")));
+fn fingerprints_depend_on_caller_host_method_path_and_body() {
+    let same = identity_with_body("body");
+    assert_eq!(
+        Fingerprint::of(&same),
+        Fingerprint::of(&identity_with_body("body"))
+    );
     let others = [
         RequestIdentity {
             caller: "other",
@@ -80,7 +85,7 @@
             body: b"other",
             ..same
         },
-        // The border between two parts counts.
+        // The boundary between two parts matters.
         RequestIdentity {
             caller: "tenanth",
             host: "ost",
@@ -96,17 +101,18 @@
 }
 
 #[test]
-fn a_request_is_held_by_its_third_worker_and_by_no_end_twice() {
+fn a_request_is_quarantined_at_its_third_ended_worker() {
     let mut quarantine = Quarantine::default();
     record_end(&mut quarantine, "harmful", [end(1, 100), end(2, 300)]);
     record_end(&mut quarantine, "harmful", [end(1, 100), end(2, 340)]);
-    assert!(!is_held(&quarantine, "harmful"));
+    assert!(!is_quarantined(&quarantine, "harmful"));
     record_end(&mut quarantine, "harmful", [end(3, 600)]);
-    assert!(is_held(&quarantine, "harmful"));
-    assert!(!is_held(&quarantine, "another"));
+    assert!(is_quarantined(&quarantine, "harmful"));
+    assert!(!is_quarantined(&quarantine, "another"));
 }
 
-/// A worker that starts again under the name that it had ends again; another gateway saw its first end, too.
+/// A worker restarts under the same name and ends again, and another gateway also sees its first
+/// end.
 #[test]
 fn each_life_of_a_worker_counts_once() {
     let mut quarantine = Quarantine::default();
@@ -116,14 +122,14 @@
         [end(1, 100), end(1, 103), end(1, 110)],
     );
     record_end(&mut quarantine, "harmful", [end(1, 900), end(1, 940)]);
-    assert!(!is_held(&quarantine, "harmful"));
+    assert!(!is_quarantined(&quarantine, "harmful"));
     record_end(&mut quarantine, "harmful", [end(1, 2_000)]);
-    assert!(is_held(&quarantine, "harmful"));
+    assert!(is_quarantined(&quarantine, "harmful"));
 }
 
 /// One try may end three workers within milliseconds, one after the other.
 #[test]
-fn runs_that_follow_each_other_are_no_one_moment() {
+fn ends_of_successive_runs_are_counted_separately() {
     let mut quarantine = Quarantine::default();
     let quick = |worker, sent, ended| WorkerEnd {
         worker: WorkerKey(worker),
@@ -136,12 +142,13 @@
         "harmful",
         [quick(1, 0, 5), quick(2, 6, 11), quick(3, 11, 17)],
     );
-    assert!(is_held(&quarantine, "harmful"));
+    assert!(is_quarantined(&quarantine, "harmful"));
 }
 
-/// A request that many callers send runs on half of the workers of a rack as that loses power.
+/// A request that many callers send runs on half of the workers of a rack when the rack loses
+/// power.
 #[test]
-fn many_ends_of_one_moment_with_another_cause_are_one() {
+fn simultaneous_ends_with_another_cause_count_as_one() {
     let mut quarantine = Quarantine::default();
     end_together(&mut quarantine, 12);
     record_end(
@@ -149,18 +156,18 @@
         "popular",
         (0..6).map(|worker| end(worker, 100 + worker)),
     );
-    assert!(!is_held(&quarantine, "popular"));
+    assert!(!is_quarantined(&quarantine, "popular"));
     record_end(
         &mut quarantine,
         "popular",
         [end(20, 5_000), end(21, 10_000)],
     );
-    assert!(is_held(&quarantine, "popular"));
+    assert!(is_quarantined(&quarantine, "popular"));
 }
 
-/// Copies of one request came together, each to another worker.
+/// Copies of one request arrive together, each at another worker.
 #[test]
-fn many_ends_of_one_moment_at_which_one_request_ran_are_its_own() {
+fn simultaneous_ends_that_all_ran_one_request_count_in_full() {
     let mut quarantine = Quarantine::default();
     end_together(&mut quarantine, 6);
     record_end(
@@ -168,42 +175,43 @@
         "harmful",
         (0..6).map(|worker| end(worker, 100 + worker)),
     );
-    assert!(is_held(&quarantine, "harmful"));
+    assert!(is_quarantined(&quarantine, "harmful"));
 }
 
-/// A request that was moved twice, to workers that the harmful one came to, too.
+/// A request is moved twice, each time to a worker that the harmful request also reaches.
 #[test]
-fn what_another_request_explains_does_not_count() {
+fn ends_explained_by_another_request_do_not_count() {
     let mut quarantine = Quarantine::default();
     let ends = [end(1, 100), end(2, 300), end(3, 600)];
     record_end(&mut quarantine, "innocent", ends);
     record_end(&mut quarantine, "harmful", ends);
-    assert!(is_held(&quarantine, "harmful"));
+    assert!(is_quarantined(&quarantine, "harmful"));
     record_end(&mut quarantine, "harmful", [end(4, 900)]);
-    assert!(is_held(&quarantine, "harmful"));
-    assert!(!is_held(&quarantine, "innocent"));
+    assert!(is_quarantined(&quarantine, "harmful"));
+    assert!(!is_quarantined(&quarantine, "innocent"));
 }
 
 #[test]
-fn a_run_that_ended_well_clears_a_request() {
+fn a_successful_run_clears_a_request() {
     let mut quarantine = Quarantine::default();
     record_end(&mut quarantine, "popular", [end(1, 100), end(2, 300)]);
     assert_eq!(quarantine.clear(&request("popular")).len(), 2);
     assert!(quarantine.is_empty());
     record_end(&mut quarantine, "popular", [end(3, 600), end(4, 900)]);
-    assert!(!is_held(&quarantine, "popular"));
+    assert!(!is_quarantined(&quarantine, "popular"));
 }
 
-/// Three ends hold a request until the first of them lapses, at the same time wherever they were learnt.
+/// Three ends hold a request in quarantine until the first of them expires, at the same time at
+/// every gateway, however late it learns of them.
 #[test]
-fn what_is_known_lapses() {
+fn recorded_ends_expire() {
     let mut quarantine = Quarantine::default();
     let harmful = request("harmful");
     for (worker, at) in [(1, 0), (2, 10_000), (3, 20_000)] {
         quarantine.record_end(harmful, end(worker, 50 + at), UNIX_MS + 20_050, NOW);
     }
     let QuarantineStatus::Quarantined { ends, time_left } = quarantine.status(&harmful, NOW) else {
-        panic!("it is not held");
+        panic!("the request is not quarantined");
     };
     assert_eq!(
         (ends, time_left),
@@ -225,7 +233,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn the_number_of_recorded_requests_and_ends_is_bounded() {
     let mut quarantine = Quarantine::default();
     for number in 0..20_000_u64 {
         let body = number.to_string();
@@ -241,29 +249,29 @@
     }
     assert!(quarantine.len() <= 8_192, "{}", quarantine.len());
     assert!(quarantine.ends(&request("harmful")).count() <= 16);
-    assert!(is_held(&quarantine, "harmful"));
+    assert!(is_quarantined(&quarantine, "harmful"));
 }
 
 proptest! {
-    /// Gateways learn of ends in different orders, some of them twice, and decide alike.
+    /// Gateways that learn of ends in different orders, and of some twice, must decide alike.
     #[test]
-    fn the_order_of_news_decides_nothing(
+    fn the_status_does_not_depend_on_the_order_of_reports(
         ends in prop::collection::vec((0_usize..4, 0_u64..6, 0_u64..2_000), 0..24),
         order in any::<prop::sample::Index>(),
     ) {
-        // A worker ends once.
-        let news: Vec<_> = ends
+        // Each worker ends once.
+        let reports: Vec<_> = ends
             .iter()
             .map(|(body, worker, _)| (body.to_string(), end(*worker, 100 + worker * 130)))
             .collect();
         let mut one = Quarantine::default();
         let mut other = Quarantine::default();
-        for (body, end) in &news {
+        for (body, end) in &reports {
             one.record_end(request(body), *end, UNIX_MS, NOW);
         }
-        let first = order.index(news.len().max(1));
-        let turned = news.iter().skip(first).chain(news.iter().take(first));
-        for (body, end) in turned.chain(news.iter().rev()) {
+        let first = order.index(reports.len().max(1));
+        let rotated = reports.iter().skip(first).chain(reports.iter().take(first));
+        for (body, end) in rotated.chain(reports.iter().rev()) {
             other.record_end(request(body), *end, UNIX_MS, NOW);
         }
         for body in 0..4 {
@@ -272,9 +280,10 @@
         }
     }
 
-    /// Whoever alone ended three workers, at moments that are apart, is held, whoever else ran there.
+    /// A request that ran on every ended worker, at separate moments, must be quarantined, whatever
+    /// other requests ran there.
     #[test]
-    fn the_one_that_is_at_every_end_is_held(
+    fn a_request_that_ran_at_every_end_is_quarantined(
         others in prop::collection::vec((0_usize..12, 0_u64..5), 0..40),
     ) {
         let mut quarantine = Quarantine::default();
@@ -282,7 +291,7 @@
             record_end(&mut quarantine, &body.to_string(), [end(worker, 100 + worker * 200)]);
         }
         record_end(&mut quarantine, "harmful", (0..5).map(|worker| end(worker, 100 + worker * 200)));
-        prop_assert!(is_held(&quarantine, "harmful"));
+        prop_assert!(is_quarantined(&quarantine, "harmful"));
         prop_assert!(quarantine.ends(&request("harmful")).count() >= QUARANTINE_THRESHOLD);
     }
 }
@@ -294,17 +303,17 @@
     }
 }
 
-fn suspect_three(quarantine: &mut Quarantine) {
+fn suspect_three_workers(quarantine: &mut Quarantine) {
     let ends = [suspected(1, 100), suspected(2, 300), suspected(3, 600)];
     record_end(quarantine, "request", ends);
 }
 
-/// A link that refuses is as good as a process that has ended, for a moment; for no longer.
+/// A refused connection counts as the end of a process, but only for a short time.
 #[test]
-fn a_suspicion_holds_a_request_for_seconds() {
+fn suspected_ends_quarantine_a_request_for_seconds() {
     let mut quarantine = Quarantine::default();
-    suspect_three(&mut quarantine);
-    assert!(is_held(&quarantine, "request"));
+    suspect_three_workers(&mut quarantine);
+    assert!(is_quarantined(&quarantine, "request"));
     let later = NOW + SUSPECTED_END_TTL;
     assert_eq!(
         quarantine.status(&request("request"), later),
@@ -315,9 +324,9 @@
 }
 
 #[test]
-fn a_suspicion_that_is_proved_holds_for_long() {
+fn proved_ends_quarantine_a_request_for_minutes() {
     let mut quarantine = Quarantine::default();
-    suspect_three(&mut quarantine);
+    suspect_three_workers(&mut quarantine);
     for worker in 1..=3 {
         let proved = quarantine.mark_proved(WorkerKey(worker), UNIX_MS + 600, NOW);
         assert_eq!(proved.len(), 1);
@@ -338,8 +347,8 @@
         quarantine.status(&request("request"), later),
         QuarantineStatus::Allowed
     );
-    // Word of the suspicion that comes late changes nothing.
-    suspect_three(&mut quarantine);
+    // A late report of the suspicion changes nothing.
+    suspect_three_workers(&mut quarantine);
     assert_ne!(
         quarantine.status(&request("request"), later),
         QuarantineStatus::Allowed
@@ -347,9 +356,9 @@
 }
 
 #[test]
-fn a_sign_of_life_refutes_an_end_for_all_its_requests() {
+fn a_refuted_end_is_removed_from_all_its_requests() {
     let mut quarantine = Quarantine::default();
-    suspect_three(&mut quarantine);
+    suspect_three_workers(&mut quarantine);
     record_end(&mut quarantine, "other", [end(2, 310)]);
     assert!(
         quarantine
@@ -366,17 +375,17 @@
             .ended_workers()
             .all(|worker| worker != WorkerKey(2))
     );
-    assert!(!is_held(&quarantine, "request"));
+    assert!(!is_quarantined(&quarantine, "request"));
     assert_eq!(quarantine.ends(&request("other")).count(), 0);
     assert!(quarantine.refute(WorkerKey(2), Evidence::Proved).is_empty());
 }
 
-/// Workers of a zone with ten of them lapse a moment after each other.
-#[test_case(1, 9, 1; "one has ended")]
+/// Workers of a zone with ten of them lapse shortly after each other.
+#[test_case(1, 9, 1; "one worker has ended")]
 #[test_case(3, 7, 3; "a rack has ended")]
-#[test_case(6, 4, 0; "most of a zone, which is cut off")]
-#[test_case(1, 0, 1; "the only one has ended")]
-fn what_lapses_while_others_renew_has_ended(lapsed: u64, listed: usize, ended: usize) {
+#[test_case(6, 4, 0; "most of an isolated zone lapsed")]
+#[test_case(1, 0, 1; "the only worker has ended")]
+fn workers_that_lapse_while_others_renew_have_ended(lapsed: u64, listed: usize, ended: usize) {
     let mut lapsed_workers = LapsedWorkers::default();
     for worker in 0..lapsed {
         let at = NOW + Duration::from_millis(worker * 200);
@@ -395,62 +404,62 @@
     assert!(found.contains(&WorkerKey(99)));
     assert!(
         lapsed_workers.take_ended(listed, later).is_empty(),
-        "each once"
+        "a worker was returned twice"
     );
     assert!(lapsed_workers.remove_returned(WorkerKey(0)));
     assert!(!lapsed_workers.remove_returned(WorkerKey(0)));
 }
 
 #[test]
-fn an_entry_written_before_the_end_is_no_sign_of_life() {
+fn a_renewal_written_before_the_end_does_not_refute_it() {
     let mut tracker = RenewalTracker::default();
     let worker = WorkerKey(1);
-    let accused = || [worker].into_iter();
+    let ended_worker = || [worker].into_iter();
     assert!(
         tracker
             .record_reading(std::iter::empty(), &[worker])
             .is_empty(),
-        "nobody is accused"
+        "no worker is recorded as ended"
     );
     assert!(
-        tracker.record_reading(accused(), &[worker]).is_empty(),
-        "read before, told after"
+        tracker.record_reading(ended_worker(), &[worker]).is_empty(),
+        "reading answered before the end was recorded"
     );
     assert!(
-        tracker.record_reading(accused(), &[worker]).is_empty(),
-        "asked before, written after"
+        tracker.record_reading(ended_worker(), &[worker]).is_empty(),
+        "reading that may return older entries"
     );
     assert!(
-        tracker.record_reading(accused(), &[]).is_empty(),
-        "it renews nothing"
+        tracker.record_reading(ended_worker(), &[]).is_empty(),
+        "worker did not renew its entry"
     );
-    assert_eq!(tracker.record_reading(accused(), &[worker]), [worker]);
+    assert_eq!(tracker.record_reading(ended_worker(), &[worker]), [worker]);
     assert!(
         tracker
             .record_reading(std::iter::empty(), &[worker])
             .is_empty()
     );
     assert!(
-        tracker.record_reading(accused(), &[worker]).is_empty(),
-        "accused anew"
+        tracker.record_reading(ended_worker(), &[worker]).is_empty(),
+        "end recorded again: first reading"
     );
     assert!(
         tracker.record_reading(std::iter::empty(), &[]).is_empty(),
-        "nobody is, for a reading"
+        "no worker is recorded as ended in this reading"
     );
     assert!(
-        tracker.record_reading(accused(), &[worker]).is_empty(),
-        "and anew"
+        tracker.record_reading(ended_worker(), &[worker]).is_empty(),
+        "end recorded once more: first reading"
     );
-    assert!(tracker.record_reading(accused(), &[worker]).is_empty());
+    assert!(tracker.record_reading(ended_worker(), &[worker]).is_empty());
 }
 
-/// A way that takes connections for a worker that has ended lets each send break off there.
+/// A proxy that accepts connections for a worker that has ended makes each send break off there.
 #[test]
 fn sends_to_a_life_that_has_ended_already_are_one_end_once_it_is_proved() {
     let mut quarantine = Quarantine::default();
     let ends = [suspected(1, 100), suspected(1, 600), suspected(1, 1_100)];
     record_end(&mut quarantine, "request", ends);
     quarantine.mark_proved(WorkerKey(1), UNIX_MS + 3_000, NOW);
-    assert!(!is_held(&quarantine, "request"));
+    assert!(!is_quarantined(&quarantine, "request"));
 }
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -1,4 +1,4 @@
-//! Credits for a tenant's requests: the counter's bucket and a gateway's account.
+//! The counter's bucket of credits and the gateways' limiters.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     per_second: 10.0,
     burst: 20.0,
 };
-/// A tenth, and nothing beyond: 7 requests for this limit.
+/// The tolerance is a tenth of what the limit allows: 7 requests for this limit.
 const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(5),
     share: 0.1,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_bucket_gives_what_it_holds_and_then_what_the_rate_adds() {
+fn a_bucket_grants_its_level_and_then_only_the_refill() {
     let mut bucket = full_bucket();
     let all: u32 = (0..40)
         .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
@@ -60,9 +60,9 @@
     );
 }
 
-/// What gateways hold is not added again while they may still spend it.
+/// Credits that a gateway holds must not be refilled while it may still spend them.
 #[test]
-fn credits_that_are_held_are_not_refilled() {
+fn credits_held_by_a_gateway_are_not_refilled() {
     let mut bucket = full_bucket();
     let capacity = TOLERANCE.capacity(LIMIT) as u32;
     let ahead = CreditRequest {
@@ -71,15 +71,16 @@
     };
     let held = credits(bucket.grant_credits(1, ahead, &TOLERANCE, START));
     assert_eq!(held, 9);
-    // Long after, another gateway asks for all: the first may still spend its part.
+    // Much later, another gateway asks for all credits; the first may still spend the ones that it
+    // holds.
     let later = START + CREDIT_TTL - Duration::from_millis(1);
     let others = (0..100).map(|_| credits(bucket.grant_credits(2, needs(1), &TOLERANCE, later)));
-    // One was needed and is spent.
+    // One of the credits was needed by a waiting request and is spent.
     assert!(others.sum::<u32>() + held - 1 <= capacity);
 }
 
 #[test]
-fn unused_credits_come_back() {
+fn unused_credits_return_to_the_bucket() {
     let mut bucket = full_bucket();
     let drained: u32 = (0..40)
         .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn ahead_of_need_a_gateway_gets_a_part_only() {
+fn prefetching_leaves_credits_for_waiting_requests() {
     let mut bucket = full_bucket();
     let greedy = CreditRequest {
         ahead: 1_000,
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_lower_limit_binds_at_once_and_an_older_one_never_again() {
+fn a_lower_limit_applies_at_once_and_an_older_version_is_ignored() {
     let mut bucket = full_bucket();
     let lower = RateLimit {
         per_second: 1.0,
@@ -125,9 +126,9 @@
     assert_eq!(all, TOLERANCE.capacity(lower) as u32);
 }
 
-/// Near the limit the share of silent gateways is not given to others.
+/// Near the limit, shares of silent gateways must not be granted to others.
 #[test]
-fn what_silent_gateways_may_let_in_is_set_aside() {
+fn shares_of_silent_gateways_are_reserved_near_the_limit() {
     let mut bucket = full_bucket();
     for gateway in 0..10 {
         let request = CreditRequest {
@@ -141,12 +142,12 @@
     let given: u32 = (0..100)
         .map(|step| credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(10_000 + step * 100))))
         .sum();
-    // 14 s at seven tenths of the rate, less what three gateways may have saved up.
+    // 14 s at seven tenths of the rate, less the requests that three gateways may have saved up.
     assert!((70..=98).contains(&given), "{given}");
 }
 
 #[test]
-fn a_request_takes_a_credit_or_asks() {
+fn a_request_spends_a_credit_or_asks_the_counter() {
     let mut limiter = TenantLimiter::default();
     assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
     let request = limiter.credit_request(1, COUNTER, START);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn credits_end_with_the_life_of_the_question_for_them() {
+fn credits_expire_counted_from_the_time_of_their_request() {
     let mut limiter = TenantLimiter::default();
     let granted = CreditResponse::Granted {
         credits: 2,
@@ -187,7 +188,7 @@
 }
 
 #[test]
-fn a_tenant_at_its_limit_is_refused_here_until_there_may_be_room() {
+fn an_exhausted_tenant_is_refused_locally_until_the_retry_time() {
     let mut limiter = TenantLimiter::default();
     let again_after = Duration::from_millis(70);
     let exhausted = CreditResponse::Exhausted {
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn what_was_let_in_and_went_nowhere_is_spent_by_another() {
+fn a_refunded_credit_is_spent_by_the_next_request() {
     let mut limiter = TenantLimiter::default();
     let granted = CreditResponse::Granted {
         credits: 1,
@@ -215,9 +216,10 @@
     assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
 }
 
-/// A counter that was away has filled while another one gave credits: it learns what that had left.
+/// The bucket of a counter that was away fills while another counter grants credits. The next
+/// request must tell it how many credits that counter had left.
 #[test]
-fn two_counters_one_after_the_other_give_no_more_than_one() {
+fn successive_counters_grant_no_more_than_one_counter() {
     let mut limiter = TenantLimiter::default();
     let granted = CreditResponse::Granted {
         credits: 1,
@@ -239,20 +241,20 @@
     assert_eq!(first + rest, 5);
 }
 
-/// Alone a gateway lets in its share, not what it has spent before, and nothing at its start.
+/// Without a counter a gateway admits its share of the rate. It has saved up nothing at its start.
 #[test]
-fn alone_a_gateway_lets_in_its_share() {
+fn without_a_counter_a_gateway_admits_its_own_share() {
     let mut limiter = TenantLimiter::default();
     assert!(!limiter.admit_from_own_share(LIMIT, 10, START));
     let admitted =
         (0..600_u64).filter(|step| limiter.admit_from_own_share(LIMIT, 10, at(step * 100)));
-    // A tenth of 10 a second, for a minute.
+    // A tenth of 10 requests per second, for a minute.
     let admitted = admitted.count();
     assert!((55..=61).contains(&admitted), "{admitted}");
 }
 
 #[test]
-fn shares_of_all_gateways_make_one() {
+fn shares_of_all_gateways_add_up_to_one() {
     let here = [0_u32, 3, 0, 12, 1];
     let all = here.iter().sum();
     let shares: f64 = here.iter().map(|here| gateway_share(*here, all, 5)).sum();
@@ -270,7 +272,7 @@
     assert_eq!(usage.total(at(60_000)), 0);
 }
 
-/// A bucket of a counter that takes over, which begins with nothing.
+/// Returns the bucket of a counter that takes over, which begins at level 0.
 fn empty_bucket() -> Bucket<u32> {
     Bucket::new(LIMIT, 1, 0.0, START)
 }
@@ -282,14 +284,14 @@
 }
 
 #[test]
-fn what_a_gateway_let_in_alone_is_not_given_once_more_by_a_counter_that_was_full() {
+fn requests_admitted_from_the_own_share_are_deducted_once() {
     let mut bucket = full_bucket();
     bucket.grant_credits(1, needs(0), &TOLERANCE, at(6_000));
     let back = CreditRequest {
         spent_alone: 12,
         ..needs(0)
     };
-    // The answer to the first question is lost.
+    // The answer to the first request is lost.
     bucket.grant_credits(2, back, &TOLERANCE, at(6_000));
     bucket.grant_credits(2, back, &TOLERANCE, at(6_020));
     let given = credits(bucket.grant_credits(1, needs(40), &TOLERANCE, at(6_020)));
@@ -298,7 +300,7 @@
 }
 
 #[test]
-fn a_counter_that_takes_over_leaves_silent_gateways_the_share_that_nobody_else_has() {
+fn a_new_counter_reserves_the_unclaimed_share_for_silent_gateways() {
     let mut bucket = empty_bucket();
     for gateway in 0..4 {
         let request = CreditRequest {
@@ -314,7 +316,7 @@
 }
 
 #[test]
-fn what_a_silent_gateway_saved_while_nothing_was_set_aside_is_taken_off_again() {
+fn requests_saved_up_before_a_reservation_are_deducted_again() {
     let mut bucket = full_bucket();
     for gateway in 0..2 {
         let request = CreditRequest {
@@ -329,12 +331,12 @@
     let near_limit = bucket.grant_credits(1, needs(20), &TOLERANCE, at(9_000));
     assert!(credits(near_limit) >= 15, "{near_limit:?}");
     bucket.reserve_for_silent(&[0], 2, &TOLERANCE, at(9_000));
-    // Half of the burst is what the other one may have saved again.
+    // The silent gateway may have saved up half of the burst again.
     assert_eq!(given_within(&mut bucket, 9_000, 10_000), 0);
 }
 
 #[test]
-fn alone_a_gateway_has_saved_nothing_of_what_the_counter_has_not() {
+fn an_exhausted_counter_clears_the_saved_own_share() {
     let mut limiter = TenantLimiter::default();
     assert!(!limiter.admit_from_own_share(LIMIT, 1, START));
     let refused = CreditResponse::Exhausted {
--- a/crates/swiftshunt-scheduler/tests/slots/accounts.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/accounts.rs
@@ -1,4 +1,4 @@
-//! Assignments and reports that are lost, late or doubled.
+//! Lost, late and duplicate assignments and reports.
 
 use std::time::Duration;
 
@@ -8,23 +8,31 @@
 use crate::support::{SETTLED, gateway, held, key, place, report};
 
 #[test]
-fn an_assignment_counts_at_once_and_only_until_it_is_reported_or_lost() {
+fn an_assignment_counts_until_a_report_includes_it_or_it_expires() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[]), SETTLED);
     let placed = place(&mut allocator, 1, &[0]);
-    let number = placed.expect("a worker").number;
+    let number = placed.expect("the request should get a worker").number;
     assert_eq!(allocator.load(key(0)).taken(), 1);
     allocator.apply_report(gateway(1), report(2, number, &[(0, held(1, 0))]), SETTLED);
-    assert_eq!(allocator.load(key(0)).taken(), 1, "counted twice");
+    assert_eq!(
+        allocator.load(key(0)).taken(),
+        1,
+        "the assignment counts twice"
+    );
     let lost = place(&mut allocator, 1, &[0]);
     assert!(lost.is_ok());
     assert_eq!(allocator.load(key(0)).taken(), 2);
     allocator.expire(SETTLED + Duration::from_millis(400));
-    assert_eq!(allocator.load(key(0)).taken(), 1, "it was lost on the way");
+    assert_eq!(
+        allocator.load(key(0)).taken(),
+        1,
+        "a lost assignment still counts"
+    );
 }
 
 #[test]
-fn a_report_that_comes_late_or_twice_changes_nothing() {
+fn late_and_duplicate_reports_are_ignored() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(2, 0, &[(0, held(1, 0))]), SETTLED);
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
@@ -33,7 +41,7 @@
 }
 
 #[test]
-fn a_gateway_that_started_again_is_believed_anew() {
+fn reports_of_a_restarted_gateway_replace_those_of_its_previous_life() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(900, 0, &[(0, held(4, 0))]), SETTLED);
     let after = SlotReport {
@@ -45,7 +53,7 @@
 }
 
 #[test]
-fn what_a_silent_gateway_held_counts_no_more() {
+fn slots_of_a_silent_gateway_expire() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     let later = SETTLED + Duration::from_secs(2);
--- a/crates/swiftshunt-scheduler/tests/slots/elsewhere.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/elsewhere.rs
@@ -1,4 +1,4 @@
-//! Free slots of other regions.
+//! Free slots announced by other regions.
 
 use std::time::Duration;
 
@@ -18,9 +18,9 @@
     }
 }
 
-/// Whoever was sent on takes a slot: no more are sent on than there are slots.
+/// Each forwarded request reserves a slot: no more are forwarded than there are free slots.
 #[test]
-fn as_many_are_sent_on_as_there_are_free_slots() {
+fn requests_are_forwarded_up_to_the_announced_free_slots() {
     let mut remote_capacity = RemoteCapacity::default();
     let full = cell("s", "north", 0);
     remote_capacity.record_free_slots(cell("s", "south", 0), 2, START);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_request_is_sent_to_its_own_service_in_another_region() {
+fn requests_are_forwarded_only_to_the_same_service_in_another_region() {
     let mut remote_capacity = RemoteCapacity::default();
     remote_capacity.record_free_slots(cell("s", "north", 1), 9, START);
     remote_capacity.record_free_slots(cell("other", "south", 1), 9, START);
@@ -43,21 +43,22 @@
 }
 
 #[test]
-fn what_was_told_long_ago_counts_no_more() {
+fn old_announcements_expire() {
     let mut remote_capacity = RemoteCapacity::default();
     remote_capacity.record_free_slots(cell("s", "south", 0), 9, START);
     let full = cell("s", "north", 0);
     assert_eq!(remote_capacity.reserve_slot(&full, START + LONG), None);
 }
 
-/// A few bytes a second: what stays much the same is told once a second, the turn at once.
+/// Limits the traffic between owners: an announcement that changes little is repeated once a
+/// second, a change to or from zero free slots is announced at once.
 #[test]
-fn owners_tell_seldom_unless_the_last_slot_goes_or_the_first_is_back() {
+fn free_slots_are_announced_once_a_second_and_at_once_on_a_change_to_or_from_zero() {
     let mut remote_capacity = RemoteCapacity::default();
     let own = cell("s", "south", 0);
     let moments = (0..40).map(|step| START + Duration::from_millis(50) * step);
-    let told = moments.filter(|now| remote_capacity.should_announce(&own, 3, *now));
-    assert_eq!(told.count(), 2);
+    let announcements = moments.filter(|now| remote_capacity.should_announce(&own, 3, *now));
+    assert_eq!(announcements.count(), 2);
     let now = START + Duration::from_millis(2_010);
     assert!(remote_capacity.should_announce(&own, 0, now));
     assert!(!remote_capacity.should_announce(&own, 0, now));
--- a/crates/swiftshunt-scheduler/tests/slots/failing.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/failing.rs
@@ -1,4 +1,4 @@
-//! Workers at which sends fail.
+//! Placement and grants when sends to workers fail.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     RATES, SETTLED, SLOTS, bids, gateway, key, placement_request, waiting, workers,
 };
 
-/// A request that may not be repeated, or may, to two workers of which the first would be better.
+/// Places a request at two workers of which the first is cheaper.
 fn place_unless_failing(
     allocator: &mut SlotAllocator,
     may_repeat: bool,
@@ -21,12 +21,13 @@
         ..placement_request(&bids)
     };
     let placed = allocator.place(gateway(2), &request, &workers(2), &RATES, now);
-    placed.expect("a worker").worker
+    placed.expect("the request should get a worker").worker
 }
 
-/// What one gateway saw keeps the requests of all away, and those that may not be repeated longest.
+/// A failure seen by one gateway keeps the requests of all gateways away, and those that may not be
+/// repeated for longer.
 #[test]
-fn requests_keep_clear_of_a_worker_that_failed_another_gateway() {
+fn requests_avoid_a_worker_that_failed_another_gateway() {
     let mut allocator = SlotAllocator::default();
     assert_eq!(place_unless_failing(&mut allocator, false, SETTLED), key(0));
     assert!(allocator.record_failure(key(0), SETTLED));
@@ -40,18 +41,22 @@
         (1_210, false, 0),
     ] {
         let placed = place_unless_failing(&mut allocator, may_repeat, at(ms));
-        assert_eq!(placed, key(worker), "after {ms} ms, repeated: {may_repeat}");
+        assert_eq!(
+            placed,
+            key(worker),
+            "after {ms} ms, may_repeat: {may_repeat}"
+        );
     }
 }
 
 #[test]
-fn a_worker_that_fails_again_is_left_for_longer() {
+fn repeated_failures_double_the_time_a_worker_is_avoided() {
     let mut allocator = SlotAllocator::default();
     let mut now = SETTLED;
     assert!(allocator.record_failure(key(0), now));
     assert!(
         !allocator.record_failure(key(0), now),
-        "one more request that was there"
+        "a failure of a request already running counted again"
     );
     now += Duration::from_millis(450);
     assert!(allocator.record_failure(key(0), now));
@@ -59,16 +64,17 @@
     assert_eq!(place_unless_failing(&mut allocator, true, now), key(1));
     now += Duration::from_millis(100);
     assert_eq!(place_unless_failing(&mut allocator, true, now), key(0));
-    // What is long ago does not count.
+    // Failures from long ago do not lengthen the period.
     now += Duration::from_secs(10);
     assert!(allocator.record_failure(key(0), now));
     now += Duration::from_millis(450);
     assert_eq!(place_unless_failing(&mut allocator, true, now), key(0));
 }
 
-/// A worker that loses an answer now and then is not left: the others could not carry its part.
+/// A worker that seldom loses an answer must not be avoided: the others could not take over its
+/// load.
 #[test]
-fn a_worker_that_fails_seldom_is_not_left() {
+fn rare_failures_do_not_exclude_a_worker() {
     let mut allocator = SlotAllocator::default();
     let mut now = SETTLED;
     for _ in 0..20 {
@@ -77,14 +83,14 @@
     }
     assert!(!allocator.record_failure(key(0), now));
     assert_eq!(place_unless_failing(&mut allocator, false, now), key(0));
-    // One at which all that runs breaks is.
+    // A worker at which all running requests fail is avoided.
     let failed = (0..8).filter(|_| allocator.record_failure(key(0), now));
     assert_eq!(failed.count(), 1);
     assert_eq!(place_unless_failing(&mut allocator, true, now), key(1));
 }
 
 #[test]
-fn where_all_workers_fail_requests_are_still_served() {
+fn requests_are_placed_even_if_all_workers_fail() {
     let mut allocator = SlotAllocator::default();
     for worker in 0..2 {
         allocator.record_failure(key(worker), SETTLED);
@@ -93,7 +99,7 @@
 }
 
 #[test]
-fn items_are_granted_no_slot_of_a_failing_worker() {
+fn batch_items_get_no_slot_of_a_failing_worker() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), waiting(9, 1_000), Duration::ZERO);
     allocator.apply_report(
--- a/crates/swiftshunt-scheduler/tests/slots/grants.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/grants.rs
@@ -1,4 +1,4 @@
-//! Slots that items are granted, by urgency.
+//! Slots granted to batch items in order of urgency.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::support::{SETTLED, SLOTS, gateway, key, rank, waiting, workers};
 
 #[test]
-fn grants_go_to_the_most_urgent_and_leave_the_headroom() {
+fn grants_go_to_the_most_urgent_items_and_leave_reserved_slots_free() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), waiting(5, 9_000), Duration::ZERO);
     allocator.apply_report(gateway(2), waiting(2, 1_000), Duration::ZERO);
@@ -18,26 +18,30 @@
         allocator
             .grant(&workers(2), 0.25, Duration::ZERO)
             .is_empty(),
-        "nobody else has had the time to report"
+        "slots were granted before all gateways had time to report"
     );
     let grants = allocator.grant(&workers(2), 0.25, SETTLED);
-    // A quarter of eight slots stays free.
+    // A quarter of the eight slots stays free.
     assert_eq!(grants.len(), 6);
     let to: Vec<SocketAddr> = grants.iter().map(|grant| grant.to).collect();
     assert_eq!(to[..2], [gateway(2), gateway(2)]);
     assert_eq!(to[2..], [gateway(1); 4]);
     let at = |number| grants.iter().filter(|it| it.worker == key(number)).count();
-    assert_eq!([at(0), at(1)], [3, 3], "spread over the workers");
+    assert_eq!(
+        [at(0), at(1)],
+        [3, 3],
+        "grants are not spread over the workers"
+    );
     assert!(allocator.grant(&workers(2), 0.25, SETTLED).is_empty());
 }
 
-/// Due after 18 s, given up after 58 s, 5 s of work.
+/// The item is due at 18 s, expires at 58 s and is expected to run for 5 s.
 #[test_case(0, false; "in time")]
-#[test_case(14, false; "perhaps in time")]
+#[test_case(14, false; "possibly in time")]
 #[test_case(16, true; "late in any case")]
 #[test_case(30, true; "late")]
-#[test_case(40, false; "late for long")]
-fn items_that_will_be_late_go_behind_the_others_for_a_while(now: u64, is_late: bool) {
+#[test_case(40, false; "late for a long time")]
+fn late_items_rank_last_until_half_of_their_remaining_time_has_passed(now: u64, is_late: bool) {
     let times = ItemTimes {
         due_at: Duration::from_secs(18),
         expires_at: Duration::from_secs(58),
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn an_item_that_can_be_in_time_goes_before_one_that_cannot() {
+fn an_item_that_can_be_in_time_is_granted_before_a_late_one() {
     let late = Rank {
         is_late: true,
         due_in_ms: -4_000,
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn no_item_is_granted_where_a_worker_tells_of_more_than_is_known_or_is_silent() {
+fn no_slot_is_granted_at_a_worker_that_reports_more_load_or_is_silent() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), waiting(9, 0), Duration::ZERO);
     let mut cell = workers(2);
--- a/crates/swiftshunt-scheduler/tests/slots/main.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/main.rs
@@ -1,5 +1,5 @@
-//! The book of a cell: exact loads, one item aside for each request that would wait, grants by
-//! urgency, and what lost, doubled and late messages do to it.
+//! Slot allocator of a cell: exact loads, preemption of one item for each request that would wait,
+//! grants by urgency, and the effects of lost, duplicate and late messages.
 
 mod accounts;
 mod cells;
--- a/crates/swiftshunt-scheduler/tests/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/prompts.rs
@@ -1,4 +1,4 @@
-//! Prompts that workers hold and read.
+//! Placement by the prompt caches and the prefill queues of workers.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::support::{RATES, SETTLED, SLOTS, bids, gateway, held, key, place, report, workers};
 
-/// A prompt of a beginning that many requests share and a part of the request's own.
+/// A prompt with a prefix that many requests share and a part of its own.
 fn prompt(subject: u64, own: u64) -> [PromptPart; 2] {
     [
         PromptPart {
@@ -25,7 +25,7 @@
     ]
 }
 
-/// A request with such a prompt, to workers that are alike.
+/// Places a request with this prompt at workers of equal cost.
 fn place_prompt(
     allocator: &mut SlotAllocator,
     parts: &[PromptPart],
@@ -45,40 +45,41 @@
     allocator.place(gateway(2), &request, workers, &RATES, now)
 }
 
-/// Requests with a shared beginning go where it was read, whichever gateway asks and also where an
-/// item has to leave its slot for that.
+/// Requests with a shared prefix go to the worker that has it cached, whichever gateway asks and
+/// even if an item has to be preempted there.
 #[test]
-fn a_shared_beginning_is_read_once() {
+fn a_shared_prefix_is_prefilled_once() {
     let mut allocator = SlotAllocator::default();
     let workers = workers(3);
     let first = place_prompt(&mut allocator, &prompt(1, 1), &workers, true, SETTLED);
-    let first = first.expect("a worker");
+    let first = first.expect("the request should get a worker");
     assert_eq!(first.prefill.missing_tokens, 14_000);
     let mut now = SETTLED + Duration::from_millis(600);
     let full = [(first.worker.0, held(1, SLOTS - 1))];
     allocator.apply_report(gateway(1), report(1, 0, &full), now);
     let second = place_prompt(&mut allocator, &prompt(1, 2), &workers, true, now);
-    let second = second.expect("a worker");
+    let second = second.expect("the request should get a worker");
     assert_eq!(second.worker, first.worker);
     assert_eq!(second.prefill.missing_tokens, 1_000);
     assert_eq!(second.preempted_gateway, Some(gateway(1)));
-    // Where all slots are taken by requests it is read at another worker, before another cell has to.
+    // If requests use all slots there, the prefix is prefilled at another worker of the cell before
+    // the request is refused.
     now += Duration::from_millis(600);
     let full = [(first.worker.0, held(SLOTS, 0))];
     allocator.apply_report(gateway(1), report(2, 0, &full), now);
     let third = place_prompt(&mut allocator, &prompt(1, 3), &workers, false, now);
-    let third = third.expect("a worker");
+    let third = third.expect("the request should get a worker");
     assert_ne!(third.worker, first.worker);
     assert!(!third.waits);
 }
 
 #[test]
-fn prompts_that_wait_to_be_read_count() {
+fn queued_prefills_add_to_the_expected_time() {
     let mut allocator = SlotAllocator::default();
     let workers = workers(2);
     let mut place = |own| {
         let placed = place_prompt(&mut allocator, &prompt(own, own), &workers, true, SETTLED);
-        placed.expect("a worker")
+        placed.expect("the request should get a worker")
     };
     let (first, second, third) = (place(1), place(2), place(3));
     assert_ne!(first.worker, second.worker);
@@ -86,22 +87,28 @@
     assert_eq!(third.prefill.time, Duration::from_millis(700));
 }
 
-/// A stream pauses while its engine reads a long prompt; an item may.
+/// A stream pauses while its engine prefills a long prompt; a batch item may pause without harm.
 #[test]
-fn a_long_prompt_is_read_where_few_streams_run() {
+fn a_long_prompt_goes_where_it_disturbs_the_fewest_streams() {
     let mut allocator = SlotAllocator::default();
     let at_workers = [(0, held(1, 0)), (1, held(0, SLOTS))];
     allocator.apply_report(gateway(1), report(1, 0, &at_workers), SETTLED);
     let long = place_prompt(&mut allocator, &prompt(1, 1), &workers(2), true, SETTLED);
-    assert_eq!(long.expect("a worker").worker, key(1));
-    // A short one goes where a slot is free.
+    assert_eq!(
+        long.expect("the request should get a worker").worker,
+        key(1)
+    );
+    // A request without a prompt goes where a slot is free.
     let short = place(&mut allocator, 2, &[0, 0]);
-    assert_eq!(short.expect("a worker").worker, key(0));
+    assert_eq!(
+        short.expect("the request should get a worker").worker,
+        key(0)
+    );
 }
 
-/// What a memory has no room for any more counts as missing again.
+/// A prefix that was evicted from the cache counts as missing again.
 #[test]
-fn a_beginning_that_gave_way_is_read_again() {
+fn an_evicted_prefix_counts_as_missing() {
     let mut allocator = SlotAllocator::default();
     let workers = workers(1);
     let mut place = |subject, own| {
@@ -112,7 +119,10 @@
             true,
             SETTLED,
         );
-        placed.expect("a worker").prefill.missing_tokens
+        placed
+            .expect("the request should get a worker")
+            .prefill
+            .missing_tokens
     };
     assert_eq!(place(1, 1), 14_000);
     assert_eq!(place(1, 2), 1_000);
--- a/crates/swiftshunt-scheduler/tests/slots/requests.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/requests.rs
@@ -1,4 +1,4 @@
-//! Where requests go, and which items step aside for them.
+//! Placement of requests, and preemption of batch items for them.
 
 use std::time::Duration;
 
@@ -10,43 +10,49 @@
 };
 
 #[test]
-fn a_request_goes_where_a_slot_is_free() {
+fn a_request_goes_to_a_worker_with_a_free_slot() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     allocator.apply_report(gateway(2), report(1, 0, &[(1, held(2, 1))]), SETTLED);
     let placed = place(&mut allocator, 3, &[0, 0]);
-    let placed = placed.expect("a worker");
+    let placed = placed.expect("the request should get a worker");
     assert_eq!(placed.worker, key(1));
     assert!(!placed.waits);
     assert_eq!(placed.preempted_gateway, None);
 }
 
 #[test]
-fn what_speaks_against_a_free_worker_is_weighed_against_a_slot() {
+fn the_bid_of_a_free_worker_is_weighed_against_a_preemption() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(3, 1))]), SETTLED);
-    // Reading 400 ms more at the free worker is worse than an item's way out of the full one.
+    // A further 400 ms at the free worker cost more than a preemption at the full one.
     let placed = place(&mut allocator, 2, &[0, 400]);
-    assert_eq!(placed.expect("a worker").worker, key(0));
+    assert_eq!(
+        placed.expect("the request should get a worker").worker,
+        key(0)
+    );
 }
 
 #[test]
-fn exactly_one_item_steps_aside_for_each_request_that_would_wait() {
+fn exactly_one_item_is_preempted_for_each_request_that_would_wait() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(2, 2))]), SETTLED);
     let mut place = || {
         let placed = place(&mut allocator, 2, &[0]);
-        placed.expect("a worker")
+        placed.expect("the request should get a worker")
     };
     assert_eq!(place().preempted_gateway, Some(gateway(1)));
     assert_eq!(place().preempted_gateway, Some(gateway(1)));
     let third = place();
-    assert_eq!(third.preempted_gateway, None, "no item is left");
+    assert_eq!(
+        third.preempted_gateway, None,
+        "an item was preempted although none is left"
+    );
     assert!(third.waits);
 }
 
 #[test]
-fn a_request_that_would_wait_is_told_so_if_it_may_go_elsewhere() {
+fn a_request_that_may_not_wait_is_refused_as_full() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     let mut place = |may_wait| {
@@ -58,7 +64,7 @@
         allocator.place(gateway(2), &request, &workers(1), &RATES, SETTLED)
     };
     assert_eq!(place(false), Err(PlacementError::Full));
-    assert!(place(true).expect("a worker").waits);
+    assert!(place(true).expect("the request should get a worker").waits);
     let mut unknown = SlotAllocator::default();
     let none = unknown.place(
         gateway(2),
@@ -71,59 +77,68 @@
 }
 
 #[test]
-fn a_gateway_gives_up_its_own_item_first() {
+fn an_item_of_the_requesting_gateway_is_preempted_first() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(0, 3))]), SETTLED);
     allocator.apply_report(gateway(2), report(1, 0, &[(0, held(0, 1))]), SETTLED);
     let placed = place(&mut allocator, 2, &[0]);
     assert_eq!(
-        placed.expect("a worker").preempted_gateway,
+        placed
+            .expect("the request should get a worker")
+            .preempted_gateway,
         Some(gateway(2))
     );
 }
 
 #[test]
-fn an_order_that_was_lost_is_given_again() {
+fn a_lost_preemption_order_is_repeated() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(3, 1))]), SETTLED);
     let mut now = SETTLED;
     let first = place_at(&mut allocator, 2, &[0], now);
-    assert_eq!(first.expect("a worker").preempted_gateway, Some(gateway(1)));
+    assert_eq!(
+        first
+            .expect("the request should get a worker")
+            .preempted_gateway,
+        Some(gateway(1))
+    );
     now += Duration::from_millis(300);
     allocator.apply_report(gateway(2), report(1, 1, &[(0, held(1, 0))]), now);
     let second = place_at(&mut allocator, 2, &[0], now);
     assert_eq!(
-        second.expect("a worker").preempted_gateway,
+        second
+            .expect("the request should get a worker")
+            .preempted_gateway,
         Some(gateway(1))
     );
 }
 
-/// Found by a test with real processes: a new owner had granted items slots that another gateway's
-/// items held, and a stream waited behind the surplus until an item ended.
+/// A new owner grants slots that another gateway's items hold, so a stream waits behind the surplus
+/// until an item ends. The surplus must be preempted.
 #[test]
-fn items_leave_a_worker_that_holds_more_than_its_slots() {
+fn surplus_items_of_an_overloaded_worker_are_preempted() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(1, 3))]), SETTLED);
     assert_eq!(allocator.preempt_surplus(&workers(1), SETTLED), []);
-    // Two gateways whose requests and items did not know of each other.
+    // The two gateways' requests and items were placed without knowledge of each other.
     allocator.apply_report(gateway(2), report(1, 0, &[(0, held(1, 1))]), SETTLED);
     let orders = allocator.preempt_surplus(&workers(1), SETTLED);
     assert_eq!(orders, [(gateway(1), key(0)), (gateway(1), key(0))]);
     assert_eq!(
         allocator.preempt_surplus(&workers(1), SETTLED),
         [],
-        "told twice"
+        "the order was repeated too early"
     );
     allocator.apply_report(gateway(1), report(2, 0, &[(0, held(1, 1))]), SETTLED);
     assert_eq!(
         allocator.preempt_surplus(&workers(1), SETTLED),
         [],
-        "it fits"
+        "an item was preempted although the load fits"
     );
 }
 
 #[test]
-fn an_order_of_relief_that_was_lost_is_given_again() {
+fn a_lost_order_to_preempt_surplus_is_repeated() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 1))]), SETTLED);
     assert_eq!(
@@ -138,7 +153,7 @@
 }
 
 #[test]
-fn requests_that_wait_without_an_item_at_their_worker_move_nobody() {
+fn requests_that_wait_preempt_no_item_at_another_worker() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(
         gateway(1),
@@ -148,9 +163,10 @@
     assert_eq!(allocator.preempt_surplus(&workers(2), SETTLED), []);
 }
 
-/// A peak of a few seconds: four slots, a request of one second each, and a queue in the worker.
+/// In a peak of a few seconds, with four slots and requests that each take `slot_ms`, a queue forms
+/// at the worker. A request that would wait too long there must be refused.
 #[test]
-fn a_request_that_would_be_late_by_its_wait_is_not_put_behind_others() {
+fn a_request_whose_wait_would_be_too_long_is_refused() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(5, 0))]), SETTLED);
     let bids = bids(&[0]);
@@ -162,18 +178,26 @@
         allocator.place(gateway(2), &request, &workers(1), &RATES, SETTLED)
     };
     let slot = RATES.slot_ms as u64 / 4;
-    // One waits before it: it is the second for whom a slot must come free.
+    // One request waits already, so this one gets the second slot that becomes free.
     assert_eq!(place(Some(0)), Err(PlacementError::Full));
     assert_eq!(place(Some(slot)), Err(PlacementError::Full));
-    assert!(place(Some(2 * slot)).expect("a worker").waits);
-    // That one waits there now, too.
+    assert!(
+        place(Some(2 * slot))
+            .expect("the request should get a worker")
+            .waits
+    );
+    // The request placed before waits there now, too.
     assert_eq!(place(Some(2 * slot)), Err(PlacementError::Full));
-    assert!(place(Some(3 * slot)).expect("a worker").waits);
-    assert!(place(None).expect("a worker").waits);
+    assert!(
+        place(Some(3 * slot))
+            .expect("the request should get a worker")
+            .waits
+    );
+    assert!(place(None).expect("the request should get a worker").waits);
 }
 
 #[test]
-fn a_late_request_takes_the_slot_of_an_item_and_a_free_one() {
+fn a_request_that_cannot_wait_long_takes_a_free_slot_or_preempts_an_item() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(
         gateway(1),
@@ -186,19 +210,25 @@
         ..placement_request(&bids)
     };
     let free = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
-    assert_eq!(free.expect("a worker").worker, key(1));
+    assert_eq!(
+        free.expect("the request should get a worker").worker,
+        key(1)
+    );
     let of_item = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(
-        of_item.expect("a worker").preempted_gateway,
+        of_item
+            .expect("the request should get a worker")
+            .preempted_gateway,
         Some(gateway(1))
     );
     let full = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(full, Err(PlacementError::Full));
 }
 
-/// Free slots are for those that were turned away a moment ago, before items.
+/// A request that was refused a moment ago is retried and must get the next free slot before batch
+/// items.
 #[test]
-fn items_get_no_slot_while_late_requests_wait_for_one() {
+fn batch_items_get_no_slot_shortly_after_a_request_was_refused() {
     let mut allocator = SlotAllocator::default();
     allocator.apply_report(gateway(1), report(1, 0, &[(0, held(4, 0))]), SETTLED);
     let bids = bids(&[0]);
--- a/crates/swiftshunt-scheduler/tests/slots/support.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/support.rs
@@ -1,4 +1,4 @@
-//! Cells, requests and reports that the tests of the book share.
+//! Cells, requests and reports shared by the tests of the slot allocator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
     tokens_per_ms: 40.0,
     memory_tokens: 60_000,
 };
-/// A book that has been open for this long knows everybody.
+/// Age at which an allocator counts as warmed up, so that every gateway has had time to report.
 pub(crate) const SETTLED: Duration = Duration::from_secs(1);
 
 pub(crate) fn gateway(number: u16) -> SocketAddr {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A request without a prompt that may wait.
+/// Builds a request without a prompt that may wait.
 pub(crate) fn placement_request(bids: &[Bid]) -> PlacementRequest<'_> {
     PlacementRequest {
         bids,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A request of a gateway, with a bid for each worker of the cell.
+/// Places a request of a gateway, with a bid for each worker of the cell.
 pub(crate) fn place(
     allocator: &mut SlotAllocator,
     from: u16,
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
@@ -1,6 +1,6 @@
-//! Gateways that count for one limit, seeded: kills of some or all, planned stops, pauses, gateways that do not reach each other,
-//! records that land late, slow reports. At every moment the jobs whose callers were told that they were taken hold
-//! no more than the limit.
+//! Seeded simulations of gateways that count for one limit, with kills of some or all, planned
+//! stops, pauses, network partitions, late records and slow reports. At every moment the recorded
+//! jobs, whose callers were told that they were accepted, must hold no more tokens than the limit.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 const GATEWAYS: usize = 5;
 const SEEDS: u64 = 3_000;
 const STEP: Duration = Duration::from_millis(50);
-const DAY: Duration = Duration::from_secs(60);
-/// Longest time from a decision to the record of the job, for one whose caller is told that it was taken.
+const RUN_LENGTH: Duration = Duration::from_secs(60);
+/// Longest time from a decision to the record of the job, if its caller is told that it was
+/// accepted.
 const LONGEST_APPEND: Duration = Duration::from_millis(2_900);
 
-/// A gateway: its life, and what it knows of the limit.
+/// A gateway process and its view of the limit.
 struct Gateway {
     life: String,
     counter: Option<Counter>,
-    /// The register that it has read last, and when that read began.
+    /// The register as last read, and when that read began.
     read: Option<(Register, Duration)>,
     paused_until: Duration,
-    /// When a planned stop ends it, whatever it has reached.
+    /// When its planned stop ends the process, even if the stop is not complete.
     stops_at: Option<Duration>,
 }
 
@@ -36,63 +37,64 @@
     job: String,
     tokens: u64,
     partition: u32,
-    lands_at: Duration,
+    completes_at: Duration,
     admitted_by: String,
 }
 
-/// A job whose record stands.
-struct Standing {
+/// A job that is recorded.
+struct RecordedJob {
     tokens: u64,
     partition: u32,
     recorded_at: Duration,
     finishes_at: Duration,
 }
 
-struct Day {
+struct Simulation {
     random: StdRng,
     now: Duration,
     register: Option<Register>,
     gateways: Vec<Gateway>,
     pending: Vec<Pending>,
-    standing: BTreeMap<String, Standing>,
-    /// Pairs of gateways that do not reach each other until then.
-    cut_until: Duration,
-    cut: Vec<usize>,
+    recorded: BTreeMap<String, RecordedJob>,
+    /// Until this time, the `isolated` gateways and the others do not reach each other.
+    isolated_until: Duration,
+    isolated: Vec<usize>,
     jobs: u64,
     lives: u64,
-    taken: u64,
-    /// Registers that were to say that a gateway had stopped by plan.
+    accepted: u64,
+    /// Proposed registers that mark a counter as stopped as planned.
     stops_seen: u64,
-    /// How likely a step begins a planned stop, and that nothing else befalls the gateways in it: troubles that
-    /// follow each other leave no gateway that knows what stands.
-    planned_stops: f64,
-    quiet_steps: f64,
+    /// Probabilities, per step, that a planned stop begins and that no fault is injected. With
+    /// frequent faults, no gateway would know the outstanding tokens long enough to stop as
+    /// planned.
+    planned_stop_probability: f64,
+    fault_free_probability: f64,
 }
 
-impl Day {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let has_planned_stops = seed.is_multiple_of(2);
-        let mut day = Self {
+        let mut simulation = Self {
             random: StdRng::seed_from_u64(seed),
             now: Duration::from_secs(1_000),
             register: None,
             gateways: Vec::new(),
             pending: Vec::new(),
-            standing: BTreeMap::new(),
-            cut_until: Duration::ZERO,
-            cut: Vec::new(),
+            recorded: BTreeMap::new(),
+            isolated_until: Duration::ZERO,
+            isolated: Vec::new(),
             jobs: 0,
             lives: 0,
-            taken: 0,
+            accepted: 0,
             stops_seen: 0,
-            planned_stops: if has_planned_stops { 0.01 } else { 0.0 },
-            quiet_steps: if has_planned_stops { 0.8 } else { 0.0 },
+            planned_stop_probability: if has_planned_stops { 0.01 } else { 0.0 },
+            fault_free_probability: if has_planned_stops { 0.8 } else { 0.0 },
         };
         for _ in 0..GATEWAYS {
-            let gateway = day.new_life();
-            day.gateways.push(gateway);
+            let gateway = simulation.new_life();
+            simulation.gateways.push(gateway);
         }
-        day
+        simulation
     }
 
     fn new_life(&mut self) -> Gateway {
@@ -107,15 +109,15 @@
     }
 
     fn reach(&self, one: usize, other: usize) -> bool {
-        let is_cut = self.now < self.cut_until;
-        !is_cut || self.cut.contains(&one) == self.cut.contains(&other)
+        let is_partitioned = self.now < self.isolated_until;
+        !is_partitioned || self.isolated.contains(&one) == self.isolated.contains(&other)
     }
 
     fn is_awake(&self, gateway: usize) -> bool {
         self.now >= self.gateways[gateway].paused_until
     }
 
-    /// A gateway reads the register.
+    /// Reads the register at a gateway.
     fn read(&mut self, gateway: usize) {
         let now = self.now;
         let Some(register) = self.register.clone() else {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The log takes the first register of each version.
+    /// Accepts the first register of each version, as the log does.
     fn propose(&mut self, proposal: Register) {
         let newest = self.register.as_ref().map_or(0, |it| it.version);
         if proposal.version > newest {
@@ -169,8 +171,8 @@
         self.read(gateway);
     }
 
-    /// A caller hands in a job at a gateway.
-    fn hand_in(&mut self, gateway: usize) {
+    /// Submits a job at a gateway.
+    fn submit_job(&mut self, gateway: usize) {
         if !self.is_awake(gateway) {
             return;
         }
@@ -189,7 +191,7 @@
             let reached = self.is_awake(*other) && self.reach(gateway, *other);
             reached && self.gateways[*other].life == register.counter
         });
-        let Some(counting) = counter else {
+        let Some(counter_gateway) = counter else {
             self.read(gateway);
             let newest = self.register.as_ref().map(|it| it.version);
             if newest == Some(register.version) {
@@ -201,9 +203,9 @@
         let partition = self.random.random_range(0..PARTITIONS);
         self.jobs += 1;
         let job = format!("job-{}", self.jobs);
-        match self.decide(counting, &job, partition, tokens) {
-            Some(Decision::Admitted) => self.record_later(job, partition, tokens, counting),
-            Some(Decision::Unverified) => self.read(counting),
+        match self.decide(counter_gateway, &job, partition, tokens) {
+            Some(Decision::Admitted) => self.record_later(job, partition, tokens, counter_gateway),
+            Some(Decision::Unverified) => self.read(counter_gateway),
             Some(Decision::Lost) => self.take_over(gateway),
             Some(Decision::Full | Decision::Settling(_)) => {}
             None => self.read(gateway),
@@ -232,7 +234,7 @@
         Some(gateway.counter.as_mut()?.decide(&request, now))
     }
 
-    fn record_later(&mut self, job: String, partition: u32, tokens: u64, counting: usize) {
+    fn record_later(&mut self, job: String, partition: u32, tokens: u64, counter_gateway: usize) {
         let is_slow = self.random.random_bool(0.2);
         let longest = if is_slow {
             LONGEST_APPEND
@@ -245,26 +247,26 @@
             job,
             tokens,
             partition,
-            lands_at: self.now + took,
-            admitted_by: self.gateways[counting].life.clone(),
+            completes_at: self.now + took,
+            admitted_by: self.gateways[counter_gateway].life.clone(),
         });
     }
 
-    /// Records land, and their callers are told that the jobs were taken.
-    fn land(&mut self) {
+    /// Completes due appends; the callers are told that the jobs were accepted.
+    fn complete_appends(&mut self) {
         let now = self.now;
-        let landed = self.pending.extract_if(.., |it| it.lands_at <= now);
-        for pending in landed.collect::<Vec<_>>() {
+        let completed = self.pending.extract_if(.., |it| it.completes_at <= now);
+        for pending in completed.collect::<Vec<_>>() {
             let runs = Duration::from_millis(self.random.random_range(500..20_000));
-            let standing = Standing {
+            let recorded = RecordedJob {
                 tokens: pending.tokens,
                 partition: pending.partition,
                 recorded_at: now,
                 finishes_at: now + runs,
             };
-            self.standing.insert(pending.job.clone(), standing);
-            self.taken += 1;
-            // Word of it is lost at times.
+            self.recorded.insert(pending.job.clone(), recorded);
+            self.accepted += 1;
+            // The confirmation is sometimes lost.
             if self.random.random_bool(0.8)
                 && let Some(gateway) = self
                     .gateways
@@ -275,19 +277,19 @@
                 counter.mark_recorded(&pending.job, now);
             }
         }
-        self.standing.retain(|_, job| job.finishes_at > now);
+        self.recorded.retain(|_, job| job.finishes_at > now);
     }
 
-    /// Holders report to whoever counts, each a while ago; some stay silent.
+    /// Sends the holders' reports to the counters; some holders stay silent.
     fn report(&mut self) {
         for partition in 0..PARTITIONS {
             if self.random.random_bool(0.1) {
                 continue;
             }
-            // What a holder has read may be as old as this.
+            // The data that a holder has read may be this old.
             let behind = STEP * self.random.random_range(0..20);
             let as_of = self.now.saturating_sub(behind);
-            let of_partition = self.standing.values();
+            let of_partition = self.recorded.values();
             let of_partition = of_partition.filter(|job| job.partition == partition);
             let known = of_partition.filter(|job| job.recorded_at <= as_of);
             let tokens = known.map(|job| job.tokens).sum();
@@ -306,8 +308,8 @@
         }
     }
 
-    /// Gateways that count read the register now and then, and change it.
-    fn attend(&mut self) {
+    /// Lets counters read the register from time to time and change it.
+    fn maintain_register(&mut self) {
         for gateway in 0..GATEWAYS {
             if !self.is_awake(gateway) || self.gateways[gateway].counter.is_none() {
                 continue;
@@ -335,7 +337,7 @@
                 continue;
             };
             self.stops_seen += u64::from(proposal.is_stopped);
-            // A proposal is lost at times, or its answer is.
+            // The proposal is sometimes lost, and so is its answer.
             if self.random.random_bool(0.9) {
                 self.propose(proposal);
             }
@@ -345,8 +347,8 @@
         }
     }
 
-    /// Planned stops begin, and end with a new life.
-    fn stop_by_plan(&mut self) {
+    /// Starts planned stops, and replaces each stopped gateway by a new process.
+    fn run_planned_stops(&mut self) {
         for gateway in 0..GATEWAYS {
             if self.is_awake(gateway)
                 && self.gateways[gateway]
@@ -356,11 +358,11 @@
                 self.gateways[gateway] = self.new_life();
             }
         }
-        if self.random.random_bool(self.planned_stops) {
+        if self.random.random_bool(self.planned_stop_probability) {
             let counts = self.register.as_ref().map(|register| &register.counter);
-            let counting = (0..GATEWAYS).find(|it| Some(&self.gateways[*it].life) == counts);
+            let counter_gateway = (0..GATEWAYS).find(|it| Some(&self.gateways[*it].life) == counts);
             let any = self.random.random_range(0..GATEWAYS);
-            let gateway = counting.filter(|_| any % 2 == 0).unwrap_or(any);
+            let gateway = counter_gateway.filter(|_| any % 2 == 0).unwrap_or(any);
             let time = Duration::from_millis(self.random.random_range(50..2_000));
             let gateway = &mut self.gateways[gateway];
             gateway.stops_at.get_or_insert(self.now + time);
@@ -370,7 +372,7 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         if self.random.random_bool(0.01) {
             let gateway = self.random.random_range(0..GATEWAYS);
             self.gateways[gateway] = self.new_life();
@@ -387,46 +389,53 @@
         }
         if self.random.random_bool(0.005) {
             let count = self.random.random_range(1..GATEWAYS);
-            self.cut = (0..count).collect();
+            self.isolated = (0..count).collect();
             let time = Duration::from_millis(self.random.random_range(100..6_000));
-            self.cut_until = self.now + time;
+            self.isolated_until = self.now + time;
         }
     }
 
-    fn play(&mut self, seed: u64) {
-        let end = self.now + DAY;
+    fn run(&mut self, seed: u64) {
+        let end = self.now + RUN_LENGTH;
         while self.now < end {
             self.now += STEP;
-            if !self.random.random_bool(self.quiet_steps) {
-                self.trouble();
+            if !self.random.random_bool(self.fault_free_probability) {
+                self.inject_faults();
             }
-            self.stop_by_plan();
-            self.land();
-            let stands: u64 = self.standing.values().map(|job| job.tokens).sum();
-            assert!(stands <= LIMIT, "seed {seed}: {stands} at {:?}", self.now);
+            self.run_planned_stops();
+            self.complete_appends();
+            let recorded_tokens: u64 = self.recorded.values().map(|job| job.tokens).sum();
+            assert!(
+                recorded_tokens <= LIMIT,
+                "seed {seed}: {recorded_tokens} tokens recorded at {:?}",
+                self.now
+            );
             if self.random.random_bool(0.4) {
                 self.report();
             }
-            self.attend();
+            self.maintain_register();
             for _ in 0..self.random.random_range(0..4) {
                 let gateway = self.random.random_range(0..GATEWAYS);
-                self.hand_in(gateway);
+                self.submit_job(gateway);
             }
         }
     }
 }
 
 #[test]
-fn no_more_stands_than_the_limit_whoever_dies_sleeps_or_comes_back() {
-    let (mut taken, mut stops_seen) = (0, 0);
+fn recorded_jobs_stay_within_the_limit_despite_kills_pauses_and_restarts() {
+    let (mut accepted, mut stops_seen) = (0, 0);
     for seed in 0..SEEDS {
-        let mut day = Day::new(seed);
-        day.play(seed);
-        taken += day.taken;
-        stops_seen += day.stops_seen;
+        let mut simulation = Simulation::new(seed);
+        simulation.run(seed);
+        accepted += simulation.accepted;
+        stops_seen += simulation.stops_seen;
     }
-    // A day whose load never comes near the limit proves nothing.
-    assert!(taken / SEEDS > 20, "{taken} jobs taken in all");
+    // If the load never came near the limit, the simulation would prove nothing.
+    assert!(accepted / SEEDS > 20, "{accepted} jobs accepted in all");
     assert!(stops_seen > SEEDS / 2, "{stops_seen} planned stops");
-    println!("{} jobs a day, {stops_seen} planned stops", taken / SEEDS);
+    println!(
+        "{} jobs per seed, {stops_seen} planned stops",
+        accepted / SEEDS
+    );
 }
