--- a/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/lapsed_workers.rs
@@ -14,8 +14,8 @@
 const LAPSE_TTL: Duration = Duration::from_secs(120);
 /// Most lapses that are remembered.
 const MAX_LAPSES: usize = 4_096;
-/// Fewest workers of a zone that lapse together for the zone to be the cause, if no more workers of
-/// it are still listed.
+/// Fewest simultaneous lapses in a zone for which the zone counts as cut off. There must also be at
+/// least as many of them as workers of the zone that are still listed.
 const MIN_ZONE_LAPSES: usize = 2;
 
 #[derive(Debug)]
--- a/crates/swiftshunt-scheduler/src/quarantine/mod.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/mod.rs
@@ -58,7 +58,7 @@
     pub sent_unix_ms: u64,
     /// When the end was noticed, in milliseconds of Unix time.
     pub ended_unix_ms: u64,
-    /// Evidence for the end. If a gateway sends none, it is a refused connection.
+    /// Evidence for the end; a message without it stands for a refused connection.
     #[serde(default, skip_serializing_if = "Evidence::is_suspicion")]
     pub evidence: Evidence,
 }
--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -98,8 +98,8 @@
         let mut expiries = self.counted_expiries(request, own);
         expiries.sort_unstable();
         // Quarantined until fewer ends than the threshold remain.
-        let held_by = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
-        match held_by.and_then(|index| expiries.get(index)) {
+        let deciding_index = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
+        match deciding_index.and_then(|index| expiries.get(index)) {
             Some(until) => QuarantineStatus::Quarantined {
                 ends,
                 time_left: until.saturating_sub(now),
@@ -222,7 +222,12 @@
 
     /// Returns whether another request that ran on the worker has ended enough workers to be
     /// quarantined, and more than this one.
-    fn is_explained(&self, request: &Fingerprint, worker: &WorkerKey, own_ends: usize) -> bool {
+    fn is_explained(
+        &self,
+        request: &Fingerprint,
+        worker: &WorkerKey,
+        ends_of_request: usize,
+    ) -> bool {
         let Some(ended_worker) = self.workers.get(worker) else {
             return false;
         };
@@ -231,7 +236,7 @@
                 .requests
                 .get(other)
                 .map_or(0, |known| one_end_per_life(known).len());
-            other != request && ends >= QUARANTINE_THRESHOLD && ends > own_ends
+            other != request && ends >= QUARANTINE_THRESHOLD && ends > ends_of_request
         })
     }
 
@@ -257,12 +262,13 @@
     /// request for it to be the cause.
     fn has_other_cause(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
         let ended_worker = self.workers.get(&end.worker);
-        let own = ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
+        let ended_unix_ms =
+            ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
         let window = SIMULTANEITY_WINDOW.as_millis() as u64;
         let mut simultaneous = 0_u32;
         let mut ran_request = 0_u32;
         for other in self.workers.values() {
-            if other.ended_unix_ms.abs_diff(own) < window {
+            if other.ended_unix_ms.abs_diff(ended_unix_ms) < window {
                 simultaneous += 1;
                 ran_request += u32::from(other.requests.contains(request));
             }
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -242,18 +242,18 @@
         now: Duration,
     ) {
         self.refill(tolerance, now);
-        let unknown = self.share_of_unknown(silent, gateways);
+        let unknown_share = self.share_of_unknown(silent, gateways);
         let now_silent = silent.iter().copied().collect();
         let before = std::mem::replace(&mut self.reserved_for, now_silent);
         let mut reserved_share = 0.0;
         for gateway in silent {
             let record = self.records.get(gateway);
-            let own = record.map_or(unknown, |record| {
+            let share = record.map_or(unknown_share, |record| {
                 gateway_share(record.recent, record.by_all, gateways)
             });
-            reserved_share += own;
+            reserved_share += share;
             if !before.contains(gateway) {
-                self.level -= self.max_saved_since_deduction(*gateway, own, now);
+                self.level -= self.max_saved_since_deduction(*gateway, share, now);
             }
             self.deducted_until.insert(*gateway, now);
         }
--- a/crates/swiftshunt-scheduler/src/rates/limiter.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns the credit of an admitted request that was not sent to any worker.
+    /// Puts back the credit of an admitted request that was not sent to any worker.
     pub fn refund_credit(&mut self, now: Duration) {
         // The credit expires soon, so that it does not outlive credits that were granted with it.
         let until = now + PREFETCH_RETRY_INTERVAL;
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Returns the requests admitted from the own share that have not been refilled since. A
-    /// counter that did not know of them has saved up as many credits too many.
+    /// Returns the requests admitted from the own share for which the share has not been refilled
+    /// since. A counter that did not know of them holds as many credits too many.
     fn spent_alone(&self) -> u32 {
         let missing = self.own.map_or(0.0, |own| own.max_level - own.level);
         self.own_share_admitted.min(missing.max(0.0).ceil() as u32)
--- a/crates/swiftshunt-scheduler/src/slots/allocator.rs
+++ b/crates/swiftshunt-scheduler/src/slots/allocator.rs
@@ -191,11 +191,11 @@
     }
 
     /// Assigns to a request of `from` the worker with the lowest cost among its bids, given the
-    /// exact load and the estimated prompt cache of each worker. If the request may not wait at the
-    /// best worker, or would be late there, it gets the best worker at which it is in time; it is
-    /// refused as [`PlacementError::Full`] only if there is none. A late request is refused because
-    /// workers take requests in order of arrival: it would make all requests behind it late, too,
-    /// until the peak is over.
+    /// exact load and the estimated prompt cache of each worker. If the request may not wait at
+    /// that worker, or would be late there, it gets the cheapest worker that is no last resort and
+    /// at which it is in time; without such a worker it is refused as [`PlacementError::Full`]. A
+    /// late request is refused because workers take requests in order of arrival: it would make all
+    /// requests behind it late, too, until the peak is over.
     pub fn place(
         &mut self,
         from: SocketAddr,
--- a/crates/swiftshunt-scheduler/src/slots/placement_options.rs
+++ b/crates/swiftshunt-scheduler/src/slots/placement_options.rs
@@ -15,8 +15,8 @@
 /// Prefill time of a prompt above which it disturbs streams that run beside it: an engine prefills
 /// a piece of the prompt before each of their tokens, and their pauses grow with what is left.
 const DISTURBING_PREFILL_TIME: Duration = Duration::from_millis(150);
-/// Cost of a disturbed stream per time by which the prefill exceeds `DISTURBING_PREFILL_TIME`: a stream that
-/// pauses for too long loses about as much as the prompt's own request would.
+/// Cost of a disturbed stream per time by which the prefill exceeds `DISTURBING_PREFILL_TIME`: a
+/// stream that pauses for too long loses about as much as the prompt's own request would.
 const DISTURBANCE_COST: f64 = 0.5;
 
 /// A worker that a request may be assigned to, with its cost.
--- a/crates/swiftshunt-scheduler/src/slots/worker_health.rs
+++ b/crates/swiftshunt-scheduler/src/slots/worker_health.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// Consecutive times at which a worker was marked as failing.
+/// Number of times in a row that a worker was marked as failing, and the time of the last one.
 #[derive(Clone, Copy, Debug)]
 struct FailureStreak {
     times: u32,
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -81,8 +81,8 @@
     /// The limit named by the last request, and the time of that request.
     limit: u64,
     last_request_at: Duration,
-    /// Tokens that `counted` or the share must reach so that the last refused job fits; 0 if there
-    /// is none.
+    /// Room in tokens that the largest job deferred since the last call of `next_change` needs,
+    /// outstanding tokens included if they are known; 0 if no job was deferred.
     needed: u64,
     /// Whether the counter admits nothing more because its process is stopping.
     is_stopping: bool,
@@ -170,7 +170,7 @@
         self.verified_at
     }
 
-    /// Returns whether it needs reports as of now.
+    /// Returns whether the reports of all partitions must be renewed as of `now`.
     pub fn needs_exact_reports(&self, now: Duration) -> bool {
         let has_shares = !self.is_settled() || self.register.shares() > 0;
         (has_shares && now >= self.predecessors_reported_from) || !self.is_current()
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -31,8 +31,8 @@
     }
 }
 
-fn credits(verdict: CreditResponse) -> u32 {
-    match verdict {
+fn credits(response: CreditResponse) -> u32 {
+    match response {
         CreditResponse::Granted { credits, .. } => credits,
         CreditResponse::Exhausted { .. } | CreditResponse::DecideAlone => 0,
     }
--- a/crates/swiftshunt-scheduler/tests/rates_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/rates_simulation.rs
@@ -91,8 +91,8 @@
 
 impl Simulation {
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let is_sound = |gateway: usize| self.gateways[gateway].health == Health::Healthy;
-        from == to || (is_sound(from) && is_sound(to))
+        let is_healthy = |gateway: usize| self.gateways[gateway].health == Health::Healthy;
+        from == to || (is_healthy(from) && is_healthy(to))
     }
 
     /// Returns the counter that answers `from`: the first gateway in order that `from` reaches and
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens_simulation.rs
@@ -293,7 +293,7 @@
             let of_partition = of_partition.filter(|job| job.partition == partition);
             let known = of_partition.filter(|job| job.recorded_at <= as_of);
             let tokens = known.map(|job| job.tokens).sum();
-            let holding = PartitionTokens {
+            let partition_tokens = PartitionTokens {
                 partition,
                 tokens,
                 end: as_of.as_millis() as u64,
@@ -302,7 +302,7 @@
             for gateway in 0..GATEWAYS {
                 let reached = self.is_awake(gateway) && self.reach(0, gateway);
                 if reached && let Some(counter) = &mut self.gateways[gateway].counter {
-                    counter.apply_report(holding);
+                    counter.apply_report(partition_tokens);
                 }
             }
         }
