--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Returns when a gateway last asked.
+    /// Returns when a gateway last requested credits.
     pub fn last_request_at(&self) -> Duration {
         let asked = self.records.values().map(|record| record.heard_at);
         asked.max().unwrap_or(self.refilled_at)
--- a/crates/swiftshunt-scheduler/src/slots/mod.rs
+++ b/crates/swiftshunt-scheduler/src/slots/mod.rs
@@ -49,8 +49,9 @@
 /// Urgency of a waiting item: the item with the lowest rank gets a slot first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Rank {
-    /// Whether the item will miss its due time in any case. Late items rank behind items that can
-    /// still be in time; otherwise each of those would wait until it is late, too.
+    /// Whether the item will miss its due time in any case, and is not yet so late that it ranks
+    /// first ([`ItemTimes::rank`]). Late items rank behind items that can still be in time;
+    /// otherwise each of those would wait until it is late, too.
     pub is_late: bool,
     /// Milliseconds until the item is due; negative after the due time.
     pub due_in_ms: i64,
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
@@ -28,7 +28,7 @@
     /// Process identifier of the last counter that knew all outstanding tokens: only this counter
     /// changes `counted`. `None` if there was none.
     pub known_to: Option<String>,
-    /// Most outstanding tokens up to which a counter that knows them admits jobs.
+    /// Number of outstanding tokens up to which a counter that knows them admits jobs.
     pub counted: u64,
     /// Tokens that the counter may admit before it knows the outstanding tokens.
     pub share: u64,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Returns the tokens of the limit that no counter may admit.
+    /// Returns the tokens of the limit that are assigned to no counter.
     pub fn free(&self, limit: u64) -> u64 {
         let taken = self.counted.saturating_add(self.shares());
         limit.saturating_sub(taken)
