--- a/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
@@ -1,38 +1,41 @@
-//! Entries that workers renew after they are said to have ended.
+//! Finds workers that renew their directory entries after they were recorded as ended.
 
 use std::collections::HashMap;
 
 use crate::slots::WorkerKey;
 
-/// Readings of the directory after one that ended when an accusation was known already: that one may have been
-/// answered before, the next one was asked for after it, so that what comes with a later one was written after it.
-const READINGS_BEFORE: u64 = 2;
+/// Number of readings after the first one at whose end the worker was known as ended. That reading
+/// may have been answered before the end was recorded, and the next one was requested after it;
+/// entries that a later reading returns were therefore written after it.
+const READINGS_UNTIL_CERTAIN: u64 = 2;
 
-/// Renewals, counted in readings of the directory's tail.
+/// Renewals since workers were recorded as ended, counted in readings of the directory's tail.
 #[derive(Debug, Default)]
 pub struct RenewalTracker {
     readings: u64,
-    /// The first reading at whose end each accused worker was known to be.
-    accused_at: HashMap<WorkerKey, u64>,
+    /// The first reading at whose end each worker was recorded as ended.
+    first_readings: HashMap<WorkerKey, u64>,
 }
 
 impl RenewalTracker {
-    /// A reading has ended in which these workers renewed their entries; gives those of the accused that did so
-    /// after they were accused.
+    /// Records the end of a reading in which the workers `renewed` renewed their entries. Returns
+    /// those that renewed after they were recorded as ended.
     pub fn record_reading(
         &mut self,
-        accused: impl Iterator<Item = WorkerKey>,
+        ended_workers: impl Iterator<Item = WorkerKey>,
         renewed: &[WorkerKey],
     ) -> Vec<WorkerKey> {
         self.readings += 1;
-        let before = std::mem::take(&mut self.accused_at);
-        for worker in accused {
-            let since = before.get(&worker).copied().unwrap_or(self.readings);
-            self.accused_at.insert(worker, since);
+        let before = std::mem::take(&mut self.first_readings);
+        for worker in ended_workers {
+            let first_reading = before.get(&worker).copied().unwrap_or(self.readings);
+            self.first_readings.insert(worker, first_reading);
         }
         let is_alive = |worker: &WorkerKey| {
-            let since = self.accused_at.get(worker);
-            since.is_some_and(|since| self.readings >= since + READINGS_BEFORE)
+            let first_reading = self.first_readings.get(worker);
+            first_reading.is_some_and(|first_reading| {
+                self.readings >= first_reading + READINGS_UNTIL_CERTAIN
+            })
         };
         renewed.iter().copied().filter(is_alive).collect()
     }
--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! Which workers ended while they ran which requests.
+//! Table of the workers that ended while they ran a request.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,35 +8,36 @@
 };
 use crate::slots::WorkerKey;
 
-/// Requests that are remembered at most: those of a rack of 40 workers, 30 times over. Some 300 bytes each.
+/// Most requests that are remembered: those of a rack of 40 workers, 30 times over. Each takes some
+/// 300 bytes.
 const MAX_REQUESTS: usize = 8_192;
-/// Workers that end at one moment by chance. More have a cause in common: a rack, or copies of one request that
-/// came together.
+/// Most workers that end at one moment by chance. More have a common cause: a rack, or copies of
+/// one request that arrived together.
 const MAX_COINCIDENT_ENDS: u32 = 3;
-/// Share of the workers that ended at one moment which must have run a request that is the cause. The rest is
-/// for those that ended by chance, or ran a second such request.
+/// Share of the workers that ended at one moment which must have run a request for it to be the
+/// cause. The others may have ended by chance or run a second such request.
 const MIN_CAUSE_SHARE: f64 = 0.75;
-/// Ends of workers that are remembered for one request.
+/// Most worker ends that are remembered for one request.
 const MAX_ENDS_PER_REQUEST: usize = 16;
 
-/// An end as it is remembered here.
+/// A recorded end and its expiry.
 #[derive(Clone, Copy, Debug)]
 struct KnownEnd {
     end: WorkerEnd,
-    /// When it is forgotten.
-    lapses_at: Duration,
+    /// When the end is forgotten.
+    expires_at: Duration,
 }
 
 /// A worker that has ended.
 #[derive(Debug)]
 struct EndedWorker {
-    /// When, in milliseconds of Unix time, by the first who saw it.
+    /// The earliest time at which its end was noticed, in milliseconds of Unix time.
     ended_unix_ms: u64,
-    /// The requests that it ran.
+    /// The requests that the worker ran when it ended.
     requests: BTreeSet<Fingerprint>,
 }
 
-/// The ends of workers, by request.
+/// Ends of workers by request.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     requests: HashMap<Fingerprint, Vec<KnownEnd>>,
@@ -44,8 +45,9 @@
 }
 
 impl Quarantine {
-    /// A worker ended while it ran a request; gives whether that is new. `unix_ms` is the time of day: an end
-    /// that is learnt late, from the log, lapses as early as elsewhere.
+    /// Records the end of a worker while it ran a request. Returns whether the end is new or its
+    /// evidence is stronger than before. `unix_ms` is the current Unix time: an end that is learnt
+    /// late, from the log, expires at the same time as elsewhere.
     pub fn record_end(
         &mut self,
         request: Fingerprint,
@@ -60,7 +62,7 @@
             let is_stronger = end.evidence > known.end.evidence;
             if is_stronger {
                 known.end.evidence = end.evidence;
-                known.lapses_at = now + left;
+                known.expires_at = now + left;
             }
             return is_stronger;
         }
@@ -69,10 +71,10 @@
             return false;
         }
         if self.requests.len() > MAX_REQUESTS {
-            self.forget_next_to_lapse(&request);
+            self.evict_next_to_expire(&request);
         }
-        let lapses_at = now + left;
-        let known = KnownEnd { end, lapses_at };
+        let expires_at = now + left;
+        let known = KnownEnd { end, expires_at };
         self.requests.entry(request).or_default().push(known);
         let ended_worker = self.workers.entry(end.worker).or_insert(EndedWorker {
             ended_unix_ms: end.ended_unix_ms,
@@ -83,21 +85,21 @@
         true
     }
 
-    /// What follows for a request.
+    /// Returns whether a request may be sent.
     pub fn status(&self, request: &Fingerprint, now: Duration) -> QuarantineStatus {
         let Some(known) = self.requests.get(request) else {
             return QuarantineStatus::Allowed;
         };
-        let known = lives(known);
+        let known = one_end_per_life(known);
         let ends = known.len();
         let own = known.into_iter().filter(|one| {
-            one.lapses_at > now && !self.is_explained(request, &one.end.worker, ends)
+            one.expires_at > now && !self.is_explained(request, &one.end.worker, ends)
         });
-        let mut lapses = self.moments(request, own);
-        lapses.sort_unstable();
-        // Held until all but the two that lapse last have lapsed.
-        let held_by = lapses.len().checked_sub(QUARANTINE_THRESHOLD);
-        match held_by.and_then(|index| lapses.get(index)) {
+        let mut expiries = self.counted_expiries(request, own);
+        expiries.sort_unstable();
+        // Quarantined until fewer ends than the threshold remain.
+        let deciding_index = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
+        match deciding_index.and_then(|index| expiries.get(index)) {
             Some(until) => QuarantineStatus::Quarantined {
                 ends,
                 time_left: until.saturating_sub(now),
@@ -106,23 +108,23 @@
         }
     }
 
-    /// Whether any end is known.
+    /// Returns whether no end is known.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many requests are known to have run on workers that ended.
+    /// Returns the number of requests for which an end is known.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// The ends that are known for a request.
+    /// Returns the ends that are known for a request.
     pub fn ends(&self, request: &Fingerprint) -> impl Iterator<Item = WorkerEnd> {
         let known = self.requests.get(request).into_iter().flatten();
         known.map(|known| known.end)
     }
 
-    /// Forgets that a worker ended at a time while it ran a request.
+    /// Removes the end of a worker at `ended_unix_ms` from a request.
     pub fn forget(&mut self, request: &Fingerprint, worker: WorkerKey, ended_unix_ms: u64) {
         if let Some(known) = self.requests.get_mut(request) {
             known.retain(|known| {
@@ -147,12 +149,13 @@
         }
     }
 
-    /// The workers that are known to have ended.
+    /// Returns the workers that are known to have ended.
     pub fn ended_workers(&self) -> impl Iterator<Item = WorkerKey> {
         self.workers.keys().copied()
     }
 
-    /// The end of a worker is proved: gives its ends that were only suspected, as they are known from now on.
+    /// Marks all ends of a worker as proved. Returns those that were only suspected, with their new
+    /// evidence.
     pub fn mark_proved(
         &mut self,
         worker: WorkerKey,
@@ -168,8 +171,8 @@
         proved
     }
 
-    /// What says that a worker has ended is no evidence any more, up to `evidence`: gives those of its ends, which
-    /// are forgotten by that.
+    /// Removes the ends of a worker whose evidence is at most `evidence`, since it is refuted.
+    /// Returns the removed ends.
     pub fn refute(
         &mut self,
         worker: WorkerKey,
@@ -195,7 +198,7 @@
         ends.collect()
     }
 
-    /// A run of a request ended well: gives the ends that are forgotten by that.
+    /// Removes all ends of a request after a run of it ended well. Returns the removed ends.
     pub fn clear(&mut self, request: &Fingerprint) -> Vec<WorkerEnd> {
         let ends: Vec<WorkerEnd> = self.ends(request).collect();
         for end in &ends {
@@ -204,21 +207,27 @@
         ends
     }
 
-    /// Forgets what has lapsed, and gives it.
+    /// Removes the expired ends and returns them.
     pub fn remove_expired(&mut self, now: Duration) -> Vec<(Fingerprint, WorkerEnd)> {
         let all = self.requests.iter().flat_map(|(request, known)| {
-            let lapsed = known.iter().filter(|known| known.lapses_at <= now);
-            lapsed.map(|known| (*request, known.end))
+            let expired = known.iter().filter(|known| known.expires_at <= now);
+            expired.map(|known| (*request, known.end))
         });
-        let lapsed: Vec<_> = all.collect();
-        for (request, end) in &lapsed {
+        let expired: Vec<_> = all.collect();
+        for (request, end) in &expired {
             self.forget(request, end.worker, end.ended_unix_ms);
         }
-        lapsed
+        expired
     }
 
-    /// Whether another request that ran on a worker as it ended has ended more workers than this one.
-    fn is_explained(&self, request: &Fingerprint, worker: &WorkerKey, own_ends: usize) -> bool {
+    /// Returns whether another request that ran on the worker has ended enough workers to be
+    /// quarantined, and more than this one.
+    fn is_explained(
+        &self,
+        request: &Fingerprint,
+        worker: &WorkerKey,
+        ends_of_request: usize,
+    ) -> bool {
         let Some(ended_worker) = self.workers.get(worker) else {
             return false;
         };
@@ -226,14 +235,14 @@
             let ends = self
                 .requests
                 .get(other)
-                .map_or(0, |known| lives(known).len());
-            other != request && ends >= QUARANTINE_THRESHOLD && ends > own_ends
+                .map_or(0, |known| one_end_per_life(known).len());
+            other != request && ends >= QUARANTINE_THRESHOLD && ends > ends_of_request
         })
     }
 
-    /// When those ends of a request, in their order, lapse that count: of many that have another cause the
-    /// first alone.
-    fn moments(
+    /// Returns the expiry times of the ends that count for a request. Of simultaneous ends with
+    /// another cause, only the first counts.
+    fn counted_expiries(
         &self,
         request: &Fingerprint,
         ends: impl Iterator<Item = KnownEnd>,
@@ -241,47 +250,50 @@
         let mut counting: Vec<KnownEnd> = Vec::new();
         for known in ends {
             let last = counting.last();
-            let is_apart = last.is_none_or(|last| is_apart(&last.end, &known.end));
-            if is_apart || !self.is_one_of_many(request, &known.end) {
+            let is_separate = last.is_none_or(|last| is_separate(&last.end, &known.end));
+            if is_separate || !self.has_other_cause(request, &known.end) {
                 counting.push(known);
             }
         }
-        counting.into_iter().map(|known| known.lapses_at).collect()
+        counting.into_iter().map(|known| known.expires_at).collect()
     }
 
-    /// Whether many workers ended at the moment at which one did, of which enough did not run the request.
-    fn is_one_of_many(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
+    /// Returns whether many workers ended at the same moment as this one, of which too few ran the
+    /// request for it to be the cause.
+    fn has_other_cause(&self, request: &Fingerprint, end: &WorkerEnd) -> bool {
         let ended_worker = self.workers.get(&end.worker);
-        let own = ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
-        let moment = SIMULTANEITY_WINDOW.as_millis() as u64;
-        let mut together = 0_u32;
-        let mut ran_it = 0_u32;
+        let ended_unix_ms =
+            ended_worker.map_or(end.ended_unix_ms, |ended_worker| ended_worker.ended_unix_ms);
+        let window = SIMULTANEITY_WINDOW.as_millis() as u64;
+        let mut simultaneous = 0_u32;
+        let mut ran_request = 0_u32;
         for other in self.workers.values() {
-            if other.ended_unix_ms.abs_diff(own) < moment {
-                together += 1;
-                ran_it += u32::from(other.requests.contains(request));
+            if other.ended_unix_ms.abs_diff(ended_unix_ms) < window {
+                simultaneous += 1;
+                ran_request += u32::from(other.requests.contains(request));
             }
         }
-        let share = f64::from(ran_it) / f64::from(together.max(1));
-        together > MAX_COINCIDENT_ENDS && share < MIN_CAUSE_SHARE
+        let share = f64::from(ran_request) / f64::from(simultaneous.max(1));
+        simultaneous > MAX_COINCIDENT_ENDS && share < MIN_CAUSE_SHARE
     }
 
-    fn forget_next_to_lapse(&mut self, kept: &Fingerprint) {
-        let last_lapse = |known: &Vec<KnownEnd>| known.iter().map(|known| known.lapses_at).max();
+    fn evict_next_to_expire(&mut self, kept: &Fingerprint) {
+        let last_expiry = |known: &Vec<KnownEnd>| known.iter().map(|known| known.expires_at).max();
         let next = self
             .requests
             .iter()
             .filter(|(request, _)| *request != kept)
-            .min_by_key(|(_, known)| last_lapse(known));
+            .min_by_key(|(_, known)| last_expiry(known));
         if let Some(request) = next.map(|(request, _)| *request) {
             self.clear(&request);
         }
     }
 }
 
-/// The ends in their order, one for each life: of one worker the later ones count whose request was sent after the one before
-/// had ended, since what has ended runs nothing. A worker may start again under the name that it had.
-fn lives(known: &[KnownEnd]) -> Vec<KnownEnd> {
+/// Returns the ends in order of time, one for each life of a worker. A later end of a worker counts
+/// only if the request was sent after the previous end, since a worker that has ended runs nothing.
+/// A worker may start again under the same name.
+fn one_end_per_life(known: &[KnownEnd]) -> Vec<KnownEnd> {
     let mut sorted = known.to_vec();
     sorted.sort_by_key(|known| (known.end.ended_unix_ms, known.end.worker));
     let mut lives: Vec<KnownEnd> = Vec::with_capacity(sorted.len());
@@ -295,8 +307,8 @@
     lives
 }
 
-fn is_apart(earlier: &WorkerEnd, later: &WorkerEnd) -> bool {
+fn is_separate(earlier: &WorkerEnd, later: &WorkerEnd) -> bool {
     let began_after = later.sent_unix_ms >= earlier.ended_unix_ms;
-    let between = Duration::from_millis(later.ended_unix_ms.saturating_sub(earlier.ended_unix_ms));
-    began_after || between >= SIMULTANEITY_WINDOW
+    let gap = Duration::from_millis(later.ended_unix_ms.saturating_sub(earlier.ended_unix_ms));
+    began_after || gap >= SIMULTANEITY_WINDOW
 }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/outstanding.rs
@@ -1,5 +1,5 @@
-//! What stands in the partitions of the journal, as their holders report it, and what was admitted and may not
-//! show there yet.
+//! Outstanding tokens of a limit: tokens that the holders of the journal's partitions report, and
+//! tokens of admitted jobs that the reports may not include yet.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,16 +8,17 @@
 
 use super::{GRANT_LIFETIME, UNRESOLVED_GRANT_TTL};
 
-/// What stands in a partition, as its holder has read it.
+/// Outstanding tokens of a partition, as its holder has read them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionTokens {
-    /// The partition.
+    /// Number of the partition.
     pub partition: u32,
     /// Tokens of unfinished items.
     pub tokens: u64,
-    /// The offset up to which the holder has read: a holder that has read less reports the past.
+    /// Offset up to which the holder has read. A report with a lower offset than a known one is
+    /// outdated.
     pub end: u64,
-    /// A moment whose appends the holder has read.
+    /// Moment up to which the report includes all appends.
     pub as_of: Duration,
 }
 
@@ -27,120 +28,124 @@
     partition: u32,
     tokens: u64,
     at: Duration,
-    /// Gateways that may record it.
-    tries: u32,
-    /// When its record stood, as far as that was told.
+    /// Number of admissions of the job that were not released; each may record it.
+    admissions: u32,
+    /// When the job was confirmed as recorded.
     recorded_at: Option<Duration>,
 }
 
 impl Grant {
-    /// Whether the report of its partition shows it, or it was never recorded.
-    fn is_in(&self, holding: &PartitionTokens) -> bool {
-        let from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
-        self.partition == holding.partition && holding.as_of >= from
+    /// Returns whether the report of its partition includes the job, or is so late that the job was
+    /// never recorded.
+    fn is_reported_by(&self, report: &PartitionTokens) -> bool {
+        let reported_from = self.recorded_at.unwrap_or(self.at + UNRESOLVED_GRANT_TTL);
+        self.partition == report.partition && report.as_of >= reported_from
     }
 }
 
-/// All that stands, or may.
+/// Reported and granted tokens.
 #[derive(Debug, Default)]
 pub struct OutstandingTokens {
-    /// By partition, as reported last; what a silent holder reported counts on.
+    /// Last report of each partition. The report of a silent holder still counts.
     reported: BTreeMap<u32, PartitionTokens>,
-    /// By job.
+    /// Admitted jobs by name.
     grants: HashMap<String, Grant>,
 }
 
 impl OutstandingTokens {
-    /// Takes a report; one that has read less of a partition than an earlier one changes nothing.
-    pub fn apply_report(&mut self, holding: PartitionTokens) {
-        let known = self.reported.get(&holding.partition);
-        if known.is_some_and(|known| known.end > holding.end || known.as_of > holding.as_of) {
+    /// Applies a report, unless an earlier report of the partition is more recent by offset or
+    /// time.
+    pub fn apply_report(&mut self, report: PartitionTokens) {
+        let known = self.reported.get(&report.partition);
+        if known.is_some_and(|known| known.end > report.end || known.as_of > report.as_of) {
             return;
         }
-        self.reported.insert(holding.partition, holding);
-        self.grants.retain(|_, grant| !grant.is_in(&holding));
+        self.reported.insert(report.partition, report);
+        self.grants
+            .retain(|_, grant| !grant.is_reported_by(&report));
     }
 
-    /// A job was admitted.
+    /// Records that a job was admitted.
     pub fn grant(&mut self, job: &str, partition: u32, tokens: u64, at: Duration) {
         let grant = Grant {
             partition,
             tokens,
             at,
-            tries: 1,
+            admissions: 1,
             recorded_at: None,
         };
         self.grants.insert(job.to_owned(), grant);
     }
 
-    /// Whether a job was admitted and may not show in a report yet. Asked for again, it may be recorded again: it
-    /// counts from now on.
+    /// Returns whether a job was admitted and may be missing from the reports. It may then be
+    /// recorded once more, so its lifetime as a grant starts again.
     pub fn grant_again(&mut self, job: &str, now: Duration) -> bool {
         let Some(grant) = self.grants.get_mut(job) else {
             return false;
         };
         grant.at = now;
-        grant.tries += 1;
+        grant.admissions += 1;
         true
     }
 
-    /// The record of an admitted job stands.
+    /// Marks an admitted job as recorded.
     pub fn mark_recorded(&mut self, job: &str, now: Duration) {
         if let Some(grant) = self.grants.get_mut(job) {
             grant.recorded_at.get_or_insert(now);
         }
     }
 
-    /// A gateway did not record an admitted job, and will not; gives the tokens that count no more.
+    /// Releases one admission of a job that its gateway did not record and will not. Returns the
+    /// tokens that no longer count.
     pub fn release(&mut self, job: &str) -> u64 {
         let Some(grant) = self.grants.get_mut(job) else {
             return 0;
         };
-        grant.tries = grant.tries.saturating_sub(1);
-        if grant.tries > 0 || grant.recorded_at.is_some() {
+        grant.admissions = grant.admissions.saturating_sub(1);
+        if grant.admissions > 0 || grant.recorded_at.is_some() {
             return 0;
         }
         self.grants.remove(job).map_or(0, |grant| grant.tokens)
     }
 
-    /// Whether of every admitted job it is known that its record stands, or its caller was not told that it was
-    /// taken.
+    /// Returns whether each admitted job is known to be recorded, or is so old that its caller
+    /// cannot be told any more that it was accepted.
     pub fn all_grants_resolved(&self, now: Duration) -> bool {
         let mut grants = self.grants.values();
         grants.all(|grant| grant.recorded_at.is_some() || now >= grant.at + GRANT_LIFETIME)
     }
 
-    /// Tokens that stand as reported.
+    /// Returns the tokens that the partitions report.
     pub fn reported(&self) -> u64 {
-        total_tokens(self.reported.values().map(|holding| holding.tokens))
+        total_tokens(self.reported.values().map(|report| report.tokens))
     }
 
-    /// Tokens that are admitted and may not show in a report yet.
+    /// Returns the tokens of admitted jobs that the reports may not include yet.
     pub fn granted(&self) -> u64 {
         total_tokens(self.grants.values().map(|grant| grant.tokens))
     }
 
-    /// Tokens that stand at most, as far as each partition was reported.
+    /// Returns an upper bound of the outstanding tokens in the reported partitions.
     pub fn max_tokens(&self) -> u64 {
         self.reported().saturating_add(self.granted())
     }
 
-    /// Whether each of `partitions` partitions was reported as of a moment or later.
+    /// Returns whether each of `partitions` partitions has a report as of `moment` or later.
     pub fn covers_partitions_since(&self, moment: Duration, partitions: u32) -> bool {
         (0..partitions).all(|partition| {
-            let holding = self.reported.get(&partition);
-            holding.is_some_and(|holding| holding.as_of >= moment)
+            let report = self.reported.get(&partition);
+            report.is_some_and(|report| report.as_of >= moment)
         })
     }
 
-    /// Partitions that were reported.
+    /// Returns the number of reported partitions.
     pub fn partitions(&self) -> usize {
         self.reported.len()
     }
 
-    /// The moment as of which all reported partitions are known.
+    /// Returns the moment up to which the reports of all reported partitions are complete.
     pub fn as_of(&self) -> Duration {
-        let moments = self.reported.values().map(|holding| holding.as_of);
+        let moments = self.reported.values().map(|report| report.as_of);
         moments.min().unwrap_or_default()
     }
 }
