--- a/crates/swiftshunt-gateway/src/messages/rates.rs
+++ b/crates/swiftshunt-gateway/src/messages/rates.rs
@@ -1,4 +1,4 @@
-//! Messages between gateways and the counters of tenants.
+//! Messages between gateways and the counters of tenants' rate limits.
 
 use std::net::SocketAddr;
 
@@ -6,52 +6,53 @@
 use swiftshunt_scheduler::rates::bucket::{CreditRequest, CreditResponse};
 use swiftshunt_types::{RateLimit, TenantName};
 
-/// A message. Each is one datagram; any may be lost or late.
+/// A message about a rate limit. Each is one datagram and may be lost or late.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum RateMessage {
     /// Asks a counter for credits.
     Ask {
-        /// Names the question in the answer.
+        /// Identifies the request in the answer.
         ask: u64,
-        /// The tenant.
+        /// The tenant whose credits are requested.
         tenant: TenantName,
-        /// What is asked.
+        /// The credit request.
         question: CreditRequest,
         /// The limit as the sender knows it.
         limit: VersionedLimit,
     },
     /// The counter's answer.
     Answer {
-        /// The question.
+        /// The identifier of the request.
         ask: u64,
-        /// The answer.
+        /// The counter's decision.
         answer: CounterAnswer,
     },
-    /// Asks for a sign of life.
+    /// Asks the receiver to answer with [`Self::Pong`].
     Ping,
-    /// The sign of life.
+    /// The answer to [`Self::Ping`].
     Pong,
 }
 
-/// What a gateway that is taken for a counter answers.
+/// The answer of a gateway that was asked as a tenant's counter.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum CounterAnswer {
-    /// It counts.
+    /// The gateway is the counter.
     Counted(CreditResponse),
-    /// Another gateway counts, and has given a sign of life.
+    /// Another gateway is the counter, and is known to be alive.
     CountedBy(SocketAddr),
-    /// It is being found out whether the gateway that should count is gone.
+    /// The gateway does not know yet whether it is the counter: whether an earlier gateway in the tenant's order is
+    /// gone, or which gateways are silent.
     NotYet,
 }
 
-/// The limit of a tenant by a version of the configuration.
+/// The limit of a tenant as a version of the configuration sets it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct VersionedLimit {
-    /// Requests a second.
+    /// Sustained rate in requests per second.
     per_second: f64,
-    /// Requests on top of that.
+    /// Requests that may come in a burst beyond that rate.
     burst: f64,
-    /// The version.
+    /// The version of the configuration.
     pub(crate) version: u64,
 }
 
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -1,7 +1,7 @@
-//! The buckets of the tenants for which this gateway counts, and whether it is to count at all.
+//! The buckets of the tenants whose counter is this gateway, and the check that it may act as their counter.
 //!
-//! The first gateway in a tenant's order counts. Where it is gone the next one does, once it has found that
-//! itself: two that count would let in twice the limit.
+//! The first gateway in a tenant's order is its counter. If that gateway is gone, the next one takes over, but
+//! only after it has found so by its own probes: two counters together would admit twice the limit.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,41 +21,44 @@
 use crate::messages::Notice;
 use crate::messages::rates::{CounterAnswer, RateMessage, VersionedLimit};
 
-/// Time without a sign of life, though it was asked for, after which a gateway is gone: twice the way to
-/// and fro within a region and some standstill.
+/// Time without an answer to pings after which a gateway counts as gone: two round trips within a region
+/// and an allowance for short stalls of the process.
 const PREDECESSOR_TIMEOUT: Duration = Duration::from_millis(45);
-/// Pause between two such questions.
+/// Pause between two pings while the state of a gateway is unknown.
 const PING_RETRY_INTERVAL: Duration = Duration::from_millis(15);
-/// Pause between two such questions to a gateway that is gone, or was found to be there.
+/// Pause between two pings to a gateway that is known to be gone or alive.
 const SETTLED_PING_INTERVAL: Duration = Duration::from_millis(250);
-/// A tenant that is counted here.
+
+/// A tenant whose counter is this gateway.
 struct Counted {
     bucket: Bucket<SocketAddr>,
-    /// Whether something is set aside for silent gateways.
-    sets_aside: bool,
+    /// Whether the bucket reserves shares for silent gateways.
+    has_reservations: bool,
 }
 
-/// A gateway that should count before this one and was asked for a sign of life.
+/// Pings to a gateway that comes before this one in a tenant's order.
 #[derive(Clone, Copy)]
 struct Probe {
+    /// Time of the first ping since the gateway was last found alive.
     first: Duration,
+    /// Time of the latest ping.
     last: Duration,
 }
 
-/// What is known of a gateway that should count before this one.
+/// The state of a gateway that comes before this one in a tenant's order.
 enum PredecessorState {
     Gone,
     Alive,
     Probing,
 }
 
-/// The buckets.
+/// The buckets of the tenants that this gateway counts.
 pub(super) struct Counters {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
     clock: Clock,
     tolerance: Tolerance,
-    counted: Mutex<HashMap<TenantName, Counted>>,
+    tenants: Mutex<HashMap<TenantName, Counted>>,
     probes: Mutex<HashMap<SocketAddr, Probe>>,
     reachability: Mutex<Reachability>,
 }
@@ -72,13 +75,13 @@
             datagrams,
             clock,
             tolerance,
-            counted: Mutex::default(),
+            tenants: Mutex::default(),
             probes: Mutex::default(),
             reachability: Mutex::default(),
         }
     }
 
-    /// Answers a gateway that takes this one for the counter of a tenant.
+    /// Answers a gateway that considers this one the counter of a tenant.
     pub(super) fn answer(
         &self,
         from: SocketAddr,
@@ -106,27 +109,30 @@
         if view.is_cut_off {
             return CounterAnswer::Counted(CreditResponse::DecideAlone);
         }
-        let mut counted = lock(&self.counted);
-        if !counted.contains_key(tenant) {
-            let begun = self.begin(tenant, limit, is_first, now);
-            counted.insert(tenant.clone(), begun);
+        let mut tenants = lock(&self.tenants);
+        if !tenants.contains_key(tenant) {
+            let new_tenant = self.start_counting(tenant, limit, is_first, now);
+            tenants.insert(tenant.clone(), new_tenant);
         }
-        let Some(counted) = counted.get_mut(tenant) else {
+        let Some(counted) = tenants.get_mut(tenant) else {
             return CounterAnswer::NotYet;
         };
         let tolerance = &self.tolerance;
         let bucket = &mut counted.bucket;
         bucket.update_limit(limit.limit(), limit.version, tolerance, now);
         let verdict = bucket.grant_credits(from, question, tolerance, now);
-        self.set_aside(counted, now);
+        self.reserve_for_silent_gateways(counted, now);
         CounterAnswer::Counted(verdict)
     }
 
-    /// While a tenant is near its limit, sets aside what silent gateways may let in alone.
-    fn set_aside(&self, counted: &mut Counted, now: Duration) {
-        let Counted { bucket, sets_aside } = counted;
+    /// While a tenant is near its limit, reserves the shares that silent gateways may admit on their own.
+    fn reserve_for_silent_gateways(&self, counted: &mut Counted, now: Duration) {
+        let Counted {
+            bucket,
+            has_reservations,
+        } = counted;
         if !bucket.is_near_limit(&self.tolerance) {
-            if std::mem::take(sets_aside) {
+            if std::mem::take(has_reservations) {
                 bucket.release_reserved(&self.tolerance, now);
             }
             return;
@@ -134,35 +140,37 @@
         if let Some(view) = self.reachability_view(true, now) {
             let gateways = self.members.count();
             bucket.reserve_for_silent(&view.silent, gateways, &self.tolerance, now);
-            *sets_aside = true;
+            *has_reservations = true;
         }
     }
 
-    /// Which gateways are silent, as far as it is known; none where it must be known and is not yet.
+    /// Returns which gateways are silent; `None` if `must_be_known` is set and no recent poll of all gateways has
+    /// ended. Starts a poll if one is due.
     fn reachability_view(&self, must_be_known: bool, now: Duration) -> Option<ReachabilityView> {
         let mut reachability = lock(&self.reachability);
-        let asked = reachability.poll(&self.members, must_be_known, now);
-        self.ping(asked);
+        let gateways_to_ping = reachability.poll(&self.members, must_be_known, now);
+        self.ping(gateways_to_ping);
         reachability.view(must_be_known, now)
     }
 
-    fn begin(
+    fn start_counting(
         &self,
         tenant: &TenantName,
         limit: VersionedLimit,
         is_first: bool,
         now: Duration,
     ) -> Counted {
-        // Whoever counts in place of another begins with nothing: that one may be counting for others.
+        // A counter that replaces another starts with an empty bucket, since the other one may still be granting
+        // credits to gateways that reach it.
         let level = if is_first {
             self.tolerance.cold_start_level(limit.limit())
         } else {
             0.0
         };
-        log::info!(tenant = tenant.as_str(), level, is_first; "this gateway counts a tenant's requests");
+        log::info!(tenant = tenant.as_str(), level, is_first; "this gateway starts to count a tenant's requests");
         Counted {
             bucket: Bucket::new(limit.limit(), limit.version, level, now),
-            sets_aside: false,
+            has_reservations: false,
         }
     }
 
@@ -171,16 +179,16 @@
             .send(&Notice::Rate(RateMessage::Ping), gateways);
     }
 
-    /// Whether a gateway that should count before this one is gone.
+    /// Returns the state of a gateway that comes before this one in a tenant's order, and pings it if due.
     fn predecessor_state(&self, gateway: SocketAddr) -> PredecessorState {
         let now = self.clock.now();
         let mut probes = lock(&self.probes);
-        let fresh = Probe {
+        let new_probe = Probe {
             first: now,
             last: now,
         };
         let Some(probe) = probes.get_mut(&gateway) else {
-            probes.insert(gateway, fresh);
+            probes.insert(gateway, new_probe);
             self.ping([gateway]);
             return PredecessorState::Probing;
         };
@@ -196,7 +204,7 @@
             probe.last = now;
             self.ping([gateway]);
             if was_heard {
-                *probe = fresh;
+                *probe = new_probe;
             }
         }
         match (was_heard, is_gone) {
@@ -207,17 +215,17 @@
     }
 
     fn stop_counting(&self, tenant: &TenantName, counter: SocketAddr) {
-        if lock(&self.counted).remove(tenant).is_some() {
+        if lock(&self.tenants).remove(tenant).is_some() {
             log::info!(tenant = tenant.as_str(), counter = counter.to_string().as_str();
-                "another gateway counts a tenant's requests");
+                "another gateway counts a tenant's requests; dropping the bucket kept here");
         }
     }
 
-    /// Forgets buckets and gateways about which nobody asks any more.
+    /// Removes buckets and probes that were not used for the given time.
     pub(super) fn remove_idle(&self, after: Duration) {
         let now = self.clock.now();
-        let is_new = |at: Duration| now < at + after;
-        lock(&self.counted).retain(|_, counted| is_new(counted.bucket.last_request_at()));
-        lock(&self.probes).retain(|_, probe| is_new(probe.last));
+        let is_recent = |at: Duration| now < at + after;
+        lock(&self.tenants).retain(|_, counted| is_recent(counted.bucket.last_request_at()));
+        lock(&self.probes).retain(|_, probe| is_recent(probe.last));
     }
 }
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -1,4 +1,4 @@
-//! Questions to the counters of tenants, and their answers.
+//! Credit requests to the counters of tenants, and the handling of their answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,42 +15,42 @@
 use crate::messages::rates::{CounterAnswer, RateMessage, VersionedLimit};
 use crate::metrics::RateAnswer;
 
-/// How long a counter's answer is waited for: a few times the way to and fro within a region.
+/// Time to wait for a counter's answer: a few round trips within a region.
 const ASK_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A question under way.
+/// A credit request that has no answer yet.
 pub(super) struct PendingQuestion {
     tenant: TenantName,
     counter: SocketAddr,
     pub(super) at: Duration,
 }
 
-/// What became of a question to the counter.
+/// The result of waiting for a counter's answer.
 pub(super) enum CounterReply {
-    /// It answered.
+    /// The counter answered.
     Received,
-    /// It is finding out whether it is to count.
+    /// The asked gateway does not know yet whether it is the counter.
     NotYet,
-    /// It did not answer in time.
+    /// The counter did not answer in time.
     TimedOut(SocketAddr),
-    /// There is nobody to ask.
+    /// All gateways that may be the counter are suspected to be gone.
     NoCounter,
 }
 
-/// What became of a question as it was asked.
+/// The immediate result of a credit request.
 pub(super) enum AskState {
-    /// It is on its way to a gateway.
+    /// The request was sent to this gateway.
     Sent(SocketAddr),
-    /// This gateway counts and has answered.
+    /// This gateway is the counter and has answered.
     Answered,
-    /// This gateway is finding out whether it is to count.
+    /// This gateway does not know yet whether it is the counter, or has learned that another one is.
     NotYet,
-    /// There is nobody to ask.
+    /// All gateways that may be the counter are suspected to be gone.
     NoCounter,
 }
 
 impl Rates {
-    /// Asks the counter, or waits for the answer to a question under way.
+    /// Asks the counter for credits, or waits for the answer to a pending request, and returns how that ended.
     pub(super) async fn await_counter_reply(
         &self,
         tenant: &TenantName,
@@ -60,19 +60,19 @@
         let answer_timeout = self.counter(tenant).map_or(within_region, |counter| {
             self.members.answer_timeout(counter, within_region)
         });
-        let (answered, is_to_ask) = {
+        let (answered, should_ask) = {
             let now = self.clock.now();
             let mut state = lock(&self.tenants);
             let state = state.entry(tenant.clone()).or_default();
             state.waiting += 1;
-            let asked = state.asked_for_them;
-            let is_to_ask = asked.is_none_or(|at| now >= at + answer_timeout);
-            if is_to_ask {
-                state.asked_for_them = Some(now);
+            let asked = state.requested_at;
+            let should_ask = asked.is_none_or(|at| now >= at + answer_timeout);
+            if should_ask {
+                state.requested_at = Some(now);
             }
-            (Arc::clone(&state.answered), is_to_ask)
+            (Arc::clone(&state.answered), should_ask)
         };
-        let _waiting = Waiting {
+        let _waiting = WaitingGuard {
             rates: self,
             tenant,
         };
@@ -80,7 +80,7 @@
         tokio::pin!(reply);
         reply.as_mut().enable();
         let mut counter = None;
-        if is_to_ask {
+        if should_ask {
             match self.ask(tenant, 1, limit) {
                 AskState::Sent(asked) => counter = Some((asked, self.members.heard_at(asked))),
                 AskState::Answered => return CounterReply::Received,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Asks the counter for credits though no request waits, if they run low.
+    /// Asks the counter for credits ahead of need if they run low.
     pub(super) fn prefetch_credits(&self, tenant: &TenantName, limit: VersionedLimit) {
         let now = self.clock.now();
         let is_due = lock(&self.tenants)
@@ -111,16 +111,16 @@
         }
     }
 
-    /// The first gateway in the tenant's order that is not in doubt; none if all are.
+    /// Returns the first gateway in the tenant's order that is not suspected to be gone; `None` if all are.
     fn counter(&self, tenant: &TenantName) -> Option<SocketAddr> {
         let order = self.members.tenant_counters(tenant, MAX_COUNTER_CANDIDATES);
-        let mut there = order
+        let mut available = order
             .into_iter()
             .filter(|gateway| !self.members.is_suspected(*gateway));
-        there.next()
+        available.next()
     }
 
-    /// Asks the counter for credits.
+    /// Asks the counter for credits for at least `need` requests, or decides here if this gateway is the counter.
     pub(super) fn ask(&self, tenant: &TenantName, need: u32, limit: VersionedLimit) -> AskState {
         let now = self.clock.now();
         let Some(counter) = self.counter(tenant) else {
@@ -130,7 +130,9 @@
             let mut state = lock(&self.tenants);
             let state = state.entry(tenant.clone()).or_default();
             let need = state.waiting.max(need);
-            state.limiter.credit_request(need, number_of(counter), now)
+            state
+                .limiter
+                .credit_request(need, counter_number(counter), now)
         };
         let own = self.members.own_address();
         if counter == own {
@@ -164,7 +166,7 @@
         AskState::Sent(counter)
     }
 
-    /// Takes a message of another gateway.
+    /// Handles a message from another gateway.
     pub(crate) fn handle_message(&self, message: RateMessage, from: SocketAddr) {
         match message {
             RateMessage::Ask {
@@ -195,7 +197,7 @@
         self.members.record_answer(from, took);
         match answer {
             CounterAnswer::Counted(verdict) => {
-                self.metrics.record_rate_answer(answer_of(verdict));
+                self.metrics.record_rate_answer(rate_answer(verdict));
                 self.apply_verdict(&asked.tenant, verdict, asked.at, from);
             }
             CounterAnswer::CountedBy(counter) => {
@@ -209,7 +211,7 @@
 
     fn wake(&self, tenant: &TenantName) {
         if let Some(state) = lock(&self.tenants).get_mut(tenant) {
-            state.asked_for_them = None;
+            state.requested_at = None;
             state.answered.notify_waiters();
         }
     }
@@ -232,11 +234,11 @@
             state.alone_since = None;
             log::info!(tenant = tenant.as_str(), counter = counter.to_string().as_str(),
                 alone_ms = now.saturating_sub(since).as_millis() as u64;
-                "a tenant's requests are counted again");
+                "the counter of a tenant answers again; leaving this gateway's own share");
         }
         state.counter = Some(counter);
-        state.asked_for_them = None;
-        let number = number_of(counter);
+        state.requested_at = None;
+        let number = counter_number(counter);
         state
             .limiter
             .apply_response(verdict, number, gateways, asked_at, now);
@@ -244,12 +246,12 @@
     }
 }
 
-/// The number that names a counter.
-fn number_of(counter: SocketAddr) -> u64 {
+/// Returns the number that identifies a counter to the limiter.
+fn counter_number(counter: SocketAddr) -> u64 {
     stable_hash(counter)
 }
 
-fn answer_of(verdict: CreditResponse) -> RateAnswer {
+fn rate_answer(verdict: CreditResponse) -> RateAnswer {
     match verdict {
         CreditResponse::Granted { .. } => RateAnswer::Granted,
         CreditResponse::Exhausted { .. } => RateAnswer::Exhausted,
@@ -257,13 +259,13 @@
     }
 }
 
-/// A request that waits for the counter's answer.
-struct Waiting<'r> {
+/// Keeps a request in the number of waiting requests of its tenant until dropped.
+struct WaitingGuard<'r> {
     rates: &'r Rates,
     tenant: &'r TenantName,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         if let Some(state) = lock(&self.rates.tenants).get_mut(self.tenant) {
             state.waiting = state.waiting.saturating_sub(1);
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants' requests, over all gateways together: one gateway counts for each tenant, the
+//! Rate limits of tenants' requests across all gateways. One gateway is the counter of each tenant, and the
 //! others ask it for credits ([`swiftshunt_scheduler::rates`]).
 
 mod counters;
@@ -26,52 +26,53 @@
 use counters::Counters;
 use credit_requests::{CounterReply, PendingQuestion};
 
-/// Pause before a gateway is asked again that is finding out whether it is to count.
+/// Pause before the next credit request to a gateway that does not know yet whether it is the counter.
 const NOT_YET_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Longest time for which a request waits for a counter: until the first one in order is found to be gone,
-/// and the next one has found so, too.
+/// Longest time for which a request waits for a counter. It covers the time until the first gateway in order is
+/// found to be gone and the next one has found the same.
 const MAX_COUNTER_WAIT: Duration = Duration::from_millis(240);
-/// Gateways in a tenant's order that may count for it.
+/// Number of gateways in a tenant's order that may be its counter.
 const MAX_COUNTER_CANDIDATES: usize = 3;
-/// Pause between questions while requests are decided alone.
+/// Pause between credit requests while requests are admitted by this gateway's own share.
 const ALONE_ASK_INTERVAL: Duration = Duration::from_millis(250);
-/// Pause between two looks for what is no longer needed.
+/// Interval between two removals of unused state.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
-/// Time without a request after which an account or a bucket is forgotten.
+/// Time without a request after which a tenant's state or bucket is removed.
 const IDLE_TTL: Duration = Duration::from_secs(60);
 
-/// A tenant's requests here.
+/// The state of a tenant's rate limit at this gateway.
 #[derive(Default)]
 struct TenantState {
     limiter: TenantLimiter,
-    /// Wakes requests that wait for an answer.
+    /// Wakes requests that wait for the counter's answer.
     answered: Arc<Notify>,
+    /// Number of requests that wait for the counter's answer.
     waiting: u32,
-    /// When the question was asked for which requests wait, if its answer may still come in time.
-    asked_for_them: Option<Duration>,
-    /// Where the counter's last word came from.
+    /// Time of the credit request for whose answer requests wait; `None` if there is none.
+    requested_at: Option<Duration>,
+    /// The counter that answered last.
     counter: Option<SocketAddr>,
-    /// Since when requests are decided alone.
+    /// Time since which requests are admitted by this gateway's own share; `None` while a counter answers.
     alone_since: Option<Duration>,
 }
 
-/// Why a request is not let in.
+/// The reason for not admitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refused {
-    /// The limit is reached; there is likely to be room after this time.
+    /// The limit is reached; a request is likely to be admitted after this time.
     Limit(Duration),
-    /// The counter does not answer, and this gateway's part is used up or not known.
+    /// No counter answers, and this gateway's own share is used up or unknown.
     Unsure,
 }
 
-/// What a line on a refusal tells.
+/// Values for the log line about a refused request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefusalContext {
     pub(crate) figures: UsageFigures,
     pub(crate) counter: Option<SocketAddr>,
 }
 
-/// The limits.
+/// The rate limits of all tenants at this gateway.
 pub(crate) struct Rates {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
@@ -108,13 +109,13 @@
         }
     }
 
-    /// Lets a tenant's request in, or not. `version` is that of the configuration that names the tenant.
+    /// Admits or refuses a tenant's request. `version` is the version of the configuration that the tenant is from.
     pub(crate) async fn admit(&self, tenant: &Tenant, version: u64) -> Result<(), Refused> {
         let Some(limit) = tenant.rate else {
             return Ok(());
         };
         if !self.members.is_list_loaded() {
-            // Whoever knows of no other gateway would count for itself alone.
+            // Without the list of gateways this one would act as a counter unknown to the others.
             return Err(Refused::Unsure);
         }
         let versioned = VersionedLimit::new(limit, version);
@@ -146,24 +147,24 @@
         self.admit_alone(name, versioned)
     }
 
-    /// Lets a request in by this gateway's share alone, or not.
+    /// Admits or refuses a request by this gateway's own share.
     fn admit_alone(&self, tenant: &TenantName, limit: VersionedLimit) -> Result<(), Refused> {
         let now = self.clock.now();
         let gateways = self.members.count();
-        let (is_admitted, begins, is_due) = {
+        let (is_admitted, starts_alone, is_due) = {
             let mut state = lock(&self.tenants);
             let state = state.entry(tenant.clone()).or_default();
-            let begins = state.alone_since.is_none();
+            let starts_alone = state.alone_since.is_none();
             state.alone_since.get_or_insert(now);
             let asked_at = state.limiter.asked_at();
             let is_due = asked_at.is_none_or(|at| now >= at + ALONE_ASK_INTERVAL);
             let limiter = &mut state.limiter;
             let is_admitted = limiter.admit_from_own_share(limit.limit(), gateways, now);
-            (is_admitted, begins, is_due)
+            (is_admitted, starts_alone, is_due)
         };
-        if begins {
+        if starts_alone {
             log::info!(tenant = tenant.as_str(), is_cut_off = self.members.is_cut_off();
-                "no gateway that counts a tenant's requests answers");
+                "no counter answers for a tenant; admitting requests by this gateway's own share");
         }
         if is_due {
             self.ask(tenant, 0, limit);
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A request that was let in went to no worker.
+    /// Returns the credit of an admitted request that was sent to no worker.
     pub(crate) fn refund_credit(&self, tenant: &Tenant) {
         if tenant.rate.is_none() {
             return;
@@ -187,7 +188,7 @@
         }
     }
 
-    /// What is known of a tenant's requests.
+    /// Returns the values to log when a request of a tenant is refused.
     pub(crate) fn refusal_context(&self, tenant: &TenantName) -> RefusalContext {
         let now = self.clock.now();
         let mut state = lock(&self.tenants);
@@ -209,14 +210,14 @@
         state.limiter.admit(limit, gateways, now)
     }
 
-    /// Forgets what is no longer needed, for as long as the process lives.
+    /// Removes unused state periodically, until the process ends.
     pub(crate) async fn run_cleanup(self: Arc<Self>) {
         loop {
             tokio::time::sleep(SWEEP_INTERVAL).await;
             let now = self.clock.now();
-            let is_new = |at: Duration| now < at + IDLE_TTL;
+            let is_recent = |at: Duration| now < at + IDLE_TTL;
             lock(&self.tenants)
-                .retain(|_, state| state.waiting > 0 || is_new(state.limiter.used_at()));
+                .retain(|_, state| state.waiting > 0 || is_recent(state.limiter.used_at()));
             lock(&self.pending).retain(|_, asked| now < asked.at + CREDIT_TTL);
             self.counters.remove_idle(IDLE_TTL);
         }
--- a/crates/swiftshunt-gateway/src/rates/reachability.rs
+++ b/crates/swiftshunt-gateway/src/rates/reachability.rs
@@ -1,5 +1,5 @@
-//! Which gateways a counter reaches: it must not count while it is cut off from most, since another one then
-//! counts for them.
+//! Tracks which gateways a counter reaches. A counter must not grant credits while it is cut off from at least half
+//! of the gateways, since another one may then be the counter for them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,51 +8,52 @@
 
 use crate::members::Members;
 
-/// Pause between two looks at a few gateways that were not heard of late.
+/// Interval between two polls of a sample of the gateways that were not heard recently.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// How many these are: what a look costs does not grow with the number of gateways.
+/// Maximum size of a sample, so that its cost does not grow with the number of gateways.
 const SAMPLE_SIZE: usize = 6;
-/// Age from which a gateway counts as not heard of late, for a look at a few.
+/// Time since its last message after which a gateway may be in a sample.
 const QUIET_THRESHOLD: Duration = Duration::from_secs(1);
-/// Pause between two looks at all gateways, while it must be known which are silent.
+/// Interval between two polls of all gateways while the set of silent gateways must be known.
 const FULL_POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for which signs of life are waited for: a few times the way to and fro within a region, and some
-/// standstill of the others.
+/// Time to wait for the answers to a poll: a few round trips within a region, and an allowance for short stalls of
+/// the other processes.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
-/// Age up to which a sign of life from before counts, too.
+/// Time before a poll within which a message from a gateway counts as its answer.
 const PRIOR_CONTACT_WINDOW: Duration = Duration::from_millis(200);
-/// Age up to which what a look gave is believed.
+/// Time for which the result of a poll of all gateways is valid.
 const VIEW_TTL: Duration = Duration::from_millis(2_500);
 
-/// What a look at all gateways gave.
+/// The result of a poll of all gateways.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReachabilityView {
-    /// Those that gave no sign of life.
+    /// The gateways that did not answer.
     pub(super) silent: Vec<SocketAddr>,
-    /// Whether these are half of all at least: of two halves one may count at most.
+    /// Whether at least half of all gateways are silent. With that bound at most one side of a network partition
+    /// counts, even if both are equal.
     pub(super) is_cut_off: bool,
 }
 
-/// A look that waits for signs of life.
+/// A poll that waits for answers.
 #[derive(Clone, Debug)]
 struct Poll {
     at: Duration,
-    /// The gateways that were asked; none where all were.
+    /// The sampled gateways; `None` for a poll of all gateways.
     sample: Option<Vec<SocketAddr>>,
 }
 
-/// What is known of the other gateways.
+/// The results of polls of the other gateways.
 #[derive(Debug, Default)]
 pub(super) struct Reachability {
-    under_way: Option<Poll>,
+    pending_poll: Option<Poll>,
     sampled_at: Option<Duration>,
-    /// Whether most of the last sample were silent.
+    /// Whether most of the last sample were silent, or the last poll of all gateways found this one cut off.
     is_doubtful: bool,
-    seen: Option<(ReachabilityView, Duration)>,
+    last_view: Option<(ReachabilityView, Duration)>,
 }
 
 impl Reachability {
-    /// Ends and begins looks; gives the gateways that are to be asked for a sign of life.
+    /// Ends and begins polls as they are due. Returns the gateways to ping.
     pub(super) fn poll(
         &mut self,
         members: &Members,
@@ -60,14 +61,14 @@
         now: Duration,
     ) -> Vec<SocketAddr> {
         let wait = members.max_answer_timeout(POLL_TIMEOUT);
-        if let Some(poll) = self.under_way.take_if(|poll| now >= poll.at + wait) {
+        if let Some(poll) = self.pending_poll.take_if(|poll| now >= poll.at + wait) {
             self.end(poll, members, now);
         }
-        if self.under_way.is_some() {
+        if self.pending_poll.is_some() {
             return Vec::new();
         }
         let is_old = self
-            .seen
+            .last_view
             .as_ref()
             .is_none_or(|(_, at)| now >= *at + FULL_POLL_INTERVAL);
         if (must_be_known || self.is_doubtful) && is_old {
@@ -86,7 +87,7 @@
     }
 
     fn begin(&mut self, sample: Option<Vec<SocketAddr>>, now: Duration) {
-        self.under_way = Some(Poll { at: now, sample });
+        self.pending_poll = Some(Poll { at: now, sample });
     }
 
     fn end(&mut self, poll: Poll, members: &Members, now: Duration) {
@@ -98,21 +99,25 @@
             }
             None => {
                 let is_cut_off = silent.len() * 2 >= members.count();
-                let was_cut_off = self.seen.as_ref().is_some_and(|(view, _)| view.is_cut_off);
+                let was_cut_off = self
+                    .last_view
+                    .as_ref()
+                    .is_some_and(|(view, _)| view.is_cut_off);
                 if is_cut_off != was_cut_off {
                     log::info!(silent = silent.len(), gateways = members.count(), is_cut_off;
-                        "which gateways are silent");
+                        "connectivity to the majority of gateways has changed");
                 }
                 self.is_doubtful = is_cut_off;
-                self.seen = Some((ReachabilityView { silent, is_cut_off }, now));
+                self.last_view = Some((ReachabilityView { silent, is_cut_off }, now));
             }
         }
     }
 
-    /// What is known; nothing known counts as nobody being silent, unless it must be known.
+    /// Returns the last valid result. Without one, returns `None` if `must_be_known` is set, and otherwise a view
+    /// without silent gateways.
     pub(super) fn view(&self, must_be_known: bool, now: Duration) -> Option<ReachabilityView> {
-        let seen = self.seen.as_ref();
-        let fresh = seen.filter(|(_, at)| now < *at + VIEW_TTL);
+        let last_view = self.last_view.as_ref();
+        let fresh = last_view.filter(|(_, at)| now < *at + VIEW_TTL);
         match fresh {
             Some((view, _)) => Some(view.clone()),
             None if must_be_known => None,
--- a/crates/swiftshunt-gateway/src/slots/cross_region.rs
+++ b/crates/swiftshunt-gateway/src/slots/cross_region.rs
@@ -94,7 +94,8 @@
                 selector.counterparts(cell),
             )
         };
-        let accepting_batch: Vec<CellWorker> = workers.into_iter().filter(|it| it.accepts_batch).collect();
+        let accepting_batch: Vec<CellWorker> =
+            workers.into_iter().filter(|it| it.accepts_batch).collect();
         let free = match lock(&self.allocators).get(cell) {
             Some(allocator) => allocator.usage(&accepting_batch).free,
             None => accepting_batch.iter().map(|worker| worker.slots).sum(),
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -172,7 +172,11 @@
             .get(cell)
             .filter(|last_report| last_report.owner == owner)
         else {
-            return if is_idle { DueAction::Nothing } else { DueAction::Report };
+            return if is_idle {
+                DueAction::Nothing
+            } else {
+                DueAction::Report
+            };
         };
         let report = &last_report.report;
         let is_new = report.held != *held
@@ -185,7 +189,10 @@
             return DueAction::Report;
         }
         let heard_at = self.members.heard_at(owner);
-        match last_report.probed_at.filter(|probed_at| heard_at < *probed_at) {
+        match last_report
+            .probed_at
+            .filter(|probed_at| heard_at < *probed_at)
+        {
             Some(probed_at)
                 if now >= probed_at + self.members.answer_timeout(owner, OWNER_PROBE_TIMEOUT) =>
             {
@@ -204,7 +211,9 @@
         let now = self.clock.now();
         let heard_at = self.members.heard_at(owner);
         if let Some(last_report) = lock(&self.last_reports).get_mut(cell) {
-            let unanswered_probe = last_report.probed_at.filter(|probed_at| heard_at < *probed_at);
+            let unanswered_probe = last_report
+                .probed_at
+                .filter(|probed_at| heard_at < *probed_at);
             last_report.probed_at = unanswered_probe.or(Some(now));
         }
     }
