--- a/crates/swiftshunt-gateway/src/messages/waiting.rs
+++ b/crates/swiftshunt-gateway/src/messages/waiting.rs
@@ -3,35 +3,35 @@
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::TenantName;
 
-/// What is limited together.
+/// The scope of a limit of waiting tokens: a tenant's jobs on a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub(crate) struct Allowance {
-    /// The route.
+    /// The name of the batch route.
     pub(crate) route: String,
-    /// The tenant; none where callers need no keys.
+    /// The tenant; `None` if callers need no keys.
     pub(crate) tenant: Option<TenantName>,
 }
 
-/// A job that asks for room within a limit.
+/// A job whose tokens are to be reserved within a limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct LimitedJob {
-    /// What is limited.
+    /// The scope of the limit.
     pub(crate) allowance: Allowance,
-    /// Names the job: by its identifier, or by a digest of one that is too long for a datagram.
+    /// The job's name: its identifier, or a digest of an identifier that is too long for a datagram.
     pub(crate) job: String,
-    /// The partition that it lies in.
+    /// The partition of the journal that holds the job.
     pub(crate) partition: u32,
-    /// Its tokens.
+    /// Number of tokens of the job's items.
     pub(crate) tokens: u64,
-    /// The limit.
+    /// The limit in tokens, by the sender's configuration.
     pub(crate) limit: u64,
 }
 
-/// Longest identifier of a job that is told as it is, in bytes.
+/// Maximum length in bytes of a job's identifier that is sent as it is.
 const MAX_PLAIN_NAME_BYTES: usize = 200;
 
 impl LimitedJob {
-    /// Names a job that has an identifier: callers may choose one of any length.
+    /// Returns the name of a job with this identifier. Callers may choose identifiers of any length.
     pub(crate) fn job_name(identifier: &str) -> String {
         if identifier.len() <= MAX_PLAIN_NAME_BYTES {
             return identifier.to_owned();
@@ -40,113 +40,113 @@
     }
 }
 
-/// What the gateway that counts says about a job.
+/// A counter's decision about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobVerdict {
-    /// It fits.
+    /// The job fits into the limit, and its tokens are reserved.
     Admitted,
-    /// It does not fit now.
+    /// The job does not fit into the limit now.
     Full,
-    /// It is not known yet; it is after so many milliseconds.
+    /// It is not known yet whether the job fits.
     Settling {
-        /// Milliseconds.
+        /// Time in milliseconds after which it is expected to be known.
         within_ms: u64,
     },
-    /// Another gateway counts, or another life of this one.
+    /// The asked gateway is not the counter, or the question names an earlier run of its process.
     NotCounter,
 }
 
-/// What stands in a partition, as its holder has read it.
+/// A holder's report of the outstanding tokens in a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct HeldPartition {
-    /// The partition.
+    /// The number of the partition.
     pub(crate) partition: u32,
-    /// Tokens of unfinished items.
+    /// Tokens of unfinished items in the partition.
     pub(crate) tokens: u64,
     /// The offset up to which the holder has read.
     pub(crate) end: u64,
-    /// Milliseconds since the holder's last read was answered, when it answered the call for reports.
+    /// Time in milliseconds between the answer to the holder's last read and its report.
     pub(crate) age_ms: u64,
 }
 
-/// A message about a limit. Each is one datagram.
+/// A message about a limit of waiting tokens. Each is one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WaitingMessage {
-    /// What waits in partitions that the sender holds: from earlier builds.
+    /// Reports the waiting tokens in partitions that the sender holds. Only earlier builds send it, and it is ignored.
     Report {
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// Tokens by partition.
+        /// Waiting tokens by partition.
         partitions: Vec<(u32, u64)>,
     },
-    /// Asks whether a job fits: from earlier builds.
+    /// Asks whether a job fits. Only earlier builds send it.
     Ask {
-        /// Names the question in the answer.
+        /// Identifies the question in the answer.
         ask: u64,
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// The job.
+        /// The job's name.
         job: String,
-        /// Its tokens.
+        /// Number of tokens of the job's items.
         tokens: u64,
-        /// The limit.
+        /// The limit in tokens.
         limit: u64,
     },
-    /// The answer to an earlier build.
+    /// The answer to [`Self::Ask`].
     Answer {
-        /// The question.
+        /// The identifier of the question.
         ask: u64,
-        /// Whether it fits.
+        /// Whether the job fits.
         fits: bool,
-        /// Tokens that wait, with this job if it fits.
+        /// Number of waiting tokens, including the job if it fits.
         waiting: u64,
     },
-    /// Asks the gateway that counts whether a job fits.
+    /// Asks the counter of a limit whether a job fits.
     Question {
-        /// Names the question in the answer.
+        /// Identifies the question in the answer.
         ask: u64,
-        /// The life that is taken for the one that counts.
+        /// The member name of the gateway process that the sender considers the counter.
         counter: String,
-        /// The job.
+        /// The job to decide about.
         job: LimitedJob,
     },
-    /// The answer.
+    /// The answer to [`Self::Question`].
     Decided {
-        /// The question.
+        /// The identifier of the question.
         ask: u64,
-        /// What is decided.
+        /// The counter's decision.
         verdict: JobVerdict,
     },
-    /// The record of an admitted job stands.
+    /// Tells the counter that an admitted job was recorded in the journal.
     Recorded {
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// The job.
+        /// The job's name.
         job: String,
     },
-    /// An admitted job was not recorded, and will not be.
+    /// Tells the counter that an admitted job was not recorded and will not be.
     Released {
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// The job.
+        /// The job's name.
         job: String,
     },
-    /// Asks holders of partitions what stands in them.
+    /// Asks the holders of partitions to report the outstanding tokens in them.
     Collect {
-        /// Names the call in the answers.
+        /// The number of the collection round, which identifies it in the answers.
         round: u64,
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// Whether a holder first reads what it has not seen.
+        /// Whether a holder reads its partitions to the end before it answers.
         is_exact: bool,
     },
-    /// The answer of a holder.
+    /// A holder's answer to [`Self::Collect`].
     Collected {
-        /// The call.
+        /// The number of the collection round.
         round: u64,
-        /// What is limited.
+        /// The scope of the limit.
         allowance: Allowance,
-        /// What it holds.
+        /// The reports of partitions that the sender holds.
         partitions: Vec<HeldPartition>,
     },
 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -1,4 +1,5 @@
-//! What a gateway does that counts for a limit: it decides, learns what stands, and keeps the register.
+//! The counter's side of a limit: it decides about jobs, collects reports of outstanding tokens, and maintains the
+//! register.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -16,61 +17,65 @@
 use crate::messages::waiting::{Allowance, HeldPartition, JobVerdict, LimitedJob, WaitingMessage};
 use crate::metrics::Basis;
 
-/// Pause between two calls for what stands: near the limit, far from it, and while no job comes.
+/// Interval between two collections of reports while the outstanding tokens are near the limit.
 const COLLECT_INTERVAL: Duration = Duration::from_millis(400);
+/// The same while they are far from the limit.
 const COLLECT_INTERVAL_FAR: Duration = Duration::from_secs(2);
+/// The same while no job arrives.
 const COLLECT_INTERVAL_IDLE: Duration = Duration::from_secs(30);
-/// Part of the limit up to which what stands is far from it.
+/// Divisor of the limit: outstanding tokens below the quotient are far from the limit.
 const FAR_LIMIT_DIVISOR: u64 = 4;
-/// Part of the time for which a register counts after which it is read again.
+/// Number of times that a register is read again within [`REGISTER_TTL`].
 const VERIFICATIONS_PER_TTL: u32 = 2;
-/// Calls of one limit that may be answered at a time.
+/// Maximum number of collection rounds of one limit whose answers are accepted.
 const MAX_OPEN_ROUNDS: usize = 4;
-/// When a question may be asked again that came before the register was read.
+/// Time after which a gateway may ask again if the register has to be read before its job is decided.
 const VERIFICATION_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Calls for what stands that may still be answered.
+/// The collection rounds whose answers are still accepted.
 #[derive(Default)]
 pub(super) struct CollectRounds {
     last: u64,
-    called: HashMap<Allowance, VecDeque<(u64, Duration)>>,
+    open_rounds: HashMap<Allowance, VecDeque<(u64, Duration)>>,
 }
 
 impl CollectRounds {
-    /// Begins a call.
+    /// Begins a round and returns its number.
     fn begin(&mut self, allowance: &Allowance, now: Duration) -> u64 {
         self.last += 1;
-        let calls = self.called.entry(allowance.clone()).or_default();
-        calls.push_back((self.last, now));
-        while calls.len() > MAX_OPEN_ROUNDS {
-            calls.pop_front();
+        let rounds = self.open_rounds.entry(allowance.clone()).or_default();
+        rounds.push_back((self.last, now));
+        while rounds.len() > MAX_OPEN_ROUNDS {
+            rounds.pop_front();
         }
         self.last
     }
 
-    /// When a call began; none if it is too old to be answered.
+    /// Returns when a round began; `None` if its answers are no longer accepted.
     fn began_at(&self, allowance: &Allowance, round: u64) -> Option<Duration> {
-        let mut calls = self.called.get(allowance)?.iter();
-        calls.find(|(call, _)| *call == round).map(|(_, at)| *at)
+        let mut rounds = self.open_rounds.get(allowance)?.iter();
+        rounds
+            .find(|(number, _)| *number == round)
+            .map(|(_, at)| *at)
     }
 
-    /// When the last call began.
+    /// Returns when the last round of a limit began.
     fn last_at(&self, allowance: &Allowance) -> Option<Duration> {
-        self.called.get(allowance)?.back().map(|(_, at)| *at)
+        self.open_rounds.get(allowance)?.back().map(|(_, at)| *at)
     }
 }
 
-/// What is to be done about a limit.
-struct Due {
+/// The work that is due for a limit.
+struct DueWork {
     allowance: Allowance,
     limit: u64,
-    is_to_verify: bool,
-    /// Whether holders are called, and whether they first read what they have not seen.
-    call: Option<bool>,
+    should_verify: bool,
+    /// `Some` if reports are collected now; the value says whether holders first read their partitions to the end.
+    collect_exact: Option<bool>,
 }
 
 impl WaitingLimits {
-    /// Decides about a job where this gateway counts.
+    /// Decides whether a job is admitted; returns [`JobVerdict::NotCounter`] if this gateway is not the counter.
     pub(super) fn decide(&self, job: &LimitedJob) -> JobVerdict {
         if !self.is_counter(&job.allowance) {
             return JobVerdict::NotCounter;
@@ -110,16 +115,18 @@
         }
     }
 
-    /// Whether this gateway counts for a limit, as far as it has read.
+    /// Returns whether this gateway is the counter of a limit according to the last register that it read.
     pub(super) fn is_counter(&self, allowance: &Allowance) -> bool {
         let register = self.registers.cached(allowance);
-        register.is_some_and(|register| register.counter == self.own_life && !register.is_stopped)
+        register.is_some_and(|register| {
+            register.counter == self.own_member_name && !register.is_stopped
+        })
     }
 
     fn log_decision(&self, job: &LimitedJob, counter: &Counter, decision: Decision, now: Duration) {
         let register = counter.register();
         let outstanding = counter.outstanding();
-        // A job that has to wait asks again every few milliseconds, and its gateway tells how that ended.
+        // The gateway of a job that has to wait asks again every few milliseconds and logs the final outcome.
         let level = match decision {
             Decision::Admitted | Decision::Full | Decision::Lost => log::Level::Info,
             Decision::Settling(_) | Decision::Unverified => log::Level::Debug,
@@ -129,7 +136,7 @@
             reported = outstanding.reported(), granted = outstanding.granted(), partitions = outstanding.partitions(),
             oldest_ms = now.saturating_sub(outstanding.as_of()).as_millis() as u64, version = register.version,
             counted = register.counted, share = register.share, earlier_shares = register.earlier_shares;
-            "it is decided whether a job fits");
+            "decided whether a job fits into the limit of waiting tokens");
         let basis = if counter.is_settled() {
             Basis::Counted
         } else {
@@ -152,14 +159,14 @@
         }
     }
 
-    /// Takes what a holder tells of its partitions.
+    /// Applies a holder's report of its partitions; ignores it if its round is no longer open.
     pub(super) fn apply_collected(
         &self,
         allowance: &Allowance,
         round: u64,
         partitions: Vec<HeldPartition>,
     ) {
-        let Some(called_at) = lock(&self.rounds).began_at(allowance, round) else {
+        let Some(round_began_at) = lock(&self.rounds).began_at(allowance, round) else {
             return;
         };
         let mut counters = lock(&self.counters);
@@ -171,13 +178,13 @@
                 partition: held.partition,
                 tokens: held.tokens,
                 end: held.end,
-                as_of: called_at.saturating_sub(Duration::from_millis(held.age_ms)),
+                as_of: round_began_at.saturating_sub(Duration::from_millis(held.age_ms)),
             });
         }
     }
 
-    /// Keeps what this gateway counts, for as long as the process lives. `holders` tells where the gateways are
-    /// reached that hold partitions of the journal.
+    /// Maintains the limits whose counter is this gateway, until the process ends. `holders` returns the addresses of
+    /// the gateways that hold partitions of the journal.
     pub(crate) async fn run_counting<Holders>(self: Arc<Self>, holders: impl Fn() -> Holders)
     where
         Holders: Future<Output = BTreeSet<SocketAddr>>,
@@ -189,23 +196,31 @@
                 let wakeup = self.wakeup.notified();
                 drop(tokio::time::timeout(COLLECT_INTERVAL, wakeup).await);
             }
-            let due = self.due();
-            if due.iter().any(|due| due.call.is_some()) {
+            let due_work = self.due_work();
+            if due_work
+                .iter()
+                .any(|due_work| due_work.collect_exact.is_some())
+            {
                 let holders = holders().await;
-                for due in &due {
-                    self.request_holder_reports(due, &holders);
+                for due_work in &due_work {
+                    self.request_holder_reports(due_work, &holders);
                 }
             }
-            join_all(due.iter().map(|due| self.maintain_register(due))).await;
+            join_all(
+                due_work
+                    .iter()
+                    .map(|due_work| self.maintain_register(due_work)),
+            )
+            .await;
         }
     }
 
-    /// What is to be done, about each limit for which this gateway counts.
-    fn due(&self) -> Vec<Due> {
+    /// Returns the due work for each limit whose counter is this gateway.
+    fn due_work(&self) -> Vec<DueWork> {
         let now = self.clock.now();
         let rounds = lock(&self.rounds);
         let counters = lock(&self.counters);
-        let due = counters.iter().map(|(allowance, counter)| {
+        let due_work = counters.iter().map(|(allowance, counter)| {
             let is_asked = counter.was_asked_recently(now);
             let most = counter.outstanding().max_tokens();
             let is_exact = counter.needs_exact_reports(now);
@@ -217,62 +232,63 @@
             } else {
                 COLLECT_INTERVAL
             };
-            let called_at = rounds.last_at(allowance);
-            let is_time = called_at.is_none_or(|at| now >= at + pause);
-            let is_call = is_time && self.is_counter(allowance) && (is_asked || most > 0);
-            Due {
+            let round_began_at = rounds.last_at(allowance);
+            let is_due = round_began_at.is_none_or(|at| now >= at + pause);
+            let should_collect = is_due && self.is_counter(allowance) && (is_asked || most > 0);
+            DueWork {
                 allowance: allowance.clone(),
                 limit: counter.limit(),
-                is_to_verify: is_asked
+                should_verify: is_asked
                     && now >= counter.verified_at() + REGISTER_TTL / VERIFICATIONS_PER_TTL,
-                call: is_call.then_some(is_exact),
+                collect_exact: should_collect.then_some(is_exact),
             }
         });
-        due.collect()
+        due_work.collect()
     }
 
-    /// Calls for what stands in all partitions.
-    fn request_holder_reports(&self, due: &Due, holders: &BTreeSet<SocketAddr>) {
-        let Some(is_exact) = due.call else {
+    /// Starts a collection round: asks all holders for the outstanding tokens in their partitions.
+    fn request_holder_reports(&self, due_work: &DueWork, holders: &BTreeSet<SocketAddr>) {
+        let Some(is_exact) = due_work.collect_exact else {
             return;
         };
         let now = self.clock.now();
-        let round = lock(&self.rounds).begin(&due.allowance, now);
+        let round = lock(&self.rounds).begin(&due_work.allowance, now);
         let own = self.members.own_address();
         self.enqueue(CollectRequest {
             from: own,
             round,
-            allowance: due.allowance.clone(),
+            allowance: due_work.allowance.clone(),
             is_exact,
         });
         for holder in holders.iter().filter(|holder| **holder != own) {
             let message = WaitingMessage::Collect {
                 round,
-                allowance: due.allowance.clone(),
+                allowance: due_work.allowance.clone(),
                 is_exact,
             };
             self.send(message, *holder);
         }
     }
 
-    /// Reads the register again where that is due, and changes it where that is wanted.
-    async fn maintain_register(&self, due: &Due) {
-        let attended = async {
-            if due.is_to_verify {
-                let reading = self.registers.read(&due.allowance).await?;
-                self.apply_reading(&due.allowance, reading, due.limit);
-                self.count_again(due).await?;
+    /// Reads the register again if that is due, and proposes the change that the counter wants, if any.
+    async fn maintain_register(&self, due_work: &DueWork) {
+        let maintained = async {
+            if due_work.should_verify {
+                let reading = self.registers.read(&due_work.allowance).await?;
+                self.apply_reading(&due_work.allowance, reading, due_work.limit);
+                self.reclaim_if_unanswered(due_work).await?;
             }
-            self.change_register(due).await
+            self.change_register(due_work).await
         };
-        if let Err(error) = attended.await {
-            log::debug!(route = due.allowance.route.as_str(); "a register of a limit is not kept: {error}");
+        if let Err(error) = maintained.await {
+            log::debug!(route = due_work.allowance.route.as_str();
+                "cannot maintain the register of a limit; trying again: {error}");
         }
     }
 
-    /// Makes the change of the register that is wanted.
-    async fn change_register(&self, due: &Due) -> Result<(), LogError> {
-        let allowance = &due.allowance;
+    /// Proposes the change of the register that the counter wants, if any.
+    async fn change_register(&self, due_work: &DueWork) -> Result<(), LogError> {
+        let allowance = &due_work.allowance;
         if !self.is_counter(allowance) {
             return Ok(());
         }
@@ -283,33 +299,36 @@
             return Ok(());
         };
         let proposal = change.register();
-        log::info!(route = allowance.route.as_str(), change:? = change; "a register of a limit changes");
+        log::info!(route = allowance.route.as_str(), change:? = change;
+            "proposing a change of a limit's register");
         let reading = self.registers.propose(allowance, proposal).await?;
-        self.apply_reading(allowance, reading, due.limit);
+        self.apply_reading(allowance, reading, due_work.limit);
         Ok(())
     }
 
-    /// Counts again where this gateway knows what stands and the one that has taken over does not answer: that one
-    /// may be cut off from all others.
-    async fn count_again(&self, due: &Due) -> Result<(), LogError> {
-        let known = self.registers.cached(&due.allowance);
-        let Some(register) = known.filter(|register| register.counter != self.own_life) else {
+    /// Checks on a gateway that has taken over a limit, if there is one. Takes the limit back if that gateway does
+    /// not answer as the counter, since it may be cut off from all others; otherwise drops the own counter.
+    async fn reclaim_if_unanswered(&self, due_work: &DueWork) -> Result<(), LogError> {
+        let known = self.registers.cached(&due_work.allowance);
+        let Some(register) = known.filter(|register| register.counter != self.own_member_name)
+        else {
             return Ok(());
         };
         let question = LimitedJob {
-            allowance: due.allowance.clone(),
+            allowance: due_work.allowance.clone(),
             job: String::new(),
             partition: 0,
             tokens: 0,
-            limit: due.limit,
+            limit: due_work.limit,
         };
         match self.ask(&register, &question).await {
             None | Some(JobVerdict::NotCounter) => {
                 let version = Some(register.version);
-                self.take_over(&due.allowance, due.limit, version).await
+                self.take_over(&due_work.allowance, due_work.limit, version)
+                    .await
             }
             Some(_) => {
-                lock(&self.counters).remove(&due.allowance);
+                lock(&self.counters).remove(&due_work.allowance);
                 Ok(())
             }
         }
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -1,10 +1,10 @@
-//! Limits of the tokens that a tenant may have waiting on a batch route, kept by all gateways together.
+//! Limits of the tokens that a tenant may have waiting on a batch route, enforced by all gateways together.
 //!
-//! For each limit one gateway counts what stands. Which one, and how much of the limit is in whose hands, stands
-//! in the log ([`registers`]). A gateway that takes a job asks the one that counts ([`reservation`]), and takes over
-//! from it where it does not answer; holders of the journal's partitions tell the one that counts what stands
-//! ([`counting`]). A gateway that stops by plan says so in the log, and the next one need not wait for what it may
-//! still do ([`stopping`]).
+//! Each limit has one gateway as its counter, which counts the outstanding tokens. A register in the log names the
+//! counter and the shares of the limit that are assigned to gateways ([`registers`]). A gateway that receives a job asks
+//! the counter ([`reservation`]), and takes over from a counter that does not answer. The holders of the journal's
+//! partitions report the outstanding tokens to the counter ([`counting`]). A gateway with a planned stop records it in
+//! the register, so that its successor need not wait for jobs that it may still admit ([`stopping`]).
 
 mod counting;
 mod registers;
@@ -34,22 +34,22 @@
 use counting::CollectRounds;
 use registers::Registers;
 
-/// Calls for reports that wait to be answered; what comes beyond is called for again.
+/// Maximum number of collect requests that wait for an answer. Further ones are dropped; the counter repeats them.
 const MAX_QUEUED_COLLECT_REQUESTS: usize = 256;
 
-/// Partitions of which one datagram tells: some 50 bytes each.
+/// Maximum number of partitions in a datagram: some 50 bytes each.
 const PARTITIONS_PER_DATAGRAM: usize = 16;
 
-/// A call for what stands in the partitions that this gateway holds.
+/// A counter's request for a report of the partitions that this gateway holds.
 pub(crate) struct CollectRequest {
     pub(crate) from: SocketAddr,
     pub(crate) round: u64,
     pub(crate) allowance: Allowance,
-    /// Whether what was not seen yet is read first.
+    /// Whether the holder reads its partitions to the end before it answers.
     pub(crate) is_exact: bool,
 }
 
-/// What the limits are kept with.
+/// The dependencies of [`WaitingLimits`].
 pub(crate) struct Dependencies {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) members: Arc<Members>,
@@ -57,30 +57,30 @@
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) unreadable: Arc<UnreadableRecords>,
     pub(crate) clock: Clock,
-    /// Partitions of the journal.
+    /// Number of partitions of the journal.
     pub(crate) partitions: u32,
 }
 
-/// The limits.
+/// The limits of waiting tokens at this gateway.
 pub(crate) struct WaitingLimits {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
     metrics: Arc<Metrics>,
     clock: Clock,
     partitions: u32,
-    /// The life of this gateway.
-    own_life: String,
+    /// The member name of this process, by which registers name their counter. It differs after a restart.
+    own_member_name: String,
     registers: Registers,
-    /// Limits for which this gateway counts.
+    /// The counters of the limits that this gateway counts.
     counters: Mutex<HashMap<Allowance, Counter>>,
     rounds: Mutex<CollectRounds>,
-    /// Something is to be done about a limit for which this gateway counts.
+    /// Notified when work is due for a limit that this gateway counts.
     wakeup: Notify,
-    asks: Mutex<HashMap<u64, oneshot::Sender<JobVerdict>>>,
+    pending_asks: Mutex<HashMap<u64, oneshot::Sender<JobVerdict>>>,
     last_ask: AtomicU64,
     collect_sender: mpsc::Sender<CollectRequest>,
     collect_receiver: Mutex<Option<mpsc::Receiver<CollectRequest>>>,
-    /// Whether this gateway stops: it begins to count for no limit.
+    /// Whether this gateway is stopping: it then takes over no limit.
     is_stopping: AtomicBool,
 }
 
@@ -97,7 +97,7 @@
         } = dependencies;
         let (collect_sender, collect_receiver) = mpsc::channel(MAX_QUEUED_COLLECT_REQUESTS);
         Self {
-            own_life: Member::new(members.own_address()).to_string(),
+            own_member_name: Member::new(members.own_address()).to_string(),
             registers: Registers::new(log, partitions, unreadable, clock),
             members,
             datagrams,
@@ -107,7 +107,7 @@
             counters: Mutex::default(),
             rounds: Mutex::default(),
             wakeup: Notify::new(),
-            asks: Mutex::default(),
+            pending_asks: Mutex::default(),
             last_ask: AtomicU64::new(0),
             collect_sender,
             collect_receiver: Mutex::new(Some(collect_receiver)),
@@ -119,12 +119,12 @@
         self.datagrams.send(&Notice::Waiting(message), [to]);
     }
 
-    /// The calls of gateways that count, for the one who answers them; none the second time.
+    /// Returns the receiver of collect requests, for the task that answers them; `None` after the first call.
     pub(crate) fn take_collect_requests(&self) -> Option<mpsc::Receiver<CollectRequest>> {
         lock(&self.collect_receiver).take()
     }
 
-    /// Answers a call with what stands in partitions that are held here.
+    /// Answers a collect request with the reports of the partitions held here.
     pub(crate) fn answer_collect_request(
         &self,
         request: CollectRequest,
@@ -150,12 +150,12 @@
         }
     }
 
-    /// Takes a message of another gateway.
+    /// Handles a message from another gateway.
     pub(crate) fn handle_message(self: &Arc<Self>, message: WaitingMessage, from: SocketAddr) {
         self.members.record_contact(from);
         match message {
             WaitingMessage::Question { ask, counter, job } => {
-                let verdict = if counter == self.own_life {
+                let verdict = if counter == self.own_member_name {
                     self.decide(&job)
                 } else {
                     JobVerdict::NotCounter
@@ -163,9 +163,9 @@
                 self.send(WaitingMessage::Decided { ask, verdict }, from);
             }
             WaitingMessage::Decided { ask, verdict } => {
-                let asked = lock(&self.asks).remove(&ask);
+                let asked = lock(&self.pending_asks).remove(&ask);
                 if asked.is_some_and(|asked| asked.send(verdict).is_err()) {
-                    log::debug!(ask; "an answer about a limit came to nobody");
+                    log::debug!(ask; "the counter of a limit answered for a job that no longer waits");
                 }
             }
             WaitingMessage::Recorded { allowance, job } => self.apply_recorded(&allowance, &job),
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Answers an earlier build, which takes this gateway for the one that counts. It is told that all room is
-    /// taken, since it would admit by what is left where it has no answer.
+    /// Answers a gateway of an earlier build, which considers this gateway the counter. The answer always reports the
+    /// limit as used up, since an earlier build admits by the reported rest while it gets no answer.
     async fn answer_earlier_build(self: Arc<Self>, ask: u64, job: LimitedJob, from: SocketAddr) {
         let answer = WaitingMessage::Answer {
             ask,
@@ -219,10 +219,10 @@
         self.send(answer, from);
     }
 
-    /// Hands a call to the one who answers.
+    /// Queues a collect request for the task that answers it.
     fn enqueue(&self, request: CollectRequest) {
         if let Err(error) = self.collect_sender.try_send(request) {
-            log::debug!("a call for what stands is dropped: {error}");
+            log::debug!("dropping a request for a report of waiting tokens: {error}");
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -1,5 +1,5 @@
-//! The registers of limits, as they stand in the log: each version is a record of its own, and of those with the
-//! same version the first counts. So a gateway that proposes a version reads back whether its own stands.
+//! The registers of limits in the log. Each version of a register is a record of its own, and the first record of a
+//! version is the valid one. A gateway that proposes a version therefore reads back which record is valid.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::messages::waiting::Allowance;
 use crate::unreadable::UnreadableRecords;
 
-/// Between the limit, the version and the nonce in a record's key.
+/// Separates the limit, the version and the nonce in a record's key.
 const SEPARATOR: char = '-';
-/// Bytes of a digest that name a limit.
+/// Length in bytes of the digest that names a limit.
 const NAME_BYTES: usize = 16;
 
-/// Why a record is passed over.
+/// The reason for ignoring a record.
 #[derive(Debug, Display, Error)]
 enum Unreadable {
     #[display("its key names no limit and version")]
@@ -33,7 +33,7 @@
     AnotherVersion,
 }
 
-/// Names a limit in the log, which is kept in one place: tenants do not show.
+/// The name of a limit in the log: a digest, so that the log does not show tenants' names.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LimitName(String);
 
@@ -42,7 +42,7 @@
         let mut hasher = blake3::Hasher::new();
         hasher.update(allowance.route.as_bytes());
         if let Some(tenant) = &allowance.tenant {
-            // No route has this byte in its name.
+            // No route's name contains this byte.
             hasher.update(&[0]);
             hasher.update(tenant.as_str().as_bytes());
         }
@@ -50,7 +50,7 @@
         Self(hex::encode(&digest.as_bytes()[..NAME_BYTES]))
     }
 
-    /// The partition of the topic that its registers lie in.
+    /// Returns the partition of the topic that holds the registers of the limit.
     fn partition(&self, partitions: u32) -> u32 {
         let digits = self.0.get(..8).unwrap_or_default();
         u32::from_str_radix(digits, 16).unwrap_or_default() % partitions.max(1)
@@ -61,36 +61,36 @@
 #[derive(Default)]
 struct LimitRecords {
     newest: Option<Register>,
-    /// Keys of all records that are there.
+    /// Keys of all records of the limit that are not yet dropped.
     keys: Vec<Vec<u8>>,
 }
 
-/// A partition of the topic, as of the last read.
+/// The state of a partition of the topic as of the last read.
 #[derive(Default)]
-struct Partition {
+struct PartitionState {
     view: KeyedView,
     is_listed: bool,
     limits: HashMap<LimitName, LimitRecords>,
-    /// When the last read that succeeded began.
+    /// Start time of the last successful read.
     read_at: Option<Duration>,
 }
 
-/// What a read gave.
+/// The result of reading a register.
 #[derive(Clone, Debug)]
 pub(super) struct RegisterReading {
-    /// The newest register of the limit; none if it has none.
+    /// The newest register of the limit; `None` if the limit has no register yet.
     pub(super) register: Option<Register>,
-    /// When the read began: what stood then is known.
+    /// When the read began; every record appended before this time is included.
     pub(super) read_at: Duration,
 }
 
-/// The registers.
+/// The registers of all limits, read from the log.
 pub(super) struct Registers {
     log: Arc<dyn Log>,
     clock: Clock,
     unreadable: Arc<UnreadableRecords>,
-    partitions: Vec<tokio::sync::Mutex<Partition>>,
-    /// The newest of each limit that was read.
+    partitions: Vec<tokio::sync::Mutex<PartitionState>>,
+    /// The newest register that was read, by limit.
     cached: std::sync::Mutex<HashMap<Allowance, Register>>,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The newest register of a limit that was read; it may be old.
+    /// Returns the register of a limit as of the last read. It may be outdated.
     pub(super) fn cached(&self, allowance: &Allowance) -> Option<Register> {
         lock(&self.cached).get(allowance).cloned()
     }
@@ -122,7 +122,7 @@
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
         let mut partition = self.partitions[number as usize].lock().await;
-        // Whoever had the turn before may have read after this was asked.
+        // The previous holder of the lock may have started its read after this call began.
         let read_at = match partition.read_at.filter(|at| *at >= asked_at) {
             Some(read_at) => read_at,
             None => self.read_partition(number, &mut partition).await?,
@@ -134,7 +134,7 @@
         Ok(RegisterReading { register, read_at })
     }
 
-    /// Proposes a register, and reads which one stands.
+    /// Appends a proposed register and returns the register that is valid after that.
     pub(super) async fn propose(
         &self,
         allowance: &Allowance,
@@ -146,23 +146,23 @@
         let superseded = partition.keys_before(&name, proposal.version);
         drop(partition);
         let mut records = vec![record(&name, proposal)];
-        // Once this is appended, a register of its version stands, be it another one: those before are not needed.
+        // Once the proposal is appended, some register of its version is valid, so earlier versions can be dropped.
         let dropped = superseded.into_iter().map(|key| (key, Bytes::new()));
         records.extend(dropped);
         let outcome = self.log.append(Topic::Limits, number, records).await;
         log::debug!(route = allowance.route.as_str(), version = proposal.version, outcome:? = outcome;
-            "a register of a limit is proposed");
+            "proposed a register of a limit");
         self.read(allowance).await
     }
 
-    /// Reads a partition up to its end; gives when the read began.
+    /// Reads a partition up to its end. Returns when the read began.
     async fn read_partition(
         &self,
         number: u32,
-        partition: &mut Partition,
+        partition: &mut PartitionState,
     ) -> Result<Duration, LogError> {
         let read_at = self.clock.now();
-        let mut goal = None;
+        let mut target_offset = None;
         loop {
             if !partition.is_listed {
                 self.list(number, partition).await?;
@@ -170,21 +170,21 @@
             let from = partition.view.next_offset();
             let read = self.log.read(Topic::Limits, number, from, Duration::ZERO);
             let ReadOutcome::Records { records, end } = read.await? else {
-                // What came since the last read is gone from the tail.
+                // The log no longer has all records since the last read, so the partition is listed anew.
                 partition.is_listed = false;
                 continue;
             };
-            let goal = *goal.get_or_insert(end);
+            let target_offset = *target_offset.get_or_insert(end);
             let changes = partition.view.apply_tail(records);
             self.apply(partition, changes);
-            if partition.view.next_offset() >= goal {
+            if partition.view.next_offset() >= target_offset {
                 partition.read_at = Some(read_at);
                 return Ok(read_at);
             }
         }
     }
 
-    async fn list(&self, number: u32, partition: &mut Partition) -> Result<(), LogError> {
+    async fn list(&self, number: u32, partition: &mut PartitionState) -> Result<(), LogError> {
         let page = |after, _| self.log.newest(Topic::Limits, number, after);
         let pages = Listing::default().read(page).await?;
         partition.view.abandon_listing();
@@ -197,10 +197,10 @@
         Ok(())
     }
 
-    fn apply(&self, partition: &mut Partition, changes: Vec<Change>) {
+    fn apply(&self, partition: &mut PartitionState, changes: Vec<Change>) {
         for change in changes {
             match change {
-                Change::Set(record) => match read_record(&record.key, &record.value) {
+                Change::Set(record) => match decode_record(&record.key, &record.value) {
                     Ok((name, register)) => partition.apply_register(name, register, record.key),
                     Err(error) => {
                         self.unreadable
@@ -216,20 +216,20 @@
     }
 }
 
-impl Partition {
+impl PartitionState {
     fn newest(&self, name: &LimitName) -> Option<Register> {
         self.limits.get(name)?.newest.clone()
     }
 
-    /// Keys of records of a limit's versions before one.
+    /// Returns the keys of records of a limit with versions before the given one.
     fn keys_before(&self, name: &LimitName, version: u64) -> Vec<Vec<u8>> {
         let keys = self.limits.get(name).map(|records| &records.keys);
-        let is_before = |key: &&Vec<u8>| read_key(key).is_ok_and(|(_, at)| at < version);
+        let is_before = |key: &&Vec<u8>| parse_key(key).is_ok_and(|(_, at)| at < version);
         let keys = keys.into_iter().flatten().filter(is_before);
         keys.cloned().collect()
     }
 
-    /// The first record of a version that is newer counts.
+    /// Adds a record. The first record of a version is valid; later ones of the same version change nothing.
     fn apply_register(&mut self, name: LimitName, register: Register, key: Vec<u8>) {
         let records = self.limits.entry(name).or_default();
         records.keys.push(key);
@@ -240,7 +240,7 @@
     }
 
     fn remove_key(&mut self, key: &[u8]) {
-        let Ok((name, _)) = read_key(key) else {
+        let Ok((name, _)) = parse_key(key) else {
             return;
         };
         if let Some(records) = self.limits.get_mut(&name) {
@@ -257,12 +257,12 @@
     );
     let mut value = Vec::new();
     if let Err(error) = ciborium::into_writer(register, &mut value) {
-        log::error!("a register of a limit has no form: {error}");
+        log::error!("cannot serialize the register of a limit: {error}");
     }
     (key.into_bytes(), value.into())
 }
 
-fn read_key(key: &[u8]) -> Result<(LimitName, u64), Unreadable> {
+fn parse_key(key: &[u8]) -> Result<(LimitName, u64), Unreadable> {
     let key = std::str::from_utf8(key).map_err(|_| Unreadable::Key)?;
     let mut parts = key.split(SEPARATOR);
     let mut next = || parts.next().ok_or(Unreadable::Key);
@@ -271,8 +271,8 @@
     Ok((LimitName(name.to_owned()), version))
 }
 
-fn read_record(key: &[u8], value: &[u8]) -> Result<(LimitName, Register), Unreadable> {
-    let (name, version) = read_key(key)?;
+fn decode_record(key: &[u8], value: &[u8]) -> Result<(LimitName, Register), Unreadable> {
+    let (name, version) = parse_key(key)?;
     let register: Register = ciborium::from_reader(value).map_err(|error| Unreadable::Value {
         reason: error.to_string(),
     })?;
@@ -293,35 +293,35 @@
         })
     }
 
-    /// Reads a record as the log gives it.
-    fn take(partition: &mut Partition, register: &Register) -> Vec<u8> {
+    /// Encodes a register as a record, decodes the record and applies it. Returns the record's key.
+    fn encode_and_apply(partition: &mut PartitionState, register: &Register) -> Vec<u8> {
         let (key, value) = record(&name(), register);
-        let (name, register) = read_record(&key, &value).expect("a register");
+        let (name, register) = decode_record(&key, &value).expect("a valid record of a register");
         partition.apply_register(name, register, key.clone());
         key
     }
 
     #[test]
-    fn of_two_that_take_over_at_once_the_first_counts_and_a_late_one_changes_nothing() {
-        let mut partition = Partition::default();
+    fn first_of_two_concurrent_takeovers_is_valid_and_a_late_takeover_changes_nothing() {
+        let mut partition = PartitionState::default();
         let first = Register::first("life-1", 1_000);
-        take(&mut partition, &first);
+        encode_and_apply(&mut partition, &first);
         let winner = first.taken_over("life-2", 1_000);
-        take(&mut partition, &winner);
-        take(&mut partition, &first.taken_over("life-3", 1_000));
+        encode_and_apply(&mut partition, &winner);
+        encode_and_apply(&mut partition, &first.taken_over("life-3", 1_000));
         assert_eq!(partition.newest(&name()), Some(winner.clone()));
         let newest = winner.taken_over("life-4", 1_000);
-        take(&mut partition, &newest);
-        take(&mut partition, &first.taken_over("life-5", 1_000));
+        encode_and_apply(&mut partition, &newest);
+        encode_and_apply(&mut partition, &first.taken_over("life-5", 1_000));
         assert_eq!(partition.newest(&name()), Some(newest));
     }
 
     #[test]
-    fn a_proposal_drops_the_versions_before_it_and_never_one_that_may_stand() {
-        let mut partition = Partition::default();
+    fn a_proposal_drops_earlier_versions_but_no_version_that_may_be_valid() {
+        let mut partition = PartitionState::default();
         let first = Register::first("life-1", 1_000);
-        let superseded = take(&mut partition, &first);
-        take(&mut partition, &first.taken_over("life-2", 1_000));
+        let superseded = encode_and_apply(&mut partition, &first);
+        encode_and_apply(&mut partition, &first.taken_over("life-2", 1_000));
         let own = first.taken_over("life-3", 1_000);
         let dropped = partition.keys_before(&name(), own.version);
         assert_eq!(dropped, std::slice::from_ref(&superseded));
@@ -330,10 +330,10 @@
     }
 
     #[test]
-    fn a_record_that_names_another_version_is_passed_over() {
+    fn a_record_whose_value_has_another_version_than_its_key_is_rejected() {
         let (key, _) = record(&name(), &Register::first("life-1", 1_000));
         let next = Register::first("life-1", 1_000).taken_over("life-2", 1_000);
         let (_, value) = record(&name(), &next);
-        assert!(read_record(&key, &value).is_err());
+        assert!(decode_record(&key, &value).is_err());
     }
 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -1,4 +1,4 @@
-//! Whether a job fits, as a gateway finds out that takes it.
+//! Reserves room for a job within a limit, at the gateway that receives the job.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -15,33 +15,34 @@
 use crate::messages::waiting::{Allowance, JobVerdict, LimitedJob, WaitingMessage};
 use crate::metrics::Basis;
 
-/// How long the answer of the gateway that counts is waited for: a caller waits for its 202 meanwhile, for
-/// hundreds of milliseconds at least.
+/// Time to wait for the counter's answer. The caller waits for its 202 meanwhile, which takes hundreds of
+/// milliseconds in any case.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// The same where the gateway that counts is far: the job is recorded after it, within the lifetime of a grant.
+/// Upper bound of that time for a distant counter. The job is recorded after the answer and within the lifetime of
+/// the grant, so the wait has to be short against that.
 pub(crate) const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
-/// Questions in a row that are not answered after which a gateway takes over: one may be lost.
+/// Number of consecutive unanswered questions after which a gateway takes over: a single datagram may be lost.
 const MAX_MISSED_ANSWERS: u32 = 2;
-/// Pause before a question is asked again.
+/// Pause before the counter is asked again.
 const ASK_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Time for which it is worth waiting until it is known whether a job fits.
+/// Longest announced time until a decision for which a request still waits.
 const MAX_SETTLING_WAIT: Duration = Duration::from_millis(300);
-/// Time in which it is found out whether a job fits, or the caller is told to come back.
+/// Time limit for a decision; without one by then the caller is told to retry later.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Whether a job fits into its limit.
+/// The result of reserving room for a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReservationOutcome {
-    /// It does; its room is set aside until its record stands.
+    /// The job fits; its tokens are reserved until it is recorded.
     Reserved,
-    /// It does not.
+    /// The job does not fit into the limit now.
     Full,
-    /// It is not known; it is after this time.
+    /// It is unknown whether the job fits; a decision is expected after this time.
     Undecided(Duration),
 }
 
 impl WaitingLimits {
-    /// Whether a job fits into its limit.
+    /// Reserves room for a job within its limit.
     pub(crate) async fn reserve(&self, job: &LimitedJob) -> ReservationOutcome {
         let until = self.clock.now() + DECISION_TIMEOUT;
         let mut missed = None;
@@ -61,7 +62,8 @@
                 }
                 Ok(Ok(Some(JobVerdict::NotCounter) | None)) => {}
                 Ok(Err(error)) => {
-                    log::debug!(job = job.job.as_str(); "it is not known who counts: {error}");
+                    log::debug!(job = job.job.as_str();
+                        "cannot find the counter of a limit; trying again: {error}");
                 }
                 Err(_) => break,
             }
@@ -69,12 +71,12 @@
         }
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, settles_in_ms = settles_in.as_millis() as u64;
-            "it is not known whether a job fits");
+            "no decision in time whether a job fits into the limit of waiting tokens");
         self.metrics.record_limit_decision(Basis::Nothing, false);
         ReservationOutcome::Undecided(settles_in)
     }
 
-    /// The record of a job that fits stands.
+    /// Tells the counter that a job with a reservation was recorded.
     pub(crate) fn confirm_reservation(&self, job: &LimitedJob) {
         let (allowance, job) = (job.allowance.clone(), job.job.clone());
         match self.other_counter(&allowance) {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// A job that fits was not recorded, and will not be.
+    /// Tells the counter that a job with a reservation was not recorded and will not be.
     pub(crate) fn release_reservation(&self, job: &LimitedJob) {
         let (allowance, job) = (job.allowance.clone(), job.job.clone());
         match self.other_counter(&allowance) {
@@ -92,15 +94,15 @@
         }
     }
 
-    /// The gateway that counts, unless it is this one or none is known.
+    /// Returns the address of the counter; `None` if it is this gateway or unknown.
     fn other_counter(&self, allowance: &Allowance) -> Option<SocketAddr> {
         let register = self.registers.cached(allowance)?;
         let address = address_of(&register)?;
-        Some(address).filter(|_| register.counter != self.own_life)
+        Some(address).filter(|_| register.counter != self.own_member_name)
     }
 
-    /// Asks the gateway that counts; none if it has to be asked again. `missed` is the life that did not answer
-    /// the last question, and how many times.
+    /// Asks the counter about a job, and takes over from a counter that is gone. Returns `None` if the caller has to
+    /// ask again. `missed` is the counter that did not answer the last question, and its number of consecutive misses.
     async fn ask_current_counter(
         &self,
         job: &LimitedJob,
@@ -120,7 +122,7 @@
             self.take_over(allowance, job.limit, version).await?;
             return Ok(None);
         }
-        if register.counter == self.own_life {
+        if register.counter == self.own_member_name {
             return self.decide_locally(job).await.map(Some);
         }
         let verdict = self.ask(&register, job).await;
@@ -141,7 +143,8 @@
         Ok(None)
     }
 
-    /// Decides by what this gateway counts; takes up what it is said to count.
+    /// Decides by this gateway's own counter. If it has none, reads the register and starts to count if the register
+    /// names this gateway.
     async fn decide_locally(&self, job: &LimitedJob) -> Result<JobVerdict, LogError> {
         let verdict = self.decide(job);
         if verdict == JobVerdict::NotCounter {
@@ -151,12 +154,12 @@
         Ok(verdict)
     }
 
-    /// The verdict of another gateway; none if it does not answer in time.
+    /// Asks the counter that a register names. Returns `None` if it does not answer in time.
     pub(super) async fn ask(&self, register: &Register, job: &LimitedJob) -> Option<JobVerdict> {
         let counter = address_of(register)?;
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
-        lock(&self.asks).insert(ask, sender);
+        lock(&self.pending_asks).insert(ask, sender);
         let question = WaitingMessage::Question {
             ask,
             counter: register.counter.clone(),
@@ -167,7 +170,7 @@
         let answer_timeout = self.members.answer_timeout(counter, ANSWER_TIMEOUT);
         let answer_timeout = answer_timeout.min(MAX_ANSWER_TIMEOUT);
         let answer = tokio::time::timeout(answer_timeout, receiver).await;
-        lock(&self.asks).remove(&ask);
+        lock(&self.pending_asks).remove(&ask);
         if let Ok(Ok(verdict)) = answer {
             let took = self.clock.now().saturating_sub(asked_at);
             self.members.record_answer(counter, took);
@@ -176,12 +179,12 @@
         self.members.record_timeout(counter);
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(),
             counter = register.counter.as_str(), version = register.version;
-            "the gateway that counts a route's waiting tokens did not answer");
+            "the counter of a route's waiting tokens did not answer in time");
         None
     }
 
-    /// Takes over from the gateway that counts by a version of the register, or is the first to count; not where
-    /// the register has changed meanwhile.
+    /// Proposes this gateway as the counter, in place of the one that a version of the register names or as the first
+    /// one. Proposes nothing if the register has changed meanwhile or this gateway is stopping.
     pub(super) async fn take_over(
         &self,
         allowance: &Allowance,
@@ -197,29 +200,30 @@
             return Ok(());
         }
         let proposal = match &read.register {
-            None => Register::first(&self.own_life, limit),
-            Some(register) if register.counter == self.own_life => {
+            None => Register::first(&self.own_member_name, limit),
+            Some(register) if register.counter == self.own_member_name => {
                 self.apply_reading(allowance, read, limit);
                 return Ok(());
             }
             Some(register) if self.has_settled_count(allowance, register) => {
-                register.taken_back(&self.own_life)
+                register.taken_back(&self.own_member_name)
             }
-            Some(register) => register.taken_over(&self.own_life, limit),
+            Some(register) => register.taken_over(&self.own_member_name, limit),
         };
         let before = read.register.map(|register| register.counter);
         let reading = self.registers.propose(allowance, &proposal).await?;
-        let stands = reading.register.as_ref();
-        let is_own = stands.is_some_and(|register| register.counter == self.own_life);
+        let valid_register = reading.register.as_ref();
+        let is_own =
+            valid_register.is_some_and(|register| register.counter == self.own_member_name);
         log::info!(route = allowance.route.as_str(), before = before.as_deref().unwrap_or_default(), is_own,
-            version = stands.map_or(0, |register| register.version),
-            share = stands.map_or(0, |register| register.share), limit;
-            "this gateway would count a route's waiting tokens");
+            version = valid_register.map_or(0, |register| register.version),
+            share = valid_register.map_or(0, |register| register.share), limit;
+            "proposed this gateway as the counter of a route's waiting tokens");
         self.apply_reading(allowance, reading, limit);
         Ok(())
     }
 
-    /// Takes up what a read of the register showed.
+    /// Updates the own counter of a limit from a reading of its register.
     pub(super) fn apply_reading(
         &self,
         allowance: &Allowance,
@@ -230,12 +234,13 @@
             return;
         };
         let mut counters = lock(&self.counters);
-        if register.counter != self.own_life {
-            // What stands remains known until another gateway knows.
-            let is_own = register.known_to.as_ref() == Some(&self.own_life);
+        if register.counter != self.own_member_name {
+            // A gateway that knows the outstanding tokens keeps its counter until another gateway knows them.
+            let is_own = register.known_to.as_ref() == Some(&self.own_member_name);
             if !is_own && counters.remove(allowance).is_some() {
                 log::info!(route = allowance.route.as_str(), counter = register.counter.as_str(),
-                    version = register.version; "another gateway counts a route's waiting tokens");
+                    version = register.version;
+                    "another gateway counts a route's waiting tokens; dropping the counter kept here");
             }
             return;
         }
@@ -251,20 +256,22 @@
         }
     }
 
-    /// Whether this gateway counted last that knows what stands, and still does.
+    /// Returns whether this gateway was the last one to know the outstanding tokens, and still knows them.
     fn has_settled_count(&self, allowance: &Allowance, register: &Register) -> bool {
         let counters = lock(&self.counters);
         let is_settled = counters.get(allowance).is_some_and(Counter::is_settled);
-        is_settled && register.known_to.as_ref() == Some(&self.own_life)
+        is_settled && register.known_to.as_ref() == Some(&self.own_member_name)
     }
 }
 
-/// Where the gateway is reached that counts by a register.
+/// Returns the address of the counter that a register names; `None` if its name is invalid.
 fn address_of(register: &Register) -> Option<SocketAddr> {
     match register.counter.parse::<Member>() {
         Ok(member) => Some(member.address),
         Err(error) => {
-            log::warn!("a register of a limit is passed over: {error}");
+            log::warn!(
+                "ignoring the register of a limit, whose counter has an invalid name: {error}"
+            );
             None
         }
     }
--- a/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/stopping.rs
@@ -1,5 +1,5 @@
-//! The planned stop of a gateway that counts: it admits nothing more, waits until what it admitted is recorded,
-//! and says in the register that it has stopped.
+//! The planned stop of a counter: it admits no more jobs, waits until the admitted ones are recorded, and marks the
+//! register as stopped.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 use crate::fleet_state::lock;
 use crate::messages::waiting::Allowance;
 
-/// Time for which what was admitted is waited for: most appends take a few tens of milliseconds, and whoever takes
-/// over without word waits for it itself.
+/// Time to wait for the records of admitted jobs. Most appends take a few tens of milliseconds, and a gateway that takes
+/// over without a stopped register waits for them itself.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two looks.
+/// Pause between two checks whether all admitted jobs are recorded.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl WaitingLimits {
-    /// Has other gateways count in place of this one, which stops.
+    /// Stops counting for all limits, so that other gateways can take over.
     pub(crate) async fn stop(&self) {
         self.is_stopping.store(true, Ordering::Release);
         let counted: Vec<Allowance> = {
@@ -35,28 +35,29 @@
         .await;
     }
 
-    /// Whether this gateway stops.
+    /// Returns whether this gateway is stopping.
     pub(super) fn is_stopping(&self) -> bool {
         self.is_stopping.load(Ordering::Acquire)
     }
 
     async fn stop_counting(&self, allowance: &Allowance) {
         let stopped = tokio::time::timeout(STOP_TIMEOUT, self.write_stopped_register(allowance));
-        let is_said = match stopped.await {
-            Ok(Ok(is_said)) => is_said,
+        let is_marked = match stopped.await {
+            Ok(Ok(is_marked)) => is_marked,
             Ok(Err(error)) => {
-                log::info!(route = allowance.route.as_str(); "a register of a limit is not kept: {error}");
+                log::info!(route = allowance.route.as_str();
+                    "cannot mark the register of a limit as stopped: {error}");
                 false
             }
             Err(_) => false,
         };
         lock(&self.counters).remove(allowance);
-        log::info!(route = allowance.route.as_str(), is_said;
-            "this gateway counts a route's waiting tokens no more, since it stops");
+        log::info!(route = allowance.route.as_str(), is_said = is_marked;
+            "this gateway is stopping and no longer counts a route's waiting tokens");
     }
 
-    /// Whether the register says that this gateway has stopped: not if another one counts, or this one does not
-    /// know what stands.
+    /// Marks the register as stopped. Returns `false` if another gateway is the counter, or this one does not know the
+    /// outstanding tokens or all assigned shares.
     async fn write_stopped_register(&self, allowance: &Allowance) -> Result<bool, LogError> {
         while self.is_counter(allowance) {
             let Some((limit, proposal)) = self.stopped(allowance) else {
@@ -69,11 +70,11 @@
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         let register = self.registers.cached(allowance);
-        Ok(register.is_some_and(|register| register.counter == self.own_life))
+        Ok(register.is_some_and(|register| register.counter == self.own_member_name))
     }
 
-    /// The limit and, once what was admitted is recorded, the register that says that this gateway has stopped;
-    /// none if it cannot say so.
+    /// Returns the limit and, once all admitted jobs are recorded, the register that marks this gateway as stopped.
+    /// Returns `None` if this gateway does not know the outstanding tokens or other gateways have shares.
     fn stopped(&self, allowance: &Allowance) -> Option<(u64, Option<Register>)> {
         let counters = lock(&self.counters);
         let counter = counters.get(allowance)?;
