--- a/crates/swiftshunt-gateway/src/messages/rates.rs
+++ b/crates/swiftshunt-gateway/src/messages/rates.rs
@@ -40,8 +40,8 @@
     Counted(CreditResponse),
     /// Another gateway is the counter, and is known to be alive.
     CountedBy(SocketAddr),
-    /// The gateway does not know yet whether it is the counter: whether an earlier gateway in the tenant's order is
-    /// gone, or which gateways are silent.
+    /// The gateway does not know yet whether it is the counter. It is still finding out whether an earlier gateway in
+    /// the tenant's order is gone, or which gateways are silent.
     NotYet,
 }
 
--- a/crates/swiftshunt-gateway/src/quarantine/mod.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/mod.rs
@@ -118,8 +118,9 @@
         }
     }
 
-    /// Returns the hold of a request that must not be sent now. Callers check before each send, since another attempt
-    /// may have ended a worker meanwhile. Waits for a running check of a worker at which the request broke off.
+    /// Returns the hold of a request, or `None` if the request may be sent now. Callers check before each send, since
+    /// another attempt may have ended a worker meanwhile. Waits for a running check of a worker at which the request
+    /// broke off.
     pub(crate) async fn find_hold(
         &self,
         request_content: &RequestContent,
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -73,7 +73,8 @@
     fn add(&self, end_key: EndKey, end: Option<WorkerEnd>) {
         let mut records = lock(&self.records);
         if records.len() >= MAX_PENDING_RECORDS {
-            log::warn!(fingerprint:% = end_key.fingerprint; "too many records wait for the log; not recording an end of a worker");
+            log::warn!(fingerprint:% = end_key.fingerprint;
+                "too many records wait for the log; not recording an end of a worker");
             return;
         }
         records.insert(end_key, end);
@@ -93,7 +94,7 @@
         taken
     }
 
-    /// Returns records whose append failed to the queue, except those that a newer entry replaces.
+    /// Puts records whose append failed back into the queue, except those that a newer entry replaces.
     fn put_back(&self, taken: Vec<(EndKey, Option<WorkerEnd>)>) {
         let mut records = lock(&self.records);
         for (end_key, end) in taken {
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -259,7 +259,7 @@
     }
 }
 
-/// Keeps a request in the number of waiting requests of its tenant until dropped.
+/// Counts a request as waiting in its tenant's state until dropped.
 struct WaitingGuard<'r> {
     rates: &'r Rates,
     tenant: &'r TenantName,
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns the credit of an admitted request that was sent to no worker.
+    /// Refunds the credit of an admitted request that was sent to no worker.
     pub(crate) fn refund_credit(&self, tenant: &Tenant) {
         if tenant.rate.is_none() {
             return;
--- a/crates/swiftshunt-gateway/src/slots/cross_region.rs
+++ b/crates/swiftshunt-gateway/src/slots/cross_region.rs
@@ -30,7 +30,8 @@
         self.to = elsewhere.or(self.to.take()).filter(|_| !self.was_taken);
     }
 
-    /// Returns the cell to which the request goes now, if any; all later calls return `None`.
+    /// Returns the cell to which the request goes now, if any. After a call has returned a cell, all later calls
+    /// return `None`.
     pub(super) fn take_target(&mut self) -> Option<Cell> {
         let to = self.to.take()?;
         self.was_taken = true;
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -42,8 +42,8 @@
 /// Time for which a cell that had no free slot is skipped. A busy cell completes some tens of requests
 /// in this time.
 const FULL_CELL_TTL: Duration = Duration::from_millis(100);
-/// Maximum number of prompt parts in a slot request. The last parts of a prompt are seldom shared with
-/// other requests, and the message has to fit into a datagram.
+/// Maximum number of prompt parts in a slot request. The last parts of a prompt are specific to the
+/// request, and the message has to fit into a datagram.
 const MAX_PROMPT_PARTS: usize = 8;
 
 /// A candidate placement of a request.
@@ -64,7 +64,7 @@
 /// The outcome of asking a slot owner.
 struct AskOutcome {
     answer: SlotAnswer,
-    /// `None` if the owner did not answer in time or has no reports from other gateways.
+    /// `None` if the owner did not answer in time, or if it is this gateway and lacks reports of other gateways.
     reply: Option<OwnerReply>,
 }
 
@@ -288,7 +288,8 @@
         self.record_assignment(cell, assigned.number);
         if assigned.waits || assigned.frees {
             log::info!(request = query.request, cell = cell.index, waits = assigned.waits,
-                item_leaves = assigned.frees, worker = assigned.worker.0; "no slot was free; the request waits or a batch item is preempted");
+                item_leaves = assigned.frees, worker = assigned.worker.0;
+                "no slot was free; the request waits or a batch item is preempted");
         }
         let Assigned {
             worker, reading, ..
--- a/crates/swiftshunt-gateway/src/slots/owner.rs
+++ b/crates/swiftshunt-gateway/src/slots/owner.rs
@@ -29,7 +29,8 @@
         };
         for (gateway, worker) in orders {
             log::info!(cell = cell.index, worker = worker.0,
-                gateway = gateway.to_string().as_str(); "more requests at a worker than it has slots; preempting a batch item");
+                gateway = gateway.to_string().as_str();
+                "more requests at a worker than it has slots; preempting a batch item");
             self.metrics.workers_relieved.inc();
             self.order_preemption(gateway, worker);
         }
@@ -83,8 +84,8 @@
     }
 
     /// Returns whether no other gateway has reported about a cell although there are other gateways. This
-    /// gateway has then just started or is about to stop, and its allocator knows less than the view from
-    /// the workers' answers.
+    /// gateway has then just started or is about to stop, and its allocator knows less of the load than its
+    /// own view, which follows from the workers' answers.
     pub(super) fn lacks_peer_reports(&self, cell: &Cell) -> bool {
         let own = self.members.own_address();
         let knows_others = lock(&self.allocators)
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -19,9 +19,9 @@
 
 /// Interval between two collections of reports while the outstanding tokens are near the limit.
 const COLLECT_INTERVAL: Duration = Duration::from_millis(400);
-/// The same while they are far from the limit.
+/// Interval between two collections while the outstanding tokens are far from the limit.
 const COLLECT_INTERVAL_FAR: Duration = Duration::from_secs(2);
-/// The same while no job arrives.
+/// Interval between two collections while no job arrives.
 const COLLECT_INTERVAL_IDLE: Duration = Duration::from_secs(30);
 /// Divisor of the limit: outstanding tokens below the quotient are far from the limit.
 const FAR_LIMIT_DIVISOR: u64 = 4;
@@ -35,20 +35,20 @@
 /// The collection rounds whose answers are still accepted.
 #[derive(Default)]
 pub(super) struct CollectRounds {
-    last: u64,
+    last_number: u64,
     open_rounds: HashMap<Allowance, VecDeque<(u64, Duration)>>,
 }
 
 impl CollectRounds {
     /// Begins a round and returns its number.
     fn begin(&mut self, allowance: &Allowance, now: Duration) -> u64 {
-        self.last += 1;
+        self.last_number += 1;
         let rounds = self.open_rounds.entry(allowance.clone()).or_default();
-        rounds.push_back((self.last, now));
+        rounds.push_back((self.last_number, now));
         while rounds.len() > MAX_OPEN_ROUNDS {
             rounds.pop_front();
         }
-        self.last
+        self.last_number
     }
 
     /// Returns when a round began; `None` if its answers are no longer accepted.
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -3,8 +3,9 @@
 //! Each limit has one gateway as its counter, which counts the outstanding tokens. A register in the log names the
 //! counter and the shares of the limit that are assigned to gateways ([`registers`]). A gateway that receives a job asks
 //! the counter ([`reservation`]), and takes over from a counter that does not answer. The holders of the journal's
-//! partitions report the outstanding tokens to the counter ([`counting`]). A gateway with a planned stop records it in
-//! the register, so that its successor need not wait for jobs that it may still admit ([`stopping`]).
+//! partitions report the outstanding tokens to the counter ([`counting`]). A counter that stops by plan marks the
+//! register as stopped, so that its successor need not wait for jobs that a lost counter might still admit
+//! ([`stopping`]).
 
 mod counting;
 mod registers;
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -122,7 +122,7 @@
         let name = LimitName::of(allowance);
         let number = name.partition(self.partitions.len() as u32);
         let mut partition = self.partitions[number as usize].lock().await;
-        // The previous holder of the lock may have started its read after this call began.
+        // The task that held the lock before may have started its read after this call began.
         let read_at = match partition.read_at.filter(|at| *at >= asked_at) {
             Some(read_at) => read_at,
             None => self.read_partition(number, &mut partition).await?,
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -18,14 +18,14 @@
 /// Time to wait for the counter's answer. The caller waits for its 202 meanwhile, which takes hundreds of
 /// milliseconds in any case.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(60);
-/// Upper bound of that time for a distant counter. The job is recorded after the answer and within the lifetime of
-/// the grant, so the wait has to be short against that.
+/// Upper bound of the time to wait for the answer of a distant counter. The job is recorded after the answer, and that
+/// has to happen within the lifetime of the grant.
 pub(crate) const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(450);
 /// Number of consecutive unanswered questions after which a gateway takes over: a single datagram may be lost.
 const MAX_MISSED_ANSWERS: u32 = 2;
 /// Pause before the counter is asked again.
 const ASK_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest announced time until a decision for which a request still waits.
+/// Maximum time until a decision, as announced by the counter, for which it is worth waiting.
 const MAX_SETTLING_WAIT: Duration = Duration::from_millis(300);
 /// Time limit for a decision; without one by then the caller is told to retry later.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(900);
