--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -27,7 +27,7 @@
 
 /// The result of waiting for a counter's answer.
 pub(super) enum CounterReply {
-    /// The counter answered.
+    /// An answer arrived, or the wait for the answer to another task's credit request ended.
     Received,
     /// The asked gateway does not know yet whether it is the counter.
     NotYet,
