--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -134,7 +134,8 @@
                 continue;
             }
             let began = self.dispatcher.clock.now();
-            let Some(outgoing) = self.outgoing(id, spec, item, request_content, residency) else {
+            let Some(outgoing) = self.build_request(id, spec, item, request_content, residency)
+            else {
                 let reason = "item has no valid path or host";
                 return self.settle(id, item, ItemOutcome::GivenUp, String::new(), reason);
             };
@@ -276,7 +277,7 @@
         })
     }
 
-    fn outgoing(
+    fn build_request(
         self: &Arc<Self>,
         id: &ItemId,
         spec: &JobSpec,
--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -29,11 +29,13 @@
 /// Delay before items of a newly leased partition start, in which the previous holder writes their progress.
 const HAND_OVER_DELAY: Duration = Duration::from_millis(400);
 
+/// The leases as of the last answered renewal.
 #[derive(Default)]
 struct HeldLeases {
     generation: u64,
     /// Leased partitions, with the time since which each is leased.
     partitions: BTreeMap<u32, Duration>,
+    /// Expiry of the leases while the log answers.
     until: Duration,
     /// Time of the first unanswered renewal in a row; `None` while the log answers.
     unavailable_since: Option<Duration>,
@@ -150,7 +152,7 @@
 
     async fn renew(&self) -> Result<(), LogError> {
         let generation = lock(&self.held).generation;
-        let asked = self.clock.now();
+        let asked_at = self.clock.now();
         let renewal = self
             .log
             .renew(Topic::Jobs, &self.member, self.duration, generation);
@@ -182,7 +184,7 @@
         *held = HeldLeases {
             generation,
             partitions,
-            until: asked + self.duration,
+            until: asked_at + self.duration,
             ..HeldLeases::default()
         };
         Ok(())
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -55,7 +55,7 @@
 /// Time-out assumed for the caller of a call about a job, which does not state one.
 const ASSUMED_CALLER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The batch side of a gateway.
+/// The batch jobs of a gateway: accepts and ends them, runs their items and serves their results.
 pub(crate) struct Batch {
     dispatcher: Arc<Dispatcher>,
     settings: Arc<GatewaySettings>,
@@ -155,13 +155,14 @@
         self.leases.release_all().await;
     }
 
-    /// Whether every result and all handed-over progress has been written to the journal.
+    /// Whether every result has been written to the journal and no progress is queued.
     pub(crate) fn are_results_written(&self) -> bool {
         self.results.are_results_written()
     }
 
-    /// Answers a call about a job: through the gateway that holds the job's partition if it can be reached, else
-    /// through a reader of the region, else from the log.
+    /// Answers a call about a job. If this gateway neither holds nor follows the job's partition, forwards the call to
+    /// the gateway that holds the partition, else to a reader of the region, and else reads the log. A gateway that may
+    /// not handle jobs only forwards calls.
     pub(crate) async fn answer(
         &self,
         call: Call,
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -39,7 +39,7 @@
 
 /// The known owners of partitions.
 #[derive(Default)]
-struct Known {
+struct KnownOwners {
     by_partition: BTreeMap<u32, SocketAddr>,
     read_at: Option<Duration>,
     asked_at: Option<Duration>,
@@ -53,8 +53,8 @@
     log: Arc<dyn Log>,
     own: SocketAddr,
     clock: Clock,
-    known: Mutex<Known>,
-    reading: tokio::sync::Mutex<()>,
+    known: Mutex<KnownOwners>,
+    read_lock: tokio::sync::Mutex<()>,
     client: PeerClient<Empty<Bytes>>,
 }
 
@@ -65,7 +65,7 @@
             own,
             clock,
             known: Mutex::default(),
-            reading: tokio::sync::Mutex::default(),
+            read_lock: tokio::sync::Mutex::default(),
             client: peer_http::new_client(MAX_IDLE_CONNECTIONS),
         }
     }
@@ -152,7 +152,7 @@
         if !is_due() {
             return;
         }
-        let _turn = self.reading.lock().await;
+        let _guard = self.read_lock.lock().await;
         if is_due() {
             self.read().await;
         }
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -29,8 +29,8 @@
 
 /// Path at which gateways serve pages to each other.
 pub(crate) const PATH: &str = "/peer/page";
-/// Time for which a page is cached. The gateways that need it request it while the leases are assigned, so a longer
-/// time has no use, and the log must still have the tail from the page's end on.
+/// Time for which a page is cached. It covers the time in which leases are assigned, since the gateways that need the
+/// page request it then. The log must still have the tail from the page's end on when the page is used.
 const PAGE_TTL: Duration = Duration::from_secs(8);
 /// Time within which a reader answers, with the page or with 202 while the read is in progress.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -148,13 +148,13 @@
     pub(crate) fn set_held(&self, held: &BTreeSet<u32>) {
         for (number, partition) in (0..).zip(&self.partitions) {
             let holds = held.contains(&number);
-            let began = {
+            let is_newly_held = {
                 let mut interest = lock(&partition.interest);
-                let began = holds && !interest.held;
+                let is_newly_held = holds && !interest.held;
                 interest.held = holds;
-                began
+                is_newly_held
             };
-            if began {
+            if is_newly_held {
                 partition.wanted.notify_one();
             }
         }
@@ -214,15 +214,19 @@
                 continue;
             }
             let is_listing = !self.state(partition).is_listed;
-            let step = self.step(partition, &mut listing).await;
-            backoff.backoff_on_error(&step).await;
-            if step.is_ok() && !is_listing {
+            let outcome = self.list_or_read_tail(partition, &mut listing).await;
+            backoff.backoff_on_error(&outcome).await;
+            if outcome.is_ok() && !is_listing {
                 tokio::time::sleep(READ_INTERVAL).await;
             }
         }
     }
 
-    async fn step(&self, partition: u32, listing: &mut Listing) -> Result<(), LogError> {
+    async fn list_or_read_tail(
+        &self,
+        partition: u32,
+        listing: &mut Listing,
+    ) -> Result<(), LogError> {
         let listed = self.state(partition).is_listed;
         if !listed {
             return self.list(partition, listing).await;
--- a/crates/swiftshunt-gateway/src/batch/results.rs
+++ b/crates/swiftshunt-gateway/src/batch/results.rs
@@ -70,7 +70,7 @@
         lock(&self.entries).contains_key(&(partition, job.to_owned(), item))
     }
 
-    /// Whether every result and all queued progress has been written.
+    /// Whether every result has been written and no progress is queued.
     pub(crate) fn are_results_written(&self) -> bool {
         let written = lock(&self.entries)
             .values()
--- a/crates/swiftshunt-gateway/src/metrics/mod.rs
+++ b/crates/swiftshunt-gateway/src/metrics/mod.rs
@@ -175,7 +175,7 @@
         };
         let asked_again = counter(
             "asked_again",
-            "Times that a request got no worker and tried again after a pause",
+            "Times that a request found all workers full and tried again after a pause",
         );
         let late_in_line = counter(
             "late_in_line",
