--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -73,7 +73,8 @@
                 ..spec
             },
             Err(error) => {
-                log::info!(job = id, reason = error.reason.as_str(); "a submitted job is not readable; answering 400");
+                log::info!(job = id, reason = error.reason.as_str();
+                    "a submitted job is not readable; answering 400");
                 return plain(StatusCode::BAD_REQUEST, "the job is not readable");
             }
         };
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -197,7 +197,8 @@
             if let Some(answer) = read {
                 return answer;
             }
-            log::info!(job, partition; "no other gateway answered a call about a job; answering from the log");
+            log::info!(job, partition;
+                "no other gateway answered a call about a job; answering from the log");
         }
         self.answer_locally(call).await
     }
--- a/crates/swiftshunt-gateway/src/batch/out_of_region.rs
+++ b/crates/swiftshunt-gateway/src/batch/out_of_region.rs
@@ -75,7 +75,8 @@
         let retry_after = match decide(&situation, rand::random()) {
             Decision::Refuse(retry_after) | Decision::AskAgain(retry_after) => retry_after,
         };
-        log::info!(reason, come_back_ms = retry_after.as_millis() as u64; "refused: no gateway that may handle the job can serve the call");
+        log::info!(reason, come_back_ms = retry_after.as_millis() as u64;
+            "refused: no gateway that may handle the job can serve the call");
         let metrics = &self.dispatcher.metrics;
         metrics.record_refusal(Refusal::OutsideResidency, retry_after, Duration::ZERO);
         not_run(reason, retry_after)
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -125,7 +125,8 @@
         match tokio::time::timeout(REPLY_TIMEOUT, self.read_page(&call)).await {
             Ok(Ok(page)) => encode_answer(&page),
             Ok(Err(error)) => {
-                log::info!(partition = call.partition; "a page of a partition could not be read for another gateway: {error}");
+                log::info!(partition = call.partition;
+                    "a page of a partition could not be read for another gateway: {error}");
                 plain(StatusCode::SERVICE_UNAVAILABLE, "the page is not read")
             }
             Err(_) => plain(StatusCode::ACCEPTED, "the page is being read"),
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -245,7 +245,7 @@
             let call = PageCall {
                 partition,
                 after,
-                // The log dropped records after the known offset from the tail, and older pages lack these records.
+                // After a drop, the tail no longer has the records after the known offset, and older pages lack them.
                 not_before: not_before.max(known),
             };
             self.pages.page(call)
@@ -292,7 +292,8 @@
                 Ok(Some(end))
             }
             ReadOutcome::Dropped => {
-                log::info!(partition, from; "journal records were dropped before they were read; listing the partition anew");
+                log::info!(partition, from;
+                    "journal records were dropped before they were read; listing the partition anew");
                 self.state(partition).is_listed = false;
                 Ok(None)
             }
--- a/crates/swiftshunt-gateway/src/batch/results.rs
+++ b/crates/swiftshunt-gateway/src/batch/results.rs
@@ -165,7 +165,8 @@
                 progress,
             };
             let outcome = self.appender.append(partition, &record).await;
-            log::info!(job = job.as_str(), partition, outcome:? = outcome; "the append of items' progress for their next runner ended");
+            log::info!(job = job.as_str(), partition, outcome:? = outcome;
+                "the append of items' progress for their next runner ended");
             lock(&self.results.pending_progress).remove(&(partition, job));
         }
     }
@@ -187,7 +188,7 @@
         true
     }
 
-    /// Deletes closed jobs whose results have been kept for the configured time.
+    /// Drops closed jobs that were first seen longer ago than the configured time for keeping results.
     pub(crate) async fn drop_expired_jobs(self: Arc<Self>) {
         loop {
             tokio::time::sleep(EXPIRY_CHECK_INTERVAL).await;
@@ -204,12 +205,14 @@
         }
     }
 
+    /// Forgets a job and, if this gateway holds its partition, deletes its records from the log.
     async fn drop_job(&self, partition: u32, job: &str) {
         let keys = self.replay.state(partition).fold.forget(job);
         if !self.leases.holds(partition) {
             return;
         }
         let outcome = self.appender.drop_keys(partition, keys).await;
-        log::info!(job, partition, outcome:? = outcome; "an expired job was deleted");
+        log::info!(job, partition, outcome:? = outcome;
+            "the deletion of an expired job from the journal ended");
     }
 }
--- a/crates/swiftshunt-gateway/src/batch/token_reports.rs
+++ b/crates/swiftshunt-gateway/src/batch/token_reports.rs
@@ -51,7 +51,8 @@
         let unread = join_all(reads).await;
         let unread = unread.iter().filter(|read| read.is_err()).count();
         if unread > 0 {
-            log::info!(unread; "some held partitions could not be read up to their end; reporting their last known state");
+            log::info!(unread;
+                "some held partitions could not be read up to their end; reporting their last known state");
         }
     }
 
--- a/crates/swiftshunt-gateway/src/log_relay/availability.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/availability.rs
@@ -52,8 +52,8 @@
         was_unavailable != self.is_unavailable
     }
 
-    /// Returns which of `others` to use as relay: the last one that relayed a call, else the first that is not suspected.
-    /// Returns `None` during a pause or if all are suspected.
+    /// Returns which of `others` to use as relay: the last one that relayed a call, else the first that is not
+    /// suspected. Returns `None` during a pause or if all are suspected.
     pub(crate) fn choose_relay(&self, others: &[SocketAddr], now: Duration) -> Option<SocketAddr> {
         if now < self.paused_until {
             return None;
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -66,7 +66,7 @@
     clock: Clock,
     call_timeout: Duration,
     availability: Mutex<LogAvailability>,
-    /// Whether the log is unavailable to this gateway. Direct reads that wait are cancelled when it becomes unavailable.
+    /// Whether the log is unavailable to this gateway. When it becomes so, direct reads that wait are cancelled.
     unavailable: watch::Sender<bool>,
     client: PeerClient<Full<Bytes>>,
 }
@@ -221,7 +221,8 @@
     fn mark_suspected(&self, other: SocketAddr) {
         let now = self.clock.now();
         lock(&self.availability).record_refusal(other, now);
-        log::debug!(other = other.to_string().as_str(); "a gateway did not relay a call to the log; skipping it for now");
+        log::debug!(other = other.to_string().as_str();
+            "a gateway did not relay a call to the log; skipping it for now");
     }
 
     async fn request_relay(&self, other: SocketAddr, body: Bytes) -> RelayOutcome {
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -136,8 +136,8 @@
             .await
     }
 
-    /// Publishes the records that the log returned to this gateway from an offset on. If this gateway is not a reader or
-    /// its reads are relayed, stops answering instead.
+    /// Publishes the records that the log returned to this gateway from an offset on. If this gateway is not a reader
+    /// or its reads are relayed, stops answering instead.
     pub(crate) fn publish(
         &self,
         from: u64,
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -69,8 +69,8 @@
         self.all().contains(&self.members.own_address())
     }
 
-    /// Returns the gateways of the region that read for others; empty if there are few gateways. Each region has its own
-    /// readers, so that the records cross into it only once per reader.
+    /// Returns the gateways of the region that read for others; empty if there are few gateways. Each region has its
+    /// own readers, so that the records cross into it only once per reader.
     fn all(&self) -> Vec<SocketAddr> {
         select_readers(self.members.of_own_region(), self.gateways_per_reader)
     }
