--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -28,7 +28,7 @@
 pub(crate) struct Submission<'s> {
     /// Identifier that the caller chose, not yet qualified by the tenant.
     pub(crate) id: &'s str,
-    /// Tenant of the caller; `None` if callers are not assigned to tenants.
+    /// Tenant of the caller; `None` if callers are not checked.
     pub(crate) tenant: Option<&'s TenantName>,
     /// Route that the job was submitted on.
     pub(crate) route: &'s Route,
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -427,7 +427,7 @@
 
 impl ItemOutput {
     /// Records that the item is quarantined. It waits until it may be sent again or reaches its route's limit
-    /// (`give_up_after`) like any other item. Logged once per hold.
+    /// (`give_up_after`) like any other item. Only the start of a hold is logged.
     fn record_hold(&mut self, id: &ItemId, item: &ItemSpec, held: QuarantineHold) {
         if !std::mem::replace(&mut self.is_held, true) {
             log::info!(job = id.job.as_str(), item = item.id.as_str(), ends = held.ends,
--- a/crates/swiftshunt-gateway/src/batch/runner.rs
+++ b/crates/swiftshunt-gateway/src/batch/runner.rs
@@ -11,7 +11,7 @@
 use crate::clock::Clock;
 use crate::running::ItemId;
 
-/// Interval between scheduling rounds while items wait or run.
+/// Longest interval between scheduling rounds while items wait or run, and shortest interval while none does.
 const SCHEDULE_INTERVAL: Duration = Duration::from_millis(40);
 /// Longest interval between scheduling rounds while no item waits or runs.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/swiftshunt-gateway/src/log_relay/availability.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/availability.rs
@@ -7,13 +7,13 @@
 
 /// Number of consecutive failed calls from which on the log may count as unavailable.
 const FAILURE_THRESHOLD: u32 = 2;
-/// Time without a successful call after which it then counts as unavailable. While only a part of the log is down,
-/// other calls keep succeeding.
+/// Time without a successful call that must also have passed before the log counts as unavailable. While only a part of
+/// the log is down, other calls keep succeeding, and the log stays available.
 const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a gateway that did not relay a call is skipped.
+/// How long a gateway is skipped after a call through it failed.
 const SUSPICION_DURATION: Duration = Duration::from_secs(1);
-/// Number of consecutive failed relays after which no gateway is tried for [`REFUSAL_PAUSE`], since the log is then
-/// taken to be unavailable to all gateways.
+/// Number of consecutive failed calls through other gateways after which none is tried for [`REFUSAL_PAUSE`], since
+/// the log is then considered unavailable to all gateways.
 const MAX_CONSECUTIVE_REFUSALS: u32 = 3;
 /// Pause of relaying after [`MAX_CONSECUTIVE_REFUSALS`].
 const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
@@ -69,13 +69,13 @@
         last.or_else(|| others.iter().copied().find(|other| !is_suspected(other)))
     }
 
-    /// Records that another gateway has relayed a call.
+    /// Records that a call through another gateway succeeded.
     pub(crate) fn record_relayed(&mut self, other: SocketAddr) {
         self.last_relay = Some(other);
         self.refusals = 0;
     }
 
-    /// Records that another gateway did not relay a call.
+    /// Records that a call through another gateway failed.
     pub(crate) fn record_refusal(&mut self, other: SocketAddr, now: Duration) {
         self.suspected_until.retain(|_, until| now < *until);
         self.suspected_until.insert(other, now + SUSPICION_DURATION);
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -222,7 +222,7 @@
         let now = self.clock.now();
         lock(&self.availability).record_refusal(other, now);
         log::debug!(other = other.to_string().as_str();
-            "a gateway did not relay a call to the log; skipping it for now");
+            "a call to the log through another gateway failed; skipping that gateway for now");
     }
 
     async fn request_relay(&self, other: SocketAddr, body: Bytes) -> RelayOutcome {
