--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one worker.
+//! A single send of a request to one worker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 use crate::start_permits::{StartPermit, StartPermits};
 use crate::upstream::{Sender, Upstream};
 
-/// What every send needs.
+/// Sends requests to workers; shared by all sends of this gateway.
 pub(crate) struct Dispatcher {
     pub(crate) protocol: Arc<dyn Protocol>,
     pub(crate) fleet_state: Arc<FleetState>,
@@ -40,20 +40,21 @@
     pub(crate) clock: Clock,
 }
 
-/// A request as it goes to any worker.
+/// A request as it is sent to any worker.
 #[derive(Clone)]
 pub(crate) struct OutgoingRequest {
     pub(crate) id: Option<String>,
     pub(crate) headers: HeaderMap,
     pub(crate) demand: Demand,
-    /// What it is, however often it is sent.
+    /// The content, the same in every send.
     pub(crate) request_content: RequestContent,
-    /// Until when it may be sent: a process that stood still on the way to a worker may have lost the right.
+    /// The right to send the request, checked when the body is written: a process that was paused before that
+    /// may have lost it.
     pub(crate) permit: SendPermit,
 }
 
 impl OutgoingRequest {
-    /// Binds the request to the regions that a configuration allows for it.
+    /// Restricts the request to the regions that a configuration allows for it.
     pub(crate) fn bind_residency(&mut self, configuration: &Configuration) {
         let path = self.request_content.target().path();
         let Some(route) = configuration.route(self.request_content.host(), path) else {
@@ -67,61 +68,61 @@
     }
 }
 
-/// How long a send may take.
+/// The time limits of a send.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SendLimits {
-    /// When the request is given up, on the gateway's clock.
+    /// Time at which the request is given up, on the gateway's clock.
     pub(crate) deadline: Duration,
-    /// What the worker is told, if it is to be told a time.
+    /// Deadline that the worker gets in a header, on the gateway's clock; `None` if it gets none.
     pub(crate) caller_deadline: Option<Duration>,
-    /// Silence of the worker, on all requests of this gateway, after which the request is taken
-    /// away from it; none if it may not go elsewhere.
+    /// Time without activity of the worker, on all requests of this gateway, after which the send fails; `None`
+    /// if the request may not be sent to another worker.
     pub(crate) silence: Option<Duration>,
 }
 
-/// How a send ended before there was a usable head of an answer.
+/// Why a send ended without a usable answer.
 #[derive(Clone, Debug, Display)]
 pub(crate) enum SendFailure {
-    /// The request has ended too many workers: no byte was sent.
+    /// The request is in quarantine, since too many workers ended while they ran it: no byte was sent.
     #[display("not sent: it is held, since {ends} workers ended while they ran it")]
     Held {
-        /// How many.
+        /// Number of these workers.
         ends: usize,
     },
-    /// The worker may not be offered it: no byte was sent.
+    /// The worker may not get the request: no byte was sent.
     #[display("not sent: {why}")]
     Withheld {
-        /// Why.
+        /// The rule that forbids it.
         why: Withheld,
     },
-    /// No byte was sent.
+    /// No byte was sent, since the connection failed or the time or permit of the request was over.
     #[display("not sent: {reason}")]
     NotSent {
-        /// Why.
+        /// The error, for logs.
         reason: String,
     },
     /// The worker declared that it did not run the request.
     #[display("declined with status {status}")]
     Declined {
-        /// Its status.
+        /// Status of the worker's answer.
         status: u16,
     },
-    /// The request was sent and there is no answer: it may have run.
+    /// The request was sent and there is no usable answer: it may have run.
     #[display("broken: {reason}")]
     Broken {
-        /// Why.
+        /// The error, for logs.
         reason: String,
     },
-    /// The worker was silent for too long.
+    /// The worker showed no activity within the limit; the request may have run.
     #[display("the worker is silent")]
     Silent,
-    /// The time of the request is over.
+    /// The deadline of the request passed; it may have run.
     #[display("out of time")]
     OutOfTime,
 }
 
 impl SendFailure {
-    /// Whether the request surely did not run.
+    /// Whether it is certain that the request did not run.
     pub(crate) fn did_not_run(&self) -> bool {
         matches!(
             self,
@@ -133,7 +134,7 @@
     }
 }
 
-/// A worker's answer whose head is there.
+/// A worker's answer whose head has arrived.
 pub(crate) struct Answer {
     pub(crate) head: response::Parts,
     pub(crate) facts: AnswerFacts,
@@ -143,15 +144,15 @@
 }
 
 impl Answer {
-    /// Whether it is a success that counts: the worker vouches for it, and the body is as the
-    /// worker made it.
+    /// Whether the status is a success, the worker signed the answer, and the body has no content encoding that
+    /// an intermediary may have applied.
     pub(crate) fn is_signed_success(&self) -> bool {
         self.head.status.is_success()
             && self.facts.signed
             && !self.head.headers.contains_key("content-encoding")
     }
 
-    /// The answer was read to its end.
+    /// Records an answer that was read to its end, and returns its connection to the pool.
     pub(crate) fn finish(self, dispatcher: &Dispatcher) {
         let Self {
             head,
@@ -160,7 +161,7 @@
             sender,
             ..
         } = self;
-        in_flight.set_ending(ending_by_status(head.status));
+        in_flight.set_ending(outcome_by_status(head.status));
         if head.status.is_success() {
             dispatcher
                 .quarantine
@@ -192,14 +193,14 @@
     }
 }
 
-/// Limits of silence after which a request that was overtaken counts as left hanging: long prompts
-/// are overtaken without being left.
-const HANGING: u32 = 4;
-/// Pause between looks at a worker that is silent.
-const SILENCE_CHECK: Duration = Duration::from_millis(50);
+/// Multiple of the silence limit after which a request fails if its worker has begun requests that were sent
+/// later. Less would be wrong for long prompts: they are overtaken although the worker still reads them.
+const OVERTAKEN_SILENCE_LIMITS: u32 = 4;
+/// Interval between two checks of a silent worker.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Dispatcher {
-    /// Sends to the chosen worker and waits for the head of the answer.
+    /// Sends a request to the chosen worker and waits for the head of the answer.
     pub(crate) async fn send(
         &self,
         chosen: &ChosenWorker,
@@ -224,8 +225,8 @@
         let (response, sender) = match outcome {
             Ok(answered) => answered,
             Err(failure) => {
-                in_flight.set_ending(ending_of(&failure));
-                self.metrics.record_attempt(name_of(&failure));
+                in_flight.set_ending(outcome_of(&failure));
+                self.metrics.record_attempt(metric_label(&failure));
                 return Err(failure);
             }
         };
@@ -238,8 +239,8 @@
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
-            in_flight.set_ending(ending_of(&failure));
-            self.metrics.record_attempt(name_of(&failure));
+            in_flight.set_ending(outcome_of(&failure));
+            self.metrics.record_attempt(metric_label(&failure));
             return Err(failure);
         }
         Ok(Answer {
@@ -251,7 +252,7 @@
         })
     }
 
-    /// Why an answer is no answer to this request.
+    /// Returns a failure if the worker declined the request or the answer belongs to another request.
     fn refuse_answer(
         &self,
         chosen: &ChosenWorker,
@@ -272,7 +273,7 @@
         log::warn!(request = outgoing.id.as_deref().unwrap_or(""),
             worker = chosen.incarnation.as_str(),
             answered = facts.request_id.as_deref().unwrap_or("");
-            "an answer belongs to another request");
+            "answer belongs to another request; the worker's connections are used once each for now");
         Some(SendFailure::Broken {
             reason: "the answer belongs to another request".to_owned(),
         })
@@ -285,15 +286,15 @@
         last_event: Option<u64>,
         limits: SendLimits,
     ) -> Result<(hyper::Response<Incoming>, Sender), SendFailure> {
-        let start = Some(self.start(chosen, outgoing, None).await?);
-        let resting = self
+        let permit = Some(self.ensure_start_permit(chosen, outgoing, None).await?);
+        let idle = self
             .upstream
             .take_idle(&chosen.incarnation, self.clock.now());
-        if let Some(mut sender) = resting {
+        if let Some(mut sender) = idle {
             let request = self.request(chosen, outgoing, last_event, limits);
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
-                // If nothing of it was sent, a new connection serves as well.
+                // If no byte of the request was sent, it is sent over a new connection.
                 Err(mut error) => {
                     if error.take_message().is_none() {
                         return Err(send_failure(error.error()));
@@ -310,7 +311,7 @@
                 reason: "the time was over before it was sent".to_owned(),
             });
         }
-        self.start(chosen, outgoing, start).await?;
+        self.ensure_start_permit(chosen, outgoing, permit).await?;
         let request = self.request(chosen, outgoing, last_event, limits);
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, sender)),
@@ -325,20 +326,20 @@
         }
     }
 
-    /// Whether the request may be sent now: the worker may be offered it, and if it is cold, there is a start
-    /// there, `held` from before or a new one.
-    async fn start(
+    /// Checks that the request may be sent now: the worker may get it, and for a cold worker there is a start
+    /// permit, either `held` or a new one. Returns the permit.
+    async fn ensure_start_permit(
         &self,
         chosen: &ChosenWorker,
         outgoing: &OutgoingRequest,
         held: Option<StartPermit>,
     ) -> Result<StartPermit, SendFailure> {
-        let start = self.start_permits.ensure_permit(chosen, held).await;
+        let permit = self.start_permits.ensure_permit(chosen, held).await;
         self.may_offer(chosen, outgoing)?;
-        start.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
+        permit.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
     }
 
-    /// Whether the worker may still be offered the request: it was chosen a moment ago.
+    /// Checks that the worker may still get the request: the fleet state may have changed since it was chosen.
     fn may_offer(
         &self,
         chosen: &ChosenWorker,
@@ -378,7 +379,7 @@
         request
     }
 
-    /// Ends when the request is to be taken away from the worker.
+    /// Returns when a limit of the send is reached.
     async fn wait_until_limit(&self, chosen: &ChosenWorker, limits: SendLimits) -> SendFailure {
         let started = self.clock.now();
         let now = started;
@@ -392,13 +393,14 @@
             if now >= limits.deadline {
                 return SendFailure::OutOfTime;
             }
-            let quiet = self.worker_silence(&chosen.incarnation, now);
+            let worker_silence = self.worker_silence(&chosen.incarnation, now);
             let waited = now.saturating_sub(started);
-            let hangs = waited >= silence * HANGING && self.has_overtaken(chosen, started);
-            if hangs || quiet.unwrap_or(waited) >= silence {
+            let hangs =
+                waited >= silence * OVERTAKEN_SILENCE_LIMITS && self.has_overtaken(chosen, started);
+            if hangs || worker_silence.unwrap_or(waited) >= silence {
                 return SendFailure::Silent;
             }
-            tokio::time::sleep(SILENCE_CHECK).await;
+            tokio::time::sleep(SILENCE_CHECK_INTERVAL).await;
         }
     }
 
@@ -408,22 +410,24 @@
         selector.has_overtaken(&chosen.incarnation, sent_at)
     }
 
-    /// How long a worker has given no sign of life on any request of this gateway.
+    /// Returns the time since the last activity of a worker on any request of this gateway; `None` if the
+    /// worker is no longer listed.
     pub(crate) fn worker_silence(&self, incarnation: &str, now: Duration) -> Option<Duration> {
         self.fleet_state.selector().silence(incarnation, now)
     }
 }
 
-/// The failure of a send that the worker may not be offered, logged.
+/// Logs that a worker may not get a request, and returns the failure.
 fn withheld(chosen: &ChosenWorker, outgoing: &OutgoingRequest, why: Withheld) -> SendFailure {
     log::info!(request = outgoing.id.as_deref().unwrap_or(""),
-        worker = chosen.incarnation.as_str(), why:% = why; "a send is withheld");
+        worker = chosen.incarnation.as_str(), why:% = why; "worker may not get the request; not sending");
     SendFailure::Withheld { why }
 }
 
-/// What a whole answer says of its worker: errors of its own count against it, also where the
-/// answer is passed on; a worker that errs at once would else look idle and draw requests.
-fn ending_by_status(status: StatusCode) -> AttemptOutcome {
+/// Returns the outcome of an attempt that was answered with a status. Server errors count as failures of the
+/// worker, also where the answer is forwarded: otherwise, a worker that fails at once would look idle and
+/// attract requests.
+fn outcome_by_status(status: StatusCode) -> AttemptOutcome {
     if status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT {
         AttemptOutcome::Failed
     } else {
@@ -431,7 +435,7 @@
     }
 }
 
-/// The failure of a request that was handed to a connection.
+/// Returns the failure of a request that was handed to a connection.
 fn send_failure(error: &hyper::Error) -> SendFailure {
     if PermitOver::caused(error) {
         let reason = PermitOver.to_string();
@@ -446,7 +450,7 @@
     }
 }
 
-fn ending_of(failure: &SendFailure) -> AttemptOutcome {
+fn outcome_of(failure: &SendFailure) -> AttemptOutcome {
     match failure {
         SendFailure::Held { .. } | SendFailure::Withheld { .. } => AttemptOutcome::Cancelled,
         SendFailure::NotSent { .. } => AttemptOutcome::Unreachable,
@@ -456,7 +460,7 @@
     }
 }
 
-fn name_of(failure: &SendFailure) -> &'static str {
+fn metric_label(failure: &SendFailure) -> &'static str {
     match failure {
         SendFailure::Held { .. } => "held",
         SendFailure::Withheld { .. } => "withheld",
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -1,8 +1,8 @@
-//! What happens to a caller's request before it looks for a worker: its route, who calls, its body, its
-//! tenant's limit.
+//! Checks of a caller's request before it is placed: route, caller, body, and the tenant's rate limit.
 //!
-//! The order: a request without a route is told so whoever asks, one without a known key costs nothing but
-//! the look at its head, and the limit is asked last, so that what cannot run counts for nothing.
+//! Their order matters. A request without a route is refused whoever sends it. A request without a known key
+//! costs only the parsing of its head. The rate limit comes last, so that requests that cannot run do not count
+//! against it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 use crate::request_context::RequestContext;
 
 /// A request whose route and caller are known.
-struct Entered {
+struct IdentifiedRequest {
     route: Arc<Route>,
     caller: Caller,
     head: request::Parts,
@@ -41,8 +41,9 @@
     arrived: Duration,
 }
 
-impl Entered {
-    /// When the caller gives up, or the request is given up for it.
+impl IdentifiedRequest {
+    /// Returns the time at which the request is given up: the caller's timeout or the route's, whichever is
+    /// shorter.
     fn deadline(&self) -> Duration {
         let timeout = self.route.timeout;
         self.arrived + self.facts.caller_timeout.unwrap_or(timeout).min(timeout)
@@ -54,7 +55,7 @@
     pub(crate) async fn answer(&self, request: Request<Incoming>) -> CallerAnswer {
         let arrived = self.dispatcher.clock.now();
         let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
-            return self.refuse_to_start(arrived);
+            return self.refuse_unconfigured(arrived);
         };
         let (head, body) = request.into_parts();
         let protocol = &self.dispatcher.protocol;
@@ -63,24 +64,24 @@
             Call::Malformed => return plain(StatusCode::BAD_REQUEST, "malformed call"),
             call => return self.answer_job_call(&configuration, call, &head).await,
         }
-        let entered = match self.enter(&configuration, head, arrived) {
-            Ok(entered) => entered,
+        let identified = match self.identify(&configuration, head, arrived) {
+            Ok(identified) => identified,
             Err(answer) => return *answer,
         };
         let body = match read_body(body, configuration.limits.body_bytes).await {
             Ok(body) => body,
             Err(refusal) => return refusal,
         };
-        if entered.route.kind == RouteKind::Batch {
-            return self.submit(&entered, &body).await;
+        if identified.route.kind == RouteKind::Batch {
+            return self.submit(&identified, &body).await;
         }
-        if let Some(tenant) = entered.caller.tenant()
+        if let Some(tenant) = identified.caller.tenant()
             && let Err(refused) = self.rates.admit(tenant, configuration.version).await
         {
-            return self.refuse_by_limit(&entered, tenant, refused);
+            return self.refuse_by_limit(&identified, tenant, refused);
         }
-        let tenant = entered.caller.tenant().cloned();
-        let context = self.context(entered, body, configuration.version);
+        let tenant = identified.caller.tenant().cloned();
+        let context = self.context(identified, body, configuration.version);
         self.dispatcher.metrics.in_flight.inc();
         let guard = AbandonGuard::new(&self.dispatcher, &context);
         let (answer, ran) = self.serve(context).await;
@@ -91,25 +92,27 @@
         answer
     }
 
-    /// The answer to a request that comes so late in a stop that it might not end within the grace
+    /// Returns the answer to a request that arrives so late in a stop that it might not end within the grace
     /// period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
         let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
         metrics.record_refusal(Refusal::Stopping, retry_after, Duration::ZERO);
-        log::info!(come_back_ms = retry_after.as_millis() as u64; "refused, since this gateway stops");
+        log::info!(come_back_ms = retry_after.as_millis() as u64; "request refused, since this gateway stops");
         not_run("this gateway stops", retry_after)
     }
 
-    fn refuse_to_start(&self, arrived: Duration) -> CallerAnswer {
+    fn refuse_unconfigured(&self, arrived: Duration) -> CallerAnswer {
         let retry_after = retry_after_startup(arrived, rand::random());
         let metrics = &self.dispatcher.metrics;
         metrics.record_refusal(Refusal::NoConfiguration, retry_after, Duration::ZERO);
-        log::info!(come_back_ms = retry_after.as_millis() as u64; "no configuration is known yet");
+        log::info!(come_back_ms = retry_after.as_millis() as u64;
+            "request refused, since no configuration is known yet");
         not_run("no configuration is known yet", retry_after)
     }
 
-    /// A job outlives its route: the journal alone says whether it is there.
+    /// Answers a call about a batch job. The route is not looked up, since a job outlives its route: only the
+    /// journal tells whether the job exists.
     async fn answer_job_call(
         &self,
         configuration: &Configuration,
@@ -127,16 +130,17 @@
         self.batch.answer(call, head, caller.tenant_name()).await
     }
 
-    fn enter(
+    /// Finds the route and the caller of a request. The error is the answer that refuses the request.
+    fn identify(
         &self,
         configuration: &Configuration,
         head: request::Parts,
         arrived: Duration,
-    ) -> Result<Entered, Box<CallerAnswer>> {
+    ) -> Result<IdentifiedRequest, Box<CallerAnswer>> {
         let host = host_of(&head);
         let path = head.uri.path();
         let Some(route) = configuration.route(&host, path).cloned() else {
-            log::info!(host = host.as_str(), path, version = configuration.version; "no route");
+            log::info!(host = host.as_str(), path, version = configuration.version; "request refused, since no route matches it");
             return Err(Box::new(plain(StatusCode::NOT_FOUND, "no such route")));
         };
         let protocol = &self.dispatcher.protocol;
@@ -147,7 +151,7 @@
         if let Some(refusal) = self.refuse_unconfirmed(&caller) {
             return Err(Box::new(refusal));
         }
-        Ok(Entered {
+        Ok(IdentifiedRequest {
             facts: protocol.request_facts(&head.headers),
             route,
             caller,
@@ -156,7 +160,7 @@
         })
     }
 
-    /// The answer to a caller that shows no known key.
+    /// Returns the answer to a caller whose request carries no known key.
     fn reject(&self, rejected: Rejected, head: &request::Parts, version: u64) -> CallerAnswer {
         self.dispatcher.metrics.record_rejected_key(rejected);
         let facts = self.dispatcher.protocol.request_facts(&head.headers);
@@ -171,7 +175,8 @@
         answer
     }
 
-    /// The answer to a tenant where keys count only as long as the configuration is confirmed.
+    /// Returns the answer that refuses a tenant's request if the configuration was not confirmed within
+    /// `max_config_age`; `None` if the request may be served.
     fn refuse_unconfirmed(&self, caller: &Caller) -> Option<CallerAnswer> {
         let within = self.max_config_age?;
         let tenant = caller.tenant()?;
@@ -185,18 +190,18 @@
         metrics.record_refusal(Refusal::Unconfirmed, retry_after, Duration::ZERO);
         log::info!(tenant = tenant.name.as_str(), age_ms = age.as_millis() as u64,
             come_back_ms = retry_after.as_millis() as u64;
-            "refused, since the configuration is not confirmed");
+            "request of a tenant refused, since the configuration was not confirmed recently");
         Some(not_run("keys cannot be confirmed here", retry_after))
     }
 
     fn refuse_by_limit(
         &self,
-        entered: &Entered,
+        identified: &IdentifiedRequest,
         tenant: &Tenant,
         refused: Refused,
     ) -> CallerAnswer {
         let now = self.dispatcher.clock.now();
-        let time_left = entered.deadline().saturating_sub(now);
+        let time_left = identified.deadline().saturating_sub(now);
         let (refusal, retry_after) = match refused {
             Refused::Limit(again_after) => {
                 let retry_after = retry_after_tenant_limit(again_after, time_left, rand::random());
@@ -207,14 +212,14 @@
         let refusal_context = self.rates.refusal_context(&tenant.name);
         let counter = refusal_context.counter.map(|counter| counter.to_string());
         let limit = tenant.rate;
-        log::info!(request = entered.facts.id.as_deref().unwrap_or(""),
+        log::info!(request = identified.facts.id.as_deref().unwrap_or(""),
             tenant = tenant.name.as_str(), refused:? = refused, limit:? = limit,
             recent_here = refusal_context.figures.here, recent_by_all:? = refusal_context.figures.by_all,
             age_ms:? = refusal_context.figures.age.map(|age| age.as_millis() as u64),
             counter:? = counter, come_back_ms = retry_after.as_millis() as u64;
-            "refused by the limit of its tenant");
+            "request refused by the rate limit of its tenant");
         let metrics = &self.dispatcher.metrics;
-        metrics.record_refusal(refusal, retry_after, now.saturating_sub(entered.arrived));
+        metrics.record_refusal(refusal, retry_after, now.saturating_sub(identified.arrived));
         match refused {
             Refused::Limit(_) => {
                 metrics.record_rate_refusal(tenant.name.as_str());
@@ -224,30 +229,35 @@
         }
     }
 
-    async fn submit(&self, entered: &Entered, body: &[u8]) -> CallerAnswer {
-        let Some(id) = entered.facts.id.as_deref() else {
+    async fn submit(&self, identified: &IdentifiedRequest, body: &[u8]) -> CallerAnswer {
+        let Some(id) = identified.facts.id.as_deref() else {
             return plain(StatusCode::BAD_REQUEST, "the job has no identifier");
         };
         let submission = Submission {
             id,
-            tenant: entered.caller.tenant_name(),
-            route: &entered.route,
-            path: entered.head.uri.path(),
+            tenant: identified.caller.tenant_name(),
+            route: &identified.route,
+            path: identified.head.uri.path(),
             body,
-            deadline: entered.deadline(),
+            deadline: identified.deadline(),
         };
         self.batch.submit(submission).await
     }
 
-    fn context(&self, entered: Entered, body: Bytes, residency_version: u64) -> RequestContext {
-        let deadline = entered.deadline();
-        let Entered {
+    fn context(
+        &self,
+        identified: IdentifiedRequest,
+        body: Bytes,
+        residency_version: u64,
+    ) -> RequestContext {
+        let deadline = identified.deadline();
+        let IdentifiedRequest {
             route,
             caller,
             head,
             facts,
             arrived,
-        } = entered;
+        } = identified;
         let residency = Configuration::residency(&route, &caller);
         let service = self.dispatcher.fleet_state.next_service(&route, &residency);
         let mut headers = end_to_end_headers(&head.headers);
@@ -285,7 +295,7 @@
     }
 }
 
-/// The host that a request names, without a port.
+/// Returns the host that a request names, in lower case and without a port.
 fn host_of(head: &request::Parts) -> String {
     let named = head.headers.get("host").and_then(|host| host.to_str().ok());
     let host = named.or(head.uri.host()).unwrap_or("");
@@ -299,7 +309,7 @@
     without_port.to_ascii_lowercase()
 }
 
-/// Path and query alone.
+/// Returns the path and query of a URI.
 fn origin_form(uri: &hyper::Uri) -> hyper::Uri {
     let Some(path) = uri.path_and_query() else {
         return uri.clone();
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -1,4 +1,4 @@
-//! The other gateways: who is listed, who does not answer, and who owns a cell.
+//! Membership of the gateways: which ones are listed, which are suspected to be down, and which owns a cell.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -16,62 +16,65 @@
 use crate::fleet_state::lock;
 use crate::zone_latencies::ZoneLatencies;
 
-/// Time after which a gateway that no longer lists itself is forgotten: three times the pause
-/// between two listings, and some.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(200);
-/// Questions in a row that are not answered in time after which a gateway counts as gone: one may
-/// be lost.
-const MISSES: u32 = 2;
-/// First time for which it does, doubled with each time in a row.
-const FIRST_DOUBT: Duration = Duration::from_millis(500);
-/// Longest such time: a gateway that was away owns its cells again after it at the latest.
-const LONGEST_DOUBT: Duration = Duration::from_secs(4);
-/// Silence of all others after which a gateway takes itself for cut off, if so many are in doubt.
+/// Time after which a gateway that has not renewed its record is removed from the list: a little more than
+/// three times the interval of 60 s at which gateways register.
+const REGISTRATION_TTL: Duration = Duration::from_secs(200);
+/// Consecutive requests without an answer in time after which a gateway is suspected to be down: a single
+/// datagram may be lost.
+const MISSES_BEFORE_SUSPICION: u32 = 2;
+/// Duration of the first suspicion; each consecutive one lasts twice as long.
+const INITIAL_SUSPICION: Duration = Duration::from_millis(500);
+/// Upper bound of that duration: a gateway that was unreachable owns its cells again after this time at the
+/// latest.
+const MAX_SUSPICION: Duration = Duration::from_secs(4);
+/// Time without contact from any other gateway after which this one considers itself cut off, if
+/// `CUT_OFF_SUSPECTS` others have missed answers.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
-const CUT_OFF_DOUBTS: usize = 2;
-/// Doublings at most.
-const MOST_DOUBLINGS: u32 = 3;
+const CUT_OFF_SUSPECTS: usize = 2;
+/// Upper bound of the number of doublings of a suspicion.
+const MAX_DOUBLINGS: u32 = 3;
 
-/// A gateway that did not answer.
+/// The answers that a gateway has missed in a row, and the time until which it is suspected to be down.
 #[derive(Clone, Copy, Default)]
-struct Doubt {
+struct Suspicion {
     misses: u32,
     times: u32,
     until: Duration,
 }
 
-impl Doubt {
+impl Suspicion {
     fn begin(&mut self, gateway: SocketAddr, now: Duration) {
-        let time = FIRST_DOUBT * 2_u32.pow(self.times.min(MOST_DOUBLINGS));
-        self.until = now + time.min(LONGEST_DOUBT);
-        // Asked again after that time, it has one chance.
-        self.misses = self.misses.max(MISSES);
+        let time = INITIAL_SUSPICION * 2_u32.pow(self.times.min(MAX_DOUBLINGS));
+        self.until = now + time.min(MAX_SUSPICION);
+        // After this time, a single missed answer renews the suspicion.
+        self.misses = self.misses.max(MISSES_BEFORE_SUSPICION);
         self.times += 1;
         log::info!(gateway = gateway.to_string().as_str(),
             for_ms = time.as_millis() as u64; "a gateway does not answer");
     }
 }
 
-/// A gateway that is listed.
+/// A gateway in the list, or one that was removed from it a short time ago.
 struct Listed {
-    /// When it was listed last.
+    /// Time of the last registration, or of the removal.
     at: Duration,
-    /// Its zone, if it has told.
+    /// The gateway's zone; `None` until the gateway has announced it.
     zone: Option<String>,
 }
 
 #[derive(Default)]
-struct Known {
+struct MemberList {
     listed: HashMap<SocketAddr, Listed>,
-    /// Gateways that are not listed any more since a moment ago; the time is when that was seen.
+    /// Gateways that were removed from the list within the last `UNLISTED_NODE_TTL`.
     unlisted: HashMap<SocketAddr, Listed>,
-    doubts: HashMap<SocketAddr, Doubt>,
+    suspicions: HashMap<SocketAddr, Suspicion>,
+    /// Time of the last contact with each gateway.
     heard_at: HashMap<SocketAddr, Duration>,
-    /// When the list was read first.
+    /// Time at which the list was read first.
     read_at: Option<Duration>,
 }
 
-impl Known {
+impl MemberList {
     fn zone_of(&self, gateway: &SocketAddr) -> Option<&str> {
         let listed = self.listed.get(gateway);
         listed
@@ -81,13 +84,13 @@
     }
 }
 
-/// The gateways.
+/// The gateways of the deployment as this one knows them.
 pub(crate) struct Members {
     own: SocketAddr,
     topology: Topology,
     clock: Clock,
     zone_latencies: ZoneLatencies,
-    known: Mutex<Known>,
+    known: Mutex<MemberList>,
 }
 
 impl Members {
@@ -101,39 +104,39 @@
         }
     }
 
-    /// Where this gateway is listed.
+    /// Returns the address under which this gateway is listed.
     pub(crate) fn own_address(&self) -> SocketAddr {
         self.own
     }
 
-    /// Whether it is known which gateways there are.
+    /// Whether the list of gateways has been read.
     pub(crate) fn is_list_loaded(&self) -> bool {
         lock(&self.known).read_at.is_some()
     }
 
-    /// Since when it is known which gateways there are.
+    /// Returns the time at which the list of gateways was read first; `None` if it has not been read.
     pub(crate) fn list_loaded_at(&self) -> Option<Duration> {
         lock(&self.known).read_at
     }
 
-    /// The list of gateways was read.
+    /// Records that the list of gateways was read.
     pub(crate) fn mark_list_loaded(&self) {
         let now = self.clock.now();
         lock(&self.known).read_at.get_or_insert(now);
     }
 
-    /// The others that are there, as far as known.
+    /// Returns the other gateways that are listed.
     pub(crate) fn others(&self) -> Vec<SocketAddr> {
         lock(&self.known).listed.keys().copied().collect()
     }
 
-    /// A gateway is listed, or is not any more; tells whether that is new.
-    pub(crate) fn set_listed(&self, gateway: SocketAddr, is_there: bool) -> bool {
+    /// Adds a gateway to the list, or removes it. Returns whether that changed the list.
+    pub(crate) fn set_listed(&self, gateway: SocketAddr, is_listed: bool) -> bool {
         if gateway == self.own {
             return false;
         }
         let mut known = lock(&self.known);
-        if is_there {
+        if is_listed {
             let at = self.clock.now();
             let before = known.listed.get_mut(&gateway);
             let is_new = before.is_none();
@@ -146,7 +149,7 @@
             }
             return is_new;
         }
-        known.doubts.remove(&gateway);
+        known.suspicions.remove(&gateway);
         known.heard_at.remove(&gateway);
         let before = known.listed.remove(&gateway);
         let was_listed = before.is_some();
@@ -157,19 +160,19 @@
         was_listed
     }
 
-    /// A listed gateway tells its zone.
+    /// Records the zone of a listed gateway.
     pub(crate) fn set_zone(&self, gateway: SocketAddr, zone: &str) {
         if let Some(listed) = lock(&self.known).listed.get_mut(&gateway) {
             listed.zone = Some(zone.to_owned());
         }
     }
 
-    /// This gateway's place, and where zones are.
+    /// Returns the zones of the deployment, with this gateway's own zone.
     pub(crate) fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The zone of a gateway, if it is known.
+    /// Returns the zone of a gateway; `None` if it is not known.
     pub(crate) fn zone_of(&self, gateway: SocketAddr) -> Option<String> {
         if gateway == self.own {
             return Some(self.topology.own_zone().to_owned());
@@ -177,27 +180,29 @@
         lock(&self.known).zone_of(&gateway).map(str::to_owned)
     }
 
-    /// How far a gateway is; one whose zone is not known yet counts as far where there are several regions.
+    /// Returns the distance to a gateway. One whose zone is not known counts as being in another region where
+    /// there are several regions.
     pub(crate) fn distance_to(&self, gateway: SocketAddr) -> Distance {
         let zone = self.zone_of(gateway).unwrap_or_default();
         self.topology.distance_to(&zone)
     }
 
-    /// Forgets gateways that have not listed themselves for long.
+    /// Removes gateways from the list that have not renewed their records within `REGISTRATION_TTL`.
     pub(crate) fn remove_expired(&self) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
-        let silent = known
+        let expired = known
             .listed
-            .extract_if(|_, listed| now >= listed.at + FORGOTTEN_AFTER);
-        let silent: Vec<(SocketAddr, Listed)> = silent.collect();
-        let silent = silent
+            .extract_if(|_, listed| now >= listed.at + REGISTRATION_TTL);
+        let expired: Vec<(SocketAddr, Listed)> = expired.collect();
+        let expired = expired
             .into_iter()
             .map(|(gateway, listed)| (gateway, Listed { at: now, ..listed }));
-        known.unlisted.extend(silent);
+        known.unlisted.extend(expired);
     }
 
-    /// The others of the own region; all where there is one region. One whose zone is not known yet is left out.
+    /// Returns the other gateways of this one's region, without those whose zone is not known; all others where
+    /// there is a single region.
     pub(crate) fn others_in_region(&self) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let others = known.listed.keys().copied();
@@ -207,49 +212,54 @@
             .collect()
     }
 
-    /// How long an answer of a gateway is waited for that within a region is waited for `within_region`.
+    /// Returns the time-out for an answer of a gateway, given the time-out within a region.
     pub(crate) fn answer_timeout(&self, gateway: SocketAddr, within_region: Duration) -> Duration {
         let zone = self.zone_of(gateway).unwrap_or_default();
         self.zone_latencies
             .answer_timeout(&self.topology, &zone, within_region)
     }
 
-    /// The same for answers of any gateway.
+    /// Returns the longest such time-out over all zones.
     pub(crate) fn max_answer_timeout(&self, within_region: Duration) -> Duration {
         self.zone_latencies
             .max_answer_timeout(&self.topology, within_region)
     }
 
-    /// The round trip to a gateway of another region.
+    /// Returns the observed round trip to a gateway of another region; zero within the region, and as long as
+    /// none was observed.
     pub(crate) fn round_trip(&self, gateway: SocketAddr) -> Duration {
         let zone = self.zone_of(gateway).unwrap_or_default();
         self.zone_latencies.round_trip(&self.topology, &zone)
     }
 
-    /// A gateway answered `took` after it was asked.
+    /// Records that a gateway answered `took` after the request was sent.
     pub(crate) fn record_answer(&self, gateway: SocketAddr, took: Duration) {
         if let Some(zone) = self.zone_of(gateway) {
             self.zone_latencies.record_answer(&zone, took);
         }
     }
 
-    /// The gateway that owns a cell, among this one and the others that answer: one of its region, as long as
-    /// one is known there.
+    /// Returns the gateway that owns a cell, among this one and the others that are not suspected: one of the
+    /// cell's region if there is any, else one of another region.
     pub(crate) fn owner(&self, cell: &Cell) -> SocketAddr {
         let now = self.clock.now();
         let known = lock(&self.known);
-        let there = known.listed.keys().copied().filter(|gateway| {
-            let doubt = known.doubts.get(gateway);
-            doubt.is_none_or(|doubt| doubt.until <= now)
+        let trusted = known.listed.keys().copied().filter(|gateway| {
+            let suspicion = known.suspicions.get(gateway);
+            suspicion.is_none_or(|suspicion| suspicion.until <= now)
         });
-        let there: Vec<SocketAddr> = there.chain([self.own]).collect();
-        let is_near = |gateway: &SocketAddr| self.is_in(&known, *gateway, cell.region.as_ref());
-        let near = owner(cell, there.iter().copied().filter(is_near));
-        near.or_else(|| owner(cell, there)).unwrap_or(self.own)
-    }
-
-    /// Whether a gateway stands in a region; all do where there is one alone.
-    fn is_in(&self, known: &Known, gateway: SocketAddr, region: Option<&RegionName>) -> bool {
+        let trusted: Vec<SocketAddr> = trusted.chain([self.own]).collect();
+        let is_in_region =
+            |gateway: &SocketAddr| self.is_in(&known, *gateway, cell.region.as_ref());
+        let in_region = owner(cell, trusted.iter().copied().filter(is_in_region));
+        in_region
+            .or_else(|| owner(cell, trusted))
+            .unwrap_or(self.own)
+    }
+
+    /// Whether a gateway is in a region. `None` stands for the single region of a deployment, which holds every
+    /// gateway.
+    fn is_in(&self, known: &MemberList, gateway: SocketAddr, region: Option<&RegionName>) -> bool {
         let Some(region) = region else {
             return true;
         };
@@ -260,65 +270,70 @@
         zone.and_then(|zone| self.topology.region_of(zone)) == Some(region)
     }
 
-    /// How many gateways there are, this one included.
+    /// Returns the number of listed gateways, including this one.
     pub(crate) fn count(&self) -> usize {
         lock(&self.known).listed.len() + 1
     }
 
-    /// The first `count` gateways in the order in which they count for a tenant, whether they answer or not.
+    /// Returns the first `count` gateways in a tenant's own order: those that count its requests. Suspected
+    /// gateways are included.
     pub(crate) fn tenant_counters(&self, tenant: &TenantName, count: usize) -> Vec<SocketAddr> {
         self.ranked_gateways(tenant, count)
     }
 
-    /// The first `count` gateways in the order that is a subject's own, whether they answer or not.
+    /// Returns the first `count` gateways in the order that the hash of a subject gives. Suspected gateways are
+    /// included.
     pub(crate) fn ranked_gateways(&self, subject: &impl Hash, count: usize) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let all = known.listed.keys().copied().chain([self.own]);
         top_ranked(subject, all, count)
     }
 
-    /// The keepers of the starts at a worker, by their rank: the first in the order that is the worker's own,
-    /// among those of its region, whether they answer or not. None for a rank whose gateway is not listed any
-    /// more; it is taken over when that gateway is forgotten.
+    /// Returns the issuers of start permits for a worker, by rank: the first gateways in the worker's own order
+    /// among those of its region, including suspected ones. `None` stands for a rank whose gateway is no longer
+    /// listed; another gateway gets the rank `UNLISTED_NODE_TTL` after the removal.
     pub(crate) fn permit_issuers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
         let region = self.topology.dividing_region_of(zone);
-        let remembered_from = self.clock.now().saturating_sub(UNLISTED_NODE_TTL);
+        let removed_since = self.clock.now().saturating_sub(UNLISTED_NODE_TTL);
         let mut known = lock(&self.known);
-        known.unlisted.retain(|_, gone| gone.at >= remembered_from);
+        known
+            .unlisted
+            .retain(|_, removed| removed.at >= removed_since);
         let listed = known.listed.keys().chain(known.unlisted.keys()).copied();
         let all = listed.chain([self.own]);
-        let near = all.filter(|gateway| self.is_in(&known, *gateway, region));
-        let keepers = permit_issuers(worker, near);
+        let in_region = all.filter(|gateway| self.is_in(&known, *gateway, region));
+        let issuers = permit_issuers(worker, in_region);
         let is_listed =
-            |keeper: &SocketAddr| *keeper == self.own || known.listed.contains_key(keeper);
-        let keepers = keepers
+            |issuer: &SocketAddr| *issuer == self.own || known.listed.contains_key(issuer);
+        let issuers = issuers
             .into_iter()
-            .map(|keeper| Some(keeper).filter(is_listed));
-        keepers.collect()
+            .map(|issuer| Some(issuer).filter(is_listed));
+        issuers.collect()
     }
 
-    /// The gateways of this one's region, this one included; all where there is one region alone.
+    /// Returns the gateways of this one's region, including this one; all gateways where there is a single
+    /// region.
     pub(crate) fn of_own_region(&self) -> Vec<SocketAddr> {
         let mut gateways = self.others_in_region();
         gateways.push(self.own);
         gateways
     }
 
-    /// Whether a gateway counts as gone.
+    /// Whether a gateway is currently suspected to be down.
     pub(crate) fn is_suspected(&self, gateway: SocketAddr) -> bool {
         let now = self.clock.now();
         let known = lock(&self.known);
-        let doubt = known.doubts.get(&gateway);
-        doubt.is_some_and(|doubt| now < doubt.until)
+        let suspicion = known.suspicions.get(&gateway);
+        suspicion.is_some_and(|suspicion| now < suspicion.until)
     }
 
-    /// Another gateway says that one is there.
+    /// Lists a gateway that another one reports to be alive, and ends any suspicion of it.
     pub(crate) fn confirm_alive(&self, gateway: SocketAddr) {
         self.set_listed(gateway, true);
-        lock(&self.known).doubts.remove(&gateway);
+        lock(&self.known).suspicions.remove(&gateway);
     }
 
-    /// Listed gateways that have given no sign of life since a moment.
+    /// Returns the listed gateways without contact since a time.
     pub(crate) fn silent_since(&self, since: Duration) -> Vec<SocketAddr> {
         let known = lock(&self.known);
         let listed = known.listed.keys().copied();
@@ -329,50 +344,55 @@
         silent.collect()
     }
 
-    /// Whether this gateway reaches no other one: several are in doubt, and none was heard of late.
+    /// Whether this gateway seems to reach no other one: several have missed answers, and there was no contact
+    /// with any within `CUT_OFF_AFTER`.
     pub(crate) fn is_cut_off(&self) -> bool {
         let now = self.clock.now();
         let known = lock(&self.known);
         let is_quiet = |at: &Duration| now >= *at + CUT_OFF_AFTER;
-        known.doubts.len() >= CUT_OFF_DOUBTS && known.heard_at.values().all(is_quiet)
+        known.suspicions.len() >= CUT_OFF_SUSPECTS && known.heard_at.values().all(is_quiet)
     }
 
-    /// A gateway gave a sign of life.
+    /// Records a message from a gateway, which ends any suspicion of it.
     pub(crate) fn record_contact(&self, gateway: SocketAddr) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
-        known.doubts.remove(&gateway);
+        known.suspicions.remove(&gateway);
         if known.listed.contains_key(&gateway) {
             known.heard_at.insert(gateway, now);
         }
     }
 
-    /// When a gateway gave a sign of life last.
+    /// Returns the time of the last contact with a gateway; zero if there was none.
     pub(crate) fn heard_at(&self, gateway: SocketAddr) -> Duration {
         let known = lock(&self.known);
         known.heard_at.get(&gateway).copied().unwrap_or_default()
     }
 
-    /// A gateway did not answer in time; tells whether it counts as gone by that.
+    /// Records that a gateway did not answer in time. Returns whether this begins a suspicion.
     pub(crate) fn record_timeout(&self, gateway: SocketAddr) -> bool {
         let now = self.clock.now();
         let mut known = lock(&self.known);
         if let Some(zone) = known.zone_of(&gateway) {
             self.zone_latencies.record_timeout(zone);
         }
-        let doubt = known.doubts.entry(gateway).or_default();
-        doubt.misses += 1;
-        if doubt.misses < MISSES || now < doubt.until {
+        let suspicion = known.suspicions.entry(gateway).or_default();
+        suspicion.misses += 1;
+        if suspicion.misses < MISSES_BEFORE_SUSPICION || now < suspicion.until {
             return false;
         }
-        doubt.begin(gateway, now);
+        suspicion.begin(gateway, now);
         true
     }
 
-    /// A gateway counts as gone.
+    /// Begins a suspicion of a gateway, whether it has missed answers or not.
     pub(crate) fn mark_suspected(&self, gateway: SocketAddr) {
         let now = self.clock.now();
         let mut known = lock(&self.known);
-        known.doubts.entry(gateway).or_default().begin(gateway, now);
+        known
+            .suspicions
+            .entry(gateway)
+            .or_default()
+            .begin(gateway, now);
     }
 }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller waits for: routed, placed, sent, taken elsewhere, answered.
+//! Serving of online requests: placement, sending, retries on other workers, and the answer to the caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,30 +20,33 @@
 use crate::request_context::RequestContext;
 use crate::slots::{PlacementOutcome, PlacementQuery};
 
-/// Serves callers.
+/// Serves online requests.
 pub(crate) struct OnlineHandler {
     pub(crate) dispatcher: Arc<Dispatcher>,
     pub(crate) batch: Arc<Batch>,
     pub(crate) rates: Arc<Rates>,
-    /// Requests that are late in any case, in the order in which they became so: one at a time looks for a
-    /// slot.
+    /// Queue of the requests that would miss their objective on any worker, in the order in which this was
+    /// found out. The holder of the lock is the only one of them that looks for a slot.
     pub(crate) late_queue: tokio::sync::Mutex<()>,
-    /// Age of the configuration up to which callers with keys are served, if there is one.
+    /// Time since the last confirmation of the configuration after which callers with keys are refused; `None`
+    /// if they are served at any age.
     pub(crate) max_config_age: Option<Duration>,
 }
 
-/// Largest answer that is read whole before it is passed on.
-const WHOLE_ANSWER_LIMIT: usize = 16 << 20;
-/// Part of a caller's time for which its request waits, once it is late, behind those that can be in time. It
-/// must still get a slot, and its first event before the caller gives up.
-const LATE_PATIENCE: f64 = 0.5;
-/// Pause before such a request looks for a slot again.
-const LATE_PAUSE: Duration = Duration::from_millis(40);
-/// Time within which a sign of life of any worker shows that this gateway reaches workers.
-const HEARD_LATELY: Duration = Duration::from_secs(1);
+/// Size limit of an answer that is buffered before it is forwarded, in bytes.
+const MAX_BUFFERED_ANSWER_BYTES: usize = 16 << 20;
+/// Share of a request's timeout, from its arrival, during which a late request yields to requests that can
+/// still meet their objective. The rest must suffice to get a slot and to produce the first event before the
+/// caller gives up.
+const LATE_WAIT_SHARE: f64 = 0.5;
+/// Interval at which a late request looks for a slot.
+const LATE_RETRY_INTERVAL: Duration = Duration::from_millis(40);
+/// Activity of any worker within this time shows that this gateway reaches workers.
+const RECENT_ACTIVITY: Duration = Duration::from_secs(1);
 
 impl OnlineHandler {
-    /// Sends until there is an answer or nothing is left to try; also tells whether it may have run.
+    /// Sends a request to workers until one answers or no further attempt is allowed. Returns the answer and
+    /// whether the request may have run.
     pub(crate) async fn serve(&self, mut context: RequestContext) -> (CallerAnswer, bool) {
         let answer = self.send_until_answered(&mut context).await;
         if context.runs > 0 && answer.status().is_server_error() {
@@ -64,15 +67,15 @@
             }
             let request_content = &context.outgoing.request_content;
             if let Some(held) = self.dispatcher.quarantine.find_hold(request_content).await {
-                return self.hold_back(context, held);
+                return self.refuse_quarantined(context, held);
             }
             self.bind_residency(context);
-            self.leave_closed(context);
+            self.avoid_closed_service(context);
             let chosen = self.place(context).await;
-            // The configuration may have changed while it waited.
+            // The configuration may have changed while the request waited for a slot.
             self.bind_residency(context);
             let Some(chosen) = chosen else {
-                let (obstacle, decision) = self.admit(context);
+                let (obstacle, decision) = self.decide_unplaced(context);
                 match decision {
                     Decision::AskAgain(pause) => {
                         self.dispatcher.metrics.asked_again.inc();
@@ -95,7 +98,7 @@
                 .send(&chosen, &context.outgoing, last_event, limits)
                 .await;
             match sent {
-                Ok(answer) => match self.pass_on(context, answer).await {
+                Ok(answer) => match self.forward_answer(context, answer).await {
                     Some(answer) => return answer,
                     None => continue,
                 },
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Binds a request to the regions of the configuration in force.
+    /// Restricts a request to the regions that the configuration in force allows.
     fn bind_residency(&self, context: &mut RequestContext) {
         let Some(configuration) = self.dispatcher.fleet_state.configuration() else {
             return;
@@ -121,8 +124,9 @@
         context.outgoing.bind_residency(&configuration);
     }
 
-    /// Goes to another part of a split if the one that was drawn is closed by now, and nothing ran there.
-    fn leave_closed(&self, context: &mut RequestContext) {
+    /// Draws another service of the route's split if the current one has no eligible worker any more. A request
+    /// that may have run keeps its service.
+    fn avoid_closed_service(&self, context: &mut RequestContext) {
         let fleet_state = &self.dispatcher.fleet_state;
         let residency = &context.outgoing.demand.residency;
         let is_open = fleet_state
@@ -133,8 +137,8 @@
         }
     }
 
-    /// The worker for a request. One that would be late wherever it goes waits behind those that can be in
-    /// time.
+    /// Chooses the worker for a request. A request that would miss its objective on any worker waits behind
+    /// those that can still meet theirs.
     async fn place(&self, context: &RequestContext) -> Option<ChosenWorker> {
         let now = self.dispatcher.clock.now();
         let in_time = (context.arrived + context.route.objective).saturating_sub(now);
@@ -147,24 +151,24 @@
 
     async fn place_late(&self, context: &RequestContext) -> Option<ChosenWorker> {
         let clock = self.dispatcher.clock;
-        let came = clock.now();
-        let patient = context.deadline.saturating_sub(context.arrived);
-        let patient_until = context.arrived + patient.mul_f64(LATE_PATIENCE);
-        let in_line = async {
+        let queued_at = clock.now();
+        let timeout = context.deadline.saturating_sub(context.arrived);
+        let yields_until = context.arrived + timeout.mul_f64(LATE_WAIT_SHARE);
+        let wait_for_slot = async {
             let _turn = self.late_queue.lock().await;
             loop {
                 match self.place_within(context, Some(Duration::ZERO)).await {
                     PlacementOutcome::Worker(chosen) => return Some(chosen),
                     PlacementOutcome::NoWorker => return None,
-                    PlacementOutcome::Late => tokio::time::sleep(LATE_PAUSE).await,
+                    PlacementOutcome::Late => tokio::time::sleep(LATE_RETRY_INTERVAL).await,
                 }
             }
         };
-        let left = patient_until.saturating_sub(came);
-        let placed = tokio::time::timeout(left, in_line).await;
-        let waited = clock.now().saturating_sub(came);
+        let wait_limit = yields_until.saturating_sub(queued_at);
+        let placed = tokio::time::timeout(wait_limit, wait_for_slot).await;
+        let waited = clock.now().saturating_sub(queued_at);
         log::info!(request = context.id(), waited_ms = waited.as_millis() as u64,
-            is_placed = placed.is_ok(); "late at a peak: waited behind requests that could be in time");
+            is_placed = placed.is_ok(); "request cannot meet its objective; it waited behind requests that can");
         self.dispatcher.metrics.late_in_line.inc();
         match placed {
             Ok(chosen) => chosen,
@@ -191,11 +195,12 @@
         self.dispatcher.slots.place(query).await
     }
 
-    /// What becomes of a request that found no worker, and why it found none.
-    fn admit(&self, context: &RequestContext) -> (Obstacle, Decision) {
+    /// Decides whether a request that found no worker is placed again later or refused, and returns why it
+    /// found none.
+    fn decide_unplaced(&self, context: &RequestContext) -> (Obstacle, Decision) {
         let now = self.dispatcher.clock.now();
         let selector = self.dispatcher.fleet_state.selector();
-        let reaches_workers = selector.has_activity_since(now.saturating_sub(HEARD_LATELY));
+        let reaches_workers = selector.has_activity_since(now.saturating_sub(RECENT_ACTIVITY));
         let residency = &context.outgoing.demand.residency;
         let closed = selector.service_obstacle(&context.service, residency, now);
         let obstacle = if let Some(closed) = closed {
@@ -220,7 +225,8 @@
         log::info!(request = context.id(), situation:? = situation, decision:? = decision,
             tried = context.tried.len(), runs = context.runs; "no worker takes a request");
         let decision = match decision {
-            // It may have run where it was tried: asked again, those would be asked, too.
+            // Another round clears the list of tried workers, and would repeat the request on a worker where it
+            // may have run.
             Decision::AskAgain(pause) if context.runs > 0 => Decision::Refuse(pause),
             decision => decision,
         };
@@ -237,7 +243,7 @@
         }
     }
 
-    /// What follows a failed send; none if the request goes on.
+    /// Handles a failed send. Returns the final answer, or `None` if the request is sent to another worker.
     fn after_failure(
         &self,
         context: &mut RequestContext,
@@ -257,33 +263,35 @@
         Some(self.fail(context, "it may have run and may not be repeated"))
     }
 
-    /// Passes an answer on; none if the request goes to another worker instead.
-    async fn pass_on(
+    /// Forwards a worker's answer to the caller. Returns `None` if the request is sent to another worker
+    /// instead.
+    async fn forward_answer(
         &self,
         context: &mut RequestContext,
         mut answer: Answer,
     ) -> Option<CallerAnswer> {
         if answer.head.status.is_success() && !answer.is_signed_success() {
-            return self.spoiled(context, answer, "the worker does not vouch for it");
+            return self.reject_answer(context, answer, "the worker does not vouch for it");
         }
         if context.route.kind == RouteKind::Stream && answer.head.status.is_success() {
             return self.open_stream(context, answer).await;
         }
         let time_left = context.deadline.saturating_sub(self.dispatcher.clock.now());
-        let body = tokio::time::timeout(time_left, answer.read_body(WHOLE_ANSWER_LIMIT)).await;
+        let body =
+            tokio::time::timeout(time_left, answer.read_body(MAX_BUFFERED_ANSWER_BYTES)).await;
         let body = match body {
             Err(_) => {
                 context.runs += 1;
                 return Some(self.out_of_time(context));
             }
-            Ok(Err(reason)) => return self.spoiled(context, answer, &reason),
+            Ok(Err(reason)) => return self.reject_answer(context, answer, &reason),
             Ok(Ok(body)) => body,
         };
         let status = answer.head.status;
         if status.is_server_error() || promises_not_run(status) {
             context.runs += 1;
-            let foreign = promises_not_run(status);
-            if context.may_repeat() || foreign {
+            let is_false_promise = promises_not_run(status);
+            if context.may_repeat() || is_false_promise {
                 log::info!(request = context.id(),
                     worker = answer.in_flight.chosen.incarnation.as_str(),
                     status = status.as_u16(); "a worker failed the request");
@@ -300,7 +308,7 @@
         let head = answer.head.clone();
         answer.finish(&self.dispatcher);
         self.succeed(context, status);
-        Some(passed(&head, body))
+        Some(buffered_answer(&head, body))
     }
 
     async fn open_stream(
@@ -314,10 +322,10 @@
                 self.succeed(context, answer.head.status);
                 let head = answer.head.clone();
                 let body = relay::relay_body(Arc::clone(&self.dispatcher), context, answer, first);
-                let mut passed = Response::new(body);
-                *passed.status_mut() = head.status;
-                *passed.headers_mut() = end_to_end_headers(&head.headers);
-                Some(passed)
+                let mut forwarded = Response::new(body);
+                *forwarded.status_mut() = head.status;
+                *forwarded.headers_mut() = end_to_end_headers(&head.headers);
+                Some(forwarded)
             }
             Err(failure) => {
                 context.log_failure(&answer.in_flight.chosen, &failure);
@@ -328,7 +336,8 @@
         }
     }
 
-    fn spoiled(
+    /// Treats an answer that cannot be forwarded as a broken send.
+    fn reject_answer(
         &self,
         context: &mut RequestContext,
         mut answer: Answer,
@@ -354,8 +363,8 @@
         }
     }
 
-    /// The final answer to a request that is given up; a caller whose request did not run may come
-    /// back after `retry_after`.
+    /// Returns the final answer to a request that is given up. If the request did not run, the caller may
+    /// repeat it after `retry_after`.
     fn give_up(
         &self,
         context: &RequestContext,
@@ -370,25 +379,26 @@
         self.dispatcher
             .metrics
             .record_refusal(refusal, retry_after, waited);
-        self.ended(context, RequestEnd::Refused, reason);
+        self.record_given_up(context, RequestEnd::Refused, reason);
         not_run(reason, retry_after)
     }
 
-    /// The final answer to a request that has ended too many workers: at once, as it would end more of them,
-    /// and their other requests with each. The caller of one that did not run in this try may come back when
-    /// it is sent again; a status of the caller's own fault would be final, also for one that was wronged.
-    fn hold_back(&self, context: &RequestContext, held: QuarantineHold) -> CallerAnswer {
+    /// Returns the final answer to a request in quarantine: workers ended while they ran it, and a further send
+    /// could end another worker together with the other requests there. If the request did not run in this
+    /// call, the caller may repeat it after the hold. A 4xx status would be final for callers, also for one
+    /// whose request did not cause the ends.
+    fn refuse_quarantined(&self, context: &RequestContext, held: QuarantineHold) -> CallerAnswer {
         log::info!(request = context.id(), fingerprint:% = context.outgoing.request_content.fingerprint(),
             ends = held.ends, held_for_ms = held.time_left.as_millis() as u64, runs = context.runs;
-            "a request is held back, since it ended its workers");
+            "request is in quarantine, since workers ended while they ran it; refusing it");
         let reason =
             "workers ended while they ran this request, and it is not sent to more of them";
         self.give_up(context, Refusal::Held, reason, held.time_left)
     }
 
-    /// The final answer to a request that may have run.
+    /// Returns the final answer to a request that may have run.
     fn fail(&self, context: &RequestContext, reason: &'static str) -> CallerAnswer {
-        self.ended(context, RequestEnd::Failed, reason);
+        self.record_given_up(context, RequestEnd::Failed, reason);
         plain(StatusCode::BAD_GATEWAY, reason)
     }
 
@@ -397,11 +407,11 @@
             let refusal = Refusal::OutOfTime;
             return self.give_up(context, refusal, "its time is over", Duration::ZERO);
         }
-        self.ended(context, RequestEnd::Failed, "its time is over");
+        self.record_given_up(context, RequestEnd::Failed, "its time is over");
         plain(StatusCode::GATEWAY_TIMEOUT, "its time is over")
     }
 
-    fn ended(&self, context: &RequestContext, end: RequestEnd, reason: &str) {
+    fn record_given_up(&self, context: &RequestContext, end: RequestEnd, reason: &str) {
         let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         log::info!(request = context.id(), route = context.route.name.as_str(),
             end:? = end, reason, runs = context.runs, tried:? = context.tried,
@@ -411,12 +421,12 @@
     }
 }
 
-/// Statuses that promise to a caller that its request did not run.
+/// Whether a status promises the caller that its request did not run.
 fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
-fn passed(head: &hyper::http::response::Parts, body: Bytes) -> CallerAnswer {
+fn buffered_answer(head: &hyper::http::response::Parts, body: Bytes) -> CallerAnswer {
     let mut answer = Response::new(full_body(body));
     *answer.status_mut() = head.status;
     *answer.headers_mut() = end_to_end_headers(&head.headers);
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -1,10 +1,9 @@
-//! What gateways tell each other at once: the long prompts that they send, what they hold of shared
-//! slots, and that they have started.
+//! Registration of this gateway, the list of the others, and the notices that gateways send each other.
 //!
-//! An engine reads prompts in the order they come, and the load that answers carry is seconds old.
-//! A gateway that does not know of a prompt of tens of thousands of tokens that another one has
-//! just sent would put short ones behind it. A notice is a datagram: one that is lost costs a worse
-//! choice and nothing else.
+//! An engine reads prompts in the order of their arrival, and the load that answers carry is seconds old. A
+//! gateway that does not know of a prompt of tens of thousands of tokens that another one has just sent would
+//! queue short prompts behind it. A notice is a datagram: if one is lost, a choice of a worker is worse, and
+//! nothing else follows.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -31,37 +30,37 @@
 use crate::unreadable::UnreadableRecords;
 use crate::waiting_limits::WaitingLimits;
 
-/// Reading time from which others are told of a prompt.
-const WORTH_TELLING: Duration = Duration::from_millis(25);
-/// Notices that a gateway sends a second on average: at more gateways than this, some of them are
-/// told of each prompt and not all. Owners of cells know of the prompts that they assigned; notices
-/// serve gateways that choose alone, and to tell all of hundreds costs each of them more than 5 KB a
-/// second.
-const NOTICES_A_SECOND: f64 = 20.0;
-/// Notices that may go at once.
-const MOST_AT_ONCE: f64 = 40.0;
-/// Parts of a prompt in a notice at most; those at the end are its own and of no use to others.
-const MOST_PARTS: usize = 32;
-/// Pause between two times that a gateway lists itself.
-const LISTED_EVERY: Duration = Duration::from_secs(60);
-/// Pause before the listing is tried again.
-const LIST_AGAIN: Duration = Duration::from_secs(2);
-/// How the list is read: it changes seldom, and one that is old does little harm.
-const LIST_PACE: TailTiming = TailTiming {
+/// Prefill time from which other gateways are notified of a prompt.
+const MIN_NOTIFIED_PREFILL: Duration = Duration::from_millis(25);
+/// Average number of notices that a gateway sends in a second. When it is exceeded, a random part of the other
+/// gateways is notified of a prompt. Owners of cells know of the prompts that they assigned; the notices serve
+/// gateways that choose workers by their own view, and notifying all of several hundred gateways would cost
+/// each of them more than 5 KB/s.
+const NOTICES_PER_SECOND: f64 = 20.0;
+/// Number of notices that may be sent in one burst.
+const NOTICE_BURST: f64 = 40.0;
+/// Largest number of parts of a prompt in a notice. The last parts of a longer prompt are specific to it, so
+/// other prompts do not share them.
+const MAX_NOTICE_PARTS: usize = 32;
+/// Interval at which a gateway renews its record in the list.
+const REGISTRATION_INTERVAL: Duration = Duration::from_secs(60);
+/// Pause after a registration that failed.
+const REGISTRATION_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Timing of reads of the list. It is slow, since the list changes seldom and a stale list does little harm.
+const LIST_TIMING: TailTiming = TailTiming {
     wait: Duration::from_secs(20),
     hedge_after: Duration::from_secs(5),
 };
-/// Pause after a gateway came or went, so that those that start together are read together.
-const GATHER: Duration = Duration::from_secs(1);
-/// Pause after a reading that only renewed what was listed: of hundreds of gateways some list themselves
-/// again in every second.
-const CALM_GATHER: Duration = Duration::from_secs(4);
-/// Pause between two lines on gateways that have started: hundreds may start at a time.
-const STARTS_TOLD_EVERY: Duration = Duration::from_secs(1);
+/// Pause after a change of the list, so that the records of gateways that start together are read together.
+const READ_PAUSE_AFTER_CHANGE: Duration = Duration::from_secs(1);
+/// Pause after a read that only renewed records: among hundreds of gateways, some renew theirs in every second.
+const READ_PAUSE_AFTER_RENEWAL: Duration = Duration::from_secs(4);
+/// Shortest interval between two log lines on gateways that have started: hundreds may start at a time.
+const START_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a socket error.
-const SOCKET_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(100);
 
-/// Who takes which messages.
+/// The handlers of the kinds of notices that this module does not handle by itself.
 pub(crate) struct NoticeHandlers {
     pub(crate) slots: Arc<Slots>,
     pub(crate) waiting_limits: Arc<WaitingLimits>,
@@ -70,10 +69,9 @@
     pub(crate) start_permits: Arc<StartPermits>,
 }
 
-/// What a gateway lists of itself.
+/// The record of a gateway in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct GatewayRecord {
-    /// Its zone.
     zone: String,
 }
 
@@ -81,29 +79,29 @@
     fn encoded(&self) -> Bytes {
         let mut value = Vec::new();
         if let Err(error) = ciborium::into_writer(self, &mut value) {
-            log::error!("a gateway's record has no form: {error}");
+            log::error!("cannot encode the record of this gateway: {error}");
         }
         value.into()
     }
 
-    /// None where a gateway lists nothing of itself: it is there all the same.
+    /// Returns `None` for a record without content; its gateway is listed nevertheless.
     fn decoded(value: &[u8]) -> Option<Self> {
         ciborium::from_reader(value).ok()
     }
 }
 
-/// Gateways that said that they have started, since the last line on them.
+/// Number of gateways that announced their start since the last log line about such starts.
 #[derive(Default)]
 struct GatewayStarts {
-    untold: usize,
-    told_at: Option<Duration>,
+    unlogged: usize,
+    logged_at: Option<Duration>,
 }
 
-/// The other gateways.
+/// Sends notices to the other gateways, receives theirs, and maintains the list of gateways.
 pub(crate) struct Peers {
     datagrams: Arc<Datagrams>,
     members: Arc<Members>,
-    /// Where others may be reached until the list was read.
+    /// Addresses from the settings at which other gateways may be reached as long as none is listed.
     seeds: Vec<SocketAddr>,
     fleet_state: Arc<FleetState>,
     metrics: Arc<Metrics>,
@@ -132,13 +130,13 @@
             metrics,
             unreadable,
             clock,
-            budget: Mutex::new(TokenBucket::full(MOST_AT_ONCE, clock.now())),
+            budget: Mutex::new(TokenBucket::full(NOTICE_BURST, clock.now())),
             starts: Mutex::default(),
         }
     }
 
-    /// Tells the others that a prompt goes to a worker, if it is long. Never waits: what does not
-    /// fit into the socket's buffer is dropped.
+    /// Notifies other gateways of the region of a long prompt that is sent to a worker. Does not block: a notice
+    /// that does not fit into the socket's buffer is dropped.
     pub(crate) fn notify_prompt(
         &self,
         service: &str,
@@ -146,25 +144,25 @@
         prompt: &[PromptPart],
         missing_tokens: u64,
     ) {
-        let reading = self
+        let prefill = self
             .fleet_state
             .selector()
             .prefill_time(service, missing_tokens);
-        if reading < WORTH_TELLING {
+        if prefill < MIN_NOTIFIED_PREFILL {
             return;
         }
         let notice = Notice::Reading {
             worker: worker.to_owned(),
             missing: missing_tokens,
-            parts: prompt.iter().take(MOST_PARTS).copied().collect(),
+            parts: prompt.iter().take(MAX_NOTICE_PARTS).copied().collect(),
         };
-        // Each gateway chooses alone only within its region.
+        // A gateway chooses workers by its own view only within its region.
         let near = self.recipients(self.members.others_in_region());
         self.datagrams.send(&notice, near);
     }
 
-    /// Tells the others that this gateway has started: who owns what is to be known everywhere.
-    fn tell_start(&self) {
+    /// Announces the start of this gateway to all others, since it takes over cells.
+    fn announce_start(&self) {
         let notice = Notice::Here {
             from: self.members.own_address(),
             zone: Some(self.members.topology().own_zone().to_owned()),
@@ -173,7 +171,8 @@
         self.datagrams.send(&notice, others);
     }
 
-    /// Those of the others that may be asked for something.
+    /// Returns the other gateways to which requests may be sent: the listed ones, or the seeds if none is
+    /// listed.
     pub(crate) fn reachable(&self) -> Vec<SocketAddr> {
         let listed = self.members.others();
         if listed.is_empty() {
@@ -183,13 +182,17 @@
         }
     }
 
-    /// As many of some others as the budget allows.
+    /// Returns as many of these gateways as the budget of notices allows, at random.
     fn recipients(&self, mut peers: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let now = self.clock.now();
         let mut budget = lock(&self.budget);
         let allowed = peers
             .iter()
-            .take_while(|_| budget.try_take(NOTICES_A_SECOND, MOST_AT_ONCE, now).is_ok())
+            .take_while(|_| {
+                budget
+                    .try_take(NOTICES_PER_SECOND, NOTICE_BURST, now)
+                    .is_ok()
+            })
             .count();
         if allowed < peers.len() {
             peers.shuffle(&mut rand::rng());
@@ -198,21 +201,21 @@
         peers
     }
 
-    /// Takes in what others tell, for as long as the process lives.
+    /// Receives and handles notices until the process ends.
     pub(crate) async fn receive_notices(self: Arc<Self>, receivers: NoticeHandlers) {
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
         loop {
             match self.datagrams.receive(&mut datagram).await {
-                Ok((length, from)) => self.take(&datagram[..length], from, &receivers),
+                Ok((length, from)) => self.handle_datagram(&datagram[..length], from, &receivers),
                 Err(error) => {
-                    log::debug!("a notice was not received: {error}");
-                    tokio::time::sleep(SOCKET_PAUSE).await;
+                    log::debug!("cannot receive a notice: {error}");
+                    tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
                 }
             }
         }
     }
 
-    fn take(&self, datagram: &[u8], from: SocketAddr, receivers: &NoticeHandlers) {
+    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr, receivers: &NoticeHandlers) {
         let Ok(notice) = ciborium::from_reader::<Notice, _>(datagram) else {
             self.metrics.notices_dropped.inc();
             return;
@@ -234,7 +237,7 @@
                 if let Some(zone) = zone {
                     self.members.set_zone(from, &zone);
                 }
-                self.tell_of_start(from);
+                self.log_gateway_start(from);
             }
             Notice::Slots(message) => receivers.slots.handle_message(message, from),
             Notice::Waiting(message) => receivers.waiting_limits.handle_message(message, from),
@@ -244,24 +247,24 @@
         }
     }
 
-    /// Logs that gateways have started, in a line a second at most; `newest` is the last of them.
-    fn tell_of_start(&self, newest: SocketAddr) {
+    /// Logs that gateways have started, at most once in `START_LOG_INTERVAL`; `newest` is the last of them.
+    fn log_gateway_start(&self, newest: SocketAddr) {
         let now = self.clock.now();
         let mut starts = lock(&self.starts);
-        starts.untold += 1;
-        let told_at = starts.told_at;
-        if told_at.is_some_and(|told_at| now < told_at + STARTS_TOLD_EVERY) {
+        starts.unlogged += 1;
+        let logged_at = starts.logged_at;
+        if logged_at.is_some_and(|logged_at| now < logged_at + START_LOG_INTERVAL) {
             return;
         }
-        log::info!(newest = newest.to_string().as_str(), count = starts.untold;
+        log::info!(newest = newest.to_string().as_str(), count = starts.unlogged;
             "other gateways have started");
         *starts = GatewayStarts {
-            untold: 0,
-            told_at: Some(now),
+            unlogged: 0,
+            logged_at: Some(now),
         };
     }
 
-    /// Lists this gateway for as long as the process lives.
+    /// Keeps this gateway registered in the list until the process ends.
     pub(crate) async fn run_registration(self: Arc<Self>, log: Arc<dyn Log>) {
         loop {
             let record = GatewayRecord {
@@ -269,17 +272,17 @@
             };
             let appended = log.append(Topic::Gateways, 0, vec![self.record(record.encoded())]);
             let pause = match appended.await {
-                swiftshunt_journal::AppendOutcome::Done { .. } => LISTED_EVERY,
-                _ => LIST_AGAIN,
+                swiftshunt_journal::AppendOutcome::Done { .. } => REGISTRATION_INTERVAL,
+                _ => REGISTRATION_RETRY_DELAY,
             };
             tokio::time::sleep(pause).await;
         }
     }
 
-    /// Takes this gateway from the list; without success it is forgotten by its silence.
+    /// Removes this gateway from the list. If that fails, the others remove it when its record expires.
     pub(crate) async fn unregister(&self, log: &dyn Log) {
         let appended = log.append(Topic::Gateways, 0, vec![self.record(Bytes::new())]);
-        log::debug!(outcome:? = appended.await; "this gateway is no longer listed");
+        log::debug!(outcome:? = appended.await; "tried to remove this gateway from the list");
     }
 
     fn record(&self, value: Bytes) -> (Vec<u8>, Bytes) {
@@ -287,29 +290,34 @@
         (key, value)
     }
 
-    /// Follows the list of gateways for as long as the process lives.
+    /// Follows the list of gateways until the process ends.
     pub(crate) async fn follow_membership(self: Arc<Self>, log: Arc<dyn Log>) {
         let mut follower = TopicFollower::new(Topic::Gateways, self.clock);
         let mut backoff = LogBackoff::new("gateways", 0);
-        let mut is_known = false;
+        let mut is_announced = false;
         loop {
-            let changes = follower.next_changes(log.as_ref(), LIST_PACE).await;
+            let changes = follower.next_changes(log.as_ref(), LIST_TIMING).await;
             backoff.backoff_on_error(&changes).await;
             if let Ok(changes) = changes {
-                let is_news = self.apply(changes);
+                let has_changed = self.apply(changes);
                 self.members.mark_list_loaded();
-                if !is_known {
-                    self.tell_start();
-                    is_known = true;
+                if !is_announced {
+                    self.announce_start();
+                    is_announced = true;
                 }
-                tokio::time::sleep(if is_news { GATHER } else { CALM_GATHER }).await;
+                tokio::time::sleep(if has_changed {
+                    READ_PAUSE_AFTER_CHANGE
+                } else {
+                    READ_PAUSE_AFTER_RENEWAL
+                })
+                .await;
             }
         }
     }
 
-    /// Takes changes of the list; tells whether a gateway came or went.
+    /// Applies changes of the list. Returns whether a gateway was added or removed.
     fn apply(&self, changes: Vec<Change>) -> bool {
-        let mut is_news = false;
+        let mut has_changed = false;
         for change in changes {
             let (key, value) = match change {
                 Change::Set(record) => (record.key, Some(record.value)),
@@ -317,7 +325,7 @@
             };
             match String::from_utf8_lossy(&key).parse::<SocketAddr>() {
                 Ok(address) => {
-                    is_news |= self.members.set_listed(address, value.is_some());
+                    has_changed |= self.members.set_listed(address, value.is_some());
                     if let Some(record) = value.as_deref().and_then(GatewayRecord::decoded) {
                         self.members.set_zone(address, &record.zone);
                     }
@@ -328,7 +336,7 @@
             }
         }
         self.members.remove_expired();
-        is_news
+        has_changed
     }
 }
 
@@ -338,7 +346,7 @@
     use crate::earlier_builds::entry;
 
     #[test]
-    fn a_gateway_of_the_build_in_production_is_there_and_tells_no_zone() {
+    fn a_record_of_an_earlier_build_is_read_as_one_without_a_zone() {
         let value = entry("gateway-record");
         assert!(!value.is_empty());
         assert_eq!(GatewayRecord::decoded(&value), None);
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! Streams passed on as they come, and taken up at another worker where the route allows it.
+//! Forwarding of streamed answers, which are resumed at another worker if the route allows it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 use crate::request_context::RequestContext;
 use crate::slots::{PlacementOutcome, PlacementQuery};
 
-/// Pause between looks at a worker whose stream is silent.
-const SILENCE_CHECK: Duration = Duration::from_millis(50);
+/// Interval between two checks of a worker whose stream is silent.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the next bytes of a stream came out.
-enum Next {
+/// The result of a read from a stream.
+enum StreamChunk {
     Bytes(Bytes),
     End,
 }
@@ -31,16 +31,16 @@
     context: &RequestContext,
     answer: &mut Answer,
 ) -> Result<Bytes, SendFailure> {
-    let again = context.route.resumable && context.runs + 1 < context.route.max_attempts;
-    let reading = answer.in_flight.chosen.expected_prefill;
-    let silence = again.then(|| context.silence_limit() + reading);
-    match next(dispatcher, answer, context.deadline, silence).await? {
-        Next::Bytes(bytes) => Ok(bytes),
-        Next::End => Ok(Bytes::new()),
+    let may_resume = context.route.resumable && context.runs + 1 < context.route.max_attempts;
+    let prefill = answer.in_flight.chosen.expected_prefill;
+    let silence = may_resume.then(|| context.silence_limit() + prefill);
+    match read_chunk(dispatcher, answer, context.deadline, silence).await? {
+        StreamChunk::Bytes(bytes) => Ok(bytes),
+        StreamChunk::End => Ok(Bytes::new()),
     }
 }
 
-/// Records with the worker how its stream failed.
+/// Records the failure of a stream as the outcome of the attempt at its worker.
 pub(crate) fn record_failure(answer: &mut Answer, failure: &SendFailure) {
     answer.in_flight.set_ending(match failure {
         SendFailure::Silent => AttemptOutcome::TimedOut,
@@ -49,12 +49,14 @@
     });
 }
 
-async fn next(
+/// Waits for the next bytes of a stream. Fails at `deadline`, and once both the stream and its worker have been
+/// silent for `silence`.
+async fn read_chunk(
     dispatcher: &Dispatcher,
     answer: &mut Answer,
     deadline: Duration,
     silence: Option<Duration>,
-) -> Result<Next, SendFailure> {
+) -> Result<StreamChunk, SendFailure> {
     let incarnation = answer.in_flight.chosen.incarnation.clone();
     let started = dispatcher.clock.now();
     loop {
@@ -64,12 +66,16 @@
         }
         let pause = match silence {
             Some(silence) => {
-                let own = now.saturating_sub(started);
-                let quiet = dispatcher.worker_silence(&incarnation, now).unwrap_or(own);
-                if own >= silence && quiet >= silence {
+                let stream_silence = now.saturating_sub(started);
+                let worker_silence = dispatcher
+                    .worker_silence(&incarnation, now)
+                    .unwrap_or(stream_silence);
+                if stream_silence >= silence && worker_silence >= silence {
                     return Err(SendFailure::Silent);
                 }
-                silence.saturating_sub(own).max(SILENCE_CHECK)
+                silence
+                    .saturating_sub(stream_silence)
+                    .max(SILENCE_CHECK_INTERVAL)
             }
             None => deadline - now,
         };
@@ -78,7 +84,7 @@
             continue;
         };
         match frame {
-            None => return Ok(Next::End),
+            None => return Ok(StreamChunk::End),
             Some(Err(error)) => {
                 return Err(SendFailure::Broken {
                     reason: error.to_string(),
@@ -88,14 +94,14 @@
                 answer.in_flight.record_progress();
                 if let Ok(bytes) = frame.into_data() {
                     answer.in_flight.record_received(bytes.len());
-                    return Ok(Next::Bytes(bytes));
+                    return Ok(StreamChunk::Bytes(bytes));
                 }
             }
         }
     }
 }
 
-/// A stream on its way to a caller.
+/// A streamed answer that is being forwarded to a caller.
 struct Relay {
     dispatcher: Arc<Dispatcher>,
     resume: Option<Resume>,
@@ -106,7 +112,7 @@
     pauses: StreamPauses,
 }
 
-/// What is needed to go on elsewhere.
+/// The state needed to resume a stream at another worker.
 struct Resume {
     outgoing: OutgoingRequest,
     service: String,
@@ -118,7 +124,7 @@
     last_event: Option<u64>,
 }
 
-/// The body of a stream whose first bytes are there.
+/// Returns a body that forwards a stream whose first bytes have arrived.
 pub(crate) fn relay_body(
     dispatcher: Arc<Dispatcher>,
     context: &mut RequestContext,
@@ -147,7 +153,7 @@
     };
     let frames = stream::unfold(Some(relay), |relay| async move {
         let mut relay = relay?;
-        match relay.step().await {
+        match relay.next_bytes().await {
             Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
             Ok(None) => None,
             Err(error) => Some((Err(error), None)),
@@ -157,30 +163,31 @@
 }
 
 impl Relay {
-    /// The next bytes for the caller; none at the whole end.
-    async fn step(&mut self) -> Result<Option<Bytes>, BodyError> {
+    /// Returns the next bytes for the caller; `None` at the end of the stream. Resumes the stream at another
+    /// worker if the current one fails.
+    async fn next_bytes(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             let Some(answer) = &mut self.answer else {
                 return Ok(None);
             };
             let resumable = self.resume.as_ref().filter(|resume| resume.runs_left > 0);
             let silence = resumable.map(|resume| resume.silence);
-            let came = match self.first.take() {
-                Some(first) => Ok(Next::Bytes(first)),
-                None => next(&self.dispatcher, answer, self.deadline, silence).await,
+            let chunk = match self.first.take() {
+                Some(first) => Ok(StreamChunk::Bytes(first)),
+                None => read_chunk(&self.dispatcher, answer, self.deadline, silence).await,
             };
-            match came {
-                Ok(Next::Bytes(bytes)) => {
-                    let whole = match &mut self.resume {
+            match chunk {
+                Ok(StreamChunk::Bytes(bytes)) => {
+                    let complete = match &mut self.resume {
                         Some(resume) => resume.framer.push(&bytes),
                         None => bytes,
                     };
-                    if !whole.is_empty() {
+                    if !complete.is_empty() {
                         self.pauses.record_chunk(self.dispatcher.clock.now());
-                        return Ok(Some(whole));
+                        return Ok(Some(complete));
                     }
                 }
-                Ok(Next::End) => {
+                Ok(StreamChunk::End) => {
                     if let Some(answer) = self.answer.take() {
                         self.log_pauses(&answer);
                         answer.finish(&self.dispatcher);
@@ -191,12 +198,12 @@
                         .map(|resume| resume.framer.take_remainder());
                     return Ok(rest.filter(|rest| !rest.is_empty()));
                 }
-                Err(failure) => self.go_on_elsewhere(failure).await?,
+                Err(failure) => self.resume_elsewhere(failure).await?,
             }
         }
     }
 
-    /// Logs that the stream was late by its pauses, if it was.
+    /// Logs and counts the stream if one of its pauses exceeded the limit of its route.
     fn log_pauses(&self, answer: &Answer) {
         let Some(longest) = self.pauses.longest_over_limit() else {
             return;
@@ -206,7 +213,8 @@
             longest_ms = longest.as_millis() as u64; "a stream paused for longer than its route allows");
     }
 
-    async fn go_on_elsewhere(&mut self, failure: SendFailure) -> Result<(), BodyError> {
+    /// Replaces the failed answer by one of another worker that continues the stream.
+    async fn resume_elsewhere(&mut self, failure: SendFailure) -> Result<(), BodyError> {
         let last = self.resume.as_ref().and_then(Resume::position);
         if let Some(mut answer) = self.answer.take() {
             log::info!(request = self.id.as_str(), failure:% = failure, last_event:? = last,
@@ -224,25 +232,30 @@
             return Err(broken());
         };
         resume.framer.discard_partial();
-        let answer = resume.take_up(&dispatcher, deadline).await;
+        let answer = resume.find_continuation(&dispatcher, deadline).await;
         let Some(answer) = answer else {
             return Err(broken());
         };
         log::info!(request = self.id.as_str(), last_event:? = last,
-            worker = answer.in_flight.chosen.incarnation.as_str(); "a stream goes on");
+            worker = answer.in_flight.chosen.incarnation.as_str(); "stream resumed at another worker");
         self.answer = Some(answer);
         Ok(())
     }
 }
 
 impl Resume {
-    /// The last event that the caller has.
+    /// Returns the identifier of the last event that the caller has.
     fn position(&self) -> Option<u64> {
         self.framer.last_id().or(self.last_event)
     }
 
-    /// Finds a worker that goes on behind the last event passed on.
-    async fn take_up(&mut self, dispatcher: &Dispatcher, deadline: Duration) -> Option<Answer> {
+    /// Sends the request to other workers until one continues behind the last event that the caller has.
+    /// Returns `None` if no further attempt is allowed or no worker is available.
+    async fn find_continuation(
+        &mut self,
+        dispatcher: &Dispatcher,
+        deadline: Duration,
+    ) -> Option<Answer> {
         let position = self.position();
         loop {
             let now = dispatcher.clock.now();
@@ -255,7 +268,7 @@
                 .await
             {
                 log::info!(request = self.outgoing.id.as_deref().unwrap_or(""), ends = held.ends;
-                    "a stream does not go on, since its request ended its workers");
+                    "request is in quarantine, since workers ended while they ran it; not resuming its stream");
                 return None;
             }
             if let Some(configuration) = dispatcher.fleet_state.configuration() {
@@ -267,7 +280,7 @@
                 demand: &self.outgoing.demand,
                 tried: &self.tried,
                 may_repeat: true,
-                // It has begun: it goes on as soon as it can.
+                // The caller already reads the stream: any slot is better than a longer interruption.
                 in_time: None,
             };
             let PlacementOutcome::Worker(chosen) = dispatcher.slots.place(query).await else {
@@ -277,7 +290,7 @@
             let limits = SendLimits {
                 deadline,
                 caller_deadline: self.caller_deadline,
-                // Silence is no reason to end an answer that can go nowhere else.
+                // The last allowed attempt has no silence limit, since no other worker could replace it.
                 silence: (self.runs_left > 1).then_some(self.silence + chosen.expected_prefill),
             };
             match dispatcher
--- a/crates/swiftshunt-gateway/src/request_context.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way through the gateway: where it was sent, and whether it may go on.
+//! The state of an online request in the gateway: the workers it was sent to, and whether it may be sent again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,25 +10,25 @@
 use crate::attempt::{OutgoingRequest, SendFailure};
 use crate::protocol::RequestFacts;
 
-/// Silence of a worker that is never a reason to take a request away.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(600);
+/// Lower bound of the time without activity of a worker after which a request is sent to another one.
+const MIN_SILENCE_LIMIT: Duration = Duration::from_millis(600);
 
-/// What was known when a request was sent to a worker.
+/// Time and estimates of the last send of a request to a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastSend {
-    /// When, on the gateway's clock.
+    /// Time of the send, on the gateway's clock.
     pub(crate) at: Duration,
-    /// Prompt tokens that the worker was expected to read for it.
+    /// Prompt tokens that the worker was expected not to have in its cache.
     pub(crate) missing_tokens: u64,
-    /// How long it was expected to read, what waited there included.
+    /// Expected time until the worker has read the prompt, including the work queued there before it.
     pub(crate) expected_prefill: Duration,
 }
 
-/// A request on its way.
+/// An online request between its arrival and its answer.
 pub(crate) struct RequestContext {
     pub(crate) route: Arc<Route>,
     pub(crate) service: String,
-    /// The version of the configuration by which it may be handled where it may.
+    /// Version of the configuration that gave the regions in which the request may be handled.
     pub(crate) residency_version: u64,
     pub(crate) outgoing: OutgoingRequest,
     pub(crate) facts: RequestFacts,
@@ -36,43 +36,44 @@
     pub(crate) deadline: Duration,
     pub(crate) tried: Vec<String>,
     pub(crate) last_send: Option<LastSend>,
-    /// Sends after which the request may have run.
+    /// Number of sends after which the request may have run.
     pub(crate) runs: u32,
-    /// Whether a worker has declined it since all were asked last.
+    /// Whether a worker has declined the request since `tried` was cleared last.
     pub(crate) was_declined: bool,
 }
 
 impl RequestContext {
-    /// Its identifier, for the log.
+    /// Returns the identifier of the request for logs; empty if the caller sent none.
     pub(crate) fn id(&self) -> &str {
         self.outgoing.id.as_deref().unwrap_or("")
     }
 
-    /// When the caller gives up, if it said so: what workers are told.
+    /// Returns the time at which the caller gives up, which workers get as a header; `None` if the caller sent
+    /// no timeout.
     pub(crate) fn caller_deadline(&self) -> Option<Duration> {
         let timeout = self.facts.caller_timeout;
         timeout.map(|timeout| self.arrived + timeout)
     }
 
-    /// Whether the route lets it run again at all.
+    /// Whether the route allows another attempt after the next one.
     pub(crate) fn may_run_again(&self) -> bool {
-        let again = self.route.repeat == Repeat::Allowed || self.route.resumable;
-        again && self.runs + 1 < self.route.max_attempts
+        let is_repeatable = self.route.repeat == Repeat::Allowed || self.route.resumable;
+        is_repeatable && self.runs + 1 < self.route.max_attempts
     }
 
-    /// Whether it goes to another worker after a send after which it may have run.
+    /// Whether the route allows another attempt, although the request may have run.
     pub(crate) fn may_repeat(&self) -> bool {
-        let again = self.route.repeat == Repeat::Allowed || self.route.resumable;
-        again && self.runs < self.route.max_attempts
+        let is_repeatable = self.route.repeat == Repeat::Allowed || self.route.resumable;
+        is_repeatable && self.runs < self.route.max_attempts
     }
 
-    /// Silence of a worker after which the request is taken away from it.
+    /// Returns the time without activity of a worker after which the request is sent to another one.
     pub(crate) fn silence_limit(&self) -> Duration {
         let pause = self.route.pause_target.unwrap_or_default();
-        self.route.objective.max(pause).max(SHORTEST_SILENCE)
+        self.route.objective.max(pause).max(MIN_SILENCE_LIMIT)
     }
 
-    /// It goes to a worker now.
+    /// Records that the request is sent to a worker now.
     pub(crate) fn record_send(&mut self, chosen: &ChosenWorker, now: Duration) {
         self.tried.push(chosen.incarnation.clone());
         self.last_send = Some(LastSend {
@@ -82,22 +83,22 @@
         });
     }
 
-    /// Logs that it was answered `waited` after it came, with what tells why it took that long: when it
-    /// was sent last, and what the worker had to read for it.
+    /// Logs that the request was answered `waited` after its arrival, with the figures that explain this time:
+    /// when it was sent last, and how many prompt tokens the worker had to read.
     pub(crate) fn log_answered(&self, status: StatusCode, waited: Duration) {
         let worker = self.tried.last().map_or("", String::as_str);
         let sent = self.last_send.as_ref();
         let sent_after = sent.map_or(Duration::ZERO, |sent| sent.at.saturating_sub(self.arrived));
         let missing_tokens = sent.map_or(0, |sent| sent.missing_tokens);
-        let reading = sent.map_or(Duration::ZERO, |sent| sent.expected_prefill);
+        let expected_prefill = sent.map_or(Duration::ZERO, |sent| sent.expected_prefill);
         log::info!(request = self.id(), route = self.route.name.as_str(), worker,
             sends = self.tried.len(), status = status.as_u16(), waited_ms = waited.as_millis() as u64,
             sent_after_ms = sent_after.as_millis() as u64,
             prompt_tokens = self.outgoing.demand.prompt_tokens, missing_tokens,
-            reading_ms = reading.as_millis() as u64; "answered");
+            reading_ms = expected_prefill.as_millis() as u64; "answered");
     }
 
-    /// Logs that a send of it failed.
+    /// Logs that a send of the request failed.
     pub(crate) fn log_failure(&self, chosen: &ChosenWorker, failure: &SendFailure) {
         log::info!(request = self.id(), worker = chosen.incarnation.as_str(),
             address = chosen.address.to_string().as_str(),
