--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -1,4 +1,4 @@
-//! What is followed in the log: the configuration and the directory of workers.
+//! Followers of the log's topics that describe the fleet: the configuration and the directory of workers.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -20,17 +20,16 @@
 use crate::topic_follower::{LogBackoff, TailTiming, TopicFollower};
 use crate::unreadable::UnreadableRecords;
 
-/// Part of the time within which a change must be in force for which a change of the directory
-/// rests, so that changes that come together are read together: each worker writes every second or
-/// so, and each write would wake every gateway.
-const GATHERINGS_WITHIN_OBEDIENCE: u32 = 5;
-/// Time after the log's return in which workers whose entries lapsed meanwhile list themselves again.
-const LISTED_AGAIN_WITHIN: Duration = Duration::from_secs(2);
-/// Part of the time within which a change must be in force for which workers may serve on whose entries
-/// lapsed: one that has left must get nothing at the end of it.
-const LAPSED_WITHIN_OBEDIENCE: f64 = 0.9;
+/// The propagation limit divided by this is the pause between two reads of the directory, so that changes are read
+/// in batches: each worker writes about once a second, and each write would wake every gateway.
+const READS_PER_PROPAGATION_LIMIT: u32 = 5;
+/// Time after the log's return within which workers register again whose entries lapsed while it was unavailable.
+const REREGISTRATION_TIME: Duration = Duration::from_secs(2);
+/// Share of the propagation limit for which workers with lapsed entries may continue to serve: a worker that has
+/// left must get no requests once the limit is over.
+const MAX_LAPSE_SHARE: f64 = 0.9;
 
-/// Keeps the beliefs of a gateway up to date.
+/// Keeps a gateway's view of the fleet up to date.
 pub(crate) struct FleetFollowers {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) protocol: Arc<dyn Protocol>,
@@ -43,25 +42,25 @@
 }
 
 impl FleetFollowers {
-    /// Follows the configuration for as long as the process lives.
-    pub(crate) async fn follow_configuration(self: Arc<Self>, obey_within: Duration) {
+    /// Follows the configuration until the process ends. A change is in force within `propagation_limit`.
+    pub(crate) async fn follow_configuration(self: Arc<Self>, propagation_limit: Duration) {
         let shared = self.tails.shared_tail(Topic::Configuration, |_| true);
         let mut follower =
             TopicFollower::new(Topic::Configuration, self.clock).with_shared_tail(shared);
         let mut backoff = LogBackoff::new("configuration", 0);
-        let timing = TailTiming::for_propagation_limit(obey_within);
+        let timing = TailTiming::for_propagation_limit(propagation_limit);
         loop {
             let changes = follower.next_changes(self.log.as_ref(), timing).await;
-            self.count(&changes);
+            self.count_failure(&changes);
             backoff.backoff_on_error(&changes).await;
             if changes.is_ok() {
                 self.fleet_state.confirm(self.clock.now());
             }
             let mut changes = changes.unwrap_or_default();
-            // A gateway that starts serves from its first configuration on: by then it knows what is evacuated.
+            // A gateway serves callers as soon as it has a configuration, so evacuations are applied first.
             changes.sort_by_key(|change| !self.is_about_evacuation(change));
             for change in changes {
-                self.take_operator_record(&change);
+                self.apply_operator_record(&change);
             }
         }
     }
@@ -77,14 +76,14 @@
         )
     }
 
-    /// Takes a change of what operators have written.
-    fn take_operator_record(&self, change: &Change) {
+    /// Applies a change of a record that an operator writes.
+    fn apply_operator_record(&self, change: &Change) {
         let (key, value) = match change {
             Change::Set(record) => (&record.key, Some(&record.value)),
             Change::Dropped(key) => (key, None),
         };
         match (self.protocol.classify_record(key), value) {
-            (OperatorRecord::Configuration, Some(value)) => self.take_configuration(key, value),
+            (OperatorRecord::Configuration, Some(value)) => self.install_configuration(key, value),
             (OperatorRecord::Evacuation { zone }, Some(_)) => self.evacuate(&zone),
             (OperatorRecord::Evacuation { zone }, None) => self.withdraw_evacuation(&zone),
             (OperatorRecord::Configuration, None) | (OperatorRecord::Other, _) => {}
@@ -93,18 +92,18 @@
 
     fn evacuate(&self, zone: &str) {
         if self.fleet_state.selector().evacuate(zone, self.clock.now()) {
-            log::warn!(zone; "a zone is evacuated: its workers get nothing new");
+            log::warn!(zone; "zone is being evacuated; sending no new requests to its workers");
         }
     }
 
     fn withdraw_evacuation(&self, zone: &str) {
         let mut selector = self.fleet_state.selector();
         if selector.withdraw_evacuation(zone, self.clock.now()) {
-            log::warn!(zone; "the evacuation of a zone is withdrawn");
+            log::warn!(zone; "evacuation of a zone was withdrawn; its workers get requests again");
         }
     }
 
-    fn take_configuration(&self, key: &[u8], value: &[u8]) {
+    fn install_configuration(&self, key: &[u8], value: &[u8]) {
         let configuration = match self.protocol.parse_configuration(key, value) {
             Ok(Some(configuration)) => configuration,
             Ok(None) => return,
@@ -116,7 +115,7 @@
         self.unreadable.mark_readable(Topic::Configuration, key);
         let version = configuration.version;
         if let Err(error) = configuration.validate() {
-            log::error!(version; "a configuration is not taken: {error}");
+            log::error!(version; "configuration is invalid, keeping the current one: {error}");
             return;
         }
         let routes = configuration.routes.len();
@@ -124,51 +123,51 @@
         if installed == Installed::Taken {
             self.metrics.configuration_version.set(version as i64);
         }
-        log::info!(version, routes, outcome:? = installed; "a configuration was read");
+        log::info!(version, routes, outcome:? = installed; "configuration read from the log");
     }
 
-    /// Follows the directory for as long as the process lives.
+    /// Follows the directory until the process ends.
     pub(crate) async fn follow_directory(self: Arc<Self>, settings: DirectorySettings) {
         let followers = Arc::clone(&self);
-        let is_news = move |record: &KeyedRecord| followers.is_news(record);
-        let shared = self.tails.shared_tail(Topic::Workers, is_news);
+        let has_new_information = move |record: &KeyedRecord| followers.has_new_information(record);
+        let shared = self.tails.shared_tail(Topic::Workers, has_new_information);
         let mut follower = TopicFollower::new(Topic::Workers, self.clock).with_shared_tail(shared);
         let mut backoff = LogBackoff::new("directory", 0);
         let timing = TailTiming::for_propagation_limit(settings.obey_within);
-        let gather = settings.obey_within / GATHERINGS_WITHIN_OBEDIENCE;
-        let lapse = LISTED_AGAIN_WITHIN.min(settings.obey_within.mul_f64(LAPSED_WITHIN_OBEDIENCE));
+        let read_pause = settings.obey_within / READS_PER_PROPAGATION_LIMIT;
+        let max_lapse = REREGISTRATION_TIME.min(settings.obey_within.mul_f64(MAX_LAPSE_SHARE));
         loop {
             let changes = follower.next_changes(self.log.as_ref(), timing).await;
-            self.count(&changes);
+            self.count_failure(&changes);
             backoff.backoff_on_error(&changes).await;
             if let Ok(changes) = changes {
                 let returned_at = follower.returned_at();
-                let lapses_until = returned_at.map_or(Duration::ZERO, |at| at + lapse);
+                let lapses_until = returned_at.map_or(Duration::ZERO, |at| at + max_lapse);
                 if !follower.came_from_peer() {
                     self.quarantine.handle_renewals(&self.renewed(&changes));
                 }
-                self.take_workers(changes, lapses_until);
+                self.apply_directory_changes(changes, lapses_until);
                 if !follower.came_from_peer() {
-                    tokio::time::sleep(gather).await;
+                    tokio::time::sleep(read_pause).await;
                 }
             }
         }
     }
 
-    /// Whether a record of the directory says something that is not known here.
-    fn is_news(&self, record: &KeyedRecord) -> bool {
+    /// Whether a record of the directory changes this gateway's view of the fleet.
+    fn has_new_information(&self, record: &KeyedRecord) -> bool {
         match self.protocol.parse_worker(&record.key, &record.value) {
             Ok(entry) => {
                 let selector = self.fleet_state.selector();
                 selector.differs_from_known(&entry)
                     || selector.extends_cold_period(&entry, self.clock.now())
             }
-            // Each gateway that takes it has to know once that it names no worker.
+            // An unreadable record names no worker. Each gateway must learn that once per key.
             Err(_) => !self.unreadable.is_known(Topic::Workers, &record.key),
         }
     }
 
-    /// Workers that have written their entries anew in the life that is known.
+    /// Returns the workers that renewed their entries without a restart, as incarnations.
     fn renewed(&self, changes: &[Change]) -> Vec<String> {
         let selector = self.fleet_state.selector();
         let entries = changes.iter().filter_map(|change| match change {
@@ -181,8 +180,8 @@
         renewed.map(|entry| entry.incarnation).collect()
     }
 
-    /// Takes workers as gone whose entries lapsed and are not back in time.
-    async fn end_lapse(self: Arc<Self>, until: Duration) {
+    /// Waits until `until`, then removes the workers whose entries lapsed and have not been written again.
+    async fn remove_lapsed_workers(self: Arc<Self>, until: Duration) {
         tokio::time::sleep(until.saturating_sub(self.clock.now())).await;
         let removed = self.fleet_state.selector().remove_lapsed(self.clock.now());
         let mut summary = DirectorySummary::default();
@@ -194,7 +193,7 @@
         summary.log();
     }
 
-    fn take_worker(
+    fn apply_worker(
         &self,
         entry: WorkerEntry,
         offset: u64,
@@ -217,14 +216,15 @@
         }
     }
 
-    fn count<T>(&self, outcome: &Result<T, LogError>) {
+    fn count_failure<T>(&self, outcome: &Result<T, LogError>) {
         if outcome.is_err() {
             self.metrics.log_failures.inc();
         }
     }
 
-    /// Takes what a reading changed; entries that are missing before `lapses_until` may have lapsed.
-    fn take_workers(self: &Arc<Self>, changes: Vec<Change>, lapses_until: Duration) {
+    /// Applies the changes of one read of the directory. Before `lapses_until`, workers whose entries are missing
+    /// may have lapsed, and continue to serve until then.
+    fn apply_directory_changes(self: &Arc<Self>, changes: Vec<Change>, lapses_until: Duration) {
         let now = self.clock.now();
         let mut summary = DirectorySummary::default();
         let mut unlisted = BTreeSet::new();
@@ -235,10 +235,10 @@
                     Ok(entry) => {
                         self.unreadable.mark_readable(Topic::Workers, &record.key);
                         unlisted.remove(&entry.life.id);
-                        self.take_worker(entry, record.offset, now, &mut summary);
+                        self.apply_worker(entry, record.offset, now, &mut summary);
                     }
                     Err(error) => {
-                        // It names no worker to use: neither itself nor the one that it has replaced.
+                        // An unreadable record replaces the entry under its key, whose worker is removed.
                         let topic = Topic::Workers;
                         self.unreadable
                             .record_unreadable(topic, &record.key, &error);
@@ -259,7 +259,7 @@
         self.quarantine.handle_lapsed_workers(&unlisted.removed);
         summary.add_unlisted(&unlisted);
         if let Some(until) = lapses_until.filter(|_| !unlisted.lapsed.is_empty()) {
-            tokio::spawn(Arc::clone(self).end_lapse(until));
+            tokio::spawn(Arc::clone(self).remove_lapsed_workers(until));
         }
         summary.log();
     }
--- a/crates/swiftshunt-gateway/src/fleet_state.rs
+++ b/crates/swiftshunt-gateway/src/fleet_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway believes of the fleet: the configuration in force, the workers and their load.
+//! A gateway's view of the fleet: the configuration in force, the workers, and their load.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::settings::ColdSettings;
 
-/// Shared beliefs.
+/// The view of the fleet, shared by all tasks of a gateway.
 pub(crate) struct FleetState {
     cold: ColdSettings,
     versioned: Mutex<Versioned>,
     current: watch::Sender<Option<Arc<Configuration>>>,
     selector: Mutex<Selector>,
     split: Mutex<SplitState>,
-    /// When the log last told what the configuration is, or that it has not changed.
+    /// Time at which a read of the log last returned a configuration or the absence of changes.
     confirmed_at: Mutex<Duration>,
-    /// What this gateway holds at workers, or would, has changed.
+    /// Notified when the requests that this gateway has at workers, or would send to them, change.
     pub(crate) load_changed: Notify,
 }
 
@@ -37,22 +37,22 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force; `None` until the first one was read.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.current.borrow().clone()
     }
 
-    /// The configuration in force was confirmed.
+    /// Records that the log confirmed the configuration in force.
     pub(crate) fn confirm(&self, now: Duration) {
         *lock(&self.confirmed_at) = now;
     }
 
-    /// When the configuration in force was confirmed last.
+    /// Returns the time of the last confirmation of the configuration in force; zero if there was none.
     pub(crate) fn confirmed_at(&self) -> Duration {
         *lock(&self.confirmed_at)
     }
 
-    /// Whether a service has batch items beside callers' requests.
+    /// Whether a service runs batch items besides online requests.
     pub(crate) fn has_batch(&self, service: &str) -> bool {
         let configuration = self.current.borrow();
         configuration
@@ -60,27 +60,27 @@
             .is_some_and(|it| it.batch_services().contains(service))
     }
 
-    /// Puts a configuration into force if it is newer.
+    /// Puts a configuration into force if it is newer than the current one.
     pub(crate) fn install(&self, configuration: Configuration) -> Installed {
         let mut versioned = lock(&self.versioned);
         let installed = versioned.install(configuration);
         if installed == Installed::Taken {
             let current = versioned.current();
             if let Some(current) = &current {
-                self.learn_services(current);
+                self.apply_services(current);
             }
             self.current.send_replace(current);
         }
         installed
     }
 
-    /// What the cold workers of a service may get, by the settings.
+    /// Returns the bound of requests to the cold workers of a service, scaled by the settings.
     fn cold_bound(&self, cold: &ColdSpec) -> ColdBound {
         let ColdSettings { share, requests } = self.cold;
         ColdBound::new(cold.lasts, cold.per_second, share, requests)
     }
 
-    fn learn_services(&self, configuration: &Configuration) {
+    fn apply_services(&self, configuration: &Configuration) {
         let mut selector = self.selector();
         for (name, service) in &configuration.services {
             selector.set_cold_bound(
@@ -93,13 +93,13 @@
         }
     }
 
-    /// The workers.
+    /// Locks and returns the selector, which holds the workers and their load.
     pub(crate) fn selector(&self) -> MutexGuard<'_, Selector> {
         lock(&self.selector)
     }
 
-    /// The service of the next request of a route that may be handled in these regions, by the shares of its
-    /// split among those that are open.
+    /// Returns the service for the next request of a route: the route's split applied to the services that have
+    /// an eligible worker in the given regions.
     pub(crate) fn next_service(&self, route: &Route, residency: &Residency) -> String {
         let selector = self.selector();
         let mut split = lock(&self.split);
@@ -110,13 +110,14 @@
             .to_owned()
     }
 
-    /// Whether enough is known to serve callers.
+    /// Whether a configuration and at least one worker are known, so that callers can be served.
     pub(crate) fn is_complete(&self) -> bool {
         self.current.borrow().is_some() && !self.selector().is_empty()
     }
 }
 
-/// Locks; a panic of another holder has stopped the process before this could matter.
+/// Locks a mutex. Poisoning is ignored: a panic stops the process before another thread can see the state that it
+/// left.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -233,7 +233,7 @@
         let callers_address = callers.local_addr().unwrap_or(settings.listen.callers);
         let ready_address = ready.local_addr().unwrap_or(settings.listen.ready);
         let directory = settings.directory.clone();
-        let obey_operators = directory.obey_within.min(settings.evacuation.obey_within);
+        let propagation_limit = directory.obey_within.min(settings.evacuation.obey_within);
         let evacuation_monitor = EvacuationMonitor {
             fleet_state: Arc::clone(&fleet_state),
             running: Arc::clone(&running),
@@ -242,7 +242,7 @@
             items_leave_after: settings.evacuation.items_leave_after,
         };
         let mut tasks = vec![
-            tokio::spawn(Arc::clone(&fleet_followers).follow_configuration(obey_operators)),
+            tokio::spawn(Arc::clone(&fleet_followers).follow_configuration(propagation_limit)),
             tokio::spawn(fleet_followers.follow_directory(directory)),
             tokio::spawn(serve_callers(
                 callers,
--- a/crates/swiftshunt-gateway/src/start_permits.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -1,5 +1,6 @@
-//! Starts at cold workers: asked for at the worker's keepers before each send, handed out by this gateway where
-//! it is a keeper. A gateway that reaches no keeper sends nothing to a cold worker.
+//! Start permits for cold workers. Before each send, a gateway requests one from the worker's issuers; where this
+//! gateway is an issuer, it issues permits to the others. A gateway that reaches no issuer sends nothing to a
+//! cold worker.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,26 +21,26 @@
 use crate::messages::starts::StartMessage as Message;
 use crate::metrics::Metrics;
 
-/// How long a keeper's answer is waited for: a few times the way to and fro within a region.
-const ASK_PATIENCE: Duration = Duration::from_millis(14);
-/// Longest such time: a start that comes as late as this has still a part of its life.
-const MOST_PATIENCE: Duration = Duration::from_millis(120);
-/// Time for which a worker is passed over whose keepers did not answer.
-const SILENT_FOR: Duration = Duration::from_millis(200);
-/// Shortest time for which a worker without a start is passed over.
-const NONE_FOR: Duration = Duration::from_millis(20);
+/// Time-out for the answer of an issuer in the same region: a few times the round trip within a region.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(14);
+/// Upper bound of the time-out for any issuer: a permit that arrives this late is still valid for some time.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
+/// Time for which a worker gets no sends after none of its issuers could issue or refuse a permit.
+const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(200);
+/// Lower bound of the time for which a worker gets no sends after its issuers refused a permit.
+const MIN_REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
 
-/// A start, or the time until there may be one.
+/// A granted permit, or the time until one may be available.
 type Verdict = Result<(), Duration>;
 
-/// The right to send one request to a cold worker, until it lapses.
+/// The right to send one request to a cold worker before the permit expires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartPermit {
-    /// None where the worker is warm and none is needed.
-    lapses_at: Option<Duration>,
+    /// Time of the expiry; `None` if the worker is warm and needs no permit.
+    expires_at: Option<Duration>,
 }
 
-/// The starts that this gateway asks for and hands out.
+/// Requests start permits for this gateway's sends, and issues permits to others.
 pub(crate) struct StartPermits {
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
@@ -47,19 +48,19 @@
     metrics: Arc<Metrics>,
     clock: Clock,
     issuer: Mutex<PermitIssuer>,
-    asks: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
-    last_ask: AtomicU64,
+    pending_requests: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
+    last_request: AtomicU64,
 }
 
-/// A question that is open until this is dropped, also where whoever asked is gone.
-struct Asked<'s> {
+/// An open request for a permit. Dropping it removes the request, also if the task that made it was cancelled.
+struct PendingRequest<'s> {
     permits: &'s StartPermits,
     ask: u64,
 }
 
-impl Drop for Asked<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        lock(&self.permits.asks).remove(&self.ask);
+        lock(&self.permits.pending_requests).remove(&self.ask);
     }
 }
 
@@ -78,37 +79,37 @@
             metrics,
             clock,
             issuer: Mutex::new(PermitIssuer::new(clock.now())),
-            asks: Mutex::default(),
-            last_ask: AtomicU64::new(0),
+            pending_requests: Mutex::default(),
+            last_request: AtomicU64::new(0),
         }
     }
 
-    /// The start for a send now: `held` if it has not lapsed, none needed at a warm worker, or a new one; none
-    /// if there is none to be had.
+    /// Returns a permit for a send now: `held` if it has not expired, one without expiry for a warm worker, or a
+    /// new one. Returns `None` if the worker is cold and no permit is available.
     pub(crate) async fn ensure_permit(
         &self,
         chosen: &ChosenWorker,
         held: Option<StartPermit>,
     ) -> Option<StartPermit> {
         let now = self.clock.now();
-        let lapses_at = held.and_then(|held| held.lapses_at);
-        if lapses_at.is_some_and(|lapses_at| now < lapses_at) {
+        let expires_at = held.and_then(|held| held.expires_at);
+        if expires_at.is_some_and(|expires_at| now < expires_at) {
             return held;
         }
         let bound = self.fleet_state.selector().required_cold_bound(chosen, now);
         let Some(bound) = bound else {
-            return Some(StartPermit { lapses_at: None });
+            return Some(StartPermit { expires_at: None });
         };
-        let lapses_at = now + START_PERMIT_TTL;
-        let verdict = self.ask_keepers(chosen, &bound).await;
+        let expires_at = now + START_PERMIT_TTL;
+        let verdict = self.request_from_issuers(chosen, &bound).await;
         let now = self.clock.now();
         match verdict {
-            Ok(()) if now < lapses_at => Some(StartPermit {
-                lapses_at: Some(lapses_at),
+            Ok(()) if now < expires_at => Some(StartPermit {
+                expires_at: Some(expires_at),
             }),
             Ok(()) => None,
-            Err(again_in) => {
-                let until = now + again_in.max(NONE_FOR);
+            Err(retry_after) => {
+                let until = now + retry_after.max(MIN_REFUSAL_BACKOFF);
                 let mut selector = self.fleet_state.selector();
                 selector.record_no_permits_until(&chosen.incarnation, until);
                 self.metrics.starts_missing.inc();
@@ -117,67 +118,68 @@
         }
     }
 
-    /// Asks the keepers of a worker one after the other.
-    async fn ask_keepers(&self, chosen: &ChosenWorker, bound: &ColdBound) -> Verdict {
-        let mut keepers = self.members.permit_issuers(&chosen.id, &chosen.zone);
+    /// Requests a permit from the issuers of a worker, one after the other.
+    async fn request_from_issuers(&self, chosen: &ChosenWorker, bound: &ColdBound) -> Verdict {
+        let mut issuers = self.members.permit_issuers(&chosen.id, &chosen.zone);
         if prefers_second_issuer(bound, rand::random()) {
-            keepers.reverse();
+            issuers.reverse();
         }
-        let mut again_in = SILENT_FOR;
-        for keeper in keepers.into_iter().flatten() {
-            let verdict = self.ask(keeper, chosen).await;
+        let mut retry_after = NO_ISSUER_BACKOFF;
+        for target in issuers.into_iter().flatten() {
+            let verdict = self.request_permit(target, chosen).await;
             match verdict {
                 Some(Ok(())) => return Ok(()),
-                Some(Err(its)) => again_in = again_in.min(its),
+                Some(Err(wait)) => retry_after = retry_after.min(wait),
                 None => {}
             }
         }
-        Err(again_in)
+        Err(retry_after)
     }
 
-    /// Asks one keeper; no verdict if it does not answer in time.
-    async fn ask(&self, keeper: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
-        if keeper == self.members.own_address() {
-            return Some(self.hand_out(&chosen.service, &chosen.id, &chosen.zone));
+    /// Requests a permit from one issuer. Returns `None` if the issuer is suspected to be down or does not answer
+    /// in time.
+    async fn request_permit(&self, target: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
+        if target == self.members.own_address() {
+            return Some(self.issue_permit(&chosen.service, &chosen.id, &chosen.zone));
         }
-        if self.members.is_suspected(keeper) {
+        if self.members.is_suspected(target) {
             return None;
         }
-        let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
+        let ask = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
         let (sender, receiver) = oneshot::channel();
-        lock(&self.asks).insert(ask, sender);
-        let _asked = Asked { permits: self, ask };
+        lock(&self.pending_requests).insert(ask, sender);
+        let _pending = PendingRequest { permits: self, ask };
         let message = Message::Ask {
             ask,
             service: chosen.service.clone(),
             worker: chosen.id.clone(),
             zone: chosen.zone.clone(),
         };
-        self.datagrams.send(&Notice::Start(message), [keeper]);
-        let patience = self
+        self.datagrams.send(&Notice::Start(message), [target]);
+        let timeout = self
             .members
-            .answer_timeout(keeper, ASK_PATIENCE)
-            .min(MOST_PATIENCE);
-        match tokio::time::timeout(patience, receiver).await {
+            .answer_timeout(target, ANSWER_TIMEOUT)
+            .min(MAX_ANSWER_TIMEOUT);
+        match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(verdict)) => Some(verdict),
             Ok(Err(_)) | Err(_) => {
-                self.members.record_timeout(keeper);
+                self.members.record_timeout(target);
                 None
             }
         }
     }
 
-    /// Hands out a start if this gateway is a keeper of the worker.
-    fn hand_out(&self, service: &str, worker: &str, zone: &str) -> Verdict {
+    /// Issues a permit if this gateway is an issuer of the worker and the issuer's rate allows one.
+    fn issue_permit(&self, service: &str, worker: &str, zone: &str) -> Verdict {
         let own = Some(self.members.own_address());
-        let keepers = self.members.permit_issuers(worker, zone);
-        let rank = keepers.iter().position(|keeper| *keeper == own);
+        let issuers = self.members.permit_issuers(worker, zone);
+        let rank = issuers.iter().position(|target| *target == own);
         let bound = self.fleet_state.selector().cold_bound(service).copied();
         let (Some(rank), Some(bound)) = (rank, bound) else {
-            return Err(SILENT_FOR);
+            return Err(NO_ISSUER_BACKOFF);
         };
         let Some(known_since) = self.members.list_loaded_at() else {
-            return Err(SILENT_FOR);
+            return Err(NO_ISSUER_BACKOFF);
         };
         let now = self.clock.now();
         let verdict = {
@@ -191,7 +193,7 @@
         verdict
     }
 
-    /// Takes a message of another gateway.
+    /// Handles a message of another gateway.
     pub(crate) fn handle_message(&self, message: Message, from: SocketAddr) {
         match message {
             Message::Ask {
@@ -200,14 +202,14 @@
                 worker,
                 zone,
             } => {
-                let verdict = self.hand_out(&service, &worker, &zone);
+                let verdict = self.issue_permit(&service, &worker, &zone);
                 let answer = Message::Answer { ask, verdict };
                 self.datagrams.send(&Notice::Start(answer), [from]);
             }
             Message::Answer { ask, verdict } => {
-                let asked = lock(&self.asks).remove(&ask);
-                if asked.is_some_and(|asked| asked.send(verdict).is_err()) {
-                    log::debug!(ask; "a start came for a request that is gone");
+                let pending = lock(&self.pending_requests).remove(&ask);
+                if pending.is_some_and(|pending| pending.send(verdict).is_err()) {
+                    log::debug!(ask; "start permit arrived after its request had ended");
                 }
             }
         }
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -1,5 +1,5 @@
-//! A keyed topic that is followed: listed once, then its tail, from the log or from a gateway that
-//! reads it for others.
+//! Following of a keyed topic: it is listed once, then its tail is read, from the log or from another gateway that
+//! reads it for several.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::listing::Listing;
 use crate::tails::SharedTail;
 
-/// Part of the time within which a change must be in force for which a read waits at most: a read
-/// that was lost on the way must not take all of it.
-const WAITS_WITHIN_OBEDIENCE: u32 = 2;
-/// Part of the same time after which a read is made again beside one whose answer is overdue.
-const HEDGES_WITHIN_OBEDIENCE: u32 = 4;
-/// First and longest pause after a call that gave nothing.
-const FIRST_PAUSE: Duration = Duration::from_millis(80);
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-
-/// Pauses while the log is away, and logs when that begins and ends.
+/// The propagation limit divided by this is the time for which a read waits for a change: a read that is lost must
+/// not use up the whole limit.
+const WAITS_PER_PROPAGATION_LIMIT: u32 = 2;
+/// The propagation limit divided by this is the time after which a read is repeated, while one whose answer is
+/// overdue is still open.
+const HEDGES_PER_PROPAGATION_LIMIT: u32 = 4;
+/// Base of the exponential pause after a failed call, and the upper bound of the pause.
+const BACKOFF_BASE: Duration = Duration::from_millis(80);
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
+
+/// Pauses after failed calls to the log, and logs when the log becomes unavailable and when it answers again.
 pub(crate) struct LogBackoff {
     what: &'static str,
     partition: u32,
@@ -52,46 +53,46 @@
         if self.failures == 2 {
             log::warn!(what = self.what, partition = self.partition; "{error}");
         }
-        let longest = (FIRST_PAUSE * 2_u32.pow(self.failures.min(6))).min(LONGEST_PAUSE);
+        let longest = (BACKOFF_BASE * 2_u32.pow(self.failures.min(6))).min(MAX_BACKOFF);
         let share = rand::rng().random_range(0.5..=1.0);
         tokio::time::sleep(longest.mul_f64(share)).await;
     }
 }
 
-/// How the tail of a topic is read.
+/// Timing of the reads of a topic's tail.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TailTiming {
-    /// How long a read waits for a change.
+    /// Time for which a read waits for a change.
     pub(crate) wait: Duration,
-    /// How long an answer may be overdue before the read is made again beside it.
+    /// Time for which an answer may be overdue before the read is repeated.
     pub(crate) hedge_after: Duration,
 }
 
 impl TailTiming {
-    /// A pace at which what is new is known within `obey_within`, also where a read was lost.
-    pub(crate) fn for_propagation_limit(obey_within: Duration) -> Self {
+    /// Returns a timing by which a change is known within `propagation_limit`, even if a read is lost.
+    pub(crate) fn for_propagation_limit(propagation_limit: Duration) -> Self {
         Self {
-            wait: obey_within / WAITS_WITHIN_OBEDIENCE,
-            hedge_after: obey_within / HEDGES_WITHIN_OBEDIENCE,
+            wait: propagation_limit / WAITS_PER_PROPAGATION_LIMIT,
+            hedge_after: propagation_limit / HEDGES_PER_PROPAGATION_LIMIT,
         }
     }
 
-    /// Time within which a read is answered that was not lost.
+    /// Returns the time after which a read counts as lost and is repeated.
     pub(crate) fn overdue_after(self) -> Duration {
         self.wait + self.hedge_after
     }
 }
 
-/// A read of the tail of a topic.
+/// The outcome of a read of a topic's tail.
 struct HedgedRead {
     outcome: ReadOutcome,
-    /// Whether it had to be made again.
+    /// Whether the read had to be repeated.
     was_overdue: bool,
 }
 
-/// Reads the tail of a topic. A log that was away never answers what it was asked meanwhile, also
-/// after it is back, and one that is slow answers late: so the read is made again beside the one
-/// whose answer is overdue, and the first outcome counts. `overdue` is called each time.
+/// Reads the tail of a topic. Calls made while the log was unavailable are never answered, not even after it has
+/// returned, and a slow log answers late. So the read is repeated while the overdue one is still open, and the
+/// first outcome counts. `overdue` is called on each repetition.
 async fn read_hedged(
     log: &dyn Log,
     topic: Topic,
@@ -119,7 +120,7 @@
     }
 }
 
-/// A keyed topic of one partition that is followed.
+/// Follows a keyed topic of one partition.
 pub(crate) struct TopicFollower {
     topic: Topic,
     clock: Clock,
@@ -128,9 +129,9 @@
     is_listed: bool,
     shared: Option<SharedTail>,
     came_from_peer: bool,
-    /// Whether the last call to the log gave nothing.
+    /// Whether the last call to the log failed.
     has_failed: bool,
-    /// When the log was back after it had not answered.
+    /// Time at which the log answered for the first time after its last unavailability.
     returned_at: Option<Duration>,
 }
 
@@ -149,7 +150,7 @@
         }
     }
 
-    /// The same, with its tail shared between gateways.
+    /// Shares the reads of the tail with other gateways.
     pub(crate) fn with_shared_tail(self, shared: SharedTail) -> Self {
         Self {
             shared: Some(shared),
@@ -157,7 +158,8 @@
         }
     }
 
-    /// When the log was back last after it had not answered, as far as it was noticed.
+    /// Returns the time at which the log answered again after it was last unavailable; `None` if no
+    /// unavailability was noticed.
     pub(crate) fn returned_at(&self) -> Option<Duration> {
         self.returned_at
     }
@@ -167,14 +169,14 @@
         self.came_from_peer
     }
 
-    /// What has changed; waits for something as `timing` says.
+    /// Returns the changes since the last call. Waits for a change for the time that `timing` gives.
     pub(crate) async fn next_changes(
         &mut self,
         log: &dyn Log,
         timing: TailTiming,
     ) -> Result<Vec<Change>, LogError> {
-        if let Some(part) = self.by_a_reader(timing).await {
-            return Ok(self.take_part(part));
+        if let Some(part) = self.read_from_peer(timing).await {
+            return Ok(self.apply_part(part));
         }
         self.came_from_peer = false;
         let changes = self.read(log, timing).await;
@@ -185,13 +187,13 @@
         changes
     }
 
-    async fn by_a_reader(&self, timing: TailTiming) -> Option<TailPart> {
+    async fn read_from_peer(&self, timing: TailTiming) -> Option<TailPart> {
         let shared = self.shared.as_ref().filter(|_| self.is_listed)?;
         let from = self.view.next_offset();
         shared.read_from_reader(from, timing).await
     }
 
-    fn take_part(&mut self, part: TailPart) -> Vec<Change> {
+    fn apply_part(&mut self, part: TailPart) -> Vec<Change> {
         self.came_from_peer = true;
         self.has_failed = false;
         let ago = part.returned_ago;
@@ -213,7 +215,7 @@
             }
         };
         let read = read_hedged(log, self.topic, from, timing, overdue).await?;
-        self.answered(read.was_overdue);
+        self.record_log_answer(read.was_overdue);
         match read.outcome {
             ReadOutcome::Records { records, .. } => {
                 self.publish(from, &records, timing);
@@ -223,8 +225,8 @@
         }
     }
 
-    /// The log answered.
-    fn answered(&mut self, was_overdue: bool) {
+    /// Records that the log answered, and whether the answer was overdue.
+    fn record_log_answer(&mut self, was_overdue: bool) {
         if self.has_failed || was_overdue {
             self.returned_at = Some(self.clock.now());
         }
@@ -242,7 +244,7 @@
         let topic = self.topic;
         let page = |after, _| log.newest(topic, 0, after);
         let pages = self.listing.read(page).await?;
-        self.answered(false);
+        self.record_log_answer(false);
         let changes = pages
             .into_iter()
             .flat_map(|page| self.view.apply_page(page));
--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -1,7 +1,7 @@
-//! How long answers of other gateways are waited for: a property of the way, not of the code that waits.
+//! Time-outs for answers of other gateways, which depend on the network path and not on the kind of request.
 //!
-//! Within a region an answer is waited for as long as whoever waits says. To another region the way itself takes
-//! longer than that: there the round trips that were observed between the zones are added, with their deviation.
+//! Within a region, the caller's time-out applies. A round trip to another region may take longer than that, so
+//! the observed round trips between the zones are added, with their deviation.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -10,34 +10,34 @@
 
 use crate::fleet_state::lock;
 
-/// How long the way to another region is waited for until one was observed.
-const UNOBSERVED: Duration = Duration::from_millis(150);
-/// What the way to another region adds at least and at most: beyond that, what is asked there is of no use any
+/// Time that is added for another region until a round trip was observed.
+const UNOBSERVED_ROUND_TRIP: Duration = Duration::from_millis(150);
+/// Bounds of the time that is added for another region: an answer that arrives later than that is of no use any
 /// more.
 const BOUNDS: Bounds = Bounds {
     floor: Duration::from_millis(5),
     ceiling: Duration::from_millis(600),
 };
 
-/// The ways from this gateway's zone to others.
+/// The observed round trips from this gateway's zone to others.
 #[derive(Default)]
 pub(crate) struct ZoneLatencies {
     round_trips: Mutex<RoundTrips<String>>,
 }
 
 impl ZoneLatencies {
-    /// An answer came from a zone.
+    /// Records that an answer from a zone took this long.
     pub(crate) fn record_answer(&self, zone: &str, took: Duration) {
         lock(&self.round_trips).observe(zone.to_owned(), took);
     }
 
-    /// An answer from a zone did not come in time.
+    /// Records that an answer from a zone did not arrive in time.
     pub(crate) fn record_timeout(&self, zone: &str) {
         lock(&self.round_trips).missed(&zone.to_owned());
     }
 
-    /// The round trip to a zone; none that counts where it is in the own region, or was not observed yet: the first
-    /// request that goes there finds it out.
+    /// Returns the mean round trip to a zone; zero for a zone of the own region, and until the first request to the
+    /// zone has been observed.
     pub(crate) fn round_trip(&self, topology: &Topology, zone: &str) -> Duration {
         if topology.distance_to(zone) < Distance::OtherRegion {
             return Duration::ZERO;
@@ -46,7 +46,7 @@
         mean.unwrap_or_default()
     }
 
-    /// How long an answer from a zone is waited for that within a region is waited for `within_region`.
+    /// Returns the time-out for an answer from a zone, given the time-out within a region.
     pub(crate) fn answer_timeout(
         &self,
         topology: &Topology,
@@ -57,17 +57,17 @@
             return within_region;
         }
         let round_trips = lock(&self.round_trips);
-        within_region + round_trips.patience(&zone.to_owned(), UNOBSERVED, BOUNDS)
+        within_region + round_trips.patience(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
     }
 
-    /// The same for answers from all zones.
+    /// Returns the longest such time-out over all zones.
     pub(crate) fn max_answer_timeout(
         &self,
         topology: &Topology,
         within_region: Duration,
     ) -> Duration {
         let zones = topology.zones();
-        let patience = zones.map(|zone| self.answer_timeout(topology, zone, within_region));
-        patience.max().unwrap_or(within_region)
+        let timeouts = zones.map(|zone| self.answer_timeout(topology, zone, within_region));
+        timeouts.max().unwrap_or(within_region)
     }
 }
