--- a/crates/swiftshunt-gateway/src/abandon_guard.rs
+++ b/crates/swiftshunt-gateway/src/abandon_guard.rs
@@ -1,10 +1,10 @@
-//! Callers that leave before their answer.
+//! Accounting for callers that disconnect before their answer.
 
 use crate::attempt::Dispatcher;
 use crate::metrics::RequestEnd;
 use crate::request_context::RequestContext;
 
-/// Counts a caller that left before its answer.
+/// Counts a request as in flight until this is dropped, and as abandoned unless it was marked as answered by then.
 pub(crate) struct AbandonGuard<'d> {
     dispatcher: &'d Dispatcher,
     route: String,
@@ -13,7 +13,6 @@
 }
 
 impl<'d> AbandonGuard<'d> {
-    /// Counts from now on.
     pub(crate) fn new(dispatcher: &'d Dispatcher, context: &RequestContext) -> Self {
         Self {
             dispatcher,
@@ -23,7 +22,7 @@
         }
     }
 
-    /// The caller has its answer.
+    /// Records that the request has its answer.
     pub(crate) fn mark_answered(mut self) {
         self.answered = true;
     }
--- a/crates/swiftshunt-gateway/src/answers.rs
+++ b/crates/swiftshunt-gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of the gateway's own, and heads that are passed on.
+//! Answers that the gateway makes itself, and the headers of forwarded ones.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{HeaderMap, Response, StatusCode};
 
-/// Why a body broke off.
+/// The error of a body that broke off.
 pub(crate) type BodyError = Box<dyn std::error::Error + Send + Sync>;
 /// The body of an answer to a caller.
 pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 /// An answer to a caller.
 pub(crate) type CallerAnswer = Response<AnswerBody>;
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which are not forwarded.
 const CONNECTION_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -28,14 +28,14 @@
     "upgrade",
 ];
 
-/// A whole body.
+/// Returns a body with these bytes.
 pub(crate) fn full_body(bytes: Bytes) -> AnswerBody {
     Full::new(bytes)
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// An answer with a short text.
+/// Returns an answer with a short plain text.
 pub(crate) fn plain(status: StatusCode, text: &'static str) -> CallerAnswer {
     let mut answer = Response::new(full_body(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
@@ -44,12 +44,13 @@
     answer
 }
 
-/// The request did not run and will not; the caller may come back after `retry_after`.
+/// Returns the answer (503) to a request that did not and will not run; the caller may repeat it after `retry_after`.
 pub(crate) fn not_run(text: &'static str, retry_after: Duration) -> CallerAnswer {
     answer_with_retry_after(StatusCode::SERVICE_UNAVAILABLE, text, retry_after)
 }
 
-/// A limit is reached; nothing was recorded.
+/// Returns the answer (429) to a request beyond a limit, of which nothing was stored; the caller may repeat it after
+/// `retry_after`.
 pub(crate) fn too_many(text: &'static str, retry_after: Duration) -> CallerAnswer {
     answer_with_retry_after(StatusCode::TOO_MANY_REQUESTS, text, retry_after)
 }
@@ -65,12 +66,12 @@
         Ok(seconds) => {
             answer.headers_mut().insert(RETRY_AFTER, seconds);
         }
-        Err(error) => log::error!("a come-back time has no form: {error}"),
+        Err(error) => log::error!("cannot encode the retry-after header: {error}"),
     }
     answer
 }
 
-/// Copies what is meant for the other end.
+/// Returns the headers without the hop-by-hop ones, among them those that the `connection` header names.
 pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<HeaderName> = headers
         .get_all("connection")
@@ -81,8 +82,8 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let of_connection = CONNECTION_HEADERS.contains(&name.as_str()) || named.contains(name);
-        if !of_connection {
+        let is_hop_by_hop = CONNECTION_HEADERS.contains(&name.as_str()) || named.contains(name);
+        if !is_hop_by_hop {
             kept.append(name.clone(), value.clone());
         }
     }
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -420,7 +420,7 @@
 /// Logs that a worker may not get a request, and returns the failure.
 fn withheld(chosen: &ChosenWorker, outgoing: &OutgoingRequest, why: Withheld) -> SendFailure {
     log::info!(request = outgoing.id.as_deref().unwrap_or(""),
-        worker = chosen.incarnation.as_str(), why:% = why; "worker may not get the request; not sending");
+        worker = chosen.incarnation.as_str(), why:% = why; "send withheld, since the worker may not get the request");
     SendFailure::Withheld { why }
 }
 
--- a/crates/swiftshunt-gateway/src/clock.rs
+++ b/crates/swiftshunt-gateway/src/clock.rs
@@ -4,10 +4,10 @@
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Time since the process started; never steps back. A time in which the machine was suspended counts: what a
-/// gateway believed before (leases, the directory, that the configuration is in force) is as old as it is for
-/// everybody else. The runtime's timers do not count such a time, and what they end may have been over for
-/// long; whoever acts on an age asks this clock.
+/// A monotonic clock that starts with the process. It includes the time in which the machine was suspended: after a
+/// suspension, leases, the directory and the confirmation of the configuration are as old as for every other
+/// machine. The runtime's timers do not include that time and may fire long after the deadline, so code that depends
+/// on an age reads this clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Duration,
@@ -24,18 +24,18 @@
         since_boot().saturating_sub(self.start)
     }
 
-    /// Milliseconds of Unix time; 0 before its beginning. The time of day may jump: it never decides
-    /// what is true, only what goes first.
+    /// Returns the Unix time in milliseconds; 0 before 1970. The system time may jump, so it is used only to order
+    /// work, never to decide whether something has expired.
     pub(crate) fn unix_ms() -> u64 {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
     }
 }
 
-/// Time since the machine started, suspensions included.
+/// Returns the time since the machine started, including suspensions.
 fn since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
-    // Neither is negative: the clock begins at 0, and nanoseconds are those of a second.
+    // Neither is negative: the clock begins at 0, and the nanoseconds are below one second.
     let seconds = u64::try_from(tv_sec).unwrap_or_default();
     let nanoseconds = u32::try_from(tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
--- a/crates/swiftshunt-gateway/src/datagrams.rs
+++ b/crates/swiftshunt-gateway/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! The socket over which gateways send each other datagrams. Nothing here waits: what does not fit
+//! The socket over which gateways send each other datagrams. Sending does not block: a datagram that does not fit
 //! into the socket's buffer is dropped.
 
 use std::net::SocketAddr;
@@ -10,10 +10,10 @@
 use crate::messages::Notice;
 use crate::metrics::Metrics;
 
-/// Largest datagram.
+/// Largest datagram that is received, in bytes.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// The socket.
+/// Sends and receives datagrams, and counts them.
 pub(crate) struct Datagrams {
     socket: UdpSocket,
     members: Arc<Members>,
@@ -33,7 +33,7 @@
     pub(crate) fn send(&self, message: &Notice, to: impl IntoIterator<Item = SocketAddr>) {
         let mut datagram = Vec::new();
         if let Err(error) = ciborium::into_writer(message, &mut datagram) {
-            log::error!("a message has no form: {error}");
+            log::error!("cannot encode a message to other gateways: {error}");
             return;
         }
         let content = message.into();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Waits for a datagram; gives its length and its sender.
+    /// Waits for a datagram and returns its length and its sender.
     pub(crate) async fn receive(&self, buffer: &mut [u8]) -> std::io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(buffer).await
     }
--- a/crates/swiftshunt-gateway/src/directory_summary.rs
+++ b/crates/swiftshunt-gateway/src/directory_summary.rs
@@ -1,23 +1,23 @@
-//! What one reading of the directory changed, in one line of the log: a line for each worker at each
-//! gateway would grow with both.
+//! A single log line for all changes of one read of the directory. With a line for each worker, the log would grow
+//! with the number of workers times the number of gateways.
 
 use swiftshunt_scheduler::directory::Availability;
 use swiftshunt_scheduler::listed::UnlistOutcome;
 
-/// Workers that a line names of each kind at most; the others are counted.
-const NAMED: usize = 8;
+/// Largest number of workers that a line names for each kind of change; further ones are only counted.
+const MAX_NAMED_WORKERS: usize = 8;
 
-/// Workers that took one turn.
+/// The workers with the same kind of change.
 #[derive(Default)]
-struct Turned {
+struct WorkerGroup {
     named: Vec<String>,
     count: usize,
 }
 
-impl Turned {
+impl WorkerGroup {
     fn add(&mut self, incarnation: &str) {
         self.count += 1;
-        if self.named.len() < NAMED {
+        if self.named.len() < MAX_NAMED_WORKERS {
             self.named.push(incarnation.to_owned());
         }
     }
@@ -31,19 +31,19 @@
     }
 }
 
-/// What a reading changed.
+/// The changes of one read of the directory.
 #[derive(Default)]
 pub(crate) struct DirectorySummary {
-    ready: Turned,
-    leaving: Turned,
-    gone: Turned,
-    lapsed: Turned,
-    /// The newest entry that was read.
+    ready: WorkerGroup,
+    leaving: WorkerGroup,
+    gone: WorkerGroup,
+    lapsed: WorkerGroup,
+    /// Highest offset among the entries that were read.
     offset: u64,
 }
 
 impl DirectorySummary {
-    /// A worker is new, or its availability or address is.
+    /// Adds a worker that is new, or whose availability or address changed.
     pub(crate) fn add_listed(
         &mut self,
         incarnation: &str,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Workers are no longer listed.
+    /// Adds workers that are no longer listed.
     pub(crate) fn add_unlisted(&mut self, unlisted: &UnlistOutcome) {
         for departed in &unlisted.removed {
             self.gone.add(&departed.incarnation);
@@ -67,11 +67,11 @@
         }
     }
 
-    /// Writes the line, if anything changed.
+    /// Writes the log line if anything changed.
     pub(crate) fn log(&self) {
         if [&self.ready, &self.leaving, &self.gone, &self.lapsed]
             .iter()
-            .all(|turned| turned.count == 0)
+            .all(|group| group.count == 0)
         {
             return;
         }
--- a/crates/swiftshunt-gateway/src/evacuation_monitor.rs
+++ b/crates/swiftshunt-gateway/src/evacuation_monitor.rs
@@ -1,9 +1,10 @@
-//! Evacuated zones become empty: what is in progress in each is told, and batch items that run on there for long
-//! step aside with their progress.
+//! Monitoring of evacuated zones: exports the requests in progress in each, and interrupts batch items that continue
+//! to run there for long. An interrupted item keeps its progress.
 //!
-//! An item there holds a slot that nobody else may have, so that it leaves costs the rest of the fleet a slot and
-//! gives it none. Short ones therefore run on. One that is left after some time is long, and keeps the zone from
-//! being empty: it steps aside, one after the other, and waits for a slot behind callers' requests as any other.
+//! An item in an evacuated zone holds a slot that no other request may use. Moving the item costs the rest of the
+//! fleet a slot and frees none, so short items run to their end. An item that is still there after some time is long
+//! and keeps the zone from becoming empty. Such items are interrupted one at a time, and wait for another slot behind
+//! online requests as any batch item does.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,60 +15,60 @@
 use crate::metrics::Metrics;
 use crate::running::RunningItems;
 
-/// Pause between looks; an item of this gateway leaves at each of them at most.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between two checks; each check interrupts at most one item of this gateway.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Looks after evacuated zones.
+/// Monitors evacuated zones.
 pub(crate) struct EvacuationMonitor {
     pub(crate) fleet_state: Arc<FleetState>,
     pub(crate) running: Arc<RunningItems>,
     pub(crate) metrics: Arc<Metrics>,
     pub(crate) clock: Clock,
-    /// How long items run on in an evacuated zone.
+    /// Time from the evacuation of a zone for which its batch items may continue to run there.
     pub(crate) items_leave_after: Duration,
 }
 
 impl EvacuationMonitor {
-    /// Looks for as long as the process lives.
+    /// Checks the evacuated zones until the process ends.
     pub(crate) async fn run(self) {
         let mut before = BTreeMap::new();
         loop {
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             let zones = self.fleet_state.selector().evacuated_zones();
             if !zones.is_empty() {
-                self.have_an_item_leave();
+                self.interrupt_an_item();
             }
             if zones != before {
                 self.metrics.set_evacuated_zones(&zones);
-                tell_of_empty(&before, &zones);
+                log_emptied_zones(&before, &zones);
             }
             before = zones;
         }
     }
 
-    fn have_an_item_leave(&self) {
+    fn interrupt_an_item(&self) {
         let now = self.clock.now();
-        let left = self.items_left(now);
+        let to_vacate = self.workers_to_vacate(now);
         let item = self
             .running
-            .interrupt_one(|worker| left.contains(worker), now);
+            .interrupt_one(|worker| to_vacate.contains(worker), now);
         if let Some(item) = item {
             self.metrics.items_stepped_aside.inc();
-            log::info!(item = item.as_str(); "a batch item leaves an evacuated zone");
+            log::info!(item = item.as_str(); "batch item in an evacuated zone was interrupted");
         }
     }
 
-    fn items_left(&self, now: Duration) -> BTreeSet<String> {
+    fn workers_to_vacate(&self, now: Duration) -> BTreeSet<String> {
         let selector = self.fleet_state.selector();
         selector.workers_to_vacate(self.items_leave_after, now)
     }
 }
 
-/// Logs zones in which nothing of this gateway is in progress any more.
-fn tell_of_empty(before: &BTreeMap<String, u32>, zones: &BTreeMap<String, u32>) {
+/// Logs the zones in which no request of this gateway is in progress any more.
+fn log_emptied_zones(before: &BTreeMap<String, u32>, zones: &BTreeMap<String, u32>) {
     let empty = zones.iter().filter(|(_, in_progress)| **in_progress == 0);
-    let newly = empty.filter(|(zone, _)| before.get(*zone) != Some(&0));
-    for (zone, _) in newly {
-        log::info!(zone = zone.as_str(); "nothing of this gateway runs in an evacuated zone");
+    let newly_empty = empty.filter(|(zone, _)| before.get(*zone) != Some(&0));
+    for (zone, _) in newly_empty {
+        log::info!(zone = zone.as_str(); "no request of this gateway is in progress in an evacuated zone any more");
     }
 }
--- a/crates/swiftshunt-gateway/src/events.rs
+++ b/crates/swiftshunt-gateway/src/events.rs
@@ -1,8 +1,8 @@
-//! Borders of events in a stream that is passed on unchanged.
+//! Event boundaries in a server-sent event stream that is forwarded unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// Holds back what is not yet a whole event.
+/// Buffers a partial event until the rest of it arrives.
 #[derive(Debug, Default)]
 pub(crate) struct EventFramer {
     pending: BytesMut,
@@ -10,37 +10,37 @@
 }
 
 impl EventFramer {
-    /// Takes bytes; gives all whole events that are there now.
+    /// Adds bytes to the buffer, and returns all complete events in it.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
-        let Some(end) = last_border(&self.pending) else {
+        let Some(end) = end_of_last_event(&self.pending) else {
             return Bytes::new();
         };
-        let whole = self.pending.split_to(end).freeze();
-        if let Some(id) = last_identifier(&whole) {
+        let complete = self.pending.split_to(end).freeze();
+        if let Some(id) = last_identifier(&complete) {
             self.last_id = Some(id);
         }
-        whole
+        complete
     }
 
-    /// Identifier of the last whole event.
+    /// Returns the last identifier among the complete events; `None` if they have none.
     pub(crate) fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Drops what a broken stream left behind.
+    /// Discards the partial event of a stream that broke off.
     pub(crate) fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
-    /// What stands behind the last border when a stream ends as complete.
+    /// Returns the bytes behind the last complete event at the regular end of a stream.
     pub(crate) fn take_remainder(&mut self) -> Bytes {
         self.pending.split().freeze()
     }
 }
 
-/// Position just behind the last empty line.
-fn last_border(bytes: &[u8]) -> Option<usize> {
+/// Returns the position behind the last empty line, which ends an event.
+fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let unix = bytes.windows(2).rposition(|pair| pair == b"\n\n");
     let network = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
     let unix = unix.map(|at| at + 2);
@@ -48,7 +48,7 @@
     unix.max(network)
 }
 
-/// The last `id:` field.
+/// Returns the value of the last `id:` field.
 fn last_identifier(bytes: &[u8]) -> Option<u64> {
     let lines = bytes.split(|byte| *byte == b'\n');
     let value = lines.rev().find_map(|line| line.strip_prefix(b"id:"))?;
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of a gateway.
+//! Start and graceful stop of a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -44,19 +44,19 @@
     /// An address cannot be listened on.
     #[display("{field}: cannot listen on {address}: {source}")]
     Listen {
-        /// The setting.
+        /// Key of the setting that names the address.
         field: &'static str,
-        /// The address.
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The zones of the settings make no topology.
+    /// The zones of the settings are no valid topology.
     #[display("{_0}")]
     Topology(TopologyError),
 }
 
-/// A gateway that runs.
+/// A running gateway.
 pub struct Gateway {
     callers: SocketAddr,
     ready: SocketAddr,
@@ -69,17 +69,18 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Pause between closings of connections that have rested too long.
+/// Interval at which idle connections that have timed out are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Lateness of that pause from which the process says that it stood still: its beliefs are as old.
+/// Delay of that interval from which the process logs that it was paused: its view of the fleet is out of date by at
+/// least this time.
 const STANDSTILL: Duration = Duration::from_millis(500);
-/// Pause between looks at whether a stop may go on.
+/// Interval at which a stop checks whether all results are written.
 const STOP_POLL: Duration = Duration::from_millis(50);
-/// Time kept back at the end of the grace period.
+/// Reserve at the end of the grace period for the exit of the process.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
 impl Gateway {
-    /// Starts a gateway; it listens once this returns.
+    /// Starts a gateway. It is listening when this returns.
     pub async fn start(
         settings: GatewaySettings,
         protocol: Arc<dyn Protocol>,
@@ -296,29 +297,32 @@
         })
     }
 
-    /// Where callers are served.
+    /// Returns the address on which callers are served.
     pub fn callers_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where questions whether the gateway is ready are answered.
+    /// Returns the address on which readiness checks are served.
     pub fn ready_address(&self) -> SocketAddr {
         self.ready
     }
 
-    /// Where other gateways are served.
+    /// Returns the address on which other gateways are served.
     pub fn peers_address(&self) -> SocketAddr {
         self.peers_address
     }
 
-    /// The planned stop: hands over what runs here, serves until no one comes any more, closes what
-    /// rests, waits for what is in progress.
+    /// Stops the gateway gracefully: hands over its batch jobs, serves callers until no new connections are
+    /// expected, closes idle connections, and waits for requests in progress.
     pub async fn stop(self) {
-        let whole = self.stop_settings.grace.saturating_sub(GRACE_MARGIN);
-        log::info!(limit_ms = whole.as_millis() as u64; "gateway drains");
-        if tokio::time::timeout(whole, self.drain()).await.is_err() {
+        let time_limit = self.stop_settings.grace.saturating_sub(GRACE_MARGIN);
+        log::info!(limit_ms = time_limit.as_millis() as u64; "gateway drains");
+        if tokio::time::timeout(time_limit, self.drain())
+            .await
+            .is_err()
+        {
             log::warn!(connections = self.stop.connections.len();
-                "requests did not end within the grace period");
+                "requests did not end within the grace period; aborting them");
         }
         log::info!("gateway stops");
         for task in &self.tasks {
@@ -330,8 +334,8 @@
         self.stop.draining.cancel();
         let hand_over = self.batch.stop();
         let unlisted = tokio::time::sleep(self.stop_settings.unlisted_after);
-        let farewell = self.peers.unregister(self.log.as_ref());
-        tokio::join!(hand_over, farewell, unlisted);
+        let unregister = self.peers.unregister(self.log.as_ref());
+        tokio::join!(hand_over, unregister, unlisted);
         self.stop.closing.cancel();
         self.stop.connections.close();
         self.stop.connections.wait().await;
@@ -341,13 +345,14 @@
     }
 }
 
-/// A socket for notices at an address.
+/// Binds the socket for notices.
 fn bind_datagrams(address: SocketAddr) -> std::io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
 }
 
+/// Closes idle connections to workers that have timed out, and logs when the process was paused.
 async fn sweep(dispatcher: Arc<Dispatcher>) {
     loop {
         let slept_at = dispatcher.clock.now();
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request while a worker has it, as the view of the workers counts it.
+//! Accounting for a request while it is at a worker.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::slots::Slots;
 use crate::traffic::{Content, Traffic};
 
-/// A request at a worker. Dropping it tells the view of the workers.
+/// A request at a worker. Dropping this records the outcome of the attempt in the selector.
 pub(crate) struct InFlight {
     fleet_state: Arc<FleetState>,
     slots: Arc<Slots>,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Bytes of the answer came.
+    /// Records that a part of the answer arrived; the first one counts as the first event.
     pub(crate) fn record_progress(&mut self) {
         let now = self.clock.now();
         let mut selector = self.fleet_state.selector();
@@ -74,13 +74,13 @@
         selector.record_first_event(&self.chosen, now - self.sent_at, now);
     }
 
-    /// So many bytes of the answer came.
+    /// Counts received bytes of the answer.
     pub(crate) fn record_received(&self, bytes: usize) {
         self.traffic
             .count_bytes(Content::Answers, self.distance, bytes);
     }
 
-    /// How the request leaves the worker, unless it is dropped before this.
+    /// Sets the outcome of the attempt. Without this call, the attempt counts as cancelled.
     pub(crate) fn set_ending(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
--- a/crates/swiftshunt-gateway/src/job_regions.rs
+++ b/crates/swiftshunt-gateway/src/job_regions.rs
@@ -1,8 +1,9 @@
-//! In which regions batch jobs are run, kept and read: those of the deployment in which all of them may be handled.
+//! The regions in which batch jobs are run, stored and read: those in which every batch job of the deployment may be
+//! handled.
 //!
-//! A partition of the journal holds jobs of all routes and tenants, and whoever reads one reads all of them. So
-//! gateways outside of these regions run no partition and read none; they take jobs in for their callers, and pass
-//! their calls on.
+//! A partition of the journal holds jobs of all routes and tenants, and a gateway that reads the partition reads all
+//! of them. So gateways outside of these regions neither run nor read partitions. They accept jobs from their callers
+//! and forward calls about jobs.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -14,17 +15,17 @@
 use crate::fleet_state::FleetState;
 use crate::members::Members;
 
-/// What is known of these regions.
+/// The regions of batch jobs, as far as they are known.
 enum Regions {
-    /// All of the deployment's.
+    /// All regions of the deployment.
     All,
-    /// Nothing yet.
+    /// No configuration is known yet.
     Unknown,
-    /// These.
+    /// These regions only.
     Within(BTreeSet<RegionName>),
 }
 
-/// Where jobs may be handled.
+/// Decides in which regions, and by which gateways, batch jobs may be handled.
 pub(crate) struct JobRegions {
     fleet_state: Arc<FleetState>,
     members: Arc<Members>,
@@ -72,7 +73,8 @@
         matches!(self.regions(), Regions::Within(_)) && !self.includes_this_gateway()
     }
 
-    /// Those gateways that may see jobs; one whose region is not known may not, where that matters.
+    /// Returns those of the gateways that may see jobs. Unless all regions may, a gateway whose region is not known is
+    /// left out.
     pub(crate) fn filter_gateways(&self, gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let regions = match self.regions() {
             Regions::All => return gateways,
@@ -88,7 +90,7 @@
         gateways.into_iter().filter(is_within).collect()
     }
 
-    /// Whether a job that may be handled in these regions can be taken: whoever may come to run it must be in one.
+    /// Whether a job with this residency can be accepted: it must allow every region whose gateways may run jobs.
     pub(crate) fn may_accept(&self, residency: &Residency) -> bool {
         if residency.is_anywhere() {
             return true;
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Whether what may be handled in these regions may be sent to workers from here.
+    /// Whether this gateway may send requests with this residency to workers.
     pub(crate) fn may_send_from_here(&self, residency: &Residency) -> bool {
         residency.allows(self.members.topology().own_region())
     }
--- a/crates/swiftshunt-gateway/src/lib.rs
+++ b/crates/swiftshunt-gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway: callers' requests, streams and batch jobs in front of the workers of a platform that
-//! keeps configuration, directory and journal in its log.
+//! The gateway: it serves online requests, streams and batch jobs on the workers of a platform that keeps its
+//! configuration, directory and journal in a replicated log.
 //!
-//! Everything that belongs to one platform stands behind [`protocol::Protocol`] and
-//! [`swiftshunt_journal::Log`]; this crate decides, keeps and recovers.
+//! Everything specific to a platform is behind [`protocol::Protocol`] and [`swiftshunt_journal::Log`]. This crate
+//! makes the decisions, holds the state, and recovers it after failures.
 
 mod abandon_guard;
 mod answers;
--- a/crates/swiftshunt-gateway/src/listing.rs
+++ b/crates/swiftshunt-gateway/src/listing.rs
@@ -1,21 +1,21 @@
-//! Listings of the newest record of every key.
+//! Paged listing of the newest record of every key.
 
 use swiftshunt_journal::{LogError, NewestPage};
 
-/// A listing, page by page. After a call that failed it goes on with the page that failed: pages are
-/// no snapshot in any case, and a log that refuses a part of its calls would hardly ever let a listing
-/// of many pages through in one go.
+/// A listing, page by page. After a failed call it continues with the page that failed. The pages are no consistent
+/// snapshot anyway, and with a log that refuses some of its calls, a listing of many pages would hardly ever succeed
+/// in one pass.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     pages: Vec<NewestPage>,
-    /// The last key of the pages so far.
+    /// Last key of the pages read so far.
     after: Option<Vec<u8>>,
 }
 
 impl Listing {
-    /// Reads what is left; gives all pages and begins anew once there is no more. `page` reads the page behind
-    /// a key, as it was when the partition had a given end or later: what was appended after the end that the
-    /// first page tells is left to the tail, what came before must be in the pages.
+    /// Reads the remaining pages, returns all of them, and resets the listing. `page` reads the page behind a key from
+    /// a state in which the partition has at least the given end. Records before the end that the first page reports
+    /// must be in the pages; later ones are left to the tail.
     pub(crate) async fn read<Reading>(
         &mut self,
         page: impl Fn(Option<Vec<u8>>, u64) -> Reading,
--- a/crates/swiftshunt-gateway/src/local_faults.rs
+++ b/crates/swiftshunt-gateway/src/local_faults.rs
@@ -1,18 +1,18 @@
-//! Sends that fail at many workers together: then the cause is likely to be this gateway or its links.
+//! Detection of faults of this gateway or its network links: sends fail at many workers at the same time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time within which failures at many workers show that this gateway's own links fail: connections
-/// that are reset together show it within milliseconds, time-outs within theirs.
-const TOGETHER: Duration = Duration::from_millis(300);
-/// Share of a service's workers at which sends may fail within that time before this gateway takes
-/// itself for the cause: racks and zones of workers are smaller.
-const MOST_FAILING_SHARE: usize = 4;
-/// The same where a service has few workers.
-const FEWEST_FAILING: usize = 3;
+/// Time within which failures at many workers indicate a fault of this gateway's own links: connections that are reset
+/// together fail within milliseconds of each other, and time-outs end at about the same time.
+const FAILURE_WINDOW: Duration = Duration::from_millis(300);
+/// One in this many workers of a service may fail within that time before this gateway counts as the cause: racks and
+/// zones of workers are smaller than that.
+const MAX_FAILING_DIVISOR: usize = 4;
+/// Number of workers that may fail in any case, for services with few workers.
+const MIN_FAILING_LIMIT: usize = 3;
 
-/// Workers at which sends of this gateway failed a moment ago.
+/// The workers at which sends of this gateway failed within `FAILURE_WINDOW`.
 #[derive(Default)]
 pub(crate) struct LocalFaultDetector {
     recent: VecDeque<(Duration, String)>,
@@ -21,19 +21,19 @@
 impl LocalFaultDetector {
     /// Records that a send to a worker failed.
     pub(crate) fn record_failure(&mut self, incarnation: &str, now: Duration) {
-        self.recent.retain(|(at, _)| now < *at + TOGETHER);
+        self.recent.retain(|(at, _)| now < *at + FAILURE_WINDOW);
         if !self.recent.iter().any(|(_, known)| known == incarnation) {
             self.recent.push_back((now, incarnation.to_owned()));
         }
     }
 
-    /// At how many workers sends have failed of late.
+    /// Returns the number of workers at which sends failed within `FAILURE_WINDOW` before the last failure.
     pub(crate) fn failing_workers(&self) -> usize {
         self.recent.len()
     }
 
-    /// Whether these are too many of a service's `workers` for the cause to be theirs.
+    /// Whether too many of a service's `workers` failed for the cause to be the workers themselves.
     pub(crate) fn is_local_fault(&self, workers: usize) -> bool {
-        self.failing_workers() > FEWEST_FAILING.max(workers / MOST_FAILING_SHARE)
+        self.failing_workers() > MIN_FAILING_LIMIT.max(workers / MAX_FAILING_DIVISOR)
     }
 }
--- a/crates/swiftshunt-gateway/src/pauses.rs
+++ b/crates/swiftshunt-gateway/src/pauses.rs
@@ -1,14 +1,14 @@
-//! Pauses between the pieces of a stream, as they were passed on: a stream that pauses for longer than
-//! its route allows is late, however soon it began.
+//! Pauses between the forwarded chunks of a stream. A stream that pauses for longer than its route allows counts as
+//! late, even if its first chunk was in time.
 
 use std::time::Duration;
 
 /// The pauses of one stream.
 #[derive(Debug)]
 pub(crate) struct StreamPauses {
-    /// The longest pause that the route allows; none if it does not say.
+    /// Longest pause that the route allows; `None` if the route sets no limit.
     allowed: Option<Duration>,
-    passed_at: Option<Duration>,
+    last_chunk_at: Option<Duration>,
     longest: Duration,
 }
 
@@ -16,20 +16,20 @@
     pub(crate) fn new(allowed: Option<Duration>) -> Self {
         Self {
             allowed,
-            passed_at: None,
+            last_chunk_at: None,
             longest: Duration::ZERO,
         }
     }
 
-    /// A piece is passed on.
+    /// Records that a chunk is forwarded.
     pub(crate) fn record_chunk(&mut self, now: Duration) {
-        if let Some(before) = self.passed_at {
+        if let Some(before) = self.last_chunk_at {
             self.longest = self.longest.max(now.saturating_sub(before));
         }
-        self.passed_at = Some(now);
+        self.last_chunk_at = Some(now);
     }
 
-    /// The longest pause, if it was longer than the route allows.
+    /// Returns the longest pause if it was longer than the route allows.
     pub(crate) fn longest_over_limit(&self) -> Option<Duration> {
         let allowed = self.allowed?;
         (self.longest > allowed).then_some(self.longest)
--- a/crates/swiftshunt-gateway/src/peer_http.rs
+++ b/crates/swiftshunt-gateway/src/peer_http.rs
@@ -1,4 +1,4 @@
-//! HTTP between gateways.
+//! HTTP calls between gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,16 +16,16 @@
 
 use crate::answers::{CallerAnswer, full_body, plain};
 
-/// Time within which a connection to another gateway is made.
+/// Time-out for opening a connection to another gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long a connection to another gateway rests.
-const REST: Duration = Duration::from_secs(4);
+/// Idle time after which a connection to another gateway is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A client of other gateways.
+/// An HTTP client for calls to other gateways.
 pub(crate) type PeerClient<B> = Client<HttpConnector, B>;
 
-/// A client that keeps up to `most_resting` connections to each gateway.
-pub(crate) fn new_client<B>(most_resting: usize) -> PeerClient<B>
+/// Returns a client that keeps up to `max_idle` idle connections to each gateway.
+pub(crate) fn new_client<B>(max_idle: usize) -> PeerClient<B>
 where
     B: hyper::body::Body<Data = Bytes> + Send,
 {
@@ -34,12 +34,12 @@
     connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
     Client::builder(TokioExecutor::new())
         .pool_timer(TokioTimer::new())
-        .pool_idle_timeout(REST)
-        .pool_max_idle_per_host(most_resting)
+        .pool_idle_timeout(IDLE_TIMEOUT)
+        .pool_max_idle_per_host(max_idle)
         .build(connector)
 }
 
-/// A path at another gateway.
+/// Returns the URI of a path at another gateway.
 pub(crate) fn peer_uri(peer: SocketAddr, path: PathAndQuery) -> Option<Uri> {
     Uri::builder()
         .scheme("http")
@@ -49,7 +49,8 @@
         .ok()
 }
 
-/// Reads a call of another gateway, of at most `limit` bytes, or gives the answer to one that is none.
+/// Decodes a call of another gateway of at most `limit` bytes. The error is the answer to a call that cannot be
+/// decoded.
 pub(crate) async fn read_call<T: DeserializeOwned>(
     request: Request<Incoming>,
     limit: usize,
@@ -62,7 +63,7 @@
     call.map_err(|_| plain(StatusCode::BAD_REQUEST, "the call is not readable"))
 }
 
-/// A message as the answer to another gateway.
+/// Returns the answer that carries a message to another gateway.
 pub(crate) fn encode_answer(message: &impl Serialize) -> CallerAnswer {
     match encode_message(message) {
         Some(body) => Response::new(full_body(body)),
@@ -70,7 +71,7 @@
     }
 }
 
-/// A message as a body; none if it has no form.
+/// Encodes a message; `None` if it cannot be encoded.
 pub(crate) fn encode_message(message: &impl Serialize) -> Option<Bytes> {
     let mut body = Vec::new();
     ciborium::into_writer(message, &mut body).ok()?;
--- a/crates/swiftshunt-gateway/src/running.rs
+++ b/crates/swiftshunt-gateway/src/running.rs
@@ -1,4 +1,4 @@
-//! The batch items that run here.
+//! The batch items that this gateway runs.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 
 use crate::fleet_state::lock;
 
-/// An item that runs here.
+/// Identifies a batch item.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct ItemId {
     pub(crate) partition: u32,
@@ -21,13 +21,13 @@
     service: String,
     times: ItemTimes,
     worker: Option<String>,
-    /// Ends the item's run here for good.
+    /// Ends the item's run at this gateway for good.
     stop: CancellationToken,
-    /// Interrupts the present attempt alone.
+    /// Ends only the current attempt at a worker.
     interrupt: CancellationToken,
 }
 
-/// Items that run here.
+/// The batch items that this gateway runs.
 #[derive(Default)]
 pub(crate) struct RunningItems {
     items: Mutex<HashMap<ItemId, RunningItem>>,
@@ -72,14 +72,14 @@
             .count()
     }
 
-    /// Records how long an item is expected to run yet.
-    pub(crate) fn set_remaining_time(&self, id: &ItemId, needs: Duration) {
+    /// Records the expected remaining run time of an item.
+    pub(crate) fn set_remaining_time(&self, id: &ItemId, remaining: Duration) {
         if let Some(item) = lock(&self.items).get_mut(id) {
-            item.times.expected_run = needs;
+            item.times.expected_run = remaining;
         }
     }
 
-    /// Records where an item runs; gives the token that interrupts it there.
+    /// Records the worker of an item, and returns the token that interrupts the attempt there.
     pub(crate) fn set_worker(&self, id: &ItemId, worker: Option<&str>) -> CancellationToken {
         let interrupt = CancellationToken::new();
         if let Some(item) = lock(&self.items).get_mut(id) {
@@ -89,23 +89,24 @@
         interrupt
     }
 
-    /// Interrupts the item with the highest rank at a worker, if one runs there.
+    /// Interrupts the item that is last in rank among those at workers that `is_affected` accepts. Returns its job and
+    /// index, or `None` if no item runs there.
     pub(crate) fn interrupt_one(
         &self,
-        is_there: impl Fn(&str) -> bool,
+        is_affected: impl Fn(&str) -> bool,
         now: Duration,
     ) -> Option<String> {
         let mut items = lock(&self.items);
         let of_worker = items
             .iter_mut()
-            .filter(|(_, item)| item.worker.as_deref().is_some_and(&is_there));
+            .filter(|(_, item)| item.worker.as_deref().is_some_and(&is_affected));
         let (id, item) = of_worker.max_by_key(|(_, item)| item.times.rank(now))?;
         item.worker = None;
         item.interrupt.cancel();
         Some(format!("{}/{}", id.job, id.index))
     }
 
-    /// Stops the items of a job.
+    /// Stops all items of a job.
     pub(crate) fn stop_job(&self, job: &str) {
         for (id, item) in lock(&self.items).iter() {
             if id.job == job {
@@ -114,14 +115,14 @@
         }
     }
 
-    /// Stops every item.
+    /// Stops all items.
     pub(crate) fn stop_all(&self) {
         for item in lock(&self.items).values() {
             item.stop.cancel();
         }
     }
 
-    /// Stops items that `keeps` does not accept.
+    /// Stops the items that `keeps` does not accept.
     pub(crate) fn retain(&self, keeps: impl Fn(&ItemId) -> bool) {
         for (id, item) in lock(&self.items).iter() {
             if !keeps(id) {
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, and the questions whether the gateway is ready.
+//! The servers of a gateway: for callers, other gateways, readiness checks and metrics.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -26,33 +26,33 @@
 use crate::protocol::Protocol;
 use crate::tails::{self, SharedTails};
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Smallest buffer that the library takes.
-const SMALLEST_BUFFER: usize = 8192;
-/// Room for a head's lines beside what counts as its size.
-const HEAD_ROOM: usize = 4096;
-/// Lines of a head at most.
-const MOST_HEADERS: usize = 256;
-/// Time beyond the agreed rest for which a connection is kept.
-const REST_MARGIN: Duration = Duration::from_secs(2);
-/// Rest after which a silent caller's machine is probed.
+/// Smallest buffer size that the HTTP library accepts, in bytes.
+const MIN_BUFFER_BYTES: usize = 8192;
+/// Buffer space for the parts of a request's head that the limit of header bytes does not count.
+const HEAD_OVERHEAD_BYTES: usize = 4096;
+/// Largest number of headers of a request.
+const MAX_HEADERS: usize = 256;
+/// Time beyond the configured idle time-out for which a connection is kept.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_secs(2);
+/// Idle time after which keep-alive probes are sent to a caller, and the interval between them.
 const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// Pause after an accept that failed for want of resources.
+/// Pause after a failed accept, which usually means a lack of resources such as file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// The stages of a planned stop.
 #[derive(Clone, Default)]
 pub(crate) struct Stop {
-    /// Nothing new is asked for; answers close their connections.
+    /// Cancelled at the first stage: the gateway is not ready any more, and answers close their connections.
     pub(crate) draining: CancellationToken,
-    /// Resting connections are closed.
+    /// Cancelled at the second stage: idle connections are closed, and new requests are refused.
     pub(crate) closing: CancellationToken,
-    /// Connections of callers.
+    /// The open connections of callers.
     pub(crate) connections: TaskTracker,
 }
 
-/// Listens with address reuse, so that a process that starts again gets its address at once.
+/// Opens a listener with address reuse, so that a restarted process can bind its address at once.
 pub(crate) fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
@@ -75,14 +75,14 @@
                 serve(stream).await;
             }
             Err(error) => {
-                log::warn!("a connection was not accepted: {error}");
+                log::warn!("cannot accept a connection: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves callers for as long as the process lives.
+/// Serves callers until the process ends.
 pub(crate) async fn serve_callers(
     listener: TcpListener,
     online: Arc<OnlineHandler>,
@@ -116,10 +116,10 @@
     let service = service_fn(move |request: Request<Incoming>| {
         let online = Arc::clone(&online);
         let draining = draining.clone();
-        // What is asked this late might not end within the grace period.
-        let too_late = closing.is_cancelled();
+        // A request that arrives at this stage might not end within the grace period.
+        let is_closing = closing.is_cancelled();
         async move {
-            let mut answer = if too_late {
+            let mut answer = if is_closing {
                 online.refuse_late()
             } else {
                 online.answer(request).await
@@ -131,31 +131,32 @@
             Ok::<CallerAnswer, Infallible>(answer)
         }
     });
-    // A connection that comes while the rest is closed gets one answer.
-    let comes_late = stop.closing.is_cancelled();
+    // A connection that is accepted while the others are being closed gets a single answer.
+    let accepted_while_closing = stop.closing.is_cancelled();
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .keep_alive(!comes_late)
-        .header_read_timeout(limits.header_timeout.max(limits.idle_timeout) + REST_MARGIN)
-        .max_buf_size((limits.header_bytes + HEAD_ROOM).max(SMALLEST_BUFFER))
-        .max_headers(MOST_HEADERS)
+        .keep_alive(!accepted_while_closing)
+        .header_read_timeout(limits.header_timeout.max(limits.idle_timeout) + IDLE_TIMEOUT_MARGIN)
+        .max_buf_size((limits.header_bytes + HEAD_OVERHEAD_BYTES).max(MIN_BUFFER_BYTES))
+        .max_headers(MAX_HEADERS)
         .serve_connection(TokioIo::new(stream), service);
     async move {
         let mut connection = std::pin::pin!(connection);
         let outcome = tokio::select! {
             outcome = connection.as_mut() => outcome,
-            () = stop.closing.cancelled(), if !comes_late => {
+            () = stop.closing.cancelled(), if !accepted_while_closing => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
         if let Err(error) = outcome {
-            log::debug!("a caller's connection ended: {error}");
+            log::debug!("connection of a caller failed: {error}");
         }
     }
 }
 
-/// Serves other gateways' calls, about jobs, to the log and for tails of it, for as long as the process lives.
+/// Serves the calls of other gateways until the process ends: calls about jobs, relayed calls to the log, and reads
+/// of its tails.
 pub(crate) async fn serve_peers(
     listener: TcpListener,
     protocol: Arc<dyn Protocol>,
@@ -188,16 +189,16 @@
             }
         });
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-        // An error of the connection shows at the gateway that passed the call on.
+        // The gateway that made the call notices an error of the connection.
         tokio::spawn(async move { drop(connection.await) });
         std::future::ready(())
     })
     .await;
 }
 
-/// Tells whether the gateway is ready, for as long as the process lives.
+/// Serves readiness checks until the process ends.
 pub(crate) async fn serve_ready(listener: TcpListener, fleet_state: Arc<FleetState>, stop: Stop) {
-    serve_small(listener, move || {
+    serve_any_path(listener, move || {
         let ready = fleet_state.is_complete() && !stop.draining.is_cancelled();
         if ready {
             plain(StatusCode::OK, "ready")
@@ -208,15 +209,16 @@
     .await;
 }
 
-/// Tells the metrics, for as long as the process lives.
+/// Serves the metrics until the process ends.
 pub(crate) async fn serve_metrics(listener: TcpListener, metrics: Arc<Metrics>) {
-    serve_small(listener, move || {
+    serve_any_path(listener, move || {
         hyper::Response::new(full_body(metrics.encode_text().into()))
     })
     .await;
 }
 
-async fn serve_small(
+/// Answers every request on a listener by `answer`, whatever its path.
+async fn serve_any_path(
     listener: TcpListener,
     answer: impl Fn() -> CallerAnswer + Clone + Send + 'static,
 ) {
--- a/crates/swiftshunt-gateway/src/start_permits.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -25,7 +25,8 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(14);
 /// Upper bound of the time-out for any issuer: a permit that arrives this late is still valid for some time.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
-/// Time for which a worker gets no sends after none of its issuers could issue or refuse a permit.
+/// Time for which a worker gets no sends if none of its issuers answered, or the gateway that was asked cannot issue
+/// permits for it.
 const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(200);
 /// Lower bound of the time for which a worker gets no sends after its issuers refused a permit.
 const MIN_REFUSAL_BACKOFF: Duration = Duration::from_millis(20);
@@ -125,8 +126,8 @@
             issuers.reverse();
         }
         let mut retry_after = NO_ISSUER_BACKOFF;
-        for target in issuers.into_iter().flatten() {
-            let verdict = self.request_permit(target, chosen).await;
+        for issuer in issuers.into_iter().flatten() {
+            let verdict = self.request_permit(issuer, chosen).await;
             match verdict {
                 Some(Ok(())) => return Ok(()),
                 Some(Err(wait)) => retry_after = retry_after.min(wait),
@@ -138,11 +139,11 @@
 
     /// Requests a permit from one issuer. Returns `None` if the issuer is suspected to be down or does not answer
     /// in time.
-    async fn request_permit(&self, target: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
-        if target == self.members.own_address() {
+    async fn request_permit(&self, issuer: SocketAddr, chosen: &ChosenWorker) -> Option<Verdict> {
+        if issuer == self.members.own_address() {
             return Some(self.issue_permit(&chosen.service, &chosen.id, &chosen.zone));
         }
-        if self.members.is_suspected(target) {
+        if self.members.is_suspected(issuer) {
             return None;
         }
         let ask = self.last_request.fetch_add(1, Ordering::Relaxed) + 1;
@@ -155,15 +156,15 @@
             worker: chosen.id.clone(),
             zone: chosen.zone.clone(),
         };
-        self.datagrams.send(&Notice::Start(message), [target]);
+        self.datagrams.send(&Notice::Start(message), [issuer]);
         let timeout = self
             .members
-            .answer_timeout(target, ANSWER_TIMEOUT)
+            .answer_timeout(issuer, ANSWER_TIMEOUT)
             .min(MAX_ANSWER_TIMEOUT);
         match tokio::time::timeout(timeout, receiver).await {
             Ok(Ok(verdict)) => Some(verdict),
             Ok(Err(_)) | Err(_) => {
-                self.members.record_timeout(target);
+                self.members.record_timeout(issuer);
                 None
             }
         }
@@ -173,7 +174,7 @@
     fn issue_permit(&self, service: &str, worker: &str, zone: &str) -> Verdict {
         let own = Some(self.members.own_address());
         let issuers = self.members.permit_issuers(worker, zone);
-        let rank = issuers.iter().position(|target| *target == own);
+        let rank = issuers.iter().position(|issuer| *issuer == own);
         let bound = self.fleet_state.selector().cold_bound(service).copied();
         let (Some(rank), Some(bound)) = (rank, bound) else {
             return Err(NO_ISSUER_BACKOFF);
--- a/crates/swiftshunt-gateway/src/traffic.rs
+++ b/crates/swiftshunt-gateway/src/traffic.rs
@@ -1,5 +1,5 @@
-//! The bytes that this gateway sends to other machines and takes from them, by what they are and how far
-//! they go: the link between two regions is thin, and what fills it has to be seen.
+//! Counters of the bytes that this gateway sends and receives, by content and distance: the bandwidth between two
+//! regions is small, and operators must see what uses it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,30 +20,30 @@
 use crate::messages::Notice;
 use crate::messages::slots::SlotMessage;
 
-/// What bytes are.
+/// The content of counted bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum Content {
     /// Notices of long prompts.
     Prompts,
-    /// Notices of gateways that have started.
+    /// Notices by which gateways announce their start.
     Gateways,
-    /// Reports to owners of cells, and their signs of life.
+    /// Reports to owners of cells, and the owners' acknowledgements.
     SlotReports,
-    /// Questions to owners of cells, and their answers.
+    /// Requests for slots to owners of cells, and the owners' answers.
     SlotQuestions,
-    /// What owners of cells grant and order, and failures that they are told of.
+    /// Grants and orders of owners of cells, and failures reported to them.
     SlotOrders,
-    /// Free slots of other regions.
+    /// Announcements of free slots to other regions.
     Room,
-    /// What waits on batch routes.
+    /// Messages about the limits of tokens that wait on batch routes.
     WaitingLimits,
-    /// Limits of tenants.
+    /// Messages about the rate limits of tenants.
     Rates,
-    /// Requests that end their workers.
+    /// Messages about requests in quarantine, whose workers ended while they ran them.
     Quarantine,
-    /// Starts at cold workers.
+    /// Requests for start permits for cold workers, and their answers.
     ColdStarts,
-    /// Tails that one gateway reads for others.
+    /// Tails of topics that one gateway reads for others.
     Tails,
     /// Requests to workers.
     Requests,
@@ -70,7 +70,7 @@
     }
 }
 
-/// How far bytes go.
+/// The distance over which bytes are sent, as a metric label.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 enum Way {
     SameZone,
@@ -108,7 +108,7 @@
     call: LogCall,
 }
 
-/// The counters; a clone shares them.
+/// The byte counters. Clones share them.
 #[derive(Clone, Default)]
 pub(crate) struct Traffic {
     bytes: Family<TrafficLabels, Counter>,
@@ -129,7 +129,7 @@
         );
     }
 
-    /// Bytes went to a place at this distance, or came from there.
+    /// Counts bytes sent or received over a distance.
     pub(crate) fn count_bytes(&self, content: Content, distance: Distance, bytes: usize) {
         let way = distance.into();
         self.bytes
@@ -137,7 +137,7 @@
             .inc_by(bytes as u64);
     }
 
-    fn logged(&self, topic: Topic, call: LogCall, bytes: usize) {
+    fn count_log_bytes(&self, topic: Topic, call: LogCall, bytes: usize) {
         let topic = format!("{topic:?}").to_lowercase();
         self.log_bytes
             .get_or_create(&LogLabels { topic, call })
@@ -145,7 +145,7 @@
     }
 }
 
-/// A log whose records are counted on their way.
+/// A log that counts the bytes of the records that are written to it and read from it.
 pub(crate) struct CountedLog {
     log: Arc<dyn Log>,
     traffic: Traffic,
@@ -172,7 +172,8 @@
         records: Vec<(Vec<u8>, Bytes)>,
     ) -> BoxFuture<'_, AppendOutcome> {
         let bytes = records.iter().map(|(key, value)| key.len() + value.len());
-        self.traffic.logged(topic, LogCall::Append, bytes.sum());
+        self.traffic
+            .count_log_bytes(topic, LogCall::Append, bytes.sum());
         self.log.append(topic, partition, records)
     }
 
@@ -187,7 +188,7 @@
             let outcome = self.log.read(topic, partition, from, wait).await;
             if let Ok(ReadOutcome::Records { records, .. }) = &outcome {
                 let bytes = record_bytes(records);
-                self.traffic.logged(topic, LogCall::Read, bytes);
+                self.traffic.count_log_bytes(topic, LogCall::Read, bytes);
             }
             outcome
         }
@@ -204,7 +205,7 @@
             let outcome = self.log.newest(topic, partition, after).await;
             if let Ok(page) = &outcome {
                 let bytes = record_bytes(&page.records);
-                self.traffic.logged(topic, LogCall::List, bytes);
+                self.traffic.count_log_bytes(topic, LogCall::List, bytes);
             }
             outcome
         }
--- a/crates/swiftshunt-gateway/src/unreadable.rs
+++ b/crates/swiftshunt-gateway/src/unreadable.rs
@@ -1,5 +1,5 @@
-//! Records of the log that cannot be read. Others may write there, too; what they write is passed over, counted,
-//! and told in one line a minute for each key, however often it is written and read.
+//! Records of the log that cannot be decoded. Other programs may write to the log, too. Their records are skipped,
+//! counted, and logged at most once a minute for each key, however often they are written and read.
 
 use std::collections::HashMap;
 use std::fmt::Display;
@@ -12,22 +12,23 @@
 use crate::fleet_state::lock;
 use crate::metrics::Metrics;
 
-/// Records that are remembered at most. What comes beyond is counted and told of no more.
-const MOST_REMEMBERED: usize = 256;
-/// Pause between two lines about one key.
-const TOLD_EVERY: Duration = Duration::from_secs(60);
+/// Largest number of keys that are remembered. Records under further keys are counted, but not logged.
+const MAX_REMEMBERED_KEYS: usize = 256;
+/// Shortest interval between two log lines about the same key.
+const LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A key under which a record could not be read.
-struct Unreadable {
+/// The state of a key under which a record could not be read.
+struct KeyState {
+    /// Whether the latest record under the key is unreadable.
     is_unreadable: bool,
-    told_at: Duration,
+    logged_at: Duration,
 }
 
-/// Where records were passed over, by topic and key.
+/// The keys under which records were skipped, by topic.
 pub(crate) struct UnreadableRecords {
     metrics: Arc<Metrics>,
     clock: Clock,
-    known: Mutex<HashMap<(Topic, Vec<u8>), Unreadable>>,
+    known: Mutex<HashMap<(Topic, Vec<u8>), KeyState>>,
 }
 
 impl UnreadableRecords {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A record cannot be read.
+    /// Counts a record that cannot be read, and logs it unless its key was logged within `LOG_INTERVAL`.
     pub(crate) fn record_unreadable(&self, topic: Topic, key: &[u8], reason: &impl Display) {
         self.metrics.records_unreadable.inc();
         let now = self.clock.now();
@@ -47,29 +48,29 @@
         let place = (topic, key.to_vec());
         if let Some(known) = known.get_mut(&place) {
             known.is_unreadable = true;
-            if now < known.told_at + TOLD_EVERY {
+            if now < known.logged_at + LOG_INTERVAL {
                 return;
             }
-        } else if known.len() >= MOST_REMEMBERED {
+        } else if known.len() >= MAX_REMEMBERED_KEYS {
             return;
         }
         log::warn!(topic:? = topic, key = String::from_utf8_lossy(key).as_ref();
             "a record cannot be read and is passed over: {reason}");
-        let unreadable = Unreadable {
+        let state = KeyState {
             is_unreadable: true,
-            told_at: now,
+            logged_at: now,
         };
-        known.insert(place, unreadable);
+        known.insert(place, state);
     }
 
-    /// Whether a record could not be read when it was read last.
+    /// Whether the latest record under a key is known to be unreadable.
     pub(crate) fn is_known(&self, topic: Topic, key: &[u8]) -> bool {
         let known = lock(&self.known);
         let unreadable = known.get(&(topic, key.to_vec()));
         unreadable.is_some_and(|unreadable| unreadable.is_unreadable)
     }
 
-    /// A record can be read, or is gone.
+    /// Records that the record under a key can be read, or was removed.
     pub(crate) fn mark_readable(&self, topic: Topic, key: &[u8]) {
         let mut known = lock(&self.known);
         if known.is_empty() {
--- a/crates/swiftshunt-gateway/src/upstream.rs
+++ b/crates/swiftshunt-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: made, kept while they rest, and given up at the first doubt.
+//! Connections to workers: opening, a pool of idle ones, and their removal at the first sign of a fault.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 /// A connection that is ready for a request.
 pub(crate) type Sender = SendRequest<PermittedBody>;
 
-/// Time within which a connection is made or given up.
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time after which unacknowledged bytes break a connection.
+/// Time after which a connection with unacknowledged bytes fails.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Rest after which a silent peer is probed, and the pause between probes.
+/// Idle time after which keep-alive probes are sent, and the interval between them.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes without an answer that break a connection.
-const PROBES: u32 = 2;
-/// How long a connection rests at most where the worker does not say.
-const DEFAULT_REST: Duration = Duration::from_secs(3);
-/// Time before a told end of rest from which a connection is no longer used.
-const REST_MARGIN: Duration = Duration::from_millis(800);
-/// How long connections to a worker that sent a surplus answer are used once only.
+/// Number of unanswered probes after which a connection fails.
+const MAX_PROBES: u32 = 2;
+/// Idle time-out of a connection if the worker does not announce one.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time before the worker's idle time-out from which a connection is no longer used.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
+/// Time for which connections to a worker are used only once, after it sent an answer to another request.
 const SINGLE_USE_TIME: Duration = Duration::from_secs(20);
-/// Resting connections kept for one worker.
-const MOST_RESTING: usize = 8;
+/// Largest number of idle connections kept for a worker.
+const MAX_IDLE_PER_WORKER: usize = 8;
 
-/// Why a connection was not made.
+/// The error of a connection that could not be opened.
 #[derive(Clone, Debug, Display, Error)]
 #[display("no connection to {address}: {reason}")]
 pub(crate) struct ConnectError {
@@ -42,7 +42,7 @@
     pub(crate) reason: String,
 }
 
-struct Resting {
+struct IdleConnection {
     sender: Sender,
     since: Duration,
     until: Duration,
@@ -51,16 +51,16 @@
 /// Connections to workers, by incarnation.
 #[derive(Default)]
 pub(crate) struct Upstream {
-    resting: Mutex<HashMap<String, VecDeque<Resting>>>,
+    idle: Mutex<HashMap<String, VecDeque<IdleConnection>>>,
     single_use_until: Mutex<HashMap<String, Duration>>,
 }
 
 impl Upstream {
-    /// A resting connection, the one that has rested longest first: what a worker sent too much
-    /// has then most likely shown itself.
+    /// Takes the connection that has been idle longest: surplus bytes of a previous answer have most likely arrived
+    /// there by now, so that the connection no longer counts as ready.
     pub(crate) fn take_idle(&self, incarnation: &str, now: Duration) -> Option<Sender> {
-        let mut resting = lock(&self.resting);
-        let of_worker = resting.get_mut(incarnation)?;
+        let mut idle = lock(&self.idle);
+        let of_worker = idle.get_mut(incarnation)?;
         while let Some(connection) = of_worker.pop_front() {
             if connection.until > now && connection.sender.is_ready() {
                 return Some(connection.sender);
@@ -69,7 +69,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool after an answer was read to its end.
     pub(crate) fn return_idle(
         &self,
         incarnation: &str,
@@ -80,23 +80,24 @@
         if sender.is_closed() || self.is_single_use(incarnation, now) {
             return;
         }
-        let rest = keep_alive.unwrap_or(DEFAULT_REST);
-        let rest = rest.saturating_sub(REST_MARGIN);
-        let mut resting = lock(&self.resting);
-        let of_worker = resting.entry(incarnation.to_owned()).or_default();
+        let idle_timeout = keep_alive.unwrap_or(DEFAULT_IDLE_TIMEOUT);
+        let idle_timeout = idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
+        let mut idle = lock(&self.idle);
+        let of_worker = idle.entry(incarnation.to_owned()).or_default();
         of_worker.retain(|connection| connection.until > now && !connection.sender.is_closed());
-        if of_worker.len() < MOST_RESTING {
-            of_worker.push_back(Resting {
+        if of_worker.len() < MAX_IDLE_PER_WORKER {
+            of_worker.push_back(IdleConnection {
                 sender,
                 since: now,
-                until: now + rest,
+                until: now + idle_timeout,
             });
         }
     }
 
-    /// A worker sent an answer that nobody waited for.
+    /// Closes the idle connections to a worker that answered another request than the one sent, and uses new ones
+    /// only once for `SINGLE_USE_TIME`.
     pub(crate) fn require_single_use(&self, incarnation: &str, now: Duration) {
-        lock(&self.resting).remove(incarnation);
+        lock(&self.idle).remove(incarnation);
         lock(&self.single_use_until).insert(incarnation.to_owned(), now + SINGLE_USE_TIME);
     }
 
@@ -105,10 +106,10 @@
         until.is_some_and(|until| until > now)
     }
 
-    /// Closes resting connections that are over their time, and those of workers that are gone.
+    /// Closes idle connections that have timed out, and those to workers for which `is_known` is false.
     pub(crate) fn close_expired(&self, now: Duration, is_known: impl Fn(&str) -> bool) {
-        let mut resting = lock(&self.resting);
-        resting.retain(|incarnation, of_worker| {
+        let mut idle = lock(&self.idle);
+        idle.retain(|incarnation, of_worker| {
             of_worker.retain(|connection| {
                 connection.since <= now && connection.until > now && !connection.sender.is_closed()
             });
@@ -117,7 +118,7 @@
         lock(&self.single_use_until).retain(|_, until| *until > now);
     }
 
-    /// Makes a connection.
+    /// Opens a connection.
     pub(crate) async fn connect(&self, address: SocketAddr) -> Result<Sender, ConnectError> {
         let failed = |reason: String| ConnectError { address, reason };
         let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -125,25 +126,26 @@
             Err(_) => return Err(failed("timed out".to_owned())),
             Ok(stream) => stream.map_err(|error| failed(error.to_string()))?,
         };
-        guard(&stream);
+        set_socket_options(&stream);
         let handshake = http1::Builder::new()
             .handshake::<_, PermittedBody>(TokioIo::new(stream))
             .await;
         let (sender, connection) = handshake.map_err(|error| failed(error.to_string()))?;
-        // Errors of the connection show at the request that uses it.
+        // The request that uses the connection gets its errors.
         tokio::spawn(async move { drop(connection.await) });
         Ok(sender)
     }
 }
 
-/// Lets a dead link show itself. Where the system lacks an option the connection works without it.
-fn guard(stream: &TcpStream) {
+/// Sets the options by which a broken link is detected. If the system lacks an option, the connection works without
+/// it.
+fn set_socket_options(stream: &TcpStream) {
     drop(stream.set_nodelay(true));
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(PROBE_INTERVAL)
         .with_interval(PROBE_INTERVAL)
-        .with_retries(PROBES);
+        .with_retries(MAX_PROBES);
     drop(socket.set_tcp_keepalive(&probes));
     drop(socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
 }
