--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -1,5 +1,5 @@
-//! What a platform's protocol says, in the product's own terms. Implementations translate; they
-//! decide nothing and keep nothing.
+//! The interface to a platform's protocol. Implementations only translate between the protocol and these types; they
+//! make no decisions and hold no state.
 
 use std::time::Duration;
 
@@ -14,38 +14,39 @@
 use swiftshunt_scheduler::selection::ReportedLoad;
 use swiftshunt_types::TenantName;
 
-/// What a caller asks for.
+/// The kind of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Something that a route decides about.
+    /// A request that is handled by its route.
     Routed,
-    /// Results of a batch job from a position on.
+    /// A query for the results of a batch job from a position on.
     JobResults {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// First position.
+        /// Position of the first result.
         from: usize,
-        /// How long the answer may be held until there is a result.
+        /// Time for which the answer may be delayed until there is a result.
         wait: Duration,
     },
-    /// The body of an item.
+    /// A query for the body of an item's result.
     JobItem {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// The item.
+        /// Identifier of the item.
         item: String,
     },
-    /// The end of a batch job.
+    /// A request to end a batch job.
     JobEnd {
-        /// The job.
+        /// Identifier of the job.
         job: String,
     },
-    /// The path belongs to batch jobs but the call is none.
+    /// A request whose path belongs to batch jobs, but which is not a valid call about a job.
     Malformed,
 }
 
 impl Call {
-    /// The job that it is about, and how long its answer may be held.
+    /// Returns the identifier of the job that the call is about, and the time for which its answer may be delayed;
+    /// `None` for a call that is not about a job.
     pub fn job(&self) -> Option<(&str, Duration)> {
         match self {
             Self::JobResults { job, wait, .. } => Some((job, *wait)),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The same call about the job of that identifier that a tenant handed in.
+    /// Replaces the identifier that a tenant gave its job by the one that is unique among all tenants.
     pub fn for_tenant(mut self, tenant: Option<&TenantName>) -> Self {
         match &mut self {
             Self::JobResults { job, .. } | Self::JobItem { job, .. } | Self::JobEnd { job } => {
@@ -66,14 +67,14 @@
     }
 }
 
-/// For whom a request runs, as its worker is told.
+/// The identity for which a request runs, as its worker gets it in a header.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Identity {
-    /// Callers need no keys; what they show is passed on.
+    /// The configuration has no tenants: callers need no keys, and their credentials are forwarded to workers.
     Unchecked,
-    /// Anyone.
+    /// An anonymous caller of a route that is open to all.
     Anyone,
-    /// A tenant.
+    /// A tenant, identified by its key.
     Tenant(TenantName),
 }
 
@@ -87,98 +88,98 @@
     }
 }
 
-/// What a request says of itself.
+/// The information that the headers of a request carry.
 #[derive(Clone, Debug, Default)]
 pub struct RequestFacts {
-    /// Identifier of this attempt of the caller.
+    /// Identifier of this attempt of the caller; `None` if the caller sent none.
     pub id: Option<String>,
-    /// How long the caller waits, as of sending.
+    /// Time for which the caller waits, counted from its send; `None` if the caller sent none.
     pub caller_timeout: Option<Duration>,
     /// The parts of the prompt.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that come out at most.
+    /// Largest number of tokens of the answer.
     pub output_tokens: u64,
-    /// The last event that the caller has.
+    /// Identifier of the last event of a stream that the caller has; `None` for a new stream.
     pub last_event: Option<u64>,
 }
 
-/// What is added to a request for a worker.
+/// The information that is added to the headers of a request for a worker.
 #[derive(Clone, Debug)]
 pub struct SendFacts<'s> {
-    /// Identifier of the worker that alone may run it.
+    /// Identifier of the only worker that may run the request.
     pub worker: &'s str,
-    /// Time left.
+    /// Time left until the caller gives up; `None` if the worker gets no deadline.
     pub time_left: Option<Duration>,
-    /// The last event that is already here, for a stream that goes on.
+    /// Identifier of the last event that was received, for a stream that is resumed.
     pub last_event: Option<u64>,
-    /// For whom it runs.
+    /// The identity for which the request runs.
     pub identity: &'s Identity,
 }
 
-/// What the head of a worker's answer says.
+/// The information that the head of a worker's answer carries.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerFacts {
-    /// The request that it answers.
+    /// Identifier of the answered request; `None` if the answer names none.
     pub request_id: Option<String>,
-    /// Whether the worker vouches for it.
+    /// Whether the answer carries the worker's signature.
     pub signed: bool,
-    /// Whether the worker declares that it did not run the request and will not.
+    /// Whether the worker declares that it did not run the request and will not run it.
     pub declined: bool,
-    /// The worker's load.
+    /// Load that the worker reports; `None` if it reports none.
     pub load: Option<ReportedLoad>,
-    /// How long the connection may rest.
+    /// Idle time-out of the connection that the worker announces; `None` if it announces none.
     pub keep_alive: Option<Duration>,
-    /// How much longer the worker is cold, if it says so.
+    /// Time for which the worker will remain cold; `None` if the worker does not report it.
     pub cold_left: Option<Duration>,
 }
 
 /// A body in the platform's encoding.
 pub struct Encoded {
-    /// Content type.
+    /// Value of the content-type header.
     pub content_type: &'static str,
-    /// The bytes.
+    /// The encoded body.
     pub body: Bytes,
 }
 
-/// Why a body was not understood.
+/// The error of a body or record that cannot be decoded.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 #[display("{reason}")]
 pub struct Malformed {
-    /// What and where.
+    /// Description and position of the error.
     pub reason: String,
 }
 
-/// What a record of the operators is about, by its key.
+/// The kind of a record that operators write, as its key tells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRecord {
     /// The configuration.
     Configuration,
-    /// A zone's workers are to get nothing for as long as the record is there.
+    /// The evacuation of a zone: its workers get no new requests as long as the record exists.
     Evacuation {
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
-    /// Something else.
+    /// A record that does not concern gateways.
     Other,
 }
 
-/// A platform's protocol.
+/// The protocol of a platform.
 pub trait Protocol: Send + Sync {
-    /// Sorts a caller's request.
+    /// Returns the kind of a caller's request.
     fn classify_request(&self, method: &Method, uri: &Uri, headers: &HeaderMap) -> Call;
-    /// Reads what a request says of itself.
+    /// Reads the information that the headers of a request carry.
     fn request_facts(&self, headers: &HeaderMap) -> RequestFacts;
-    /// Reads what a caller shows of itself.
+    /// Reads the credentials that a request carries.
     fn read_credentials(&self, headers: &HeaderMap) -> Credentials;
-    /// The scheme under which callers show their keys.
+    /// Returns the authentication scheme of callers' keys, as named to callers without a known key.
     fn key_scheme(&self) -> &'static str;
-    /// Sets what a worker needs to be told, and takes off what it must not learn.
+    /// Sets the headers that a worker needs, and removes those that it must not see.
     fn set_worker_headers(&self, headers: &mut HeaderMap, facts: &SendFacts<'_>);
-    /// Reads the head of a worker's answer.
+    /// Reads the information that the head of a worker's answer carries.
     fn answer_facts(&self, head: &response::Parts) -> AnswerFacts;
-    /// Reads a batch job.
+    /// Decodes a batch job from the body of its submission.
     fn parse_job(
         &self,
         id: &str,
@@ -186,22 +187,22 @@
         path: &str,
         body: &[u8],
     ) -> Result<JobSpec, Malformed>;
-    /// Headers of an item's request.
+    /// Returns the headers of an item's request.
     fn item_headers(&self, item: &ItemSpec) -> HeaderMap;
-    /// What an item's request says of itself.
+    /// Returns the information that the headers of an item's request carry.
     fn item_facts(&self, item: &ItemSpec) -> RequestFacts {
         self.request_facts(&self.item_headers(item))
     }
-    /// Writes a page of results that begins at position `from`.
+    /// Encodes a page of results that begins at position `from`.
     fn encode_job_page(&self, job: &JobSpec, page: &Page<'_>, from: usize) -> Encoded;
-    /// What a record of the operators is about.
+    /// Returns the kind of a record that operators write.
     fn classify_record(&self, key: &[u8]) -> OperatorRecord;
-    /// Reads a configuration.
+    /// Decodes a configuration. Returns `None` if the key is not that of the configuration.
     fn parse_configuration(
         &self,
         key: &[u8],
         value: &[u8],
     ) -> Result<Option<Configuration>, Malformed>;
-    /// Reads an entry of the directory.
+    /// Decodes an entry of the directory.
     fn parse_worker(&self, key: &[u8], value: &[u8]) -> Result<WorkerEntry, Malformed>;
 }
--- a/crates/swiftshunt-gateway/src/settings.rs
+++ b/crates/swiftshunt-gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway, checked.
+//! The settings of a gateway: reading from a file, and validation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,113 +10,114 @@
 use swiftshunt_topology::{Topology, TopologyError};
 use swiftshunt_types::RegionName;
 
-/// The settings file. Durations are written like `2s` or `150ms`.
+/// The settings file. Durations are written as text such as `2s` or `150ms`.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct GatewaySettings {
-    /// Name of this machine, in logs and leases.
+    /// Name of this machine in logs and leases.
     pub name: String,
-    /// The zone that it stands in.
+    /// The zone of this machine.
     pub zone: String,
-    /// The zones of the deployment, and the region of each; one region where none is listed.
+    /// The zones of the deployment with the region of each. If empty, the deployment is a single region.
     #[serde(default)]
     pub zones: BTreeMap<String, RegionName>,
-    /// Where to listen.
+    /// The addresses to listen on.
     pub listen: ListenSettings,
-    /// The platform's log.
+    /// The platform's replicated log.
     pub log: LogSettings,
-    /// The directory of workers.
+    /// How this gateway reads the directory of workers.
     pub directory: DirectorySettings,
-    /// Other gateways.
+    /// The other gateways of the deployment.
     #[serde(default)]
     pub gateways: GatewaysSettings,
-    /// Batch jobs.
+    /// Handling of batch jobs.
     #[serde(default)]
     pub batch: BatchSettings,
-    /// Tenants' keys and limits.
+    /// Handling of the keys and rate limits of tenants.
     #[serde(default)]
     pub tenants: TenantSettings,
-    /// Workers that have just started.
+    /// Limits for workers that have just started.
     #[serde(default)]
     pub cold: ColdSettings,
     /// Evacuation of zones.
     #[serde(default)]
     pub evacuation: EvacuationSettings,
-    /// The planned stop.
+    /// The graceful stop.
     #[serde(default)]
     pub stop: StopSettings,
 }
 
-/// Where a gateway listens.
+/// The addresses on which a gateway listens.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Questions whether the gateway is ready.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Other gateways: calls about jobs that run here, calls to the log, notices.
+    /// Address for other gateways: calls about jobs, relayed calls to the log, reads of its tails (TCP), and notices
+    /// (UDP).
     pub peers: SocketAddr,
-    /// Metrics; none if left out.
+    /// Address for metrics; `None` if they are not served.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Other gateways.
+/// The other gateways of the deployment.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaysSettings {
-    /// Where some of them may be reached (their `listen.peers`): used by a gateway that starts while
-    /// the log turns it away. They may be stale or down.
+    /// Addresses (`listen.peers`) of some other gateways, used as long as this gateway could not read the list of
+    /// gateways from the log. Some of them may be out of date or unreachable.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// The platform's log.
+/// The platform's replicated log.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LogSettings {
-    /// Its address.
+    /// Address of the log.
     pub address: SocketAddr,
-    /// Partitions of each topic of the gateway's own.
+    /// Number of partitions of each topic that gateways write.
     pub partitions: u32,
-    /// Bytes of a record at most.
+    /// Largest size of a record, in bytes.
     pub record_bytes: usize,
-    /// Bytes of one append at most.
+    /// Largest size of an append, in bytes.
     pub append_bytes: usize,
-    /// Shortest lease that the log gives.
+    /// Shortest lease that the log grants.
     #[serde(with = "duration_text")]
     pub shortest_lease: Duration,
-    /// Time that a call may take beyond what it waits on purpose.
+    /// Time-out of a call to the log, in addition to the time that the call asks the log to wait.
     #[serde(default = "default_call_timeout", with = "duration_text")]
     pub call_timeout: Duration,
 }
 
-/// The directory of workers.
+/// How a gateway reads the directory of workers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectorySettings {
-    /// How soon a change must be in force here.
+    /// Time within which a change must be in force at this gateway.
     #[serde(with = "duration_text")]
     pub obey_within: Duration,
-    /// Gateways for which one of them reads the log's directory and configuration. Where there are
-    /// fewer, each reads for itself.
+    /// Number of gateways for which one of them reads the directory and the configuration from the log. With fewer
+    /// gateways, each reads by itself.
     #[serde(default = "default_gateways_per_reader")]
     pub gateways_per_reader: usize,
 }
 
-/// Batch jobs.
+/// Handling of batch jobs.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BatchSettings {
-    /// Share of the slots of some workers together that batch items leave free.
+    /// Share of the slots of a group of workers, taken together, that batch items leave free.
     pub headroom: f64,
-    /// How long results stay readable after a job was accepted.
+    /// Time from the acceptance of a job for which its results can be read.
     #[serde(with = "duration_text")]
     pub keep_results: Duration,
-    /// How long a partition that runs elsewhere is followed after a call about it.
+    /// Time for which a partition that another gateway runs is followed after a call about one of its jobs.
     #[serde(with = "duration_text")]
     pub follow_after_call: Duration,
-    /// How long the runner of a partition keeps it without a sign of life.
+    /// Duration of the lease on a partition: a gateway that does not renew it loses the partition after this time.
     #[serde(with = "duration_text")]
     pub lease: Duration,
 }
@@ -132,23 +133,22 @@
     }
 }
 
-/// Tenants' keys and limits.
+/// Handling of the keys and rate limits of tenants.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantSettings {
-    /// Whether callers with keys are refused while the configuration could not be confirmed for
-    /// `confirm_within`: a key may have been taken away meanwhile. Else they are served as last known.
+    /// Whether callers with keys are refused once the configuration has not been confirmed for `confirm_within`,
+    /// since a key may have been revoked in the meantime. Otherwise they are served by the last known configuration.
     pub strict: bool,
-    /// See `strict`.
+    /// Age of the last confirmation of the configuration from which `strict` applies.
     #[serde(with = "duration_text")]
     pub confirm_within: Duration,
-    /// The window within which a tenant's requests are held to its limit.
+    /// Window of time in which the requests of a tenant are counted against its limit.
     #[serde(with = "duration_text")]
     pub window: Duration,
-    /// Share of what the limit allows in a window by which it may be passed while gateways cannot reach
-    /// each other.
+    /// Share of a window's limit by which the limit may be exceeded while gateways cannot reach each other.
     pub tolerance: f64,
-    /// Requests in a window beyond that share.
+    /// Number of requests in a window by which the limit may be exceeded in addition to that share.
     pub tolerated_requests: f64,
 }
 
@@ -165,7 +165,7 @@
 }
 
 impl TenantSettings {
-    /// By how much a limit may be passed.
+    /// Returns by how much the limit of a tenant may be exceeded.
     pub(crate) fn tolerance(&self) -> Tolerance {
         Tolerance {
             window: self.window,
@@ -174,20 +174,21 @@
         }
     }
 
-    /// Age of the configuration up to which callers with keys are served, if there is one.
+    /// Returns the age of the last confirmation of the configuration up to which callers with keys are served;
+    /// `None` if they are served at any age.
     pub(crate) fn max_config_age(&self) -> Option<Duration> {
         self.strict.then_some(self.confirm_within)
     }
 }
 
-/// Workers that have just started, and bear few requests a second for some time.
+/// Limits for cold workers, which have just started and can serve only few requests a second for some time.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ColdSettings {
-    /// Requests that all gateways together may send to a cold worker in a second, as a multiple of what its
-    /// service's configuration says.
+    /// Requests per second that all gateways together may send to a cold worker, as a multiple of the rate in the
+    /// configuration of its service.
     pub share: f64,
-    /// Requests in a second beyond that.
+    /// Number of requests that may exceed that rate in any one second.
     pub requests: f64,
 }
 
@@ -204,10 +205,10 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EvacuationSettings {
-    /// How soon an evacuation must be in force here.
+    /// Time within which an evacuation must be in force at this gateway.
     #[serde(with = "duration_text")]
     pub obey_within: Duration,
-    /// How long batch items run on in an evacuated zone before they step aside.
+    /// Time for which batch items continue to run in an evacuated zone before they are interrupted.
     #[serde(with = "duration_text")]
     pub items_leave_after: Duration,
 }
@@ -221,14 +222,14 @@
     }
 }
 
-/// The planned stop.
+/// The graceful stop of a gateway.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StopSettings {
     /// Time from the signal until the process must have ended.
     #[serde(with = "duration_text")]
     pub grace: Duration,
-    /// Time after which no new connections are expected.
+    /// Time from the signal after which no new connections are expected.
     #[serde(with = "duration_text")]
     pub unlisted_after: Duration,
 }
@@ -242,7 +243,7 @@
     }
 }
 
-/// A reader answers so many about once in two seconds: a small part of a core.
+/// A reader answers this many gateways about once in two seconds each, which takes a small part of a core.
 fn default_gateways_per_reader() -> usize {
     24
 }
@@ -251,47 +252,47 @@
     Duration::from_secs(2)
 }
 
-/// Why settings are not taken.
+/// The error of settings that cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("{file}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Not TOML, or fields that do not fit.
+    /// The text is not TOML, or its keys or types are wrong.
     #[display("{file}: {reason}")]
     Malformed {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// Where and why.
+        /// Position and description of the error.
         reason: String,
     },
-    /// Zones that make no topology.
+    /// The zones are no valid topology.
     #[display("{file}: {source}")]
     Topology {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// Why.
+        /// Error of the topology.
         source: TopologyError,
     },
-    /// A value that cannot work.
+    /// A value is out of its range.
     #[display("{file}: {field}: {reason}")]
     Invalid {
-        /// The file.
+        /// Path of the settings file.
         file: String,
-        /// The field.
+        /// Key of the value.
         field: &'static str,
-        /// Why.
+        /// The condition that the value must meet.
         reason: &'static str,
     },
 }
 
 impl GatewaySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn load(file: &str) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(file).map_err(|source| SettingsError::Unreadable {
             file: file.to_owned(),
@@ -300,7 +301,7 @@
         Self::parse(file, &text)
     }
 
-    /// Parses and checks; `file` names the text in errors.
+    /// Parses and validates the text of a settings file; `file` is the path that errors name.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let settings: Self = toml::from_str(text).map_err(|error| SettingsError::Malformed {
             file: file.to_owned(),
@@ -310,7 +311,7 @@
         Ok(settings)
     }
 
-    /// The zones, and this gateway's place among them.
+    /// Returns the zones of the deployment, with this gateway's own zone.
     pub(crate) fn topology(&self) -> Result<Topology, TopologyError> {
         Topology::new(&self.zone, self.zones.clone())
     }
@@ -375,7 +376,7 @@
 }
 
 mod duration_text {
-    //! Durations as text: `1m 30s` and the like, and decimal fractions such as `4.7s` or `2.5ms`.
+    //! Deserialization of durations from text such as `1m 30s`, or decimal fractions such as `4.7s` and `2.5ms`.
 
     use std::time::Duration;
 
@@ -402,5 +403,5 @@
     }
 }
 
-/// Smallest record into which frames with their heads fit.
+/// Lower bound of the record size, so that frames with their headers fit into a record.
 const MINIMUM_RECORD_BYTES: usize = 4096;
