--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -194,7 +194,7 @@
 }
 
 /// Multiple of the silence limit after which a request fails if its worker has begun requests that were sent
-/// later. Less would be wrong for long prompts: they are overtaken although the worker still reads them.
+/// later. A lower multiple would fail long prompts, which are overtaken while the worker still reads them.
 const OVERTAKEN_SILENCE_LIMITS: u32 = 4;
 /// Interval between two checks of a silent worker.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
@@ -273,7 +273,7 @@
         log::warn!(request = outgoing.id.as_deref().unwrap_or(""),
             worker = chosen.incarnation.as_str(),
             answered = facts.request_id.as_deref().unwrap_or("");
-            "answer belongs to another request; the worker's connections are used once each for now");
+            "answer belongs to another request; for some time, using each connection to its worker only once");
         Some(SendFailure::Broken {
             reason: "the answer belongs to another request".to_owned(),
         })
@@ -294,7 +294,7 @@
             let request = self.request(chosen, outgoing, last_event, limits);
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
-                // If no byte of the request was sent, it is sent over a new connection.
+                // If no byte of the request was sent, a new connection is tried below.
                 Err(mut error) => {
                     if error.take_message().is_none() {
                         return Err(send_failure(error.error()));
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -71,9 +71,9 @@
 
 /// Interval at which idle connections that have timed out are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Delay of that interval from which the process logs that it was paused: its view of the fleet is out of date by at
-/// least this time.
-const STANDSTILL: Duration = Duration::from_millis(500);
+/// Delay of this interval from which a pause of the process is logged: after a pause, the gateway's view of the fleet
+/// is out of date by as much.
+const MIN_LOGGED_PAUSE: Duration = Duration::from_millis(500);
 /// Interval at which a stop checks whether all results are written.
 const STOP_POLL: Duration = Duration::from_millis(50);
 /// Reserve at the end of the grace period for the exit of the process.
@@ -359,7 +359,7 @@
         tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = dispatcher.clock.now();
         let late = now.saturating_sub(slept_at + SWEEP_INTERVAL);
-        if late >= STANDSTILL {
+        if late >= MIN_LOGGED_PAUSE {
             log::warn!(late_ms = late.as_millis() as u64; "this process stood still");
         }
         let fleet_state = &dispatcher.fleet_state;
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -37,18 +37,20 @@
 /// The answers that a gateway has missed in a row, and the time until which it is suspected to be down.
 #[derive(Clone, Copy, Default)]
 struct Suspicion {
+    /// Answers missed in a row.
     misses: u32,
-    times: u32,
+    /// Suspicions in a row.
+    repeats: u32,
     until: Duration,
 }
 
 impl Suspicion {
     fn begin(&mut self, gateway: SocketAddr, now: Duration) {
-        let time = INITIAL_SUSPICION * 2_u32.pow(self.times.min(MAX_DOUBLINGS));
+        let time = INITIAL_SUSPICION * 2_u32.pow(self.repeats.min(MAX_DOUBLINGS));
         self.until = now + time.min(MAX_SUSPICION);
         // After this time, a single missed answer renews the suspicion.
         self.misses = self.misses.max(MISSES_BEFORE_SUSPICION);
-        self.times += 1;
+        self.repeats += 1;
         log::info!(gateway = gateway.to_string().as_str(),
             for_ms = time.as_millis() as u64; "a gateway does not answer");
     }
@@ -65,7 +67,7 @@
 #[derive(Default)]
 struct MemberList {
     listed: HashMap<SocketAddr, Listed>,
-    /// Gateways that were removed from the list within the last `UNLISTED_NODE_TTL`.
+    /// Gateways that were removed from the list, which are remembered for `UNLISTED_NODE_TTL`.
     unlisted: HashMap<SocketAddr, Listed>,
     suspicions: HashMap<SocketAddr, Suspicion>,
     /// Time of the last contact with each gateway.
@@ -219,7 +221,7 @@
             .answer_timeout(&self.topology, &zone, within_region)
     }
 
-    /// Returns the longest such time-out over all zones.
+    /// Returns the longest time-out for an answer of any gateway, given the time-out within a region.
     pub(crate) fn max_answer_timeout(&self, within_region: Duration) -> Duration {
         self.zone_latencies
             .max_answer_timeout(&self.topology, within_region)
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -223,7 +223,7 @@
         };
         let decision = admission::decide(&situation, rand::random());
         log::info!(request = context.id(), situation:? = situation, decision:? = decision,
-            tried = context.tried.len(), runs = context.runs; "no worker takes a request");
+            tried = context.tried.len(), runs = context.runs; "found no worker for a request");
         let decision = match decision {
             // Another round clears the list of tried workers, and would repeat the request on a worker where it
             // may have run.
@@ -294,7 +294,7 @@
             if context.may_repeat() || is_false_promise {
                 log::info!(request = context.id(),
                     worker = answer.in_flight.chosen.incarnation.as_str(),
-                    status = status.as_u16(); "a worker failed the request");
+                    status = status.as_u16(); "request failed at its worker");
                 answer
                     .in_flight
                     .set_ending(swiftshunt_scheduler::selection::AttemptOutcome::Failed);
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -84,7 +84,8 @@
         value.into()
     }
 
-    /// Returns `None` for a record without content; its gateway is listed nevertheless.
+    /// Returns `None` for a record that holds no zone, as those of earlier builds; its gateway is listed
+    /// nevertheless.
     fn decoded(value: &[u8]) -> Option<Self> {
         ciborium::from_reader(value).ok()
     }
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -28,7 +28,7 @@
         /// Time for which the answer may be delayed until there is a result.
         wait: Duration,
     },
-    /// A query for the body of an item's result.
+    /// A query for the request body of an item.
     JobItem {
         /// Identifier of the job.
         job: String,
--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -1,7 +1,7 @@
 //! Time-outs for answers of other gateways, which depend on the network path and not on the kind of request.
 //!
-//! Within a region, the caller's time-out applies. A round trip to another region may take longer than that, so
-//! the observed round trips between the zones are added, with their deviation.
+//! Within a region, each kind of request has a fixed time-out. A round trip to another region may take longer than
+//! that, so the observed round trip to the zone is added there, with its deviation.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -60,7 +60,7 @@
         within_region + round_trips.patience(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
     }
 
-    /// Returns the longest such time-out over all zones.
+    /// Returns the longest time-out for an answer from any zone, given the time-out within a region.
     pub(crate) fn max_answer_timeout(
         &self,
         topology: &Topology,
