--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -25,8 +25,8 @@
     pub(crate) dispatcher: Arc<Dispatcher>,
     pub(crate) batch: Arc<Batch>,
     pub(crate) rates: Arc<Rates>,
-    /// Queue of the requests that would miss their objective on any worker, in the order in which this was
-    /// found out. The holder of the lock is the only one of them that looks for a slot.
+    /// Queue of the requests that would miss their objective on any worker, in the order in which they were
+    /// found to be late. Only the request that holds the lock looks for a slot.
     pub(crate) late_queue: tokio::sync::Mutex<()>,
     /// Time since the last confirmation of the configuration after which callers with keys are refused; `None`
     /// if they are served at any age.
--- a/crates/swiftshunt-gateway/src/request_context.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -18,7 +18,7 @@
 pub(crate) struct LastSend {
     /// Time of the send, on the gateway's clock.
     pub(crate) at: Duration,
-    /// Prompt tokens that the worker was expected not to have in its cache.
+    /// Number of prompt tokens that the worker was expected not to have in its prefix cache.
     pub(crate) missing_tokens: u64,
     /// Expected time until the worker has read the prompt, including the work queued there before it.
     pub(crate) expected_prefill: Duration,
@@ -48,8 +48,8 @@
         self.outgoing.id.as_deref().unwrap_or("")
     }
 
-    /// Returns the time at which the caller gives up, which workers get as a header; `None` if the caller sent
-    /// no timeout.
+    /// Returns the time at which the caller gives up, from which the deadline header for workers is derived; `None`
+    /// if the caller sent no timeout.
     pub(crate) fn caller_deadline(&self) -> Option<Duration> {
         let timeout = self.facts.caller_timeout;
         timeout.map(|timeout| self.arrived + timeout)
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -17,8 +17,7 @@
 /// The propagation limit divided by this is the time for which a read waits for a change: a read that is lost must
 /// not use up the whole limit.
 const WAITS_PER_PROPAGATION_LIMIT: u32 = 2;
-/// The propagation limit divided by this is the time after which a read is repeated, while one whose answer is
-/// overdue is still open.
+/// The propagation limit divided by this is the time for which an answer may be overdue before its read is repeated.
 const HEDGES_PER_PROPAGATION_LIMIT: u32 = 4;
 /// Base of the exponential pause after a failed call, and the upper bound of the pause.
 const BACKOFF_BASE: Duration = Duration::from_millis(80);
@@ -90,8 +89,8 @@
     was_overdue: bool,
 }
 
-/// Reads the tail of a topic. Calls made while the log was unavailable are never answered, not even after it has
-/// returned, and a slow log answers late. So the read is repeated while the overdue one is still open, and the
+/// Reads the tail of a topic. Calls made while the log was unavailable are never answered, not even once the log is
+/// available again, and a slow log answers late. So the read is repeated while the overdue one is still open, and the
 /// first outcome counts. `overdue` is called on each repetition.
 async fn read_hedged(
     log: &dyn Log,
