--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -115,7 +115,7 @@
         self.unreadable.mark_readable(Topic::Configuration, key);
         let version = configuration.version;
         if let Err(error) = configuration.validate() {
-            log::error!(version; "configuration is invalid, keeping the current one: {error}");
+            log::error!(version; "configuration is invalid, ignoring it: {error}");
             return;
         }
         let routes = configuration.routes.len();
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -322,7 +322,7 @@
             .is_err()
         {
             log::warn!(connections = self.stop.connections.len();
-                "requests did not end within the grace period; aborting them");
+                "requests did not end within the grace period; stopping nevertheless");
         }
         log::info!("gateway stops");
         for task in &self.tasks {
--- a/crates/swiftshunt-gateway/src/settings.rs
+++ b/crates/swiftshunt-gateway/src/settings.rs
@@ -67,8 +67,8 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewaysSettings {
-    /// Addresses (`listen.peers`) of some other gateways, used as long as this gateway could not read the list of
-    /// gateways from the log. Some of them may be out of date or unreachable.
+    /// Addresses (`listen.peers`) of some other gateways, used as long as none is known from the log, such as after a
+    /// start while the log refuses calls. Some of them may be out of date or unreachable.
     pub seeds: Vec<SocketAddr>,
 }
 
