--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -352,7 +352,7 @@
     UdpSocket::from_std(socket)
 }
 
-/// Closes idle connections to workers that have timed out, and logs when the process was paused.
+/// Closes timed-out idle connections to workers at a fixed interval, and logs pauses of the process.
 async fn sweep(dispatcher: Arc<Dispatcher>) {
     loop {
         let slept_at = dispatcher.clock.now();
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -41,7 +41,7 @@
 /// Pause after a failed accept, which usually means a lack of resources such as file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The stages of a planned stop.
+/// The stages of a graceful stop.
 #[derive(Clone, Default)]
 pub(crate) struct Stop {
     /// Cancelled at the first stage: the gateway is not ready any more, and answers close their connections.
--- a/crates/swiftshunt-gateway/src/traffic.rs
+++ b/crates/swiftshunt-gateway/src/traffic.rs
@@ -39,7 +39,7 @@
     WaitingLimits,
     /// Messages about the rate limits of tenants.
     Rates,
-    /// Messages about requests in quarantine, whose workers ended while they ran them.
+    /// Messages about requests in quarantine.
     Quarantine,
     /// Requests for start permits for cold workers, and their answers.
     ColdStarts,
--- a/crates/swiftshunt-gateway/src/unreadable.rs
+++ b/crates/swiftshunt-gateway/src/unreadable.rs
@@ -1,5 +1,5 @@
-//! Records of the log that cannot be decoded. Other programs may write to the log, too. Their records are skipped,
-//! counted, and logged at most once a minute for each key, however often they are written and read.
+//! Records of the log that cannot be decoded, since other programs may write to the log, too. Such records are
+//! skipped, counted, and logged at most once a minute for each key, however often they are written and read.
 
 use std::collections::HashMap;
 use std::fmt::Display;
--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -1,7 +1,8 @@
-//! Time-outs for answers of other gateways, which depend on the network path and not on the kind of request.
+//! Time-outs for answers of other gateways.
 //!
 //! Within a region, each kind of request has a fixed time-out. A round trip to another region may take longer than
-//! that, so the observed round trip to the zone is added there, with its deviation.
+//! that, so the observed round trip to its zone is added, with the deviation. The added time depends on the network
+//! path alone, not on the kind of request.
 
 use std::sync::Mutex;
 use std::time::Duration;
