--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -33,7 +33,7 @@
 
     /// An answer from a zone did not come in time.
     pub(crate) fn record_timeout(&self, zone: &str) {
-        lock(&self.round_trips).missed(&zone.to_owned());
+        lock(&self.round_trips).record_timeout(&zone.to_owned());
     }
 
     /// The round trip to a zone; none that counts where it is in the own region, or was not observed yet: the first
@@ -57,7 +57,7 @@
             return within_region;
         }
         let round_trips = lock(&self.round_trips);
-        within_region + round_trips.patience(&zone.to_owned(), UNOBSERVED, BOUNDS)
+        within_region + round_trips.response_timeout(&zone.to_owned(), UNOBSERVED, BOUNDS)
     }
 
     /// The same for answers from all zones.
--- a/crates/swiftshunt-membership/src/membership.rs
+++ b/crates/swiftshunt-membership/src/membership.rs
@@ -29,9 +29,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Tracked {
+struct TrackedMember {
     record: MemberRecord,
-    since: Monotonic,
+    state_since: Monotonic,
 }
 
 /// The member list of one node.
@@ -40,9 +40,9 @@
 /// higher incarnation.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    own: NodeId,
+    own_id: NodeId,
     config: MembershipConfig,
-    members: BTreeMap<NodeId, Tracked>,
+    members: BTreeMap<NodeId, TrackedMember>,
     dissemination: Dissemination<NodeId>,
     probe_order: Vec<NodeId>,
     probe_due: Monotonic,
@@ -59,9 +59,15 @@
             state: MemberState::Alive,
         };
         let mut membership = Self {
-            own: id,
+            own_id: id,
             config,
-            members: BTreeMap::from([(id, Tracked { record, since: now })]),
+            members: BTreeMap::from([(
+                id,
+                TrackedMember {
+                    record,
+                    state_since: now,
+                },
+            )]),
             dissemination: Dissemination::default(),
             probe_order: Vec::new(),
             probe_due: now,
@@ -82,8 +88,8 @@
             return (changes, None);
         }
         self.probe_due = now + self.config.probe_interval;
-        let plan = self.next_target(random).map(|target| ProbePlan {
-            helpers: self.helpers(&target, random),
+        let plan = self.next_probe_target(random).map(|target| ProbePlan {
+            helpers: self.choose_helpers(&target, random),
             target,
         });
         (changes, plan)
@@ -99,7 +105,7 @@
         if target == answered_by {
             return Vec::new();
         }
-        self.declare(target, MemberState::Left, now)
+        self.set_state(target, MemberState::Left, now)
     }
 
     /// Neither the probe nor any helper's probe was answered.
@@ -111,7 +117,7 @@
         if !reachable {
             return Vec::new();
         }
-        self.declare(target, MemberState::Suspect, now)
+        self.set_state(target, MemberState::Suspect, now)
     }
 
     /// Takes in news from another node.
@@ -124,25 +130,25 @@
     }
 
     /// News to put on the next message.
-    pub fn news(&mut self) -> Vec<MemberRecord> {
+    pub fn next_updates(&mut self) -> Vec<MemberRecord> {
         let chosen = self.dissemination.next(self.config.changes_per_message);
         let records = chosen.iter().filter_map(|id| self.members.get(id));
         records.map(|tracked| tracked.record.clone()).collect()
     }
 
     /// Everything known, for a node that joins.
-    pub fn full(&self) -> Vec<MemberRecord> {
+    pub fn all_records(&self) -> Vec<MemberRecord> {
         let tracked = self.members.values();
         tracked.map(|tracked| tracked.record.clone()).collect()
     }
 
     /// Announces that this node finishes what it has and goes.
-    pub fn leave(&mut self, now: Monotonic) {
+    pub fn announce_leaving(&mut self, now: Monotonic) {
         self.set_own_state(MemberState::Leaving, now);
     }
 
     /// Announces that this node is gone. Nothing can follow.
-    pub fn left(&mut self, now: Monotonic) {
+    pub fn announce_left(&mut self, now: Monotonic) {
         self.set_own_state(MemberState::Left, now);
     }
 
@@ -159,7 +165,7 @@
     /// For how long a member has been in its state.
     pub fn age(&self, id: NodeId, now: Monotonic) -> Option<Monotonic> {
         let tracked = self.members.get(&id)?;
-        Some(now.saturating_sub(tracked.since))
+        Some(now.saturating_sub(tracked.state_since))
     }
 
     /// Every record.
@@ -193,7 +199,7 @@
     }
 
     fn merge_one(&mut self, record: MemberRecord, now: Monotonic) -> Option<Change> {
-        if record.member.id == self.own {
+        if record.member.id == self.own_id {
             self.refute(&record, now);
             return None;
         }
@@ -214,25 +220,31 @@
         };
         let id = record.member.id;
         self.version += 1;
-        self.members.insert(id, Tracked { record, since: now });
+        self.members.insert(
+            id,
+            TrackedMember {
+                record,
+                state_since: now,
+            },
+        );
         self.dissemination.announce(id, self.members.len());
         change
     }
 
-    fn refute(&mut self, news: &MemberRecord, now: Monotonic) {
-        let Some(own) = self.members.get(&self.own) else {
+    fn refute(&mut self, update: &MemberRecord, now: Monotonic) {
+        let Some(own) = self.members.get(&self.own_id) else {
             return;
         };
         let mut record = own.record.clone();
-        if record.state == MemberState::Left || !news.supersedes(&record) {
+        if record.state == MemberState::Left || !update.supersedes(&record) {
             return;
         }
-        record.incarnation = news.incarnation + 1;
+        record.incarnation = update.incarnation + 1;
         self.store(record, now);
     }
 
     fn set_own_state(&mut self, state: MemberState, now: Monotonic) {
-        let Some(own) = self.members.get(&self.own) else {
+        let Some(own) = self.members.get(&self.own_id) else {
             return;
         };
         let mut record = own.record.clone();
@@ -242,13 +254,13 @@
         }
     }
 
-    fn declare(&mut self, id: NodeId, state: MemberState, now: Monotonic) -> Vec<Change> {
+    fn set_state(&mut self, id: NodeId, state: MemberState, now: Monotonic) -> Vec<Change> {
         let Some(known) = self.members.get(&id) else {
             return Vec::new();
         };
         let mut record = known.record.clone();
         record.state = state;
-        if id == self.own || !record.supersedes(&known.record) {
+        if id == self.own_id || !record.supersedes(&known.record) {
             return Vec::new();
         }
         vec![self.store(record, now)]
@@ -259,23 +271,25 @@
             .members
             .iter()
             .filter(|(_, tracked)| tracked.record.state == MemberState::Suspect)
-            .filter(|(_, tracked)| now >= tracked.since + self.config.suspicion_timeout)
+            .filter(|(_, tracked)| now >= tracked.state_since + self.config.suspicion_timeout)
             .map(|(id, _)| *id)
             .collect();
         let mut changes = Vec::new();
         for id in overdue {
-            changes.extend(self.declare(id, MemberState::Dead, now));
+            changes.extend(self.set_state(id, MemberState::Dead, now));
         }
-        let (own, retention) = (self.own, self.config.retention);
+        let (own, retention) = (self.own_id, self.config.retention);
         self.members.retain(|id, tracked| {
-            *id == own || tracked.record.state.is_reachable() || now < tracked.since + retention
+            *id == own
+                || tracked.record.state.is_reachable()
+                || now < tracked.state_since + retention
         });
         changes
     }
 
     /// Round robin over a shuffled order: every member is probed within one round. Dead members are
     /// probed too, so that the two sides of a healed cut find each other again.
-    fn next_target(&mut self, random: &mut impl Rng) -> Option<Member> {
+    fn next_probe_target(&mut self, random: &mut impl Rng) -> Option<Member> {
         for _ in 0..2 {
             while let Some(id) = self.probe_order.pop() {
                 let probed = self
@@ -285,7 +299,7 @@
                     return Some(record.member.clone());
                 }
             }
-            let others = self.members.keys().filter(|id| **id != self.own);
+            let others = self.members.keys().filter(|id| **id != self.own_id);
             self.probe_order = others.copied().collect();
             self.probe_order.shuffle(random);
         }
@@ -293,11 +307,11 @@
     }
 
     /// Helpers in zones other than this node's first: they do not share its cut links.
-    fn helpers(&self, target: &Member, random: &mut impl Rng) -> Vec<Member> {
-        let own_zone = self.record(self.own).map(|record| &record.member.zone);
+    fn choose_helpers(&self, target: &Member, random: &mut impl Rng) -> Vec<Member> {
+        let own_zone = self.record(self.own_id).map(|record| &record.member.zone);
         let mut helpers: Vec<&Member> = self
             .eligible()
-            .filter(|member| member.id != self.own && member.id != target.id)
+            .filter(|member| member.id != self.own_id && member.id != target.id)
             .collect();
         helpers.shuffle(random);
         helpers.sort_by_key(|member| Some(&member.zone) == own_zone);
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -107,9 +107,9 @@
     let members = {
         let mut membership = lock(&context.membership);
         if complete {
-            membership.full()
+            membership.all_records()
         } else {
-            membership.news()
+            membership.next_updates()
         }
     };
     let routes = {
@@ -251,7 +251,7 @@
 
 /// Tells a few others that this node is gone, so that nobody waits to find out.
 pub(crate) async fn announce_left(context: &Arc<Context>) {
-    lock(&context.membership).left(context.clock.now());
+    lock(&context.membership).announce_left(context.clock.now());
     let message = own_gossip(context, true);
     let others: Vec<SocketAddr> = {
         let membership = lock(&context.membership);
--- a/crates/swiftshunt-node/src/node.rs
+++ b/crates/swiftshunt-node/src/node.rs
@@ -117,7 +117,7 @@
         let context = &Arc::clone(&self.context);
         context.lifecycle.start_draining();
         self.api_server.drain();
-        lock(&context.membership).leave(context.clock.now());
+        lock(&context.membership).announce_leaving(context.clock.now());
         log::info!("node drains");
         let limit = context.settings.limits.drain_timeout;
         if tokio::time::timeout(limit, context.lifecycle.idle())
--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -203,7 +203,7 @@
     /// Where a caller's requests on a route may be handled: route and tenant each bind.
     pub fn residency(route: &Route, caller: &Caller) -> Residency {
         match caller.tenant() {
-            Some(tenant) => route.residency.and(&tenant.residency),
+            Some(tenant) => route.residency.intersect(&tenant.residency),
             None => route.residency.clone(),
         }
     }
@@ -213,7 +213,7 @@
         let tenants = self.tenants.as_ref();
         let tenant = tenant.and_then(|name| tenants?.named(name));
         match tenant {
-            Some(tenant) => route.residency.and(&tenant.residency),
+            Some(tenant) => route.residency.intersect(&tenant.residency),
             None => route.residency.clone(),
         }
     }
@@ -238,7 +238,7 @@
         let routes = routes.filter(|route| route.kind == RouteKind::Batch);
         routes.flat_map(|route| {
             let tenants = self.tenants.iter().flat_map(Tenants::all);
-            let of_tenants = tenants.map(|tenant| route.residency.and(&tenant.residency));
+            let of_tenants = tenants.map(|tenant| route.residency.intersect(&tenant.residency));
             std::iter::once(route.residency.clone()).chain(of_tenants)
         })
     }
--- a/crates/swiftshunt-topology/src/residency.rs
+++ b/crates/swiftshunt-topology/src/residency.rs
@@ -26,7 +26,7 @@
     }
 
     /// What both allow: of two lists each binds, also where they share no region.
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         let allowed = match (&self.allowed, &other.allowed) {
             (None, allowed) | (allowed, None) => allowed.clone(),
             (Some(one), Some(two)) => Some(Arc::new(one.intersection(two).cloned().collect())),
--- a/crates/swiftshunt-topology/src/round_trips.rs
+++ b/crates/swiftshunt-topology/src/round_trips.rs
@@ -11,9 +11,9 @@
 /// Weight of a new deviation in the mean deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 /// Deviations beyond the mean for which an answer is waited for.
-const DEVIATIONS: f64 = 4.0;
+const DEVIATION_MULTIPLIER: f64 = 4.0;
 /// Doublings at most after answers that did not come.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
 /// Within which bounds an answer is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -74,9 +74,9 @@
     }
 
     /// Records that an answer of `peer` did not come in time.
-    pub fn missed(&mut self, peer: &P) {
+    pub fn record_timeout(&mut self, peer: &P) {
         if let Some(estimate) = self.estimates.get_mut(peer) {
-            estimate.misses = (estimate.misses + 1).min(MOST_DOUBLINGS);
+            estimate.misses = (estimate.misses + 1).min(MAX_DOUBLINGS);
         }
     }
 
@@ -87,9 +87,9 @@
     }
 
     /// How long an answer of `peer` is waited for; `unobserved` where there was none yet.
-    pub fn patience(&self, peer: &P, unobserved: Duration, bounds: Bounds) -> Duration {
+    pub fn response_timeout(&self, peer: &P, unobserved: Duration, bounds: Bounds) -> Duration {
         let expected = self.estimates.get(peer).map_or(unobserved, |estimate| {
-            let expected = estimate.mean + DEVIATIONS * estimate.deviation;
+            let expected = estimate.mean + DEVIATION_MULTIPLIER * estimate.deviation;
             Duration::from_secs_f64(expected) * 2_u32.pow(estimate.misses)
         });
         expected.clamp(bounds.floor, bounds.ceiling)
--- a/crates/swiftshunt-topology/tests/topology.rs
+++ b/crates/swiftshunt-topology/tests/topology.rs
@@ -48,19 +48,22 @@
     };
     let mut trips = RoundTrips::default();
     let unobserved = Duration::from_millis(100);
-    assert_eq!(trips.patience(&1, unobserved, bounds), unobserved);
+    assert_eq!(trips.response_timeout(&1, unobserved, bounds), unobserved);
     for _ in 0..50 {
         trips.observe(1, Duration::from_millis(62));
         trips.observe(2, Duration::from_millis(2));
         trips.observe(3, Duration::from_secs(3));
     }
-    let far = trips.patience(&1, unobserved, bounds);
+    let far = trips.response_timeout(&1, unobserved, bounds);
     assert!(
         far > Duration::from_millis(62) && far < Duration::from_millis(80),
         "{far:?}"
     );
-    assert_eq!(trips.patience(&2, unobserved, bounds), bounds.floor);
-    assert_eq!(trips.patience(&3, unobserved, bounds), bounds.ceiling);
+    assert_eq!(trips.response_timeout(&2, unobserved, bounds), bounds.floor);
+    assert_eq!(
+        trips.response_timeout(&3, unobserved, bounds),
+        bounds.ceiling
+    );
 }
 
 #[test]
@@ -69,9 +72,9 @@
     let north = Residency::within([region("north")]);
     let both = Residency::within([region("north"), region("south")]);
     let south = Residency::within([region("south")]);
-    assert_eq!(Residency::anywhere().and(&north), north);
-    assert_eq!(both.and(&north), north);
-    let nowhere = north.and(&south);
+    assert_eq!(Residency::anywhere().intersect(&north), north);
+    assert_eq!(both.intersect(&north), north);
+    let nowhere = north.intersect(&south);
     assert!(!nowhere.is_anywhere());
     assert!(!nowhere.allows(Some(&region("north"))));
     assert!(Residency::within([]).is_anywhere());
@@ -91,13 +94,16 @@
     for _ in 0..50 {
         trips.observe(1, Duration::from_millis(60));
     }
-    let before = trips.patience(&1, unobserved, bounds);
-    trips.missed(&1);
-    assert_eq!(trips.patience(&1, unobserved, bounds), before * 2);
+    let before = trips.response_timeout(&1, unobserved, bounds);
+    trips.record_timeout(&1);
+    assert_eq!(trips.response_timeout(&1, unobserved, bounds), before * 2);
     for _ in 0..100 {
-        trips.missed(&1);
+        trips.record_timeout(&1);
     }
-    assert_eq!(trips.patience(&1, unobserved, bounds), bounds.ceiling);
+    assert_eq!(
+        trips.response_timeout(&1, unobserved, bounds),
+        bounds.ceiling
+    );
     trips.observe(1, Duration::from_millis(60));
-    assert!(trips.patience(&1, unobserved, bounds) <= before);
+    assert!(trips.response_timeout(&1, unobserved, bounds) <= before);
 }
