--- a/crates/swiftshunt-topology/src/lib.rs
+++ b/crates/swiftshunt-topology/src/lib.rs
@@ -1,5 +1,5 @@
-//! Where things stand, without I/O: zones and the regions that they are in, which regions something may be
-//! handled in, how far apart two places are, and how long an answer from another place is waited for.
+//! Zones and regions, without I/O: the region of each zone, the regions in which a request may be handled, the
+//! distance between zones, and response timeouts that follow measured round trips.
 
 mod residency;
 mod round_trips;
--- a/crates/swiftshunt-topology/src/topology.rs
+++ b/crates/swiftshunt-topology/src/topology.rs
@@ -1,39 +1,39 @@
-//! Zones, regions, and this process's own place among them.
+//! Zones, their regions, and the zone and region of this process.
 
 use std::collections::BTreeMap;
 
 use derive_more::{Display, Error};
 use swiftshunt_types::RegionName;
 
-/// How far a place is from this process's own.
+/// Distance of a zone from the zone of this process, nearest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    /// In the same zone.
+    /// The same zone.
     SameZone,
-    /// In another zone of the same region.
+    /// Another zone of the same region.
     SameRegion,
-    /// In another region, or in a zone that is not known.
+    /// A zone of another region, or an unknown zone where there is more than one region.
     OtherRegion,
 }
 
-/// Why zones make no topology.
+/// Why a list of zones was rejected.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum TopologyError {
-    /// Zones are listed, and the own one is not among them.
+    /// The list of zones is not empty and lacks the zone of this process.
     #[display("zones: `{zone}`, the own zone, is not listed")]
     OwnZone {
-        /// The own zone.
+        /// The zone of this process.
         zone: String,
     },
-    /// A region without a name.
+    /// The region of a zone has an empty name.
     #[display("zones.{zone}: the region has no name")]
     Region {
-        /// Its zone.
+        /// The zone whose region has no name.
         zone: String,
     },
 }
 
-/// The zones of a deployment, by region, and where this process stands.
+/// The zones of a deployment with their regions, and the zone of this process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Topology {
     own_zone: String,
@@ -43,7 +43,7 @@
 }
 
 impl Topology {
-    /// A deployment that knows of no regions: all zones count as one.
+    /// Creates a topology without named regions, in which all zones count as one region.
     pub fn one_region(own_zone: &str) -> Self {
         Self {
             own_zone: own_zone.to_owned(),
@@ -53,7 +53,8 @@
         }
     }
 
-    /// The zones and their regions; one region where no zones are listed.
+    /// Creates a topology from the region of each zone. If `regions` is empty, the result is that of
+    /// [`Self::one_region`].
     pub fn new(
         own_zone: &str,
         regions: BTreeMap<String, RegionName>,
@@ -77,32 +78,32 @@
         })
     }
 
-    /// The zone that this process stands in.
+    /// The zone of this process.
     pub fn own_zone(&self) -> &str {
         &self.own_zone
     }
 
-    /// The region that this process stands in, if regions are known.
+    /// The region of this process; `None` if no zones are listed.
     pub fn own_region(&self) -> Option<&RegionName> {
         self.own_region.as_ref()
     }
 
-    /// The region of a zone, if it is known.
+    /// The region of `zone`; `None` if `zone` is not listed.
     pub fn region_of(&self, zone: &str) -> Option<&RegionName> {
         self.regions.get(zone)
     }
 
-    /// The zones that are listed.
+    /// The listed zones, in the order of their names.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.regions.keys().map(String::as_str)
     }
 
-    /// Whether there is more than one region.
+    /// Whether the listed zones are in more than one region.
     pub fn spans_regions(&self) -> bool {
         self.spans_regions
     }
 
-    /// All regions, each once, in their order.
+    /// All regions without duplicates, sorted by name.
     pub fn regions(&self) -> Vec<RegionName> {
         let mut regions: Vec<RegionName> = self.regions.values().cloned().collect();
         regions.sort();
@@ -110,12 +111,12 @@
         regions
     }
 
-    /// The region of a zone where that makes a difference: none where all zones are in one region.
+    /// The region of `zone` if there is more than one region; `None` otherwise.
     pub fn dividing_region_of(&self, zone: &str) -> Option<&RegionName> {
         self.region_of(zone).filter(|_| self.spans_regions)
     }
 
-    /// How far a zone is from the own one.
+    /// Returns the distance of `zone` from the zone of this process.
     pub fn distance_to(&self, zone: &str) -> Distance {
         if zone == self.own_zone {
             return Distance::SameZone;
--- a/crates/swiftshunt-topology/tests/topology.rs
+++ b/crates/swiftshunt-topology/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Places, distances and patience.
+//! Distances between zones, restrictions to regions, and response timeouts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,30 +18,30 @@
 #[test_case("b", Distance::SameRegion)]
 #[test_case("c", Distance::OtherRegion)]
 #[test_case("unheard of", Distance::OtherRegion)]
-fn a_zone_is_so_far(zone: &str, distance: Distance) {
+fn distance_follows_zone_and_region(zone: &str, distance: Distance) {
     let zones = zones(&[("a", "north"), ("b", "north"), ("c", "south")]);
-    let topology = Topology::new("a", zones).expect("sound");
+    let topology = Topology::new("a", zones).expect("the zones should be accepted");
     assert_eq!(topology.distance_to(zone), distance);
 }
 
 #[test]
-fn one_region_divides_nothing() {
+fn zones_of_a_single_region_have_no_dividing_region() {
     let zones = zones(&[("a", "north"), ("b", "north")]);
-    let topology = Topology::new("a", zones).expect("sound");
+    let topology = Topology::new("a", zones).expect("the zones should be accepted");
     assert!(!topology.spans_regions());
     assert_eq!(topology.dividing_region_of("b"), None);
     assert_eq!(topology.distance_to("unheard of"), Distance::SameRegion);
 }
 
 #[test]
-fn zones_without_the_own_one_are_refused() {
-    let refused = Topology::new("z", zones(&[("a", "north")]));
+fn a_list_of_zones_without_the_own_zone_is_rejected() {
+    let result = Topology::new("z", zones(&[("a", "north")]));
     let zone = "z".to_owned();
-    assert_eq!(refused, Err(TopologyError::OwnZone { zone }));
+    assert_eq!(result, Err(TopologyError::OwnZone { zone }));
 }
 
 #[test]
-fn an_answer_is_waited_for_as_long_as_answers_take() {
+fn the_response_timeout_follows_the_round_trips_within_its_bounds() {
     let bounds = Bounds {
         floor: Duration::from_millis(14),
         ceiling: Duration::from_millis(500),
@@ -54,10 +54,10 @@
         trips.observe(2, Duration::from_millis(2));
         trips.observe(3, Duration::from_secs(3));
     }
-    let far = trips.response_timeout(&1, unobserved, bounds);
+    let far_timeout = trips.response_timeout(&1, unobserved, bounds);
     assert!(
-        far > Duration::from_millis(62) && far < Duration::from_millis(80),
-        "{far:?}"
+        far_timeout > Duration::from_millis(62) && far_timeout < Duration::from_millis(80),
+        "timeout for round trips of 62 ms: {far_timeout:?}"
     );
     assert_eq!(trips.response_timeout(&2, unobserved, bounds), bounds.floor);
     assert_eq!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn of_two_lists_of_regions_each_binds() {
+fn intersecting_residencies_applies_both_restrictions() {
     let region = |name: &str| RegionName(name.to_owned());
     let north = Residency::within([region("north")]);
     let both = Residency::within([region("north"), region("south")]);
@@ -79,12 +79,15 @@
     assert!(!nowhere.allows(Some(&region("north"))));
     assert!(Residency::within([]).is_anywhere());
     assert!(Residency::anywhere().allows(None));
-    assert!(!north.allows(None), "where it is is not known");
+    assert!(
+        !north.allows(None),
+        "a restricted residency allows an unknown region"
+    );
 }
 
-/// A way that has become longer than answers are waited for is found out by waiting longer.
+/// A round trip that has grown beyond the response timeout is never observed unless the timeout grows, too.
 #[test]
-fn an_answer_that_did_not_come_is_waited_for_longer_until_one_comes() {
+fn timeouts_double_the_response_timeout_until_a_response_arrives() {
     let bounds = Bounds {
         floor: Duration::from_millis(14),
         ceiling: Duration::from_millis(500),
