--- a/crates/swiftshunt-config/src/error.rs
+++ b/crates/swiftshunt-config/src/error.rs
@@ -1,36 +1,36 @@
-//! Errors that name the file, the field and the reason.
+//! Errors of settings files and fleet configurations, with the file, the place in it and the reason.
 
 use derive_more::{Display, Error};
 
-/// Why a settings file or a fleet configuration was refused.
+/// Why a settings file or a fleet configuration was rejected.
 #[derive(Debug, Display, Error)]
 pub enum ConfigError {
     /// The file cannot be read.
     #[display("{file}: cannot be read: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// The system's reason.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The text is not TOML, or a key is unknown, missing or of the wrong type.
     #[display("{file}:{line}: {reason}")]
     Malformed {
-        /// The file.
+        /// Name of the file, or of the source of the text.
         file: String,
-        /// The line, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// What is wrong there.
+        /// The parser's message, followed by the text of the line.
         reason: String,
     },
-    /// A value is well-formed but cannot work.
+    /// A value has the right type but is not allowed.
     #[display("{file}: {field}: {reason}")]
     Invalid {
-        /// The file.
+        /// Name of the file, or of the source of the text.
         file: String,
-        /// The field's full path.
+        /// Full path of the field, such as `tenants[0].name`.
         field: String,
-        /// Why it cannot work.
+        /// Why the value is not allowed.
         reason: String,
     },
 }
--- a/crates/swiftshunt-config/src/fleet.rs
+++ b/crates/swiftshunt-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration: what every node must agree on, published through the log.
+//! The fleet configuration, which is the same on all nodes and is published through the log.
 
 use std::collections::BTreeSet;
 
@@ -7,43 +7,43 @@
 
 use crate::ConfigError;
 
-/// What every node serves, for whom, within which limits.
+/// Tenants, operators and worker pools of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetConfiguration {
-    /// Customers.
+    /// Tenants that may send requests.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
     /// People and programs that may send operator statements.
     #[serde(default)]
     pub operators: Vec<Operator>,
-    /// Groups of workers.
+    /// Worker pools.
     #[serde(default)]
     pub pools: Vec<Pool>,
 }
 
-/// A customer.
+/// A tenant: a customer with its credentials and limits.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// The name in logs and results.
+    /// Unique name, used in logs and query results.
     pub name: TenantName,
-    /// Digests of the bearer tokens that stand for it.
+    /// Digests of the bearer tokens that authenticate this tenant.
     pub token_digests: Vec<Digest>,
-    /// What it may use.
+    /// Limits of this tenant.
     #[serde(default)]
     pub limits: TenantLimits,
 }
 
-/// What a tenant may use.
+/// Limits of a tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Online requests and submissions a second at each node.
+    /// Rate limit of each node for online requests and submissions, per second. Zero or more.
     pub requests_per_second: f64,
-    /// Requests that may come at once after a pause.
+    /// Number of requests that each node accepts at once after an idle period. At least 1.
     pub burst: f64,
-    /// Weight among tenants when batch work competes.
+    /// Weight of this tenant's batch work relative to other tenants.
     pub batch_share: u32,
 }
 
@@ -57,17 +57,17 @@
     }
 }
 
-/// Somebody who may send operator statements.
+/// A person or program that may send operator statements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Operator {
     /// The name under which commands are recorded.
     pub name: String,
-    /// Digests of the bearer tokens.
+    /// Digests of the bearer tokens that authenticate this operator.
     pub token_digests: Vec<Digest>,
 }
 
-/// What a pool's workers do.
+/// Kind of the workers in a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolKind {
@@ -77,20 +77,20 @@
     Submission,
 }
 
-/// A group of workers.
+/// A group of workers that serve the same models or submissions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// The name, as in the machine list.
+    /// Unique name, as used in the machine list.
     pub name: PoolName,
-    /// What its workers do.
+    /// Kind of the workers.
     pub kind: PoolKind,
-    /// Models that callers may name; engines only.
+    /// Models that callers may request from this pool. Empty for submission pools.
     #[serde(default)]
     pub models: Vec<ModelName>,
 }
 
-/// Parses and validates a fleet configuration; `file` names it in errors.
+/// Parses and validates a fleet configuration. Errors name `file` as the source of the text.
 pub fn parse_fleet_configuration(
     file: &str,
     text: &str,
@@ -102,19 +102,19 @@
 }
 
 impl FleetConfiguration {
-    /// Refuses a configuration that is ambiguous or cannot work.
+    /// Rejects duplicate names, digests and models, malformed digests, and limits out of range.
     pub fn validate(&self, file: &str) -> Result<(), ConfigError> {
         self.validate_tenants(file)?;
         self.validate_operators(file)?;
         self.validate_pools(file)
     }
 
-    /// The pool that serves a model.
+    /// Returns the pool that serves `model`, if any.
     pub fn pool_of_model(&self, model: &ModelName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.models.contains(model))
     }
 
-    /// A pool by name.
+    /// Returns the pool called `name`, if any.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
--- a/crates/swiftshunt-config/src/history.rs
+++ b/crates/swiftshunt-config/src/history.rs
@@ -1,51 +1,50 @@
 //! Replay of the configuration stream.
 //!
-//! Invariant: the version only rises. A record is valid only if it names the version in force as
-//! its base, so of two operators that race exactly one wins, and every reader of the stream decides
-//! the same.
+//! Invariant: the version never decreases. A record is applied only if its base is the version in force. Of two
+//! operators that publish concurrently, exactly one therefore succeeds, and all readers of the stream agree on which.
 
 use serde::{Deserialize, Serialize};
 
 use crate::FleetConfiguration;
 
-/// The offset after the record that holds the configuration; 0 before the first.
+/// Version of the fleet configuration: the offset of its record in the stream plus one, or 0 if no record was applied.
 pub type Version = u64;
 
 /// A record of the configuration stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationRecord {
-    /// The version that the author saw.
+    /// The version that this configuration was derived from.
     pub base: Version,
-    /// Who published it.
+    /// Name of the operator who published the record.
     pub author: String,
-    /// Tells the author's own record from others with the same content.
+    /// Random number by which the publisher recognises its own record among others with the same content.
     pub nonce: u64,
-    /// The whole configuration.
+    /// The complete configuration, which replaces the previous one.
     pub configuration: FleetConfiguration,
 }
 
-/// What a record did.
+/// Result of replaying a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// It is in force.
+    /// The configuration of the record is now in force, under this version.
     Applied(Version),
-    /// It was based on an older version and is void.
+    /// The record was ignored because its base is not the version in force.
     Stale {
         /// The version that was in force.
         in_force: Version,
-        /// Who published that.
+        /// Who published the version in force.
         author: String,
     },
-    /// It was replayed before.
+    /// The record was ignored because its offset was replayed before.
     Repeated,
 }
 
-/// The configuration in force as of a prefix of the stream.
+/// The configuration in force after replay of a prefix of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationHistory {
     /// The version in force.
     pub version: Version,
-    /// Who published it.
+    /// Name of the operator who published the version in force; empty before the first.
     pub author: String,
     /// The configuration in force.
     pub configuration: FleetConfiguration,
@@ -54,8 +53,8 @@
 }
 
 impl ConfigurationHistory {
-    /// Applies the record at `offset`. Offsets already replayed change nothing, so a log that
-    /// answers from an old offset cannot bring an old version back.
+    /// Applies the record at `offset`. Records at offsets already replayed are ignored, so that a log that returns
+    /// old records again cannot restore an old version.
     pub fn apply(&mut self, offset: u64, record: &ConfigurationRecord) -> RecordOutcome {
         if offset < self.next_offset {
             return RecordOutcome::Repeated;
@@ -73,17 +72,17 @@
         RecordOutcome::Applied(self.version)
     }
 
-    /// Passes over a record that cannot be read, as every reader does.
+    /// Skips the record at `offset`, which cannot be decoded. All readers skip such records, so their versions agree.
     pub fn skip(&mut self, offset: u64) {
         self.next_offset = self.next_offset.max(offset + 1);
     }
 
-    /// Takes over what a peer has replayed, if it is newer. Returns whether it was.
-    pub fn adopt(&mut self, newer: Self) -> bool {
-        if newer.version <= self.version {
+    /// Replaces this history by that of a peer if the peer's version is higher. Returns whether it was replaced.
+    pub fn adopt(&mut self, candidate: Self) -> bool {
+        if candidate.version <= self.version {
             return false;
         }
-        *self = newer;
+        *self = candidate;
         true
     }
 }
--- a/crates/swiftshunt-config/src/lib.rs
+++ b/crates/swiftshunt-config/src/lib.rs
@@ -1,4 +1,4 @@
-//! The settings file of one process and the fleet configuration of all, both typed and validated.
+//! Parsing and validation of a node's settings file and of the fleet configuration.
 
 mod error;
 mod fleet;
--- a/crates/swiftshunt-config/src/settings.rs
+++ b/crates/swiftshunt-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one process: where it listens, where its zone and the platform are.
+//! Settings of a node: its zone, listen addresses, platform services, limits and components.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,69 +15,69 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// The zone this machine stands in.
+    /// The zone of this node; one of `zones`.
     pub zone: ZoneName,
-    /// Every zone. Each partition has replicas in `ledger.replicas` of them, of which a majority
-    /// decides.
+    /// All zones of the fleet. Each partition has replicas in `ledger.replicas` of these zones, and a majority of the
+    /// replicas commits its entries.
     pub zones: Vec<ZoneName>,
-    /// Peer addresses to join through.
+    /// Peer addresses of nodes through which this node joins the fleet.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Where to listen.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: PlatformSettings,
-    /// Operators known before any fleet configuration exists.
+    /// Operators that are accepted even before a fleet configuration exists.
     #[serde(default)]
     pub operators: Vec<OperatorSettings>,
     /// Limits of this process.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// Logging.
+    /// Log settings.
     #[serde(default)]
     pub log: LogSettings,
-    /// Consensus, archive and recovery.
+    /// Settings of consensus, archive and recovery.
     #[serde(default)]
     pub ledger: LedgerConfig,
-    /// Failure detection.
+    /// Settings of failure detection.
     #[serde(default)]
     pub membership: MembershipConfig,
-    /// Choice of workers, admission and batch grants.
+    /// Settings of worker selection, admission and batch grants.
     #[serde(default)]
     pub scheduler: SchedulerConfig,
 }
 
-/// Where a node listens and under which addresses others reach it.
+/// Addresses on which a node listens, and the addresses that it advertises to other nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Callers and operators.
+    /// Listen address for callers and operators.
     pub api: SocketAddr,
-    /// Other nodes.
+    /// Listen address for other nodes.
     pub peer: SocketAddr,
-    /// Caller address told to other nodes, if it differs from `api`.
+    /// Caller address advertised to other nodes, if it differs from `api`.
     #[serde(default)]
     pub advertise_api: Option<SocketAddr>,
-    /// Peer address told to other nodes, if it differs from `peer`.
+    /// Peer address advertised to other nodes, if it differs from `peer`.
     #[serde(default)]
     pub advertise_peer: Option<SocketAddr>,
 }
 
-/// Where the platform's services are.
+/// Addresses of the platform's services, and the timing of calls to them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// The log service.
+    /// Address of the log service.
     pub log: SocketAddr,
-    /// The machine list.
+    /// Address of the service that publishes the machine list.
     pub machines: SocketAddr,
-    /// The weight store.
+    /// Address of the weight store, if there is one.
     #[serde(default)]
     pub weights: Option<SocketAddr>,
-    /// How often the machine list is read.
+    /// Interval between reads of the machine list.
     #[serde(default = "default_poll_interval", with = "humantime_serde")]
     pub machines_interval: Duration,
-    /// How long one call to the platform may take.
+    /// Timeout of one call to a platform service; at least 10 ms.
     #[serde(default = "default_call_timeout", with = "humantime_serde")]
     pub call_timeout: Duration,
 }
@@ -90,34 +90,34 @@
     Duration::from_millis(1000)
 }
 
-/// An operator known from the settings file.
+/// An operator listed in the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
     /// The name under which commands are recorded.
     pub name: String,
-    /// Digest of the bearer token.
+    /// Digest of the bearer token that authenticates this operator.
     pub token_digest: Digest,
 }
 
-/// Limits of one process.
+/// Limits that each node applies by itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// Largest request body, in bytes; files excepted.
+    /// Largest request body in bytes, except for uploaded files.
     pub body_bytes: usize,
-    /// Largest uploaded file, in bytes.
+    /// Largest uploaded file in bytes.
     pub file_bytes: usize,
-    /// How long a caller's submission is waited for before 202 is answered.
+    /// Longest time that a caller waits for the result of a submission before the response is 202.
     #[serde(with = "humantime_serde")]
     pub submission_wait: Duration,
-    /// How long a request may look for a leader before it is refused.
+    /// Longest time that a request waits for the leader of a partition before it is rejected.
     #[serde(with = "humantime_serde")]
     pub leader_wait: Duration,
-    /// How long one attempt on a submission worker may take.
+    /// Timeout of one attempt on a submission worker.
     #[serde(with = "humantime_serde")]
     pub worker_timeout: Duration,
-    /// How long a stopping process waits for requests in progress.
+    /// Longest time that a stopping process waits for requests in progress.
     #[serde(with = "humantime_serde")]
     pub drain_timeout: Duration,
 }
@@ -135,20 +135,20 @@
     }
 }
 
-/// How much is logged.
+/// Log level; each level includes the ones before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Failures that need a person.
+    /// Failures that an operator has to resolve.
     Error,
-    /// Failures that were handled.
+    /// Failures that the process handled itself.
     Warn,
-    /// Decisions.
+    /// Decisions of the process.
     #[default]
     Info,
-    /// Steps.
+    /// Single steps within a decision.
     Debug,
-    /// Everything.
+    /// All messages.
     Trace,
 }
 
@@ -169,11 +169,11 @@
     }
 }
 
-/// Logging.
+/// Log settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSettings {
-    /// How much is logged.
+    /// Least severe level that is logged.
     pub level: LogLevel,
 }
 
@@ -186,7 +186,7 @@
     parse_settings(file, &text)
 }
 
-/// Parses and validates settings; `file` names them in errors.
+/// Parses and validates settings. Errors name `file` as the source of the text.
 pub fn parse_settings(file: &str, text: &str) -> Result<Settings, ConfigError> {
     let settings: Settings =
         toml::from_str(text).map_err(|error| ConfigError::malformed(file, text, &error))?;
@@ -194,11 +194,12 @@
     Ok(settings)
 }
 
-/// Shortest call timeout that a healthy platform can meet.
+/// Shortest call timeout that a healthy platform service can meet.
 const MINIMUM_CALL_TIMEOUT: Duration = Duration::from_millis(10);
 
 impl Settings {
-    /// Refuses settings that cannot work; also after flags have changed them.
+    /// Rejects settings that are inconsistent or out of range. Call this again after command-line flags have changed
+    /// the settings.
     pub fn validate(&self, file: &str) -> Result<(), ConfigError> {
         let invalid = |field: &str, reason: &str| ConfigError::invalid(file, field, reason);
         if !self.zones.contains(&self.zone) {
--- a/crates/swiftshunt-topology/src/topology.rs
+++ b/crates/swiftshunt-topology/src/topology.rs
@@ -10,7 +10,7 @@
 pub enum Distance {
     /// The same zone.
     SameZone,
-    /// Another zone of the same region.
+    /// Another zone of the same region, or any other zone if there is only one region.
     SameRegion,
     /// A zone of another region, or an unknown zone where there is more than one region.
     OtherRegion,
