--- a/crates/swiftshunt-types/src/digest.rs
+++ b/crates/swiftshunt-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Content digests: equality of request bodies and storage of bearer tokens.
+//! Content digests, which compare request bodies and store bearer tokens.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -9,26 +9,27 @@
 pub struct Digest(String);
 
 impl Digest {
-    /// Length of the hexadecimal form.
+    /// Length of the hexadecimal form, in characters.
     pub const HEX_LENGTH: usize = 64;
 
-    /// Digest of `bytes`.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Self {
         Self(blake3::hash(bytes).to_hex().to_string())
     }
 
-    /// Whether this is a well-formed digest, for values read from a file.
+    /// Whether the text has the length and characters of a digest. Deserialization does not check this, so values
+    /// read from a file need this call.
     pub fn is_well_formed(&self) -> bool {
         self.0.len() == Self::HEX_LENGTH && self.0.bytes().all(|b| b.is_ascii_hexdigit())
     }
 
-    /// The hexadecimal text.
+    /// Returns the hexadecimal form.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// The form in which a bearer token is stored: never the token itself.
+/// Computes the digest by which a bearer token is stored and looked up. The token itself is never stored.
 pub fn token_digest(token: &str) -> Digest {
     Digest::of(token.as_bytes())
 }
--- a/crates/swiftshunt-types/src/execution.rs
+++ b/crates/swiftshunt-types/src/execution.rs
@@ -1,56 +1,56 @@
-//! What a caller is told about a request that did not succeed.
+//! Failures of requests, and the error responses that report them to callers.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Whether a failed request had an effect.
+/// Whether a failed request may have had an effect.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Execution {
-    /// No byte of the request reached a worker, or the worker confirmed that it never started.
+    /// No byte of the request reached a worker, or the worker confirmed that the request never started.
     #[display("not_run")]
     NotRun,
-    /// It may have run, run partly, or still run.
+    /// The request may have run completely or partly, or may still be running.
     #[display("unknown")]
     Unknown,
 }
 
-/// The kind of failure, which decides HTTP status, envelope type and code.
+/// The kind of failure, which determines the HTTP status and the `type` and `code` of the error envelope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
     /// The request is malformed.
     InvalidRequest,
-    /// No or a bad bearer token.
+    /// The bearer token is missing or unknown.
     Unauthenticated,
-    /// The token may not do this.
+    /// The bearer token does not permit the operation.
     Forbidden,
-    /// No such thing.
+    /// The requested resource does not exist.
     NotFound,
-    /// The model is not served here.
+    /// No pool serves the requested model.
     ModelNotFound,
-    /// The body exceeds the limit.
+    /// The request body exceeds the size limit.
     TooLarge,
-    /// The idempotency key was used with another body.
+    /// The idempotency key was used before with a different body.
     KeyReused,
-    /// The state of the thing forbids the command.
+    /// The current state of the resource does not allow the command.
     Conflict,
-    /// The tenant exceeds its rate.
+    /// The tenant exceeds its request rate.
     RateLimited,
-    /// No capacity for now.
+    /// There is no free capacity at present.
     Overloaded,
-    /// A part that is needed cannot be reached.
+    /// A required component cannot be reached.
     Unavailable,
-    /// The deadline passed.
+    /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// The worker failed.
+    /// The worker failed while it processed the request.
     WorkerFailed,
 }
 
 impl ErrorKind {
-    /// The HTTP status.
+    /// Returns the HTTP status code.
     pub fn status(self) -> u16 {
         match self {
             Self::InvalidRequest => 400,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The envelope's `type`, in the vocabulary of OpenAI clients.
+    /// Returns the `type` of the error envelope, one of the values that OpenAI clients know.
     pub fn type_name(self) -> &'static str {
         match self {
             Self::Unauthenticated => "authentication_error",
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The envelope's `code`.
+    /// Returns the `code` of the error envelope.
     pub fn code(self) -> &'static str {
         match self {
             Self::InvalidRequest => "invalid_request",
@@ -98,29 +98,29 @@
     }
 }
 
-/// A failure as a value: what is answered to a caller, and sent between nodes.
+/// A failed request, as reported to callers and sent between nodes.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{} ({execution}): {message}", kind.code())]
 pub struct Failure {
     /// The kind of failure.
     pub kind: ErrorKind,
-    /// Whether the request had an effect.
+    /// Whether the request may have had an effect.
     pub execution: Execution,
-    /// One sentence for people.
+    /// Human-readable description.
     pub message: String,
-    /// The field or header at fault.
+    /// Name of the invalid field or header, if there is one.
     pub param: Option<String>,
-    /// When to come back, if a retry can help.
+    /// Time after which the caller may retry; `None` if no time is known or a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure that had no effect.
+    /// Creates a failure of a request that had no effect.
     pub fn not_run(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self::new(kind, Execution::NotRun, message)
     }
 
-    /// A failure whose effect is not known.
+    /// Creates a failure of a request whose effect is unknown.
     pub fn unknown(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self::new(kind, Execution::Unknown, message)
     }
@@ -135,19 +135,19 @@
         }
     }
 
-    /// Names the field or header at fault.
+    /// Sets the name of the invalid field or header.
     pub fn with_param(mut self, param: impl Into<String>) -> Self {
         self.param = Some(param.into());
         self
     }
 
-    /// Tells when to come back.
+    /// Sets the time after which the caller may retry.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The envelope answered to a caller.
+    /// Returns the error envelope for the response to a caller.
     pub fn envelope(&self) -> ErrorEnvelope {
         ErrorEnvelope {
             error: ErrorBody {
@@ -161,25 +161,25 @@
     }
 }
 
-/// The OpenAI error envelope, with `execution` beside `code`.
+/// The error envelope of the OpenAI API, extended by `execution`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorEnvelope {
-    /// The error.
+    /// Content of the envelope.
     pub error: ErrorBody,
 }
 
-/// The envelope's content.
+/// Content of an error envelope.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// One sentence for people.
+    /// Human-readable description.
     pub message: String,
-    /// The error class.
+    /// Class of the error; see [`ErrorKind::type_name`].
     #[serde(rename = "type")]
     pub kind: String,
-    /// The field or header at fault.
+    /// Name of the invalid field or header, if there is one.
     pub param: Option<String>,
-    /// The precise code.
+    /// Code of the error; see [`ErrorKind::code`].
     pub code: String,
-    /// Whether the request had an effect.
+    /// Whether the request may have had an effect.
     pub execution: Execution,
 }
--- a/crates/swiftshunt-types/src/identifiers.rs
+++ b/crates/swiftshunt-types/src/identifiers.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers, each a type of its own so that one cannot stand in for another.
+//! Names and identifiers. Each kind has its own type, so that the compiler rejects one in place of another.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -13,7 +13,7 @@
         pub struct $name(pub String);
 
         impl $name {
-            /// The identifier's text.
+            /// Returns the text of the identifier.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -28,7 +28,7 @@
 }
 
 text_identifier!(
-    /// A failure domain inside a region; each zone has nodes of its own.
+    /// A failure domain inside a region. Each zone has its own nodes.
     ZoneName
 );
 text_identifier!(
@@ -36,31 +36,31 @@
     PoolName
 );
 text_identifier!(
-    /// A customer of the fleet, the unit of limits and shares.
+    /// A customer of the fleet. Limits and shares apply per tenant.
     TenantName
 );
 text_identifier!(
-    /// Zones close together, behind thinner and slower links to others.
+    /// A group of nearby zones. Links between regions are slower and have less bandwidth than links within one.
     RegionName
 );
 text_identifier!(
-    /// A back end: a model engine or a submission worker.
+    /// A worker: a model engine or a submission worker.
     WorkerId
 );
 text_identifier!(
-    /// A model as callers name it.
+    /// A model, under the name that callers use in requests.
     ModelName
 );
 text_identifier!(
-    /// One caller request, for matching answers and for logs.
+    /// A request of a caller. Matches answers to requests and identifies the request in logs.
     RequestId
 );
 text_identifier!(
-    /// A submission, derived from tenant and idempotency key.
+    /// A submission. The identifier is derived from the tenant and the idempotency key.
     SubmissionId
 );
 text_identifier!(
-    /// A batch job.
+    /// A batch job. The identifier is derived from the tenant and the idempotency key.
     JobId
 );
 text_identifier!(
@@ -68,9 +68,9 @@
     FileId
 );
 
-/// Identity of one process life of a node, drawn at random at start.
+/// Identifier of one run of a node's process, drawn at random when the process starts.
 ///
-/// A restarted process keeps no entries and no vote, so it must never act under its old identity.
+/// A restarted process has lost its log entries and its vote, so it must never use its previous identifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NodeId(pub u64);
@@ -81,7 +81,7 @@
     }
 }
 
-/// One shard of the ledger's key space.
+/// A partition of the ledger's key space.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -91,25 +91,25 @@
 impl SubmissionId {
     const PREFIX: &'static str = "sub_";
 
-    /// The one identifier of a tenant's idempotency key, the same on every node.
+    /// Derives the identifier from the tenant and its idempotency key. The result is the same on all nodes.
     pub fn derive(tenant: &TenantName, idempotency_key: &str) -> Self {
-        Self(derived(Self::PREFIX, tenant, idempotency_key))
+        Self(derive_text(Self::PREFIX, tenant, idempotency_key))
     }
 }
 
 impl JobId {
     const PREFIX: &'static str = "batch_";
 
-    /// The one identifier of a tenant's idempotency key, the same on every node.
+    /// Derives the identifier from the tenant and its idempotency key. The result is the same on all nodes.
     pub fn derive(tenant: &TenantName, idempotency_key: &str) -> Self {
-        Self(derived(Self::PREFIX, tenant, idempotency_key))
+        Self(derive_text(Self::PREFIX, tenant, idempotency_key))
     }
 }
 
-/// Hexadecimal characters kept of a derived identifier: 128 bits, ample against collisions.
+/// Hexadecimal characters of the hash in a derived identifier: 128 bits, enough to avoid collisions.
 const DERIVED_LENGTH: usize = 32;
 
-fn derived(prefix: &str, tenant: &TenantName, key: &str) -> String {
+fn derive_text(prefix: &str, tenant: &TenantName, key: &str) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&(tenant.0.len() as u64).to_le_bytes());
     hasher.update(tenant.0.as_bytes());
@@ -117,11 +117,11 @@
     format!("{prefix}{}", &hasher.finalize().to_hex()[..DERIVED_LENGTH])
 }
 
-/// The partition that owns an identifier.
+/// Returns the partition that owns `identifier`, out of `partitions` partitions.
 pub fn partition_of(identifier: &str, partitions: u16) -> PartitionId {
     let hash = blake3::hash(identifier.as_bytes());
-    let mut head = [0_u8; 8];
-    head.copy_from_slice(&hash.as_bytes()[..8]);
-    let index = u64::from_le_bytes(head) % u64::from(partitions.max(1));
+    let mut prefix = [0_u8; 8];
+    prefix.copy_from_slice(&hash.as_bytes()[..8]);
+    let index = u64::from_le_bytes(prefix) % u64::from(partitions.max(1));
     PartitionId(u16::try_from(index).unwrap_or_default())
 }
--- a/crates/swiftshunt-types/src/lib.rs
+++ b/crates/swiftshunt-types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, deadlines, priorities, outcomes and error kinds shared by every swiftshunt crate.
+//! Types shared by the swiftshunt crates: identifiers, digests, priorities, rate limits, machines and failures.
 
 mod digest;
 mod execution;
@@ -19,7 +19,7 @@
 pub use rate::RateLimit;
 pub use tokens::total_tokens;
 
-/// Time on the process's own monotonic clock, counted from the start of the process.
+/// Time since the start of the process, on its monotonic clock.
 ///
-/// Never compared between machines.
+/// Values of different processes must never be compared.
 pub type Monotonic = std::time::Duration;
--- a/crates/swiftshunt-types/src/machines.rs
+++ b/crates/swiftshunt-types/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines, as swiftshunt understands it.
+//! The list of machines that the platform publishes.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 
 use crate::{PoolName, WorkerId, ZoneName};
 
-/// What a machine runs.
+/// Kind of process that a machine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineKind {
-    /// A swiftshunt node; `address` is its peer address.
+    /// A swiftshunt node. [`Machine::address`] is its peer address.
     Node,
     /// A model engine.
     Engine,
@@ -18,40 +18,40 @@
     Submission,
 }
 
-/// Whether a machine may be given new work.
+/// Whether a machine may receive new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// May be given work.
+    /// The machine may receive new work.
     Live,
-    /// Finishes what it has and takes nothing new.
+    /// The machine finishes its current work and accepts no new work.
     Leaving,
 }
 
-/// One machine of the list.
+/// An entry of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The platform's name for it.
+    /// Identifier that the platform gave to the machine.
     pub id: WorkerId,
-    /// What it runs.
+    /// Kind of process that the machine runs.
     pub kind: MachineKind,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub address: SocketAddr,
-    /// The zone it stands in.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// The pool it serves; empty for nodes.
+    /// Pool that the machine belongs to; empty for nodes.
     pub pool: PoolName,
-    /// Whether it may be given work.
+    /// Whether the machine may receive new work.
     pub state: MachineState,
 }
 
-/// The list at one version. A higher version replaces a lower one whole.
+/// The machine list at one version. A list with a higher version replaces the previous list completely.
 ///
-/// The list lags: absence from it never proves that a machine is dead.
+/// The list may be out of date, so the absence of a machine does not prove that the machine is dead.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Rises with each change made by the platform.
+    /// Version of the list, which increases with each change by the platform.
     pub version: u64,
-    /// Every machine that the platform knows.
+    /// All machines that the platform knows.
     pub machines: Vec<Machine>,
 }
--- a/crates/swiftshunt-types/src/priority.rs
+++ b/crates/swiftshunt-types/src/priority.rs
@@ -1,19 +1,19 @@
-//! Priority classes, in the order in which engines honour them.
+//! Priority classes of requests to engines.
 
 use serde::{Deserialize, Serialize};
 
-/// Who waits for whom. Online work never waits behind batch work.
+/// Priority class, lowest first. Online requests never wait behind batch requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Work that yields to everything else.
+    /// Batch work, which yields to online requests.
     Batch,
-    /// A caller is waiting.
+    /// An online request, for which a caller is waiting.
     Online,
 }
 
 impl Priority {
-    /// The form used in engine request headers.
+    /// Returns the value for the priority header of engine requests.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Batch => "batch",
--- a/crates/swiftshunt-types/src/rate.rs
+++ b/crates/swiftshunt-types/src/rate.rs
@@ -1,10 +1,10 @@
-//! Limits of requests by time.
+//! Rate limits.
 
-/// How many requests may come: evenly, and on top of that at once.
+/// A rate limit: a sustained request rate and a burst on top of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second; above zero.
+    /// Sustained rate in requests per second; above zero.
     pub per_second: f64,
-    /// Requests on top of that.
+    /// Number of requests allowed at once, in addition to the sustained rate.
     pub burst: f64,
 }
--- a/crates/swiftshunt-types/src/tokens.rs
+++ b/crates/swiftshunt-types/src/tokens.rs
@@ -1,6 +1,6 @@
-//! Numbers of tokens.
+//! Sums of token counts.
 
-/// The sum of numbers that callers name, who may name any: the largest number where it would pass that.
-pub fn total_tokens(numbers: impl IntoIterator<Item = u64>) -> u64 {
-    numbers.into_iter().fold(0, u64::saturating_add)
+/// Returns the sum of `counts`, or `u64::MAX` on overflow. Callers state these counts and may state any value.
+pub fn total_tokens(counts: impl IntoIterator<Item = u64>) -> u64 {
+    counts.into_iter().fold(0, u64::saturating_add)
 }
