--- a/crates/swiftshunt-membership/src/config.rs
+++ b/crates/swiftshunt-membership/src/config.rs
@@ -1,29 +1,30 @@
-//! Settings of failure detection.
+//! Settings of failure detection and their validation.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Settings of failure detection. All durations are on the monotonic clock.
+/// Settings of failure detection. All durations are measured on the monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipConfig {
-    /// How often one member is probed.
+    /// Interval between probes. Each interval, one member is probed. Above zero.
     #[serde(with = "humantime_serde")]
     pub probe_interval: Duration,
-    /// How long a probe may take, direct and indirect alike.
+    /// Timeout of a probe, direct or indirect. Above zero.
     #[serde(with = "humantime_serde")]
     pub probe_timeout: Duration,
-    /// Through how many others a failed probe is repeated.
+    /// Number of other members through which a failed probe is repeated.
     pub indirect_probes: usize,
-    /// How long a suspected member has to refute.
+    /// Time that a suspected member has to refute the suspicion. At least `probe_interval`.
     #[serde(with = "humantime_serde")]
     pub suspicion_timeout: Duration,
-    /// How long a dead member is remembered, so that late news cannot revive it.
+    /// Time for which the record of a dead or left member is kept, so that delayed updates cannot revive it. At least
+    /// twice `suspicion_timeout`.
     #[serde(with = "humantime_serde")]
     pub retention: Duration,
-    /// Changes carried by one message.
+    /// Maximum number of member records in one message. At least 1.
     pub changes_per_message: usize,
 }
 
@@ -40,34 +41,34 @@
     }
 }
 
-/// A membership setting that cannot work.
+/// A setting of failure detection that is out of range.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{field}: {reason}")]
 pub struct MembershipConfigError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// Why it cannot work.
+    /// Why the value is invalid.
     pub reason: &'static str,
 }
 
 impl MembershipConfig {
-    /// Refuses settings under which detection cannot work.
+    /// Rejects settings with which failure detection cannot work.
     pub fn validate(&self) -> Result<(), MembershipConfigError> {
-        let refuse = |field, reason| Err(MembershipConfigError { field, reason });
+        let reject = |field, reason| Err(MembershipConfigError { field, reason });
         if self.probe_interval.is_zero() {
-            return refuse("probe_interval", "must be above zero");
+            return reject("probe_interval", "must be above zero");
         }
         if self.probe_timeout.is_zero() {
-            return refuse("probe_timeout", "must be above zero");
+            return reject("probe_timeout", "must be above zero");
         }
         if self.suspicion_timeout < self.probe_interval {
-            return refuse("suspicion_timeout", "must be at least one probe interval");
+            return reject("suspicion_timeout", "must be at least one probe interval");
         }
         if self.retention < self.suspicion_timeout * 2 {
-            return refuse("retention", "must be at least two suspicion timeouts");
+            return reject("retention", "must be at least two suspicion timeouts");
         }
         if self.changes_per_message == 0 {
-            return refuse("changes_per_message", "must be at least 1");
+            return reject("changes_per_message", "must be at least 1");
         }
         Ok(())
     }
--- a/crates/swiftshunt-membership/src/dissemination.rs
+++ b/crates/swiftshunt-membership/src/dissemination.rs
@@ -1,11 +1,12 @@
-//! Which changes still travel on messages: each a number of times logarithmic in the fleet's size.
+//! Selection of the records for each message. A record is sent a number of times that grows with the logarithm of
+//! the fleet size.
 
 use std::collections::BTreeMap;
 
-/// Sends of one change per doubling of the fleet.
+/// Number of sends of one record per doubling of the fleet size.
 const SENDS_PER_DOUBLING: u32 = 3;
 
-/// Changes that are still being passed on.
+/// Keys of the records that are still to be sent, with the number of sends left for each.
 #[derive(Clone, Debug)]
 pub struct Dissemination<K> {
     sends_left: BTreeMap<K, u32>,
@@ -20,13 +21,14 @@
 }
 
 impl<K: Ord + Copy> Dissemination<K> {
-    /// Starts passing on the newest record of `key`.
+    /// Schedules the record of `key` for sending, with a full number of sends for a fleet of `fleet_size` members.
     pub fn announce(&mut self, key: K, fleet_size: usize) {
         let doublings = usize::BITS - fleet_size.leading_zeros() + 1;
         self.sends_left.insert(key, SENDS_PER_DOUBLING * doublings);
     }
 
-    /// The keys whose records go on the next message, least sent first.
+    /// Returns the keys of at most `limit` records for the next message, those with the most sends left first, and
+    /// counts one send of each.
     pub fn next(&mut self, limit: usize) -> Vec<K> {
         let mut candidates: Vec<(u32, K)> = self
             .sends_left
--- a/crates/swiftshunt-membership/src/lib.rs
+++ b/crates/swiftshunt-membership/src/lib.rs
@@ -1,8 +1,8 @@
 //! Failure detection and the list of members, without I/O.
 //!
-//! SWIM: each period one member is probed; a probe that fails is repeated through others; a member
-//! that nobody reaches is suspected, and declared dead unless it refutes the suspicion in time.
-//! Changes travel on the probes, so the cost per node does not grow with the fleet.
+//! The protocol is SWIM. In each probe interval a node probes one member. A failed probe is repeated through other
+//! members. If those fail, too, the member is suspected, and it is declared dead unless it refutes the suspicion in
+//! time. Updates are piggybacked on the probes, so the number of messages per node does not grow with the fleet.
 
 mod config;
 mod dissemination;
--- a/crates/swiftshunt-membership/src/member.rs
+++ b/crates/swiftshunt-membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of a member, and which of two pieces of news is newer.
+//! Records of members, and the order in which records replace each other.
 
 use std::net::SocketAddr;
 
@@ -6,64 +6,65 @@
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{NodeId, ZoneName};
 
-/// Rises when a member refutes a suspicion about itself.
+/// Version of a member's record, which the member increases to refute a suspicion about itself.
 pub type Incarnation = u64;
 
-/// A node and how to reach it.
+/// A node and its addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity of this process life.
+    /// Identifier of this run of the node's process.
     pub id: NodeId,
-    /// The zone it stands in.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where callers and operators reach it.
+    /// Address for callers and operators.
     pub api: SocketAddr,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub peer: SocketAddr,
 }
 
-/// What is believed of a member. Of two beliefs with the same incarnation the later variant wins.
+/// State of a member as seen by a node. Of two records with the same incarnation, the one whose state is the later
+/// variant wins.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub enum MemberState {
-    /// Answers probes.
+    /// The member answers probes.
     #[display("alive")]
     Alive,
-    /// Answers, and finishes what it has before it goes.
+    /// The member answers probes, and finishes its current work before it stops.
     #[display("leaving")]
     Leaving,
-    /// Did not answer; may refute.
+    /// The member did not answer a probe and may still refute the suspicion.
     #[display("suspect")]
     Suspect,
-    /// Did not refute in time. May still come back by refuting.
+    /// The member did not refute the suspicion in time. A later refutation makes it reachable again.
     #[display("dead")]
     Dead,
-    /// Gone for good: it said so, or its address is another process's now.
+    /// The member has stopped for good: it announced so, or another process answers at its address.
     #[display("left")]
     Left,
 }
 
 impl MemberState {
-    /// Whether it can take part in decisions.
+    /// Whether a member in this state counts as reachable and can take part in decisions.
     pub fn is_reachable(self) -> bool {
         matches!(self, Self::Alive | Self::Leaving | Self::Suspect)
     }
 }
 
-/// A piece of news about a member.
+/// A member with its state at one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Who.
+    /// The member that the record describes.
     pub member: Member,
-    /// Of which incarnation.
+    /// The incarnation of the member to which `state` applies.
     pub incarnation: Incarnation,
-    /// What is believed.
+    /// State of the member.
     pub state: MemberState,
 }
 
 impl MemberRecord {
-    /// Whether this news replaces `known`. Nothing replaces [`MemberState::Left`].
+    /// Whether this record replaces `known`. No record replaces one whose state is [`MemberState::Left`].
     pub fn supersedes(&self, known: &Self) -> bool {
         if known.state == MemberState::Left {
             return false;
--- a/crates/swiftshunt-membership/src/membership.rs
+++ b/crates/swiftshunt-membership/src/membership.rs
@@ -10,34 +10,35 @@
 use crate::dissemination::Dissemination;
 use crate::{Member, MemberRecord, MemberState, MembershipConfig};
 
-/// A probe to carry out now.
+/// A probe that the caller must carry out now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProbePlan {
-    /// Whom to probe.
+    /// Member to probe.
     pub target: Member,
-    /// Through whom to repeat the probe if it fails.
+    /// Members through which a failed probe is repeated.
     pub helpers: Vec<Member>,
 }
 
-/// A change of belief, for the layers above.
+/// A change of a member's state, as reported to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// Who.
+    /// The member whose state changed.
     pub member: Member,
-    /// What is believed now.
+    /// The new state.
     pub state: MemberState,
 }
 
 #[derive(Clone, Debug)]
 struct TrackedMember {
     record: MemberRecord,
-    state_since: Monotonic,
+    /// When this node stored `record`.
+    stored_at: Monotonic,
 }
 
 /// The member list of one node.
 ///
-/// Invariant: the node's own record is never suspect or dead; news that says so is refuted with a
-/// higher incarnation.
+/// Invariant: the node's own record is never suspect or dead. The node refutes a record that claims this by a record
+/// with a higher incarnation.
 #[derive(Clone, Debug)]
 pub struct Membership {
     own_id: NodeId,
@@ -50,7 +51,7 @@
 }
 
 impl Membership {
-    /// A list that knows only the node itself.
+    /// Creates a list that contains only the node itself.
     pub fn new(own: Member, config: MembershipConfig, now: Monotonic) -> Self {
         let id = own.id;
         let record = MemberRecord {
@@ -65,7 +66,7 @@
                 id,
                 TrackedMember {
                     record,
-                    state_since: now,
+                    stored_at: now,
                 },
             )]),
             dissemination: Dissemination::default(),
@@ -77,7 +78,8 @@
         membership
     }
 
-    /// Moves time forward: lets suspicions and memories expire, and plans the period's probe.
+    /// Advances time to `now`: declares overdue suspects dead, removes expired records, and plans a probe if one is
+    /// due.
     pub fn tick(
         &mut self,
         now: Monotonic,
@@ -95,7 +97,8 @@
         (changes, plan)
     }
 
-    /// The probe of `target` was answered by the process `answered_by`.
+    /// Records that the process `answered_by` answered the probe of `target`. If it is another process, `target` has
+    /// left.
     pub fn probe_answered(
         &mut self,
         target: NodeId,
@@ -108,19 +111,20 @@
         self.set_state(target, MemberState::Left, now)
     }
 
-    /// Neither the probe nor any helper's probe was answered.
+    /// Records that neither the direct probe of `target` nor any indirect one was answered. The member is suspected
+    /// unless it already was.
     pub fn probe_failed(&mut self, target: NodeId, now: Monotonic) -> Vec<Change> {
-        let reachable = self
+        let can_suspect = self
             .members
             .get(&target)
             .is_some_and(|tracked| tracked.record.state < MemberState::Suspect);
-        if !reachable {
+        if !can_suspect {
             return Vec::new();
         }
         self.set_state(target, MemberState::Suspect, now)
     }
 
-    /// Takes in news from another node.
+    /// Merges records received from another node, and returns the resulting changes.
     pub fn merge(&mut self, records: Vec<MemberRecord>, now: Monotonic) -> Vec<Change> {
         let mut changes = Vec::new();
         for record in records {
@@ -129,59 +133,60 @@
         changes
     }
 
-    /// News to put on the next message.
+    /// Returns the records for the next message, and counts one send of each.
     pub fn next_updates(&mut self) -> Vec<MemberRecord> {
         let chosen = self.dissemination.next(self.config.changes_per_message);
         let records = chosen.iter().filter_map(|id| self.members.get(id));
         records.map(|tracked| tracked.record.clone()).collect()
     }
 
-    /// Everything known, for a node that joins.
+    /// Returns all records, for a node that joins.
     pub fn all_records(&self) -> Vec<MemberRecord> {
         let tracked = self.members.values();
         tracked.map(|tracked| tracked.record.clone()).collect()
     }
 
-    /// Announces that this node finishes what it has and goes.
+    /// Announces that this node finishes its current work and then stops.
     pub fn announce_leaving(&mut self, now: Monotonic) {
         self.set_own_state(MemberState::Leaving, now);
     }
 
-    /// Announces that this node is gone. Nothing can follow.
+    /// Announces that this node has stopped. The state cannot change afterwards.
     pub fn announce_left(&mut self, now: Monotonic) {
         self.set_own_state(MemberState::Left, now);
     }
 
-    /// Rises with every change of belief; what was derived at the same version still holds.
+    /// A version that increases whenever a record is stored. Data derived from the records stays valid while the
+    /// version is the same.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The record of one member.
+    /// Returns the record of a member; `None` if the member is unknown.
     pub fn record(&self, id: NodeId) -> Option<&MemberRecord> {
         self.members.get(&id).map(|tracked| &tracked.record)
     }
 
-    /// For how long a member has been in its state.
+    /// Returns the time since the current record of a member was stored; `None` if the member is unknown.
     pub fn age(&self, id: NodeId, now: Monotonic) -> Option<Monotonic> {
         let tracked = self.members.get(&id)?;
-        Some(now.saturating_sub(tracked.state_since))
+        Some(now.saturating_sub(tracked.stored_at))
     }
 
-    /// Every record.
+    /// All records, including the record of this node.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|tracked| &tracked.record)
     }
 
-    /// Members that can take part in decisions, this node included.
+    /// Members that can take part in decisions, including this node.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         self.records()
             .filter(|record| record.state.is_reachable())
             .map(|record| &record.member)
     }
 
-    /// Members that may be given new roles. A suspicion changes nothing yet: it would move roles to
-    /// and fro with each lost probe.
+    /// Members that may be assigned new roles. Suspected members are included, because otherwise each lost probe would
+    /// move roles away and back.
     pub fn eligible(&self) -> impl Iterator<Item = &Member> {
         self.records()
             .filter(|record| matches!(record.state, MemberState::Alive | MemberState::Suspect))
@@ -193,7 +198,7 @@
         self.reachable().map(|member| &member.zone).collect()
     }
 
-    /// Whether some known member is reached at `address`.
+    /// Whether a reachable member has the peer address `address`.
     pub fn knows_address(&self, address: SocketAddr) -> bool {
         self.reachable().any(|member| member.peer == address)
     }
@@ -224,7 +229,7 @@
             id,
             TrackedMember {
                 record,
-                state_since: now,
+                stored_at: now,
             },
         );
         self.dissemination.announce(id, self.members.len());
@@ -271,7 +276,7 @@
             .members
             .iter()
             .filter(|(_, tracked)| tracked.record.state == MemberState::Suspect)
-            .filter(|(_, tracked)| now >= tracked.state_since + self.config.suspicion_timeout)
+            .filter(|(_, tracked)| now >= tracked.stored_at + self.config.suspicion_timeout)
             .map(|(id, _)| *id)
             .collect();
         let mut changes = Vec::new();
@@ -280,15 +285,13 @@
         }
         let (own, retention) = (self.own_id, self.config.retention);
         self.members.retain(|id, tracked| {
-            *id == own
-                || tracked.record.state.is_reachable()
-                || now < tracked.state_since + retention
+            *id == own || tracked.record.state.is_reachable() || now < tracked.stored_at + retention
         });
         changes
     }
 
-    /// Round robin over a shuffled order: every member is probed within one round. Dead members are
-    /// probed too, so that the two sides of a healed cut find each other again.
+    /// Returns the next member in a shuffled round-robin order, in which every member is probed once per round. Dead
+    /// members are probed, too, so that both sides of a network partition find each other after it heals.
     fn next_probe_target(&mut self, random: &mut impl Rng) -> Option<Member> {
         for _ in 0..2 {
             while let Some(id) = self.probe_order.pop() {
@@ -306,7 +309,8 @@
         None
     }
 
-    /// Helpers in zones other than this node's first: they do not share its cut links.
+    /// Returns random members to repeat a probe of `target`. Members of other zones come first, because they are not
+    /// affected by failed links of this node's zone.
     fn choose_helpers(&self, target: &Member, random: &mut impl Rng) -> Vec<Member> {
         let own_zone = self.record(self.own_id).map(|record| &record.member.zone);
         let mut helpers: Vec<&Member> = self
