--- a/crates/swiftshunt-query/src/lib.rs
+++ b/crates/swiftshunt-query/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator language: text to typed statements, and the part of `show` that needs no fleet
-//! (conditions, ordering, limits).
+//! The operator language: parsing of statements, and evaluation of the conditions, ordering and limit of `show` over
+//! a table.
 
 mod parse;
 mod select;
--- a/crates/swiftshunt-query/src/parse.rs
+++ b/crates/swiftshunt-query/src/parse.rs
@@ -1,4 +1,4 @@
-//! Text to statements. The grammar is in `statement.pest`.
+//! Parser of the operator language. The grammar is in `statement.pest`.
 
 use std::time::Duration;
 
@@ -21,17 +21,17 @@
 
 use grammar::{Rule, StatementParser};
 
-/// A statement that cannot be read.
+/// A statement is not valid.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("column {column}: {message}")]
 pub struct ParseError {
-    /// Where reading stopped, from 1.
+    /// Column of the error, counted from 1.
     pub column: usize,
-    /// What was expected there.
+    /// What the parser expected at that column, or why the text there is invalid.
     pub message: String,
 }
 
-/// Reads one statement.
+/// Parses one statement.
 pub fn parse(text: &str) -> Result<Statement, ParseError> {
     let mut pairs = StatementParser::parse(Rule::statement, text).map_err(|error| ParseError {
         column: match error.line_col {
@@ -99,8 +99,9 @@
     }
 }
 
-/// The parts of a statement, in order.
+/// The remaining parts of a statement or clause, in order.
 struct Parts<'i> {
+    /// Column of the part read last, counted from 1; the start of the statement or clause before the first part.
     column: usize,
     pairs: Pairs<'i, Rule>,
 }
@@ -129,7 +130,7 @@
 
     fn duration(&mut self) -> Result<Duration, ParseError> {
         let pair = self.next()?;
-        duration(pair.as_str().trim()).ok_or_else(|| ParseError {
+        parse_duration(pair.as_str().trim()).ok_or_else(|| ParseError {
             column: self.column,
             message: "the duration is too long".to_owned(),
         })
@@ -190,17 +191,17 @@
     }
 }
 
-fn duration(text: &str) -> Option<Duration> {
+fn parse_duration(text: &str) -> Option<Duration> {
     let digits = text.trim_end_matches(|letter: char| letter.is_ascii_alphabetic());
     let count: u64 = digits.parse().ok()?;
-    let milliseconds: u64 = match &text[digits.len()..] {
+    let unit_ms: u64 = match &text[digits.len()..] {
         "ms" => 1,
         "s" => 1_000,
         "m" => 60_000,
         "h" => 3_600_000,
         _ => 86_400_000,
     };
-    Some(Duration::from_millis(count.checked_mul(milliseconds)?))
+    Some(Duration::from_millis(count.checked_mul(unit_ms)?))
 }
 
 fn direction(text: &str) -> Direction {
--- a/crates/swiftshunt-query/src/select.rs
+++ b/crates/swiftshunt-query/src/select.rs
@@ -1,24 +1,24 @@
-//! Conditions, ordering and limits over a table.
+//! Evaluation of the clauses of `show` over a table.
 
 use derive_more::{Display, Error};
 
 use crate::{Comparison, Condition, Direction, Show, Table, Value};
 
-/// A statement that names a column that the table has not.
+/// A clause names a column that the table does not have.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("no column `{column}`; expected one of {}", known.join(", "))]
 pub struct SelectError {
-    /// The column named.
+    /// Column that the clause names.
     pub column: String,
-    /// The table's columns.
+    /// Columns of the table.
     pub known: Vec<String>,
 }
 
-/// Applies the clauses of `show` to the rows of its table.
+/// Applies the conditions, ordering and limit of `show` to the rows of `table`.
 pub fn select(show: &Show, mut table: Table) -> Result<Table, SelectError> {
     for condition in &show.conditions {
         let index = column_index(&table, &condition.column)?;
-        table.rows.retain(|row| holds(&row[index], condition));
+        table.rows.retain(|row| satisfies(&row[index], condition));
     }
     if let Some(ordering) = &show.ordering {
         let index = column_index(&table, &ordering.column)?;
@@ -45,7 +45,7 @@
     })
 }
 
-fn holds(cell: &Value, condition: &Condition) -> bool {
+fn satisfies(cell: &Value, condition: &Condition) -> bool {
     if condition.comparison == Comparison::Contains {
         return cell.to_string().contains(&condition.value);
     }
--- a/crates/swiftshunt-query/src/statement.rs
+++ b/crates/swiftshunt-query/src/statement.rs
@@ -1,102 +1,102 @@
-//! Typed statements.
+//! Parsed statements of the operator language.
 
 use std::time::Duration;
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// One statement of an operator.
+/// A statement of the operator language.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Statement {
-    /// Read a table.
+    /// Reads a table.
     Show(Show),
-    /// Tell what was decided about something, when, where and why.
+    /// Shows the decisions about an object, with the time, place and reason of each.
     Explain {
-        /// The kind of thing.
+        /// Kind of the object.
         subject: ExplainSubject,
-        /// Which.
+        /// Identifier of the object.
         id: String,
     },
-    /// Stop a job.
+    /// Cancels a batch job.
     CancelJob {
-        /// Which.
+        /// Identifier of the job.
         job: String,
     },
-    /// Give no new work to something and let it finish what it has.
+    /// Gives no new work to a node or worker, which then finishes its current work.
     Drain {
-        /// The kind of thing.
+        /// Whether a node or a worker is drained.
         subject: DrainSubject,
-        /// Which.
+        /// Identifier of the node or worker.
         id: String,
     },
-    /// Announce demand at a fixed moment.
+    /// Announces expected demand during a period.
     CreateEvent {
-        /// Its name.
+        /// Name of the event.
         name: String,
-        /// The pool that will be asked.
+        /// Pool that will receive the requests.
         pool: String,
-        /// When it starts: a date and time, or `+DURATION` from now.
+        /// Start of the event: a date and time, or `+DURATION` from now.
         start: String,
-        /// How long it lasts.
+        /// Duration of the event.
         lasting: Duration,
-        /// Expected requests a second.
+        /// Expected requests per second.
         requests_per_second: u64,
     },
-    /// State what must be ready by when.
+    /// Creates a serving target: a number of engines that must have a model loaded by a given time.
     CreateTarget {
-        /// Its name.
+        /// Name of the target.
         name: String,
-        /// The pool.
+        /// Pool whose engines load the model.
         pool: String,
-        /// The model.
+        /// Model to load.
         model: String,
-        /// Engines in each zone.
+        /// Number of engines in each zone.
         replicas: u64,
-        /// When: a date and time, or `+DURATION` from now.
+        /// Time by which the engines must be ready: a date and time, or `+DURATION` from now.
         ready_by: String,
     },
-    /// Create a batch job for a tenant from an uploaded file.
+    /// Creates a batch job for a tenant from an uploaded file.
     CreateJob {
-        /// Whose job.
+        /// Tenant that owns the job.
         tenant: String,
-        /// The uploaded file.
+        /// Identifier of the uploaded file.
         input: String,
-        /// Time to the deadline.
+        /// Time from now to the deadline of the job.
         within: Duration,
     },
-    /// Forget an event.
+    /// Removes an event.
     DropEvent {
-        /// Which.
+        /// Name of the event.
         name: String,
     },
-    /// Forget a target.
+    /// Removes a serving target.
     DropTarget {
-        /// Which.
+        /// Name of the target.
         name: String,
     },
-    /// Move a job's deadline.
+    /// Sets a new deadline for a batch job.
     SetJobDeadline {
-        /// Which.
+        /// Identifier of the job.
         job: String,
         /// Time from now to the new deadline.
         within: Duration,
     },
 }
 
-/// A read of a table.
+/// A `show` statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Show {
-    /// Which table.
+    /// Table to read.
     pub table: TableName,
-    /// All must hold.
+    /// Conditions that a row must all satisfy.
     pub conditions: Vec<Condition>,
-    /// How rows are ordered.
+    /// Order of the rows; `None` keeps the order of the table.
     pub ordering: Option<Ordering>,
-    /// Most rows.
+    /// Maximum number of rows; `None` means no limit.
     pub limit: Option<u64>,
 }
 
-/// A table of the fleet.
+/// A table that `show` can read.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TableName {
     /// Nodes.
@@ -111,13 +111,13 @@
     /// Items of batch jobs.
     #[display("items")]
     Items,
-    /// Events.
+    /// Announced events.
     #[display("events")]
     Events,
     /// Serving targets.
     #[display("targets")]
     Targets,
-    /// The fleet configuration at each node.
+    /// Fleet configuration in force at each node.
     #[display("configuration")]
     Configuration,
     /// Partitions of the ledger.
@@ -134,15 +134,15 @@
 /// A condition on a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The column.
+    /// Name of the column.
     pub column: String,
-    /// How it is compared.
+    /// Comparison operator.
     pub comparison: Comparison,
-    /// With what.
+    /// Value to compare the column with.
     pub value: String,
 }
 
-/// How a column is compared.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Comparison {
     /// `=`
@@ -161,26 +161,26 @@
     Contains,
 }
 
-/// How rows are ordered.
+/// An `order by` clause.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ordering {
-    /// By which column.
+    /// Name of the column to sort by.
     pub column: String,
-    /// In which direction.
+    /// Sort direction.
     pub direction: Direction,
 }
 
-/// Direction of an ordering.
+/// Sort direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Direction {
-    /// Smallest first.
+    /// Smallest value first.
     #[default]
     Ascending,
-    /// Largest first.
+    /// Largest value first.
     Descending,
 }
 
-/// What can be explained.
+/// Kind of object that `explain` accepts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExplainSubject {
     /// An online request.
@@ -206,7 +206,7 @@
     Target,
 }
 
-/// What can be drained.
+/// Kind of object that `drain` accepts.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DrainSubject {
     /// A node.
--- a/crates/swiftshunt-query/src/table.rs
+++ b/crates/swiftshunt-query/src/table.rs
@@ -1,18 +1,18 @@
-//! Results of statements.
+//! Result tables of statements.
 
 use serde::{Deserialize, Serialize};
 
-/// One cell.
+/// Value of a table cell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Value {
-    /// Nothing known.
+    /// The value is unknown or does not apply.
     Null,
-    /// Yes or no.
+    /// A Boolean value.
     Boolean(bool),
-    /// A whole number.
+    /// An integer.
     Integer(i64),
-    /// A fraction.
+    /// A floating-point number.
     Number(f64),
     /// Text.
     Text(String),
@@ -72,17 +72,17 @@
     }
 }
 
-/// Named columns and rows of as many cells.
+/// A table with named columns. Each row has one cell per column.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// Rows.
+    /// The rows, with cells in the order of `columns`.
     pub rows: Vec<Vec<Value>>,
 }
 
 impl Table {
-    /// An empty table.
+    /// Creates a table without rows.
     pub fn new(columns: &[&str]) -> Self {
         Self {
             columns: columns.iter().map(|name| (*name).to_owned()).collect(),
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Adds a row.
+    /// Adds a row, which must have one cell per column.
     pub fn push(&mut self, row: Vec<Value>) {
         debug_assert_eq!(row.len(), self.columns.len());
         self.rows.push(row);
     }
 
-    /// A table that says one thing.
+    /// Creates a table with the single column `message` and one row with `text`.
     pub fn message(text: impl Into<String>) -> Self {
         let mut table = Self::new(&["message"]);
         table.push(vec![Value::Text(text.into())]);
