--- a/crates/swiftshunt-config/src/fleet.rs
+++ b/crates/swiftshunt-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration, which is the same on all nodes and is published through the log.
+//! The fleet configuration, on which all nodes must agree. It is published through the log.
 
 use std::collections::BTreeSet;
 
--- a/crates/swiftshunt-membership/src/config.rs
+++ b/crates/swiftshunt-membership/src/config.rs
@@ -24,7 +24,7 @@
     /// twice `suspicion_timeout`.
     #[serde(with = "humantime_serde")]
     pub retention: Duration,
-    /// Maximum number of member records in one message. At least 1.
+    /// Maximum number of scheduled member records in one message. At least 1.
     pub changes_per_message: usize,
 }
 
--- a/crates/swiftshunt-membership/src/member.rs
+++ b/crates/swiftshunt-membership/src/member.rs
@@ -34,7 +34,7 @@
     /// The member answers probes, and finishes its current work before it stops.
     #[display("leaving")]
     Leaving,
-    /// The member did not answer a probe and may still refute the suspicion.
+    /// The member answered neither the direct nor any indirect probe, and may still refute the suspicion.
     #[display("suspect")]
     Suspect,
     /// The member did not refute the suspicion in time. A later refutation makes it reachable again.
@@ -64,7 +64,8 @@
 }
 
 impl MemberRecord {
-    /// Whether this record replaces `known`. No record replaces one whose state is [`MemberState::Left`].
+    /// Whether this record replaces `known`. A record with the state [`MemberState::Left`] replaces all others and is
+    /// never replaced.
     pub fn supersedes(&self, known: &Self) -> bool {
         if known.state == MemberState::Left {
             return false;
--- a/crates/swiftshunt-membership/src/membership.rs
+++ b/crates/swiftshunt-membership/src/membership.rs
@@ -97,8 +97,8 @@
         (changes, plan)
     }
 
-    /// Records that the process `answered_by` answered the probe of `target`. If it is another process, `target` has
-    /// left.
+    /// Records that the process `answered_by` answered the probe of `target`. If `answered_by` is not `target`, the
+    /// state of `target` becomes [`MemberState::Left`].
     pub fn probe_answered(
         &mut self,
         target: NodeId,
@@ -133,7 +133,7 @@
         changes
     }
 
-    /// Returns the records for the next message, and counts one send of each.
+    /// Returns the scheduled records for the next message, and counts one send of each.
     pub fn next_updates(&mut self) -> Vec<MemberRecord> {
         let chosen = self.dissemination.next(self.config.changes_per_message);
         let records = chosen.iter().filter_map(|id| self.members.get(id));
--- a/crates/swiftshunt-types/src/execution.rs
+++ b/crates/swiftshunt-types/src/execution.rs
@@ -45,7 +45,7 @@
     Unavailable,
     /// The deadline of the request has passed.
     DeadlineExceeded,
-    /// The worker failed while it processed the request.
+    /// The worker failed to process the request.
     WorkerFailed,
 }
 
