--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -34,7 +34,7 @@
 
     /// Records that an answer from a zone did not arrive in time.
     pub(crate) fn record_timeout(&self, zone: &str) {
-        lock(&self.round_trips).missed(&zone.to_owned());
+        lock(&self.round_trips).record_timeout(&zone.to_owned());
     }
 
     /// Returns the mean round trip to a zone; zero for a zone of the own region, and until the first request to the
@@ -58,7 +58,7 @@
             return within_region;
         }
         let round_trips = lock(&self.round_trips);
-        within_region + round_trips.patience(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
+        within_region + round_trips.response_timeout(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
     }
 
     /// Returns the longest time-out for an answer from any zone, given the time-out within a region.
