--- a/crates/swiftshunt/src/evacuation.rs
+++ b/crates/swiftshunt/src/evacuation.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use swiftshunt_platform::PlatformLog;
-use swiftshunt_platform::operators::{Written, write_evacuation};
+use swiftshunt_platform::operators::{WriteOutcome, write_evacuation};
 
 use crate::{EXIT_REFUSED, EXIT_UNREACHABLE, EXIT_USAGE, fail, runtime};
 
@@ -34,15 +34,15 @@
     };
     let log = PlatformLog::new(log, CALL_TIMEOUT);
     match runtime.block_on(write(&log, order, zone)) {
-        Written::Acknowledged => {
+        WriteOutcome::Acknowledged => {
             match order {
                 Order::Evacuate => println!("zone {zone} is evacuated"),
                 Order::Withdraw => println!("the evacuation of zone {zone} is withdrawn"),
             }
             ExitCode::SUCCESS
         }
-        Written::Refused => fail(EXIT_REFUSED, "the log did not take it: nothing has changed"),
-        Written::Unknown => fail(
+        WriteOutcome::Refused => fail(EXIT_REFUSED, "the log did not take it: nothing has changed"),
+        WriteOutcome::Unknown => fail(
             EXIT_UNREACHABLE,
             "the log did not answer: whether it is written is not known, write it again",
         ),
@@ -50,20 +50,20 @@
 }
 
 /// Writes until the log acknowledges it.
-async fn write(log: &PlatformLog, order: Order, zone: &str) -> Written {
+async fn write(log: &PlatformLog, order: Order, zone: &str) -> WriteOutcome {
     let began = Instant::now();
     let mut may_stand = false;
     loop {
         match write_evacuation(log, zone, order == Order::Evacuate).await {
-            Written::Acknowledged => return Written::Acknowledged,
-            Written::Refused => {}
-            Written::Unknown => may_stand = true,
+            WriteOutcome::Acknowledged => return WriteOutcome::Acknowledged,
+            WriteOutcome::Refused => {}
+            WriteOutcome::Unknown => may_stand = true,
         }
         if began.elapsed() + RETRY_PAUSE >= TIMEOUT {
             return if may_stand {
-                Written::Unknown
+                WriteOutcome::Unknown
             } else {
-                Written::Refused
+                WriteOutcome::Refused
             };
         }
         tokio::time::sleep(RETRY_PAUSE).await;
