--- a/crates/swiftshunt-http/src/acceptor.rs
+++ b/crates/swiftshunt-http/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! A listener that can be closed while its connections are still served.
+//! An acceptor whose listener can be closed while accepted connections are still served.
 
 use std::io::Result as IoResult;
 use std::time::Duration;
@@ -9,13 +9,14 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Time from which on no handshake is begun until those that were have ended: many times a way to and
-/// fro within a region.
-const LAST_HANDSHAKES: Duration = Duration::from_millis(50);
+/// Time between dropping new handshakes and closing the listener, in which pending handshakes complete.
+/// Many times the round-trip time within a region.
+const HANDSHAKE_GRACE: Duration = Duration::from_millis(50);
 
-/// Accepts until its token is cancelled; then takes what still comes in and closes the listener.
+/// Accepts connections until the token is cancelled, then accepts the connections whose handshakes have
+/// begun and closes the listener.
 pub(crate) struct ClosableAcceptor {
-    listening: Option<TcpAcceptor>,
+    listener: Option<TcpAcceptor>,
     holdings: Vec<Holding>,
     closing: CancellationToken,
     closes_at: Option<Instant>,
@@ -25,7 +26,7 @@
     pub(crate) fn new(acceptor: TcpAcceptor, closing: CancellationToken) -> Self {
         Self {
             holdings: acceptor.holdings().to_vec(),
-            listening: Some(acceptor),
+            listener: Some(acceptor),
             closing,
             closes_at: None,
         }
@@ -44,24 +45,24 @@
         &mut self,
         fuse_policy: Option<ArcFusePolicy>,
     ) -> IoResult<Accepted<Self::Coupler, Self::Stream>> {
-        while let Some(acceptor) = &mut self.listening {
+        while let Some(acceptor) = &mut self.listener {
             let closes = async {
                 match self.closes_at {
                     Some(at) => tokio::time::sleep_until(at).await,
                     None => self.closing.cancelled().await,
                 }
             };
-            // Connections that were made before come first.
+            // `biased` accepts the established connections before the listener is closed.
             tokio::select! {
                 biased;
                 accepted = acceptor.accept(fuse_policy.clone()) => return accepted,
                 () = closes => {}
             }
             if self.closes_at.is_some() {
-                self.listening = None;
+                self.listener = None;
             } else {
-                handshakes::refuse_new(acceptor.inner());
-                self.closes_at = Some(Instant::now() + LAST_HANDSHAKES);
+                handshakes::drop_new(acceptor.inner());
+                self.closes_at = Some(Instant::now() + HANDSHAKE_GRACE);
             }
         }
         std::future::pending().await
@@ -70,28 +71,30 @@
 
 #[cfg(any(target_os = "linux", target_os = "android"))]
 mod handshakes {
-    //! A connection whose handshake ends between the last accept and the close is reset, with the
-    //! request that its caller has sent: beside load, 4 of 72 runs of the test of planned stops lost
-    //! one to six of some 3,000 requests by it, none of 144 since the handshakes end first. So no new
-    //! one is begun a moment before the close; a caller that tries finds the port closed.
+    //! Drops new TCP handshakes shortly before the listener is closed.
+    //!
+    //! A connection whose handshake completes between the last accept and the close is reset, and the
+    //! request that its client has sent is lost. On a loaded machine, 4 of 72 runs of the test of planned
+    //! stops lost one to six of about 3,000 requests in this way; with the filter, none of 144 runs did.
+    //! A client that begins a handshake in that time retransmits it and finds the port closed.
 
     use socket2::{SockFilter, SockRef};
     use tokio::net::TcpListener;
 
-    /// Instructions of the classic packet filter, as `linux/bpf_common.h` numbers them.
+    /// Opcodes of the classic packet filter (BPF), as defined in `linux/bpf_common.h`.
     const LOAD_BYTE: u16 = 0x30;
     const AND: u16 = 0x54;
     const JUMP_IF_EQUAL: u16 = 0x15;
     const RETURN: u16 = 0x06;
-    /// Offset of the flags in a TCP header, and the flags of RFC 9293.
+    /// Offset of the flags in a TCP header, and flags as defined in RFC 9293.
     const FLAGS: u32 = 13;
     const SYN: u32 = 0x02;
     const ACK: u32 = 0x10;
     const DROP: u32 = 0;
     const KEEP: u32 = u32::MAX;
 
-    /// Drops the packets that begin a handshake; others pass.
-    pub(super) fn refuse_new(listener: &TcpListener) {
+    /// Attaches a socket filter that drops the packets that begin a handshake (SYN without ACK).
+    pub(super) fn drop_new(listener: &TcpListener) {
         let filter = [
             SockFilter::new(LOAD_BYTE, 0, 0, FLAGS),
             SockFilter::new(AND, 0, 0, SYN | ACK),
@@ -100,16 +103,18 @@
             SockFilter::new(RETURN, 0, 0, KEEP),
         ];
         if let Err(error) = SockRef::from(listener).attach_filter(&filter) {
-            log::warn!("handshakes go on until the listener is closed: {error}");
+            log::warn!(
+                "cannot attach a socket filter; new handshakes are accepted until the listener closes: {error}"
+            );
         }
     }
 }
 
 #[cfg(not(any(target_os = "linux", target_os = "android")))]
 mod handshakes {
-    //! Where the system has no packet filter, the listener is closed beside handshakes.
+    //! Without a packet filter, the listener may be closed while handshakes are pending.
 
     use tokio::net::TcpListener;
 
-    pub(super) fn refuse_new(_listener: &TcpListener) {}
+    pub(super) fn drop_new(_listener: &TcpListener) {}
 }
--- a/crates/swiftshunt-http/src/cbor.rs
+++ b/crates/swiftshunt-http/src/cbor.rs
@@ -1,4 +1,4 @@
-//! CBOR, the codec between the project's own processes.
+//! CBOR, the encoding of messages between processes of this project.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/swiftshunt-http/src/client.rs
+++ b/crates/swiftshunt-http/src/client.rs
@@ -1,4 +1,5 @@
-//! A pooled HTTP client that tells apart "no byte was written" from "it may have arrived".
+//! A pooled HTTP client whose errors distinguish requests of which no byte was written from requests that may
+//! have arrived.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -16,64 +17,64 @@
 
 use crate::send_permit::{PermitOver, PermittedBody, SendPermit};
 
-/// Content type of JSON.
+/// The content type of JSON.
 pub const JSON: &str = "application/json";
-/// Content type of CBOR.
+/// The content type of CBOR.
 pub const CBOR: &str = "application/cbor";
 
 /// Why an exchange failed.
 #[derive(Debug, Display, Error)]
 pub enum HttpError {
-    /// No connection could be made: no byte of the request was written.
+    /// No connection could be established; no byte of the request was written.
     #[display("cannot connect to {address}")]
     NotConnected {
-        /// To whom.
+        /// The remote address.
         address: SocketAddr,
     },
-    /// The permit to send was over before the body was written.
+    /// The permit to send expired before the request was written.
     #[display("the request to {address} was withheld")]
     Withheld {
-        /// To whom.
+        /// The remote address.
         address: SocketAddr,
     },
     /// The connection broke after bytes may have been written.
     #[display("exchange with {address} broke off: {reason}")]
     BrokenOff {
-        /// With whom.
+        /// The remote address.
         address: SocketAddr,
-        /// The library's reason.
+        /// The error of the HTTP library, with its causes.
         reason: String,
     },
-    /// No whole answer in time; the request may have arrived.
+    /// No complete response arrived within the time limit; the request may have arrived.
     #[display("no answer from {address} in time")]
     TimedOut {
-        /// From whom.
+        /// The remote address.
         address: SocketAddr,
     },
-    /// An answer with an unexpected status.
+    /// The response has a status other than success.
     #[display("{address} answered {status}: {body}")]
     Status {
-        /// Who.
+        /// The remote address.
         address: SocketAddr,
-        /// The status.
+        /// The status of the response.
         status: u16,
-        /// The body's text.
+        /// The body of the response as text.
         body: String,
-        /// Seconds of `Retry-After`.
+        /// The `Retry-After` header, in seconds; `None` if it is missing or not a number.
         retry_after: Option<u64>,
     },
-    /// An answer that cannot be read.
+    /// The response cannot be decoded, or the request cannot be built or encoded.
     #[display("{address} answered what cannot be read: {reason}")]
     Unreadable {
-        /// Who.
+        /// The remote address.
         address: SocketAddr,
-        /// Why.
+        /// The error of the decoder or encoder.
         reason: String,
     },
 }
 
 impl HttpError {
-    /// Whether it is certain that the request was not written.
+    /// Returns whether the request was certainly not written.
     pub fn was_not_sent(&self) -> bool {
         matches!(self, Self::NotConnected { .. } | Self::Withheld { .. })
     }
@@ -82,22 +83,22 @@
 /// A request to one address.
 #[derive(Clone, Debug)]
 pub struct HttpRequest {
-    /// To whom.
+    /// The remote address.
     pub address: SocketAddr,
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path and the query.
     pub path: String,
-    /// Headers.
+    /// Names and values of the headers.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Bytes,
-    /// Asked right before the body is written.
+    /// Checked right before the request is written.
     pub permit: SendPermit,
 }
 
 impl HttpRequest {
-    /// A request without a body.
+    /// Creates a GET request without a body.
     pub fn get(address: SocketAddr, path: impl Into<String>) -> Self {
         Self {
             address,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// A request with a body.
+    /// Creates a POST request with a body.
     pub fn post(
         address: SocketAddr,
         path: impl Into<String>,
@@ -132,14 +133,14 @@
         self
     }
 
-    /// Sends only while `permit` holds. A request without a body is not withheld.
+    /// Withholds the request once `permit` has expired. A request without a body is never withheld.
     pub fn with_permit(mut self, permit: SendPermit) -> Self {
         self.permit = permit;
         self
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct HttpAnswer {
     /// The status.
@@ -150,21 +151,22 @@
     pub body: Bytes,
 }
 
-/// Time within which a connection on the fleet's network is made or given up.
+/// Time limit for establishing a connection within the fleet's network.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections kept to one address.
+/// Largest number of idle connections kept to one address.
 const IDLE_PER_ADDRESS: usize = 64;
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The client. Cheap to clone.
+/// An HTTP client with a connection pool, which its clones share.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     inner: Client<HttpConnector, PermittedBody>,
 }
 
 impl HttpClient {
-    /// A client whose connections come from `source`, if given.
+    /// Creates a client whose connections are bound to the local address `source`, unless it is `None` or
+    /// unspecified.
     pub fn new(source: Option<IpAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -178,7 +180,8 @@
         Self { inner }
     }
 
-    /// Sends and returns as soon as the answer's head is there.
+    /// Sends a request and returns when the head of the response has arrived. `timeout` does not limit the
+    /// body.
     pub async fn open(
         &self,
         request: HttpRequest,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Sends and reads the whole answer, whatever its status.
+    /// Sends a request and reads the complete response, whatever its status, within `timeout`.
     pub async fn exchange(
         &self,
         request: HttpRequest,
@@ -224,7 +227,7 @@
         answer.unwrap_or(Err(HttpError::TimedOut { address }))
     }
 
-    /// Exchanges and refuses any status but success.
+    /// Sends a request and reads the complete response; any status other than success is an error.
     pub async fn expect_success(
         &self,
         request: HttpRequest,
@@ -243,7 +246,7 @@
         })
     }
 
-    /// Posts JSON and reads JSON.
+    /// Posts `body` as JSON and decodes the JSON response.
     pub async fn post_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -261,7 +264,7 @@
         serde_json::from_slice(&answer.body).map_err(unreadable)
     }
 
-    /// Gets JSON.
+    /// Gets `path` and decodes the JSON response.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -277,7 +280,7 @@
     }
 }
 
-/// Seconds of `Retry-After`, if the header is there and a number.
+/// Returns the seconds of the `Retry-After` header; `None` if it is missing or not a number.
 pub fn retry_after(headers: &HeaderMap) -> Option<u64> {
     headers.get("retry-after")?.to_str().ok()?.parse().ok()
 }
@@ -310,7 +313,7 @@
         .map_err(unreadable)
 }
 
-/// An error with its causes.
+/// Returns the text of an error followed by the texts of its causes.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
--- a/crates/swiftshunt-http/src/endpoint.rs
+++ b/crates/swiftshunt-http/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints as functions: requests as owned values, answers as values.
+//! Endpoints as functions from an owned request to a response.
 
 use std::sync::Arc;
 
@@ -17,31 +17,35 @@
 }
 
 impl Call {
-    /// A header's text.
+    /// Returns a header's value; `None` if it is missing or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.request.headers().get(name)?.to_str().ok()
     }
 
-    /// A parameter of the query.
+    /// Returns a query parameter; `None` if it is missing or cannot be parsed.
     pub fn query<T: DeserializeOwned>(&self, name: &str) -> Option<T> {
         self.request.query(name)
     }
 
-    /// Where the request comes from, if the connection tells.
+    /// Returns the remote address of the connection, if it is known.
     pub fn remote(&self) -> Option<std::net::SocketAddr> {
         self.request.remote_addr().clone().into_std()
     }
 
-    /// A parameter of the path.
+    /// Returns a path parameter.
+    ///
+    /// # Errors
+    ///
+    /// `NotFound` if the route has no such parameter.
     pub fn path_parameter(&self, name: &str) -> Result<String, Failure> {
         let found = self.request.param::<String>(name);
         found.ok_or_else(|| Failure::not_run(ErrorKind::NotFound, "no such path"))
     }
 
-    /// The whole body, if it has at most `limit` bytes.
+    /// Reads the whole body, which may have at most `limit` bytes.
     ///
-    /// What is sent beyond the limit is read and dropped, up to [`DISCARD_LIMIT`]: a client that is
-    /// still writing would otherwise see a broken connection in place of the answer.
+    /// Data beyond the limit is read and discarded, up to [`DISCARD_LIMIT`]: a client that is still
+    /// writing would otherwise see a broken connection instead of the response.
     pub async fn body(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut body = self.request.take_body();
         let mut read = BytesMut::new();
@@ -65,7 +69,7 @@
         Ok(read.freeze())
     }
 
-    /// The body as JSON.
+    /// Reads the body, of at most `limit` bytes, as JSON.
     pub async fn json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Failure> {
         let body = self.body(limit).await?;
         serde_json::from_slice(&body).map_err(|error| {
@@ -75,7 +79,7 @@
     }
 }
 
-/// Bytes beyond a body's limit that are read and dropped.
+/// Bytes beyond a body's limit that are read and discarded before the connection is given up.
 const DISCARD_LIMIT: usize = 64 << 20;
 
 fn too_large(limit: usize) -> Failure {
@@ -83,7 +87,7 @@
     Failure::not_run(ErrorKind::TooLarge, message)
 }
 
-/// An answer.
+/// A response.
 pub struct Reply {
     status: StatusCode,
     content_type: &'static str,
@@ -97,7 +101,7 @@
 }
 
 impl Reply {
-    /// A whole body.
+    /// Creates a response with status 200 and a complete body.
     pub fn bytes(content_type: &'static str, body: impl Into<Bytes>) -> Self {
         Self {
             status: StatusCode::OK,
@@ -107,13 +111,13 @@
         }
     }
 
-    /// JSON.
+    /// Creates a response with status 200 and a JSON body.
     pub fn json(value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::bytes("application/json", body)
     }
 
-    /// Server-sent events.
+    /// Creates a response with status 200 that streams server-sent events.
     pub fn events(stream: BoxStream<'static, Result<Bytes, std::io::Error>>) -> Self {
         Self {
             status: StatusCode::OK,
@@ -123,13 +127,13 @@
         }
     }
 
-    /// The same with another status.
+    /// Sets the status; an invalid status becomes 200.
     pub fn with_status(mut self, status: u16) -> Self {
         self.status = StatusCode::from_u16(status).unwrap_or(StatusCode::OK);
         self
     }
 
-    /// A failure in the error envelope.
+    /// Creates a response that carries a failure in the error envelope.
     pub fn failure(failure: &Failure) -> Self {
         let mut reply = Self::json(&failure.envelope()).with_status(failure.kind.status());
         reply.retry_after = failure.retry_after;
@@ -141,7 +145,7 @@
         let headers = response.headers_mut();
         headers.insert("content-type", HeaderValue::from_static(self.content_type));
         if let Some(wait) = self.retry_after {
-            // Whole seconds, at least one, as the header allows no fractions.
+            // Rounded up to whole seconds, at least one, because the header allows no fractions.
             let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
             headers.insert("retry-after", HeaderValue::from(seconds.max(1)));
         }
@@ -154,13 +158,13 @@
     }
 }
 
-/// What an endpoint's state wants to know of failures.
+/// Observes the failures that endpoints return; implemented by the state of the endpoints.
 pub trait ObserveFailure: Send + Sync + 'static {
-    /// A request is answered with this failure.
+    /// Called before a request is answered with `failure`.
     fn observe_failure(&self, failure: &Failure);
 }
 
-/// An asynchronous function as a handler of the HTTP library.
+/// Makes an asynchronous function with shared state a handler of the HTTP library.
 pub fn endpoint<S, F, Fut>(state: &Arc<S>, function: F) -> Endpoint<S, F>
 where
     S: ObserveFailure,
@@ -173,7 +177,7 @@
     }
 }
 
-/// See [`endpoint`].
+/// The handler that [`endpoint`] returns.
 pub struct Endpoint<S, F> {
     state: Arc<S>,
     function: F,
--- a/crates/swiftshunt-http/src/lib.rs
+++ b/crates/swiftshunt-http/src/lib.rs
@@ -1,5 +1,5 @@
-//! The border to the HTTP libraries: a client that knows whether a request was written, and
-//! endpoints as functions from owned requests to answers as values.
+//! Wrappers of the HTTP libraries: a client that reports whether a failed request may have been written,
+//! and handlers written as functions from an owned request to a response.
 
 mod acceptor;
 mod cbor;
--- a/crates/swiftshunt-http/src/send_permit.rs
+++ b/crates/swiftshunt-http/src/send_permit.rs
@@ -1,5 +1,5 @@
-//! Permits that end: a request that waits for a connection, in a process that may be stopped meanwhile, is
-//! written only if it still may be.
+//! Permits to send, which can expire. A request may wait for a connection, and the process may be
+//! suspended in the meantime; the permit is checked again right before the request is written.
 
 use std::fmt;
 use std::pin::Pin;
@@ -10,22 +10,22 @@
 use derive_more::{Display, Error};
 use hyper::body::{Body, Frame, SizeHint};
 
-/// Whether a request may still be written.
+/// A check whether a request may still be written.
 #[derive(Clone, Default)]
 pub struct SendPermit(Option<Arc<dyn Fn() -> bool + Send + Sync>>);
 
 impl SendPermit {
-    /// A permit that never ends.
+    /// A permit that never expires.
     pub fn always() -> Self {
         Self(None)
     }
 
-    /// A permit that holds as long as `holds` says so.
+    /// A permit that is valid while `holds` returns true.
     pub fn while_true(holds: impl Fn() -> bool + Send + Sync + 'static) -> Self {
         Self(Some(Arc::new(holds)))
     }
 
-    /// Whether it holds now.
+    /// Returns whether the permit is valid now.
     pub fn holds(&self) -> bool {
         self.0.as_ref().is_none_or(|holds| holds())
     }
@@ -41,13 +41,13 @@
     }
 }
 
-/// The permit was over when the body was to be written.
+/// The permit had expired when the body was to be written.
 #[derive(Debug, Display, Error)]
 #[display("the permit to send is over")]
 pub struct PermitOver;
 
 impl PermitOver {
-    /// Whether it is among the causes of `error`.
+    /// Returns whether `error` or one of its causes is a `PermitOver`.
     pub fn caused(error: &(dyn std::error::Error + 'static)) -> bool {
         let mut cause = Some(error);
         while let Some(error) = cause {
@@ -60,14 +60,15 @@
     }
 }
 
-/// A body in one piece, given out while its permit holds. The head is written together with it.
+/// A request body in one frame, which is only yielded if its permit is valid at that time. The HTTP library
+/// writes the head together with the first frame, so that an expired permit withholds the whole request.
 pub struct PermittedBody {
     piece: Option<Bytes>,
     permit: SendPermit,
 }
 
 impl PermittedBody {
-    /// A body that is withheld once `permit` is over. An empty one is not.
+    /// Creates a body that is withheld once `permit` has expired. An empty body is never withheld.
     pub fn new(body: Bytes, permit: SendPermit) -> Self {
         let piece = (!body.is_empty()).then_some(body);
         Self { piece, permit }
@@ -86,12 +87,12 @@
         let Some(piece) = body.piece.take() else {
             return Poll::Ready(None);
         };
-        let given = if body.permit.holds() {
+        let frame = if body.permit.holds() {
             Ok(Frame::data(piece))
         } else {
             Err(PermitOver)
         };
-        Poll::Ready(Some(given))
+        Poll::Ready(Some(frame))
     }
 
     fn is_end_stream(&self) -> bool {
--- a/crates/swiftshunt-http/src/serve.rs
+++ b/crates/swiftshunt-http/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listening and the graceful stop.
+//! Binding an address, serving a router and stopping the server gracefully.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 
 use crate::acceptor::ClosableAcceptor;
 
-/// Time in which a request on a connection accepted last is read; a part of it passes before the listener
-/// closes.
-const LAST_REQUEST: Duration = Duration::from_millis(300);
+/// Time in which the first request on the connections accepted last must be read. It includes the time
+/// until the listener closes.
+const LAST_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
 /// Why an address cannot be listened on.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen on {address}: {reason}")]
 pub struct BindError {
-    /// The address.
+    /// The address that was to be bound.
     pub address: SocketAddr,
-    /// The system's reason.
+    /// The error of the operating system.
     pub reason: String,
 }
 
-/// A server that runs.
+/// Handle of a running server.
 pub struct ServeHandle {
     handle: ServerHandle,
     draining: CancellationToken,
@@ -38,21 +38,21 @@
 }
 
 impl ServeHandle {
-    /// From here on each answer closes its connection, so that callers with kept connections go
-    /// elsewhere before the stop.
+    /// Makes each further response close its connection, so that clients with persistent connections
+    /// switch to another server before the stop.
     pub fn drain(&self) {
         self.draining.cancel();
     }
 
-    /// Accepts nothing new, answers what has come, and ends once open requests have, or after
-    /// `limit`.
+    /// Stops accepting connections and answers the requests that were received. The server ends when all
+    /// open requests have ended, or when `limit` has passed.
     ///
-    /// The library closes a connection whose first request it has not read yet; so the listener is
-    /// closed first, and what was accepted last gets time for its request.
+    /// The library closes a connection whose first request it has not read yet. Therefore the listener is
+    /// closed first, and the connections accepted last get time to deliver their request.
     pub async fn stop(&self, limit: Duration) {
         self.drain();
         self.closing.cancel();
-        tokio::time::sleep(LAST_REQUEST).await;
+        tokio::time::sleep(LAST_REQUEST_WAIT).await;
         self.handle.stop_graceful(Some(limit));
     }
 
@@ -61,13 +61,14 @@
         drop((&mut self.task).await);
     }
 
-    /// Ends at once.
+    /// Ends the server immediately, without waiting for open requests.
     pub fn abort(&self) {
         self.task.abort();
     }
 }
 
-/// Binds an address; port 0 lets the system choose one.
+/// Binds an address and returns the acceptor with the bound address; with port 0 the operating system
+/// chooses a free port.
 pub async fn bind(address: SocketAddr) -> Result<(TcpAcceptor, SocketAddr), BindError> {
     let failed = |reason: String| BindError { address, reason };
     let bound = TcpListener::new(address).try_bind().await;
@@ -78,7 +79,7 @@
     Ok((acceptor, local))
 }
 
-/// Serves a router as a task.
+/// Serves a router in a new task.
 pub fn serve(acceptor: TcpAcceptor, router: Router) -> ServeHandle {
     let draining = CancellationToken::new();
     let closing = CancellationToken::new();
@@ -96,7 +97,7 @@
     }
 }
 
-/// Asks the library to close each connection behind its answer.
+/// Makes the library close each connection after its response once the server drains.
 struct CloseWhileDraining(CancellationToken);
 
 #[async_trait]
