--- a/crates/swiftshunt-backends/src/engine.rs
+++ b/crates/swiftshunt-backends/src/engine.rs
@@ -1,5 +1,4 @@
-//! Model engines: token streams that can be resumed and cancelled, load reports, cache events and
-//! fenced orders.
+//! Client of model engines: token streams that can be resumed and cancelled, load reports and fenced orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,42 +13,42 @@
 use crate::BoxFuture;
 use swiftshunt_http::{HttpClient, HttpError, HttpRequest, JSON, SendPermit};
 
-/// Path at which tokens are generated.
+/// Path of the call that generates tokens.
 pub const GENERATE_PATH: &str = "/v1/generate";
-/// Path of the load report, also of submission workers.
+/// Path of the load report, at engines and at submission workers.
 pub const LOAD_PATH: &str = "/v1/load";
-/// Path of the cancel call.
+/// Path prefix of the call that cancels a request.
 pub const CANCEL_PATH: &str = "/v1/cancel";
-/// Path of load orders.
+/// Path of the call that gives an order to load a model.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// A request for tokens.
+/// A request to generate tokens.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GenerateRequest {
-    /// For matching answers and for cancelling.
+    /// Identifier by which events are matched and the request is cancelled.
     pub request: RequestId,
-    /// The model.
+    /// The model that generates the tokens.
     pub model: ModelName,
     /// The whole prompt.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_tokens: u32,
-    /// Who waits for whom.
+    /// Priority of the request over other requests of the engine.
     pub priority: Priority,
-    /// Tokens that the caller already has; generation goes on after them.
+    /// Number of tokens that the caller already has; generation resumes after them.
     pub resume_from: u32,
 }
 
 /// One event of a token stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenEvent {
-    /// The request that it belongs to.
+    /// The request that the token belongs to.
     pub request: RequestId,
-    /// The token's index in the whole answer, from 0.
+    /// Index of the token in the whole output, from 0.
     pub index: u32,
-    /// The token's text; empty on the last event.
+    /// Text of the token; empty on the last event.
     pub text: String,
-    /// Set on the last event.
+    /// Why generation ended; only set on the last event.
     pub finish: Option<FinishReason>,
 }
 
@@ -57,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The answer is whole.
+    /// The output is complete.
     Stop,
     /// `max_tokens` was reached.
     Length,
@@ -68,28 +67,29 @@
 /// A worker's load.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Requests running.
+    /// Number of requests that are running.
     pub running: u32,
-    /// Of those, batch requests.
+    /// Number of batch requests among the running requests.
     pub running_batch: u32,
-    /// Requests waiting.
+    /// Number of requests that are waiting.
     pub waiting: u32,
-    /// Requests that run at once.
+    /// Number of requests that can run concurrently.
     pub slots: u32,
-    /// Models loaded.
+    /// Models that are loaded.
     #[serde(default)]
     pub models: Vec<ModelName>,
-    /// The worker takes nothing new.
+    /// Whether the worker is leaving and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Orders rise: a worker refuses one whose fence is below the highest it has seen.
+/// A fencing token of an order, compared field by field. A worker refuses an order whose fence is lower than
+/// the highest fence that it has received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Fence {
-    /// Generation of the partition that gave the order.
+    /// Generation of the partition that issued the order.
     pub generation: u64,
-    /// Term of the leader that gave it.
+    /// Term of the leader that issued the order.
     pub term: u64,
     /// Number of the order within the term.
     pub sequence: u64,
@@ -98,41 +98,42 @@
 /// An order to load a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// The order's fence.
+    /// Fence of the order.
     pub fence: Fence,
-    /// Which model.
+    /// The model to load.
     pub model: ModelName,
 }
 
-/// Why an engine gave no tokens, or no more.
+/// Why a token stream did not start or broke off.
 #[derive(Debug, Display, Error)]
 pub enum EngineError {
-    /// No byte was written, or the engine refused before it started.
+    /// No byte of the request was written, or the engine refused the request before it started.
     #[display("engine did not start it: {reason}")]
     NotStarted {
-        /// The reason.
+        /// The error of the transport or the decoder, or the engine's response body.
         reason: String,
     },
-    /// The stream broke.
+    /// The exchange with the engine failed after the request may have been written.
     #[display("engine stream broke: {reason}")]
     Broken {
-        /// The reason.
+        /// The error of the transport or the decoder, or the engine's response body.
         reason: String,
     },
-    /// The engine refused the request itself; another engine would too.
+    /// The engine rejected the request as invalid; another engine would reject it, too.
     #[display("engine refused the request: {reason}")]
     Refused {
-        /// The reason.
+        /// The error of the transport or the decoder, or the engine's response body.
         reason: String,
     },
 }
 
-/// Events of one answer, in order of arrival.
+/// The events of one request, in the order of arrival.
 pub type TokenStream = futures_util::stream::BoxStream<'static, Result<TokenEvent, EngineError>>;
 
-/// The protocol of engines.
+/// The operations of engines.
 pub trait Engine: Send + Sync {
-    /// Starts or resumes an answer, if the permit still holds when the request is written.
+    /// Starts or resumes the generation of tokens. The request is withheld if `permit` has expired when the
+    /// request is written.
     fn generate<'a>(
         &'a self,
         engine: SocketAddr,
@@ -141,7 +142,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<TokenStream, EngineError>>;
 
-    /// Stops an answer.
+    /// Cancels a request.
     fn cancel<'a>(
         &'a self,
         engine: SocketAddr,
@@ -149,14 +150,14 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<(), HttpError>>;
 
-    /// The load, as the worker tells it.
+    /// Reads the load report of a worker.
     fn load(
         &self,
         worker: SocketAddr,
         timeout: Duration,
     ) -> BoxFuture<'_, Result<EngineLoad, HttpError>>;
 
-    /// Gives an order.
+    /// Gives an engine an order to load a model.
     fn order<'a>(
         &'a self,
         engine: SocketAddr,
@@ -172,7 +173,7 @@
 }
 
 impl HttpEngine {
-    /// A client.
+    /// Creates a client that sends its calls with `client`.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
     }
@@ -254,7 +255,7 @@
     }
 }
 
-/// Reads server-sent events off a body.
+/// Decodes the server-sent events of a body as token events.
 fn token_events(body: hyper::body::Incoming) -> TokenStream {
     let data = body.into_data_stream();
     let events = eventsource_stream::EventStream::new(data);
--- a/crates/swiftshunt-backends/src/log_service.rs
+++ b/crates/swiftshunt-backends/src/log_service.rs
@@ -1,6 +1,6 @@
-//! The append-only log service: streams of records with offsets.
+//! Client of the append-only log service, which stores streams of records with offsets.
 //!
-//! Only append, read and offsets are assumed; there is no compare-and-set.
+//! Only appends and reads by offset are required of the service; it has no compare-and-set.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,17 +22,17 @@
 pub struct StreamName(String);
 
 impl StreamName {
-    /// The stream of fleet configuration.
+    /// The stream of the fleet's configuration.
     pub fn configuration() -> Self {
         Self("configuration".to_owned())
     }
 
-    /// The archive of a ledger partition.
+    /// The stream that archives a ledger partition.
     pub fn archive(partition: swiftshunt_types::PartitionId) -> Self {
         Self(format!("ledger-{partition}"))
     }
 
-    /// The content of a file.
+    /// The stream that holds the content of a file.
     pub fn file(file: &swiftshunt_types::FileId) -> Self {
         Self(file.0.clone())
     }
@@ -43,33 +43,33 @@
 pub struct ReadRecords {
     /// Offset of the first record.
     pub first: Offset,
-    /// The records, contiguous.
+    /// The records, with contiguous offsets.
     pub records: Vec<Bytes>,
 }
 
 /// Why a call to the log failed.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The call certainly had no effect.
+    /// The request was not written, so the call certainly had no effect.
     #[display("log not reached: {source}")]
     NotReached {
-        /// The transport's reason.
+        /// The transport error.
         source: HttpError,
     },
-    /// An append may have taken effect.
+    /// The request may have been written but got no successful response; an append may have taken effect.
     #[display("log answer lost: {source}")]
     AnswerLost {
-        /// The transport's reason.
+        /// The transport error.
         source: HttpError,
     },
-    /// The log's answer makes no sense.
+    /// A record in the log's response cannot be decoded.
     #[display("log record at offset {offset} of {stream} cannot be read: {reason}")]
     BadRecord {
-        /// Which stream.
+        /// The stream of the record.
         stream: StreamName,
-        /// Where.
+        /// The offset of the record.
         offset: Offset,
-        /// Why.
+        /// The error of the decoder.
         reason: String,
     },
 }
@@ -84,7 +84,7 @@
     }
 }
 
-/// The log service.
+/// A log service.
 pub trait LogService: Send + Sync {
     /// Appends records and returns the offset of the first.
     fn append<'a>(
@@ -93,8 +93,8 @@
         records: Vec<Bytes>,
     ) -> BoxFuture<'a, Result<Offset, LogError>>;
 
-    /// Reads up to `limit` records from `from`. At the end of the stream, waits up to `wait` for a
-    /// record, then answers with none.
+    /// Reads up to `limit` records, beginning at offset `from`. At the end of the stream, waits up to `wait`
+    /// for a record and returns none if there is still none.
     fn read<'a>(
         &'a self,
         stream: &'a StreamName,
@@ -104,21 +104,21 @@
     ) -> BoxFuture<'a, Result<ReadRecords, LogError>>;
 }
 
-/// Body of an append: records in base64.
+/// The request body of an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AppendBody {
-    /// The records.
+    /// The records in base64.
     pub records: Vec<String>,
 }
 
-/// Answer to an append.
+/// The response to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AppendAnswer {
     /// Offset of the first record.
     pub offset: Offset,
 }
 
-/// Answer to a read.
+/// The response to a read.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReadAnswer {
     /// Offset of the first record.
@@ -136,7 +136,8 @@
 }
 
 impl HttpLogService {
-    /// A client of the service at `address`; `timeout` bounds each call beyond its own wait.
+    /// Creates a client of the service at `address`. `timeout` limits each call, in addition to the time that
+    /// a read waits for records.
     pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
@@ -201,10 +202,10 @@
     })
 }
 
-/// Records read at a time when a whole stream is wanted.
+/// Limit of records per read in [`read_all`].
 const READ_ALL_LIMIT: usize = 4096;
 
-/// Reads a stream from its start to its present end.
+/// Reads a stream from offset `from` to its current end.
 pub async fn read_all(
     log: &dyn LogService,
     stream: &StreamName,
--- a/crates/swiftshunt-backends/src/machine_list.rs
+++ b/crates/swiftshunt-backends/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! The platform's machine list.
+//! Client of the platform's machine list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,16 +8,16 @@
 use crate::BoxFuture;
 use swiftshunt_http::{HttpClient, HttpError};
 
-/// Path of the list.
+/// Path of the machine list.
 pub const MACHINES_PATH: &str = "/v1/machines";
 
-/// The machine list.
+/// A source of the machine list.
 pub trait MachineListService: Send + Sync {
-    /// The list as the platform has it now.
+    /// Fetches the platform's current list.
     fn fetch(&self) -> BoxFuture<'_, Result<MachineList, HttpError>>;
 }
 
-/// Client of the list's HTTP interface.
+/// Client of the HTTP interface of the machine list.
 #[derive(Clone, Debug)]
 pub struct HttpMachineList {
     client: HttpClient,
@@ -26,7 +26,7 @@
 }
 
 impl HttpMachineList {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`; `timeout` limits each call.
     pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
--- a/crates/swiftshunt-backends/src/submission.rs
+++ b/crates/swiftshunt-backends/src/submission.rs
@@ -1,4 +1,5 @@
-//! Submission workers: perform a booking or reading under a key, and tell what became of a key.
+//! Client of submission workers, which perform a booking or a reading under an idempotency key and report the
+//! state of the execution of a key.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,57 +13,58 @@
 use crate::BoxFuture;
 use swiftshunt_http::{HttpAnswer, HttpClient, HttpError, HttpRequest, JSON};
 
-/// Header that carries the key, the same at every try.
+/// Header that carries the idempotency key, which is the same for each attempt.
 pub const KEY_HEADER: &str = "idempotency-key";
-/// Path at which work is performed.
+/// Path of the call that performs a submission.
 pub const PERFORM_PATH: &str = "/v1/perform";
-/// Path under which a key's execution is looked up.
+/// Path prefix under which the execution of a key is looked up.
 pub const EXECUTIONS_PATH: &str = "/v1/executions";
 
-/// A worker's answer.
+/// The response of a worker to a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkerAnswer {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The body.
+    /// The body of the response as text.
     pub body: String,
 }
 
-/// What a worker knows of a key.
+/// The state of the execution of a key, as the worker reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum ExecutionState {
-    /// It never started.
+    /// The execution never started.
     NotStarted,
-    /// It runs.
+    /// The execution is in progress.
     Running,
-    /// It ended.
+    /// The execution has ended.
     Finished {
-        /// With this answer.
+        /// The response that the execution gave.
         answer: WorkerAnswer,
     },
 }
 
-/// Why a worker gave no answer.
+/// Why a call to a worker gave no response.
 #[derive(Debug, Display, Error)]
 pub enum WorkerError {
-    /// No byte was written, or the worker refused before it started.
+    /// No byte of the request was written, or the worker refused it before the execution started.
     #[display("worker did not start it: {reason}")]
     NotStarted {
-        /// The reason.
+        /// The transport error, or the body of the worker's response.
         reason: String,
     },
-    /// It may have been performed.
+    /// The submission may have been performed.
     #[display("worker may have performed it: {source}")]
     Unknown {
-        /// The transport's reason.
+        /// The transport error.
         source: HttpError,
     },
 }
 
 /// The protocol of submission workers.
 pub trait SubmissionWorker: Send + Sync {
-    /// Performs `body` under `key`; a worker that knows the key answers as before.
+    /// Performs the submission `body` under `key`. A worker that has already executed the key repeats its
+    /// response.
     fn perform<'a>(
         &'a self,
         worker: SocketAddr,
@@ -71,7 +73,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<WorkerAnswer, WorkerError>>;
 
-    /// What the worker knows of `key`.
+    /// Returns the state of the execution of `key` at the worker.
     fn look_up<'a>(
         &'a self,
         worker: SocketAddr,
@@ -87,7 +89,7 @@
 }
 
 impl HttpSubmissionWorker {
-    /// A client.
+    /// Creates a client that sends its calls with `client`.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
     }
@@ -105,7 +107,7 @@
             .with_header(KEY_HEADER, key.as_str());
         Box::pin(async move {
             match self.client.exchange(request, timeout).await {
-                Ok(answer) => read_answer(&answer),
+                Ok(answer) => worker_answer(&answer),
                 Err(error) if error.was_not_sent() => Err(WorkerError::NotStarted {
                     reason: error.to_string(),
                 }),
@@ -127,8 +129,9 @@
     }
 }
 
-/// 503 is a worker's word that it did not start; every other status is its answer.
-fn read_answer(answer: &HttpAnswer) -> Result<WorkerAnswer, WorkerError> {
+/// Converts a response: with status 503 the worker declares that it did not start the execution; any other
+/// status is the result of the execution.
+fn worker_answer(answer: &HttpAnswer) -> Result<WorkerAnswer, WorkerError> {
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     if answer.status == StatusCode::SERVICE_UNAVAILABLE {
         return Err(WorkerError::NotStarted { reason: body });
--- a/crates/swiftshunt-backends/src/weights.rs
+++ b/crates/swiftshunt-backends/src/weights.rs
@@ -1,4 +1,4 @@
-//! The rate-limited weight store.
+//! Client of the rate-limited weight store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 
 use swiftshunt_http::{HttpClient, HttpError};
 
-/// Size and rate, for planning when loading must begin.
+/// Size and delivery rate of a model's weights, from which the time at which loading must begin is planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightInfo {
     /// Size of the weights, in bytes.
     pub bytes: u64,
-    /// What the store delivers to all machines together, in bytes a second.
+    /// Rate at which the store delivers to all machines together, in bytes per second.
     pub bytes_per_second: u64,
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl WeightStore {
-    /// A client of the store at `address`.
+    /// Creates a client of the store at `address`; `timeout` limits each call.
     pub fn new(client: HttpClient, address: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What the store says of a model's weights.
+    /// Returns the size and the delivery rate of a model's weights.
     pub async fn info(&self, model: &ModelName) -> Result<WeightInfo, HttpError> {
         let path = format!("/v1/weights/{model}");
         self.client
--- a/crates/swiftshunt-http/tests/planned_stop.rs
+++ b/crates/swiftshunt-http/tests/planned_stop.rs
@@ -1,5 +1,6 @@
-//! A server that stops gracefully answers every request that reached it. A request is lost if its connection
-//! is accepted or reset while the listener closes.
+//! A server that stops gracefully answers every request that reached it. Without precautions, a request is
+//! lost if its connection completes the handshake while the listener closes, or if the server closes the
+//! connection before it has read the request.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
