--- a/crates/swiftshunt-backends/src/engine.rs
+++ b/crates/swiftshunt-backends/src/engine.rs
@@ -33,7 +33,7 @@
     pub prompt: String,
     /// Largest number of tokens to generate.
     pub max_tokens: u32,
-    /// Priority of the request over other requests of the engine.
+    /// Whether the request is online or batch work.
     pub priority: Priority,
     /// Number of tokens that the caller already has; generation resumes after them.
     pub resume_from: u32,
@@ -110,19 +110,20 @@
     /// No byte of the request was written, or the engine refused the request before it started.
     #[display("engine did not start it: {reason}")]
     NotStarted {
-        /// The error of the transport or the decoder, or the engine's response body.
+        /// The transport error, or the engine's response body.
         reason: String,
     },
     /// The exchange with the engine failed after the request may have been written.
     #[display("engine stream broke: {reason}")]
     Broken {
-        /// The error of the transport or the decoder, or the engine's response body.
+        /// The error of the transport or of the decoder.
         reason: String,
     },
-    /// The engine rejected the request as invalid; another engine would reject it, too.
+    /// The engine refused the request with a status other than 503, or the request could not be encoded.
+    /// Another engine would refuse the request, too.
     #[display("engine refused the request: {reason}")]
     Refused {
-        /// The error of the transport or the decoder, or the engine's response body.
+        /// The encoder's error, or the engine's response body.
         reason: String,
     },
 }
--- a/crates/swiftshunt-http/src/endpoint.rs
+++ b/crates/swiftshunt-http/src/endpoint.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// Bytes beyond a body's limit that are read and discarded before the connection is given up.
+/// Bytes beyond a body's limit that are read and discarded; data after them is left unread.
 const DISCARD_LIMIT: usize = 64 << 20;
 
 fn too_large(limit: usize) -> Failure {
