--- a/crates/swiftshunt-gateway/src/batch/intake.rs
+++ b/crates/swiftshunt-gateway/src/batch/intake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hyper::{Response, StatusCode};
-use swiftshunt_jobs::{JobRecord, JobSpec, qualified};
+use swiftshunt_jobs::{JobRecord, JobSpec, qualified_job_id};
 use swiftshunt_routing::Route;
 use swiftshunt_scheduler::waiting_tokens::GRANT_LIFETIME;
 use swiftshunt_types::TenantName;
@@ -51,7 +51,7 @@
             body,
             deadline,
         } = submission;
-        let id = &qualified(tenant, id);
+        let id = &qualified_job_id(tenant, id);
         let partition = self.replay.partition_of(id);
         if self.replay.state(partition).fold.job(id).is_some() {
             return accepted();
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -227,7 +227,7 @@
         let began = self.clock.now();
         let page = self.log.newest(Topic::Jobs, partition, after).await;
         let took = self.clock.now().saturating_sub(began);
-        lock(&self.window).ended(page.is_ok().then_some(took));
+        lock(&self.window).record_end(page.is_ok().then_some(took));
         self.slot_freed.notify_waiters();
         let records = page.as_ref().map_or(0, |page| page.records.len());
         log::info!(partition, records, took_ms = took.as_millis() as u64;
@@ -239,7 +239,7 @@
     async fn acquire_read_slot(&self) {
         loop {
             let slot_freed = self.slot_freed.notified();
-            if lock(&self.window).begin() {
+            if lock(&self.window).try_begin() {
                 return;
             }
             slot_freed.await;
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -330,7 +330,10 @@
                 }
             };
             let key = record.key.clone();
-            match state.assembly.take::<JobRecord>(record.key, &record.value) {
+            match state
+                .assembly
+                .add_frame::<JobRecord>(record.key, &record.value)
+            {
                 Ok(Some(logical)) => {
                     let effect = state.fold.apply(logical.record, logical.keys, now);
                     log::debug!(partition, effect:? = effect; "a journal record was applied");
--- a/crates/swiftshunt-gateway/src/batch/runner.rs
+++ b/crates/swiftshunt-gateway/src/batch/runner.rs
@@ -87,7 +87,7 @@
             return waiting;
         };
         for partition in held.iter().copied() {
-            let unsettled = self.replay.state(partition).fold.unsettled();
+            let unsettled = self.replay.state(partition).fold.unsettled_items();
             for (spec, index, first_seen) in unsettled {
                 let route = configuration.route(&spec.host, &spec.path);
                 let service = route.map(|route| route.shares[0].service.clone());
--- a/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
@@ -161,7 +161,9 @@
     for index in 0..count {
         let key = entry(&format!("frame-key-{index}"));
         let value = entry(&format!("frame-{index}"));
-        let logical = assembly.take::<JobRecord>(key, &value).expect("a frame");
+        let logical = assembly
+            .add_frame::<JobRecord>(key, &value)
+            .expect("a frame");
         let is_last = index + 1 == count;
         assert_eq!(logical.is_some(), is_last, "frame {index}");
         if let Some(logical) = logical {
--- a/crates/swiftshunt-gateway/src/fleet_state.rs
+++ b/crates/swiftshunt-gateway/src/fleet_state.rs
@@ -3,7 +3,9 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use swiftshunt_routing::{ColdSpec, Configuration, Installed, Route, SplitState, Versioned};
+use swiftshunt_routing::{
+    ColdSpec, Configuration, CurrentConfiguration, Installed, Route, SplitState,
+};
 use swiftshunt_scheduler::cold::ColdBound;
 use swiftshunt_scheduler::selection::Selector;
 use swiftshunt_topology::Residency;
@@ -14,7 +16,7 @@
 /// Shared beliefs.
 pub(crate) struct FleetState {
     cold: ColdSettings,
-    versioned: Mutex<Versioned>,
+    versioned: Mutex<CurrentConfiguration>,
     current: watch::Sender<Option<Arc<Configuration>>>,
     selector: Mutex<Selector>,
     split: Mutex<SplitState>,
@@ -77,7 +79,7 @@
     /// What the cold workers of a service may get, by the settings.
     fn cold_bound(&self, cold: &ColdSpec) -> ColdBound {
         let ColdSettings { share, requests } = self.cold;
-        ColdBound::new(cold.lasts, cold.per_second, share, requests)
+        ColdBound::new(cold.cold_period, cold.per_second, share, requests)
     }
 
     fn learn_services(&self, configuration: &Configuration) {
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use hyper::http::response;
 use hyper::{HeaderMap, Method, Uri};
-use swiftshunt_jobs::qualified;
+use swiftshunt_jobs::qualified_job_id;
 use swiftshunt_jobs::{ItemSpec, JobSpec, Page};
 use swiftshunt_routing::{Caller, Configuration, Credentials};
 use swiftshunt_scheduler::directory::WorkerEntry;
@@ -58,7 +58,7 @@
     pub fn for_tenant(mut self, tenant: Option<&TenantName>) -> Self {
         match &mut self {
             Self::JobResults { job, .. } | Self::JobItem { job, .. } | Self::JobEnd { job } => {
-                *job = qualified(tenant, job);
+                *job = qualified_job_id(tenant, job);
             }
             Self::Routed | Self::Malformed => {}
         }
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -18,7 +18,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
-use swiftshunt_journal::{KeyedRecord, TailPart, Topic, news};
+use swiftshunt_journal::{KeyedRecord, TailPart, Topic, relevant_records};
 use tokio::sync::watch;
 
 use crate::answers::{CallerAnswer, plain};
@@ -156,7 +156,7 @@
         let next = records.last().map_or(from, |record| record.offset + 1);
         let next_answer = timing.overdue_after().mul_f64(1.0 + PAUSE_SHARE);
         let sure_until = self.tails.clock.now() + next_answer;
-        let records = news(records, &self.is_news);
+        let records = relevant_records(records, &self.is_news);
         published.record_read(from, records, next, sure_until, returned_at);
     }
 
--- a/crates/swiftshunt-gateway/src/tails/published.rs
+++ b/crates/swiftshunt-gateway/src/tails/published.rs
@@ -14,7 +14,7 @@
 }
 
 impl PublishedTail {
-    /// See [`TailWindow::read`].
+    /// See [`TailWindow::record_read`].
     pub(super) fn record_read(
         &self,
         from: u64,
@@ -23,13 +23,14 @@
         sure_until: Duration,
         returned_at: Option<Duration>,
     ) {
-        self.window
-            .send_if_modified(|window| window.read(from, records, next, sure_until, returned_at));
+        self.window.send_if_modified(|window| {
+            window.record_read(from, records, next, sure_until, returned_at)
+        });
     }
 
-    /// See [`TailWindow::not_sure`].
+    /// See [`TailWindow::invalidate`].
     pub(super) fn not_sure(&self) {
-        self.window.send_if_modified(TailWindow::not_sure);
+        self.window.send_if_modified(TailWindow::invalidate);
     }
 
     /// What stands from an offset on, as soon as there is something and after `wait` at the latest;
@@ -41,7 +42,7 @@
         clock: Clock,
     ) -> Option<TailPart> {
         let mut changes = self.window.subscribe();
-        let decided = changes.wait_for(|window| window.is_decided(from, clock.now()));
+        let decided = changes.wait_for(|window| window.can_answer(from, clock.now()));
         // Without a change the answer is that there is none.
         drop(tokio::time::timeout(wait, decided).await);
         self.window.borrow().part(from, clock.now())
--- a/crates/swiftshunt-jobs/src/fold.rs
+++ b/crates/swiftshunt-jobs/src/fold.rs
@@ -195,7 +195,7 @@
     }
 
     /// Items of open jobs without a result, oldest job first.
-    pub fn unsettled(&self) -> Vec<(Arc<JobSpec>, usize, Duration)> {
+    pub fn unsettled_items(&self) -> Vec<(Arc<JobSpec>, usize, Duration)> {
         let mut open: Vec<&Job> = self.jobs.values().filter(|job| !job.is_closed()).collect();
         open.sort_by_key(|job| job.first_seen);
         let items = open.into_iter().flat_map(|job| {
--- a/crates/swiftshunt-jobs/src/lib.rs
+++ b/crates/swiftshunt-jobs/src/lib.rs
@@ -8,4 +8,4 @@
 mod record;
 
 pub use fold::{Effect, Job, JobFold, Page};
-pub use record::{ItemOutcome, ItemSpec, JobRecord, JobSpec, Progress, Settled, qualified};
+pub use record::{ItemOutcome, ItemSpec, JobRecord, JobSpec, Progress, Settled, qualified_job_id};
--- a/crates/swiftshunt-jobs/src/record.rs
+++ b/crates/swiftshunt-jobs/src/record.rs
@@ -47,7 +47,7 @@
 
 /// The identifier of a job within the system. Callers choose identifiers: those of two tenants never
 /// meet, so that a tenant's job is for another as if it did not exist.
-pub fn qualified(tenant: Option<&TenantName>, id: &str) -> String {
+pub fn qualified_job_id(tenant: Option<&TenantName>, id: &str) -> String {
     match tenant {
         None => id.to_owned(),
         Some(tenant) => format!("{}:{tenant}:{id}", tenant.as_str().len()),
--- a/crates/swiftshunt-jobs/tests/fold.rs
+++ b/crates/swiftshunt-jobs/tests/fold.rs
@@ -87,7 +87,7 @@
     assert_eq!(apply(&mut fold, end), Effect::Nothing);
     apply(&mut fold, results("j", vec![settled(1, "late")]));
     assert_eq!(fold.job("j").expect("a job").results.len(), 1);
-    assert!(fold.unsettled().is_empty());
+    assert!(fold.unsettled_items().is_empty());
 }
 
 #[test]
--- a/crates/swiftshunt-journal/src/assembly.rs
+++ b/crates/swiftshunt-journal/src/assembly.rs
@@ -94,7 +94,7 @@
 
 /// A logical record, put together.
 #[derive(Debug)]
-pub struct Logical<T> {
+pub struct LogicalRecord<T> {
     /// Its nonce.
     pub nonce: u64,
     /// Keys of its frames, for dropping them.
@@ -118,11 +118,11 @@
 
 impl Assembly {
     /// Takes a frame; gives the logical record if this frame completed it.
-    pub fn take<T: serde::de::DeserializeOwned>(
+    pub fn add_frame<T: serde::de::DeserializeOwned>(
         &mut self,
         key: Vec<u8>,
         value: &[u8],
-    ) -> Result<Option<Logical<T>>, FramingError> {
+    ) -> Result<Option<LogicalRecord<T>>, FramingError> {
         let failed = |error: ciborium::de::Error<std::io::Error>| FramingError {
             reason: error.to_string(),
         };
@@ -147,7 +147,7 @@
             .flat_map(|part| part.to_vec())
             .collect();
         let record = ciborium::from_reader(whole.as_slice()).map_err(failed)?;
-        Ok(Some(Logical {
+        Ok(Some(LogicalRecord {
             nonce: frame.nonce,
             keys: partial.keys,
             record,
--- a/crates/swiftshunt-journal/src/bulk_window.rs
+++ b/crates/swiftshunt-journal/src/bulk_window.rs
@@ -32,14 +32,14 @@
 
 impl BulkWindow {
     /// Whether a read may begin; if so, it is under way from now on.
-    pub fn begin(&mut self) -> bool {
+    pub fn try_begin(&mut self) -> bool {
         let may_begin = f64::from(self.under_way) + 1.0 <= self.limit;
         self.under_way += u32::from(may_begin);
         may_begin
     }
 
     /// A read has ended, with how long it took, or without an answer.
-    pub fn ended(&mut self, took: Option<Duration>) {
+    pub fn record_end(&mut self, took: Option<Duration>) {
         self.under_way = self.under_way.saturating_sub(1);
         match took {
             Some(took) if took <= SHORT => self.limit = (self.limit + 1.0 / self.limit).min(MOST),
--- a/crates/swiftshunt-journal/src/lib.rs
+++ b/crates/swiftshunt-journal/src/lib.rs
@@ -11,8 +11,8 @@
 mod log;
 mod tail_window;
 
-pub use assembly::{Assembly, FramingError, Logical, frames};
+pub use assembly::{Assembly, FramingError, LogicalRecord, frames};
 pub use bulk_window::BulkWindow;
 pub use keyed_view::{Change, KeyedView};
 pub use log::{AppendOutcome, KeyedRecord, Lease, Log, LogError, NewestPage, ReadOutcome, Topic};
-pub use tail_window::{TailPart, TailWindow, news};
+pub use tail_window::{TailPart, TailWindow, relevant_records};
--- a/crates/swiftshunt-journal/src/tail_window.rs
+++ b/crates/swiftshunt-journal/src/tail_window.rs
@@ -39,7 +39,7 @@
     /// `sure_until`: a reader that stood still, or reads no more, must not be relied on for longer.
     /// `returned_at` is when the log was back after it had not answered. Tells whether there is something
     /// new.
-    pub fn read(
+    pub fn record_read(
         &mut self,
         from: u64,
         records: Vec<KeyedRecord>,
@@ -75,13 +75,13 @@
 
     /// The log does not answer the reader in time, or it reads no more: nobody is to rely on it. Tells
     /// whether somebody could until now.
-    pub fn not_sure(&mut self) -> bool {
+    pub fn invalidate(&mut self) -> bool {
         self.sure_until.take().is_some()
     }
 
     /// Whether there is an answer to a question for what stands from an offset on; otherwise it is to
     /// wait for the next change.
-    pub fn is_decided(&self, from: u64, now: Duration) -> bool {
+    pub fn can_answer(&self, from: u64, now: Duration) -> bool {
         let newest = self.records.back();
         let has_more = newest.is_some_and(|record| record.offset >= from);
         !self.knows(from, now) || has_more
@@ -120,7 +120,10 @@
 
 /// The records that matter of those that were read: every end of a key, what `is_news` says, and what
 /// follows that under the same key, since news is judged by what was known before all of them.
-pub fn news(records: &[KeyedRecord], is_news: impl Fn(&KeyedRecord) -> bool) -> Vec<KeyedRecord> {
+pub fn relevant_records(
+    records: &[KeyedRecord],
+    is_news: impl Fn(&KeyedRecord) -> bool,
+) -> Vec<KeyedRecord> {
     let mut keys = HashSet::new();
     let matter = records.iter().filter(|record| {
         let key = record.key.as_slice();
--- a/crates/swiftshunt-journal/tests/bulk_window.rs
+++ b/crates/swiftshunt-journal/tests/bulk_window.rs
@@ -10,7 +10,7 @@
 /// Reads that may begin at once.
 fn room(window: &mut BulkWindow) -> u32 {
     let mut begun = 0;
-    while window.begin() {
+    while window.try_begin() {
         begun += 1;
     }
     begun
@@ -20,8 +20,8 @@
 fn after(took: Option<Duration>, reads: u32) -> BulkWindow {
     let mut window = BulkWindow::default();
     for _ in 0..reads {
-        assert!(window.begin());
-        window.ended(took);
+        assert!(window.try_begin());
+        window.record_end(took);
     }
     window
 }
@@ -46,8 +46,8 @@
 #[test]
 fn a_read_that_ended_makes_room() {
     let mut window = after(LATE, 20);
-    assert!(window.begin());
-    assert!(!window.begin());
-    window.ended(LATE);
-    assert!(window.begin());
+    assert!(window.try_begin());
+    assert!(!window.try_begin());
+    window.record_end(LATE);
+    assert!(window.try_begin());
 }
--- a/crates/swiftshunt-journal/tests/journal.rs
+++ b/crates/swiftshunt-journal/tests/journal.rs
@@ -92,7 +92,7 @@
     for (key, value) in framed.iter().rev().chain(&framed) {
         whole.extend(
             assembly
-                .take::<String>(key.clone(), value)
+                .add_frame::<String>(key.clone(), value)
                 .expect("a frame"),
         );
     }
@@ -106,7 +106,7 @@
     let framed = frames("job", 7, &"x".repeat(3_000), 1_024).expect("frames");
     let mut assembly = Assembly::default();
     for (key, value) in &framed[..framed.len() - 1] {
-        let taken = assembly.take::<String>(key.clone(), value);
+        let taken = assembly.add_frame::<String>(key.clone(), value);
         assert!(taken.expect("a frame").is_none());
     }
 }
@@ -114,7 +114,7 @@
 #[test]
 fn spoiled_frames_are_named() {
     let mut assembly = Assembly::default();
-    let error = assembly.take::<String>(b"job:0:0".to_vec(), b"spoiled");
+    let error = assembly.add_frame::<String>(b"job:0:0".to_vec(), b"spoiled");
     assert!(
         error
             .expect_err("no frame")
@@ -140,6 +140,6 @@
     let text = String::from_utf8(key.clone()).expect("a text");
     assert_eq!(text.starts_with(&format!("{name}:")), stands);
     let mut assembly = Assembly::default();
-    let taken = assembly.take::<String>(key, &value).expect("readable");
+    let taken = assembly.add_frame::<String>(key, &value).expect("readable");
     assert_eq!(taken.expect("whole").record, "text");
 }
--- a/crates/swiftshunt-journal/tests/tail_window.rs
+++ b/crates/swiftshunt-journal/tests/tail_window.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use swiftshunt_journal::{KeyedRecord, TailPart, TailWindow, news};
+use swiftshunt_journal::{KeyedRecord, TailPart, TailWindow, relevant_records};
 
 const NOW: Duration = Duration::from_secs(9);
 const SURE_UNTIL: Duration = Duration::from_secs(11);
@@ -26,7 +26,7 @@
 fn window() -> TailWindow {
     let mut window = TailWindow::default();
     let records = vec![record(12, "a", "x"), record(15, "b", "x")];
-    assert!(window.read(10, records, 20, SURE_UNTIL, None));
+    assert!(window.record_read(10, records, 20, SURE_UNTIL, None));
     window
 }
 
@@ -46,26 +46,26 @@
 #[test]
 fn what_lies_before_the_window_is_not_known() {
     let window = window();
-    assert!(window.is_decided(9, NOW));
+    assert!(window.can_answer(9, NOW));
     assert_eq!(window.part(9, NOW), None);
 }
 
 #[test]
 fn a_question_waits_until_there_is_news() {
     let mut window = window();
-    assert!(window.is_decided(12, NOW));
-    assert!(!window.is_decided(16, NOW));
-    assert!(!window.read(20, Vec::new(), 30, SURE_UNTIL, None));
-    assert!(!window.is_decided(16, NOW));
-    assert!(window.read(30, vec![record(31, "a", "")], 40, SURE_UNTIL, None));
-    assert!(window.is_decided(16, NOW));
+    assert!(window.can_answer(12, NOW));
+    assert!(!window.can_answer(16, NOW));
+    assert!(!window.record_read(20, Vec::new(), 30, SURE_UNTIL, None));
+    assert!(!window.can_answer(16, NOW));
+    assert!(window.record_read(30, vec![record(31, "a", "")], 40, SURE_UNTIL, None));
+    assert!(window.can_answer(16, NOW));
     assert_eq!(offsets(window.part(16, NOW)), Some((vec![31], 40)));
 }
 
 #[test]
 fn a_reader_that_missed_a_part_begins_anew() {
     let mut window = window();
-    window.read(50, vec![record(51, "a", "y")], 60, SURE_UNTIL, None);
+    window.record_read(50, vec![record(51, "a", "y")], 60, SURE_UNTIL, None);
     assert_eq!(window.part(20, NOW), None);
     assert_eq!(offsets(window.part(50, NOW)), Some((vec![51], 60)));
 }
@@ -73,11 +73,11 @@
 #[test]
 fn nobody_relies_on_a_reader_that_the_log_does_not_answer() {
     let mut window = window();
-    assert!(window.not_sure());
-    assert!(!window.not_sure());
-    assert!(window.is_decided(16, NOW));
+    assert!(window.invalidate());
+    assert!(!window.invalidate());
+    assert!(window.can_answer(16, NOW));
     assert_eq!(window.part(16, NOW), None);
-    window.read(20, Vec::new(), 21, SURE_UNTIL, Some(Duration::from_secs(8)));
+    window.record_read(20, Vec::new(), 21, SURE_UNTIL, Some(Duration::from_secs(8)));
     let part = window.part(16, NOW).expect("a part");
     assert_eq!(part.returned_ago, Some(Duration::from_secs(1)));
 }
@@ -87,9 +87,9 @@
 fn a_reader_that_has_read_nothing_for_long_is_not_relied_on() {
     let window = window();
     let before = SURE_UNTIL - Duration::from_millis(1);
-    assert!(!window.is_decided(16, before));
+    assert!(!window.can_answer(16, before));
     assert!(window.part(16, before).is_some());
-    assert!(window.is_decided(16, SURE_UNTIL));
+    assert!(window.can_answer(16, SURE_UNTIL));
     assert_eq!(window.part(16, SURE_UNTIL), None);
 }
 
@@ -98,7 +98,7 @@
     let mut window = TailWindow::default();
     let records = (0..5_000).map(|offset| record(offset, &format!("key-{offset}"), "x"));
     let records = records.collect();
-    window.read(0, records, 5_000, SURE_UNTIL, None);
+    window.record_read(0, records, 5_000, SURE_UNTIL, None);
     assert_eq!(window.part(0, NOW), None);
     let part = window.part(4_000, NOW).expect("a part");
     assert_eq!(part.records.len(), 1_000);
@@ -112,7 +112,7 @@
         record(3, "gone", ""),
         record(4, "same", "x"),
     ];
-    let kept = news(&records, |record| record.value != "x");
+    let kept = relevant_records(&records, |record| record.value != "x");
     let kept: Vec<u64> = kept.iter().map(|record| record.offset).collect();
     assert_eq!(kept, [2, 3]);
 }
@@ -126,7 +126,7 @@
         record(3, "b", ""),
         record(4, "b", "ready"),
     ];
-    let kept = news(&records, |record| record.value != "ready");
+    let kept = relevant_records(&records, |record| record.value != "ready");
     let kept: Vec<u64> = kept.iter().map(|record| record.offset).collect();
     assert_eq!(kept, [1, 2, 3, 4]);
 }
@@ -141,10 +141,10 @@
         record(1, "b", "x"),
         record(2, "a", "y"),
     ];
-    window.read(0, records, 3, SURE_UNTIL, None);
+    window.record_read(0, records, 3, SURE_UNTIL, None);
     assert_eq!(offsets(window.part(0, NOW)), Some((vec![1, 2], 3)));
-    window.read(3, vec![record(3, "a", "")], 4, SURE_UNTIL, None);
+    window.record_read(3, vec![record(3, "a", "")], 4, SURE_UNTIL, None);
     assert_eq!(offsets(window.part(0, NOW)), Some((vec![1, 3], 4)));
     assert_eq!(offsets(window.part(3, NOW)), Some((vec![3], 4)));
-    assert!(!window.is_decided(4, NOW));
+    assert!(!window.can_answer(4, NOW));
 }
--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdSpec {
     /// How long a worker is cold after a start.
-    pub lasts: Duration,
+    pub cold_period: Duration,
     /// Requests that it bears a second meanwhile.
     pub per_second: f64,
 }
@@ -293,11 +293,11 @@
 
 /// The configuration in force. Versions only rise.
 #[derive(Debug, Default)]
-pub struct Versioned {
+pub struct CurrentConfiguration {
     current: Option<Arc<Configuration>>,
 }
 
-impl Versioned {
+impl CurrentConfiguration {
     /// The configuration in force, if any is known.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.clone()
--- a/crates/swiftshunt-routing/src/lib.rs
+++ b/crates/swiftshunt-routing/src/lib.rs
@@ -6,8 +6,8 @@
 mod tenants;
 
 pub use configuration::{
-    ColdSpec, Configuration, ConfigurationError, EngineSpec, Installed, Limits, Repeat, Route,
-    RouteKind, Service, Share, Versioned,
+    ColdSpec, Configuration, ConfigurationError, CurrentConfiguration, EngineSpec, Installed,
+    Limits, Repeat, Route, RouteKind, Service, Share,
 };
 pub use split::SplitState;
 pub use tenants::{Caller, Credentials, KeyDigest, Rejected, Tenant, TenantError, Tenants};
--- a/crates/swiftshunt-routing/tests/routing.rs
+++ b/crates/swiftshunt-routing/tests/routing.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use swiftshunt_routing::{
-    Configuration, ConfigurationError, Installed, Limits, Repeat, Route, RouteKind, Share,
-    SplitState, Versioned,
+    Configuration, ConfigurationError, CurrentConfiguration, Installed, Limits, Repeat, Route,
+    RouteKind, Share, SplitState,
 };
 use swiftshunt_topology::Residency;
 use swiftshunt_types::RegionName;
@@ -65,7 +65,7 @@
 
 #[test]
 fn versions_only_rise() {
-    let mut versioned = Versioned::default();
+    let mut versioned = CurrentConfiguration::default();
     assert!(versioned.current().is_none());
     for (offered, outcome) in [
         (7, Installed::Taken),
