--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that is in force, and the rule that it never goes back.
+//! Configurations of routes, services and tenants, and the one in force, whose version only rises.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -10,118 +10,118 @@
 
 use crate::tenants::{Caller, Credentials, Rejected, TenantError, Tenants};
 
-/// What a route carries.
+/// The kind of traffic that a route carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// One answer to one request.
+    /// One response to each request.
     Unary,
-    /// A sequence of events.
+    /// A response that is a sequence of events.
     Stream,
-    /// Batch jobs.
+    /// Batch jobs, whose items run later.
     Batch,
 }
 
-/// Whether a request may run more than once.
+/// Whether one request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// As often as is needed.
+    /// Retries may run it again.
     Allowed,
-    /// At most once for each attempt of the caller.
+    /// It runs at most once each time that the caller sends it.
     Forbidden,
 }
 
-/// One service's part of a route's requests.
+/// The share of a route's requests that one service gets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The service.
+    /// The service's name.
     pub service: String,
-    /// Its weight against the weights of the other parts.
+    /// Weight relative to the other shares of the route; 0 gets no requests while another service is usable.
     pub weight: u32,
 }
 
-/// A route.
+/// A route: which requests it matches, which services serve them and under which limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name, by which settings and messages refer to the route.
     pub name: String,
-    /// The host that requests name.
+    /// Host of the requests that the route matches, compared without regard to case.
     pub host: String,
-    /// The beginning of the paths that it takes; ends with a slash.
+    /// Prefix of the paths that the route matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What it carries.
+    /// The kind of traffic.
     pub kind: RouteKind,
-    /// Whether its requests may run more than once.
+    /// Whether a request of this route may be run more than once.
     pub repeat: Repeat,
-    /// Whether a stream may go on at another worker.
+    /// Whether another worker can continue a stream that broke off.
     pub resumable: bool,
-    /// The services that serve it; never empty.
+    /// The services that serve the route, with their weights; never empty.
     pub shares: Vec<Share>,
-    /// The longest that a request is held.
+    /// Time after which a request is given up.
     pub timeout: Duration,
-    /// Time to the answer, or to a stream's first event, that earns full credit.
+    /// Latency objective: time to the response, or to the first event of a stream.
     pub objective: Duration,
-    /// Most workers that one request is sent to.
+    /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
-    /// Rank; 0 is highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Whether callers need no key.
+    /// Whether callers may use the route without a key.
     pub is_public: bool,
-    /// Longest pause between events that is still in time.
+    /// Longest pause between two events of a stream that still meets the objective; `None` if there is none.
     pub pause_target: Option<Duration>,
-    /// Time within which a batch job's results are due.
+    /// Time within which the results of a batch job are due; `None` if there is no target.
     pub completion_target: Option<Duration>,
-    /// Age at which an item of a batch job may be given up.
+    /// Age from which an item of a batch job may be given up; `None` if items are never too old.
     pub give_up_after: Option<Duration>,
-    /// Tokens of a batch route's items that may wait at a time; none where there is no limit.
+    /// Limit of the tokens of a batch route's items that wait at the same time; `None` if there is no limit.
     pub waiting_tokens: Option<u64>,
-    /// Where its requests may be handled.
+    /// Regions in which requests of the route may be handled.
     pub residency: Residency,
 }
 
-/// What is known of the engines of a service.
+/// Capacity of one model engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Tokens that the memory holds.
+    /// Capacity of the KV cache, in tokens.
     pub memory_tokens: u64,
 }
 
-/// What workers of a service bear after a start.
+/// The load that a worker of a service can bear just after it has started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdSpec {
-    /// How long a worker is cold after a start.
+    /// Time after its start during which a worker is cold.
     pub cold_period: Duration,
-    /// Requests that it bears a second meanwhile.
+    /// Maximum number of requests per second to a cold worker.
     pub per_second: f64,
 }
 
-/// A service.
+/// A service: the workers that requests are sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Connections that a worker accepts from all callers together.
+    /// Maximum number of connections that one worker accepts from all clients together.
     pub connection_cap: u32,
-    /// Set where the workers are model engines.
+    /// Capacity of the workers if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// Set where workers bear less than usual after a start.
+    /// Limit for cold workers; `None` if a worker bears full load from its start.
     pub cold: Option<ColdSpec>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits of the size and duration of what a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time within which a head is there.
+    /// Time within which the head of a request must be complete.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
-    /// What holds until a configuration is known.
+    /// Returns the limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             header_bytes: 64 << 10,
@@ -132,46 +132,46 @@
     }
 }
 
-/// A configuration, whole.
+/// One version of the complete configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Its version.
+    /// Version; a configuration replaces only one with a lower version.
     pub version: u64,
-    /// Routes.
+    /// All routes.
     pub routes: Vec<Arc<Route>>,
-    /// Services by name.
+    /// All services, by name.
     pub services: BTreeMap<String, Service>,
-    /// Limits for callers.
+    /// Limits of what callers send.
     pub limits: Limits,
-    /// Tenants; none where callers need no keys.
+    /// The tenants; `None` if callers need no keys.
     pub tenants: Option<Tenants>,
 }
 
-/// Why a configuration is not taken.
+/// The reason why a configuration is rejected.
 #[derive(Debug, Display, Error, From, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// A route without a service to go to.
+    /// A route without a service whose weight is above zero.
     #[display("routes.{route}: no service with a weight above zero")]
     NoShare {
-        /// The route.
+        /// The route's name.
         route: String,
     },
-    /// A prefix that neither begins nor ends as prefixes do.
+    /// A path prefix that does not both begin and end with a slash.
     #[display("routes.{route}.prefix: `{prefix}` must begin and end with a slash")]
     Prefix {
-        /// The route.
+        /// The route's name.
         route: String,
-        /// What stands there.
+        /// The prefix in the configuration.
         prefix: String,
     },
-    /// Tenants that cannot be told apart or limited.
+    /// A tenant with an invalid name, key or limit.
     #[display("{_0}")]
     #[from]
     Tenants(TenantError),
 }
 
 impl Configuration {
-    /// Refuses what cannot be served.
+    /// Checks the prefixes and weights of all routes and the tenants; returns the first fault.
     pub fn validate(&self) -> Result<(), ConfigurationError> {
         for route in &self.routes {
             let prefix = &route.path_prefix;
@@ -192,7 +192,9 @@
         Ok(())
     }
 
-    /// Who calls on a route.
+    /// Identifies the caller of a request on a route by its credentials.
+    ///
+    /// Fails if the route requires a key and the credentials hold none that is known.
     pub fn caller(&self, route: &Route, credentials: &Credentials) -> Result<Caller, Rejected> {
         match &self.tenants {
             None => Ok(Caller::Unchecked),
@@ -200,7 +202,8 @@
         }
     }
 
-    /// Where a caller's requests on a route may be handled: route and tenant each bind.
+    /// Returns the regions in which a caller's requests on a route may be handled: those that both the route
+    /// and the caller's tenant allow.
     pub fn residency(route: &Route, caller: &Caller) -> Residency {
         match caller.tenant() {
             Some(tenant) => route.residency.and(&tenant.residency),
@@ -208,7 +211,8 @@
         }
     }
 
-    /// Where what a tenant of that name has handed in on a route may be handled.
+    /// Returns the regions in which a job that the tenant named `tenant` submitted on a route may be handled.
+    /// A tenant that the configuration does not know adds no restriction.
     pub fn residency_of(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
         let tenants = self.tenants.as_ref();
         let tenant = tenant.and_then(|name| tenants?.named(name));
@@ -218,9 +222,11 @@
         }
     }
 
-    /// The regions of a deployment whose gateways run batch jobs and read their records: all of them, narrowed by
-    /// each batch route, and by each tenant on it, as long as a region is left. Every gateway finds the same. A
-    /// job that may not be handled in all of them is not taken.
+    /// Returns the regions of a deployment whose gateways run batch jobs and read their records.
+    ///
+    /// These are all regions, narrowed in turn by each batch route and by each tenant on it; a restriction that
+    /// would leave no region is skipped. Every gateway computes the same regions from the same configuration. A
+    /// job that may not be handled in all of them is rejected.
     pub fn regions_of_jobs(&self, deployment: &[RegionName]) -> BTreeSet<RegionName> {
         let mut regions: BTreeSet<RegionName> = deployment.iter().cloned().collect();
         for residency in self.residencies_of_jobs() {
@@ -243,26 +249,29 @@
         })
     }
 
-    /// Who makes a call about a batch job, which names no route: where jobs may be handed in without a
-    /// key, they may be asked for without one.
+    /// Identifies the caller of a request about an existing batch job, which names no route.
+    ///
+    /// A caller without a key is accepted if any batch route is public, because jobs can be submitted there
+    /// without a key. A key that is shown must be valid in any case.
     pub fn job_caller(&self, credentials: &Credentials) -> Result<Caller, Rejected> {
         let Some(tenants) = &self.tenants else {
             return Ok(Caller::Unchecked);
         };
-        let batch = |route: &Arc<Route>| route.kind == RouteKind::Batch && route.is_public;
-        let is_public = self.routes.iter().any(batch);
+        let is_public_batch =
+            |route: &Arc<Route>| route.kind == RouteKind::Batch && route.is_public;
+        let is_public = self.routes.iter().any(is_public_batch);
         match credentials {
             Credentials::Missing => tenants.caller(is_public, credentials),
             Credentials::Unreadable | Credentials::Key(_) => tenants.caller(false, credentials),
         }
     }
 
-    /// The route of a name.
+    /// Returns the route with this name.
     pub fn route_named(&self, name: &str) -> Option<&Arc<Route>> {
         self.routes.iter().find(|route| route.name == name)
     }
 
-    /// The route of a host with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self
             .routes
@@ -273,37 +282,37 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Services that batch jobs go to.
+    /// Returns the names of the services that serve batch routes.
     pub fn batch_services(&self) -> BTreeSet<&str> {
-        let batch = self.routes.iter();
-        let batch = batch.filter(|route| route.kind == RouteKind::Batch);
+        let routes = self.routes.iter();
+        let batch = routes.filter(|route| route.kind == RouteKind::Batch);
         let shares = batch.flat_map(|route| &route.shares);
         shares.map(|share| share.service.as_str()).collect()
     }
 }
 
-/// Outcome of offering a configuration.
+/// Outcome of [`CurrentConfiguration::install`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Installed {
-    /// It is in force.
+    /// The offered configuration is now in force.
     Taken,
-    /// The version in force is this one or a newer one.
+    /// The version in force is the same or newer; nothing changed.
     NotNewer,
 }
 
-/// The configuration in force. Versions only rise.
+/// The configuration in force. Its version never decreases.
 #[derive(Debug, Default)]
 pub struct CurrentConfiguration {
     current: Option<Arc<Configuration>>,
 }
 
 impl CurrentConfiguration {
-    /// The configuration in force, if any is known.
+    /// Returns the configuration in force; `None` until the first one is installed.
     pub fn current(&self) -> Option<Arc<Configuration>> {
         self.current.clone()
     }
 
-    /// Takes over a configuration if it is newer than what is in force.
+    /// Puts a configuration into force if its version is higher than the one in force.
     pub fn install(&mut self, offered: Configuration) -> Installed {
         let newer = self
             .current
--- a/crates/swiftshunt-routing/src/lib.rs
+++ b/crates/swiftshunt-routing/src/lib.rs
@@ -1,5 +1,6 @@
-//! Routing, without I/O: the versioned configuration in the product's own terms, the match of a
-//! request to a route, the shares of a split, and which tenant a caller belongs to.
+//! Routing, without I/O: the versioned configuration in a form independent of the platform's encoding, the
+//! match of a request to a route, the split of a route's requests among services, and the lookup of a
+//! caller's tenant.
 
 mod configuration;
 mod split;
--- a/crates/swiftshunt-routing/src/split.rs
+++ b/crates/swiftshunt-routing/src/split.rs
@@ -1,19 +1,19 @@
-//! Shares of a split: smooth weighted round robin, so that every short run of requests already has
-//! the shares of the weights.
+//! Split of a route's requests among services: smooth weighted round robin, so that even a short run of
+//! requests is divided in proportion to the weights.
 
 use std::collections::HashMap;
 
 use crate::{Route, Share};
 
-/// Credits of the parts of each route.
+/// Round-robin credits of the services of each route, by the route's name.
 #[derive(Debug, Default)]
 pub struct SplitState {
     credits: HashMap<String, Vec<(String, i64)>>,
 }
 
 impl SplitState {
-    /// The service of the next request of `route`, among the parts that `usable` accepts; among all
-    /// of them if it accepts none.
+    /// Selects the service for the next request of `route`, among those that have a weight above zero and that
+    /// `usable` accepts; among all services of the route if there is none.
     pub fn next<'r>(&mut self, route: &'r Route, usable: impl Fn(&str) -> bool) -> &'r str {
         if let [only] = route.shares.as_slice() {
             return &only.service;
--- a/crates/swiftshunt-routing/src/tenants.rs
+++ b/crates/swiftshunt-routing/src/tenants.rs
@@ -1,6 +1,6 @@
-//! Tenants: their keys, their limits, and to which of them a caller belongs.
+//! Tenants: their keys and limits, and the lookup of a caller's tenant.
 //!
-//! Keys themselves never come this far: whoever reads them hands over their digests.
+//! This module sees only digests of keys; the code that reads a key computes its digest.
 
 use std::collections::{BTreeSet, HashMap};
 use std::fmt;
@@ -10,19 +10,20 @@
 use swiftshunt_topology::Residency;
 use swiftshunt_types::{RateLimit, TenantName};
 
-/// What sets digests of keys apart from those of anything else.
+/// Key derivation context of BLAKE3; it separates digests of callers' keys from digests of other data.
 const DIGEST_CONTEXT: &str = "swiftshunt 2026-12 caller key";
 
-/// Bytes of a digest: it is passed on with each configuration, and 128 bits tell keys apart.
+/// Size of a digest in bytes. Each configuration carries the digests of all keys, so they are short; 128 bits are
+/// enough to tell keys apart.
 const DIGEST_BYTES: usize = 16;
 
-/// A digest of a caller's key. How long a look-up takes says nothing of how much of a key was right, since
-/// a key that is nearly right has another digest.
+/// The digest of a caller's key. The duration of a lookup does not reveal how much of a guessed key is right,
+/// because a nearly right key has an unrelated digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         let mut digest = [0; DIGEST_BYTES];
         let mut hasher = blake3::Hasher::new_derive_key(DIGEST_CONTEXT);
@@ -31,12 +32,12 @@
         Self(digest)
     }
 
-    /// In hexadecimal digits.
+    /// Returns the digest as hexadecimal digits.
     pub fn to_hex(self) -> String {
         hex::encode(self.0)
     }
 
-    /// From hexadecimal digits; none if they are no digest.
+    /// Parses hexadecimal digits; returns `None` if they are not a digest.
     pub fn from_hex(digits: &str) -> Option<Self> {
         let mut digest = [0; DIGEST_BYTES];
         hex::decode_to_slice(digits, &mut digest).ok()?;
@@ -50,73 +51,73 @@
     }
 }
 
-/// A tenant.
+/// A tenant: callers that share keys, a priority and a rate limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name; unique, not empty and without control characters.
     pub name: TenantName,
-    /// Digests of its keys; without any nobody can call in its name.
+    /// Digests of the tenant's keys; if there are none, no caller can act as this tenant.
     pub keys: Vec<KeyDigest>,
-    /// Rank, which goes before that of routes; 0 is highest.
+    /// Priority, which takes precedence over that of routes; 0 is the highest.
     pub priority: u32,
-    /// Limit of its requests over all gateways together; none if there is none.
+    /// Limit of the tenant's requests over all gateways together; `None` if there is no limit.
     pub rate: Option<RateLimit>,
-    /// Where its requests may be handled.
+    /// Regions in which the tenant's requests may be handled.
     pub residency: Residency,
 }
 
-/// Why tenants are not taken.
+/// The reason why the tenants of a configuration are rejected.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum TenantError {
-    /// A name that is empty or no text.
+    /// A name that is empty or contains control characters.
     #[display("tenants: a tenant has no name, or one with control characters")]
     Name,
-    /// Two tenants of one name.
+    /// Two tenants with the same name.
     #[display("tenants.{tenant}: there are two of that name")]
-    TwoOfAName {
-        /// The name.
+    DuplicateName {
+        /// The name that is used twice.
         tenant: TenantName,
     },
     /// A key that belongs to two tenants.
     #[display("tenants.{tenant}: a key belongs to {other}, too")]
     SharedKey {
-        /// One of them.
+        /// One of the two tenants.
         tenant: TenantName,
-        /// The other.
+        /// The other tenant.
         other: TenantName,
     },
-    /// A limit that is no number of requests.
+    /// A rate limit that is negative or not finite.
     #[display("tenants.{tenant}: its limit of requests must be a number from 0 on")]
     Rate {
-        /// The tenant.
+        /// The tenant with that limit.
         tenant: TenantName,
     },
 }
 
-/// What a caller shows of itself.
+/// The credentials that a request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// Nothing.
+    /// The request carries no credentials.
     Missing,
-    /// Something that is no key: another scheme, several keys, blanks, too long.
+    /// The credentials are not a key: another scheme, several keys, blanks within, or too long.
     Unreadable,
-    /// A key.
+    /// The digest of the key that the request carries.
     Key(KeyDigest),
 }
 
-/// Who calls.
+/// The caller of a request, as identified by its credentials.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Caller {
-    /// Anyone: the configuration has no tenants, and what callers show concerns workers alone.
+    /// Any caller: the configuration has no tenants, and only workers evaluate the credentials.
     Unchecked,
-    /// Anyone, on a route that is open to all.
+    /// A caller without a known key, on a public route.
     Anyone,
-    /// A tenant.
+    /// A caller with a key of this tenant.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, if it is one.
+    /// Returns the caller's tenant; `None` if the caller was not identified as one.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
@@ -124,27 +125,27 @@
         }
     }
 
-    /// The tenant's name, if it is one.
+    /// Returns the name of the caller's tenant; `None` if the caller was not identified as one.
     pub fn tenant_name(&self) -> Option<&TenantName> {
         self.tenant().map(|tenant| &tenant.name)
     }
 }
 
-/// Why a caller is not served.
+/// The reason why a caller is rejected.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Rejected {
-    /// It shows no key.
+    /// The request carries no credentials.
     #[display("no key")]
     NoKey,
-    /// What it shows is no key.
+    /// The credentials are not a key.
     #[display("not a key")]
     Unreadable,
-    /// No tenant has the key.
+    /// The key belongs to no tenant.
     #[display("unknown key")]
     UnknownKey,
 }
 
-/// All tenants of a configuration.
+/// All tenants of a configuration, with an index by key.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tenants {
     all: Vec<Arc<Tenant>>,
@@ -152,7 +153,8 @@
 }
 
 impl Tenants {
-    /// The tenants, by their keys.
+    /// Indexes the tenants by their keys. Call [`Configuration::validate`](crate::Configuration::validate) to
+    /// reject duplicate names and keys.
     pub fn new(tenants: Vec<Tenant>) -> Self {
         let all: Vec<Arc<Tenant>> = tenants.into_iter().map(Arc::new).collect();
         let by_key = all.iter().flat_map(|tenant| {
@@ -165,28 +167,26 @@
         }
     }
 
-    /// All tenants.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.all.iter()
     }
 
-    /// The tenant of a name.
     pub(crate) fn named(&self, name: &TenantName) -> Option<&Arc<Tenant>> {
         self.all.iter().find(|tenant| tenant.name == *name)
     }
 
-    /// Refuses tenants that cannot be told apart or limited.
+    /// Checks the names, keys and rate limits of all tenants; returns the first fault.
     pub(crate) fn validate(&self) -> Result<(), TenantError> {
         let mut names = BTreeSet::new();
         for tenant in &self.all {
             let name = &tenant.name;
-            let is_text = !name.as_str().chars().any(char::is_control);
-            if name.as_str().is_empty() || !is_text {
+            let has_no_control_chars = !name.as_str().chars().any(char::is_control);
+            if name.as_str().is_empty() || !has_no_control_chars {
                 return Err(TenantError::Name);
             }
             if !names.insert(name) {
                 let tenant = name.clone();
-                return Err(TenantError::TwoOfAName { tenant });
+                return Err(TenantError::DuplicateName { tenant });
             }
             self.validate_keys(tenant)?;
             validate_rate(tenant)?;
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Who calls with these credentials. A key that is known names its tenant on public routes, too.
+    /// Identifies the caller by its credentials. A known key identifies its tenant on public routes, too.
     pub(crate) fn caller(
         &self,
         is_public: bool,
@@ -229,9 +229,11 @@
 }
 
 fn validate_rate(tenant: &Tenant) -> Result<(), TenantError> {
-    let is_number = |requests: f64| requests.is_finite() && requests >= 0.0;
-    let is_sound = |rate: RateLimit| is_number(rate.per_second) && is_number(rate.burst);
-    if tenant.rate.is_none_or(is_sound) {
+    let is_finite_non_negative = |requests: f64| requests.is_finite() && requests >= 0.0;
+    let is_valid = |rate: RateLimit| {
+        is_finite_non_negative(rate.per_second) && is_finite_non_negative(rate.burst)
+    };
+    if tenant.rate.is_none_or(is_valid) {
         return Ok(());
     }
     Err(TenantError::Rate {
--- a/crates/swiftshunt-routing/tests/routing.rs
+++ b/crates/swiftshunt-routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Match of routes, versions that only rise, shares of splits.
+//! Matching of routes, versions of the configuration, weighted splits and regions of jobs.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn versions_only_rise() {
+fn an_equal_or_older_version_is_not_installed() {
     let mut versioned = CurrentConfiguration::default();
     assert!(versioned.current().is_none());
     for (offered, outcome) in [
@@ -82,19 +82,19 @@
 }
 
 #[test]
-fn what_cannot_be_served_is_refused_and_named() {
+fn a_bad_prefix_or_a_route_without_weights_is_rejected() {
     let bad = configuration(1, vec![route("r", "h", "/x", &[("s", 1)])]);
     assert!(matches!(
         bad.validate(),
         Err(ConfigurationError::Prefix { .. })
     ));
     let bad = configuration(1, vec![route("r", "h", "/x/", &[("s", 0)])]);
-    let error = bad.validate().expect_err("no share");
+    let error = bad.validate().expect_err("the only share has weight 0");
     assert!(error.to_string().contains("routes.r"));
 }
 
 #[test]
-fn every_short_run_of_a_split_has_the_shares_of_its_weights() {
+fn every_ten_requests_are_split_by_weight() {
     let route = route("r", "h", "/", &[("a", 90), ("b", 10)]);
     let mut split = SplitState::default();
     for run in 0..20 {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_part_without_workers_leaves_its_share_to_the_others() {
+fn an_unusable_service_leaves_its_share_to_the_others() {
     let route = route("r", "h", "/", &[("a", 1), ("b", 1)]);
     let mut split = SplitState::default();
     for _ in 0..10 {
@@ -116,9 +116,10 @@
     assert!(["a", "b"].contains(&all_gone));
 }
 
-/// Jobs share partitions: they run where all of them may, as long as there is such a region.
+/// Jobs of all routes share partitions, so they run only in regions that every batch route allows; a route that
+/// has no region in common with the earlier ones is skipped.
 #[test]
-fn jobs_run_where_all_of_them_may() {
+fn jobs_run_in_regions_that_every_batch_route_allows() {
     let region = |name: &str| RegionName(name.to_owned());
     let deployment = ["east", "north", "south"].map(region);
     let batch = |name: &str, regions: &[&str]| {
@@ -140,7 +141,7 @@
     assert_eq!(regions(vec![Arc::clone(&two)]), "north south");
     let one = batch("one", &["south"]);
     assert_eq!(regions(vec![Arc::clone(&two), one]), "south");
-    // It shares none with those before it: theirs go on.
+    // This route has no region in common with the one before it, so it does not narrow the regions.
     let apart = batch("apart", &["east"]);
     assert_eq!(regions(vec![two, apart]), "north south");
 }
--- a/crates/swiftshunt-routing/tests/tenants.rs
+++ b/crates/swiftshunt-routing/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Who is calling, and which tenants are not taken.
+//! Identification of callers by their keys, and validation of tenants.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -82,7 +82,10 @@
 #[test_case(true, key("one") => Ok(Some("a".to_owned())); "a public route, a known key")]
 #[test_case(true, key("x") => Ok(None); "a public route, an unknown key")]
 #[test_case(true, Credentials::Missing => Ok(None); "a public route, no key")]
-fn callers(is_public: bool, credentials: Credentials) -> Result<Option<String>, Rejected> {
+fn callers_are_identified_by_their_keys(
+    is_public: bool,
+    credentials: Credentials,
+) -> Result<Option<String>, Rejected> {
     let tenants = vec![tenant("a", &["one", "two"]), tenant("b", &["three"])];
     let configuration = configuration(Some(tenants), Vec::new());
     name_of(configuration.caller(&route(RouteKind::Unary, is_public), &credentials))
@@ -91,7 +94,7 @@
 #[test_case(key("one"))]
 #[test_case(Credentials::Missing; "no key")]
 #[test_case(Credentials::Unreadable; "no readable key")]
-fn without_tenants_nobody_is_asked(credentials: Credentials) {
+fn without_tenants_no_key_is_checked(credentials: Credentials) {
     let configuration = configuration(None, Vec::new());
     let caller = configuration.caller(&route(RouteKind::Unary, false), &credentials);
     assert_eq!(caller, Ok(Caller::Unchecked));
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn with_an_empty_list_of_tenants_nobody_is_let_in() {
+fn with_an_empty_list_of_tenants_every_key_is_rejected() {
     let configuration = configuration(Some(Vec::new()), Vec::new());
     let caller = configuration.caller(&route(RouteKind::Unary, false), &key("one"));
     assert_eq!(caller, Err(Rejected::UnknownKey));
@@ -113,7 +116,7 @@
 #[test_case(false, key("k") => Ok(Some("a".to_owned())); "a known key")]
 #[test_case(true, Credentials::Missing => Ok(None); "public jobs, no key")]
 #[test_case(true, key("x") => Err(Rejected::UnknownKey); "public jobs, an unknown key")]
-fn callers_about_jobs(
+fn callers_of_job_requests_are_identified_by_their_keys(
     is_public: bool,
     credentials: Credentials,
 ) -> Result<Option<String>, Rejected> {
@@ -123,20 +126,22 @@
 }
 
 #[test_case(vec![tenant("a", &["k"]), tenant("b", &["k"])], "key belongs to"; "a key of two tenants")]
-#[test_case(vec![tenant("a", &["k"]), tenant("a", &["l"])], "two of that name"; "two of a name")]
+#[test_case(vec![tenant("a", &["k"]), tenant("a", &["l"])], "two of that name"; "two tenants of one name")]
 #[test_case(vec![tenant("", &["k"])], "has no name"; "no name")]
 #[test_case(vec![tenant("a\r\nb", &["k"])], "control characters"; "a name with control characters")]
 #[test_case(vec![limited(-1.0, 0.0)], "limit of requests"; "a rate below zero")]
-#[test_case(vec![limited(f64::NAN, 0.0)], "limit of requests"; "a rate that is no number")]
-#[test_case(vec![limited(1.0, f64::INFINITY)], "limit of requests"; "an endless burst")]
-fn tenants_that_are_not_taken(tenants: Vec<Tenant>, reason: &str) {
+#[test_case(vec![limited(f64::NAN, 0.0)], "limit of requests"; "a rate that is not a number")]
+#[test_case(vec![limited(1.0, f64::INFINITY)], "limit of requests"; "an infinite burst")]
+fn invalid_tenants_are_rejected(tenants: Vec<Tenant>, reason: &str) {
     let error = configuration(Some(tenants), Vec::new()).validate();
-    let error = error.expect_err("not taken").to_string();
+    let error = error
+        .expect_err("invalid tenants were accepted")
+        .to_string();
     assert!(error.contains(reason), "{error}");
 }
 
 #[test]
-fn a_tenant_without_keys_is_taken_and_nobody_calls_in_its_name() {
+fn a_tenant_without_keys_is_valid_and_matches_no_caller() {
     let configuration = configuration(Some(vec![tenant("a", &[])]), Vec::new());
     assert_eq!(configuration.validate(), Ok(()));
     let caller = configuration.caller(&route(RouteKind::Unary, false), &key(""));
@@ -144,13 +149,13 @@
 }
 
 #[test]
-fn the_same_key_twice_at_one_tenant_is_one_key() {
+fn a_tenant_may_list_the_same_key_twice() {
     let configuration = configuration(Some(vec![tenant("a", &["k", "k"])]), Vec::new());
     assert_eq!(configuration.validate(), Ok(()));
 }
 
 #[test]
-fn a_digest_tells_nothing_and_comes_back_from_its_digits() {
+fn a_digest_does_not_reveal_its_key_and_is_restored_from_hex() {
     let digest = KeyDigest::of("secret-key");
     assert!(!format!("{digest:?} {}", digest.to_hex()).contains("secret"));
     assert_eq!(KeyDigest::from_hex(&digest.to_hex()), Some(digest));
