--- a/crates/swiftshunt-jobs/src/fold.rs
+++ b/crates/swiftshunt-jobs/src/fold.rs
@@ -1,4 +1,4 @@
-//! State as the fold of records.
+//! The state of the jobs of a partition, as the fold of its records in the order of their offsets.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,30 +8,30 @@
 
 use crate::{JobRecord, JobSpec, Progress, Settled};
 
-/// A batch job.
+/// The state of a batch job.
 #[derive(Debug)]
 pub struct Job {
-    /// What was handed in.
+    /// The job as its caller submitted it.
     pub spec: Arc<JobSpec>,
-    /// Results in the order of their positions.
+    /// Results in the order of their positions in the job's list.
     pub results: Vec<Settled>,
     settled: Vec<bool>,
     progress: BTreeMap<u32, Progress>,
-    /// Whether the caller ended it.
+    /// Whether the caller ended the job; unsettled items of an ended job do not run.
     pub ended: bool,
-    /// When this process first saw it, on its own steady clock: never earlier than the caller sent
-    /// it.
+    /// When this process first read the job's acceptance, by its own monotonic clock; never earlier than the
+    /// caller submitted the job.
     pub first_seen: Duration,
-    /// Keys of its records, for dropping them.
+    /// Keys of the frames of all records of the job, for dropping them from the log.
     keys: Vec<Vec<u8>>,
 }
 
-/// Results from a position on.
+/// A page of a job's results.
 #[derive(Debug)]
 pub struct Page<'j> {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: usize,
-    /// The results.
+    /// The results, in the order of their positions.
     pub results: &'j [Settled],
 }
 
@@ -48,23 +48,23 @@
         }
     }
 
-    /// Whether nothing more is to run.
+    /// Returns whether no more items are to run: the caller ended the job, or every item has a result.
     pub fn is_closed(&self) -> bool {
         self.ended || self.results.len() == self.spec.items.len()
     }
 
-    /// Whether the item has a result.
+    /// Returns whether the item has a result; also true for an index beyond the job's items.
     pub fn is_settled(&self, item: usize) -> bool {
         self.settled.get(item).copied().unwrap_or(true)
     }
 
-    /// How far an earlier runner came with an item.
+    /// Returns the progress that an earlier runner recorded for an unsettled item.
     pub fn progress(&self, item: u32) -> Option<&Progress> {
         self.progress.get(&item)
     }
 
-    /// Takes progress that goes further than what is known.
-    fn hand_over(&mut self, progress: Progress) {
+    /// Records the progress of an unsettled item if its last event is later than that of the known progress.
+    fn merge_progress(&mut self, progress: Progress) {
         if self.is_settled(progress.item as usize) {
             return;
         }
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Results from `from` on, as many as stay within `limit` bytes, at least one if there is one.
+    /// Returns results from position `from` on, as many as fit into `limit` bytes, and at least one if there is
+    /// one.
     pub fn page(&self, from: usize, limit: usize) -> Page<'_> {
         let rest = self.results.get(from..).unwrap_or_default();
         let mut bytes = 0;
@@ -103,36 +104,37 @@
     }
 }
 
-/// Bytes of a listed result beside its text.
+/// Estimated size of a listed result without its text, in bytes.
 const RESULT_OVERHEAD: usize = 128;
 
-/// What a record changed.
+/// What the application of a record changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A new job stands.
+    /// A new job was accepted; its identifier.
     Accepted(String),
-    /// Results were added to a job.
+    /// At least one result was added to the job with this identifier.
     Progress(String),
-    /// A job was ended.
+    /// The job with this identifier was ended.
     Ended(String),
-    /// The record came second, or is about a job that is not there.
+    /// No result was added and no job accepted or ended: the record repeats an earlier one, hands over progress,
+    /// came after the job's end, or concerns an unknown job or item.
     Nothing,
 }
 
-/// The jobs of a partition.
+/// The jobs of a partition, by identifier.
 #[derive(Debug, Default)]
 pub struct JobFold {
     jobs: BTreeMap<String, Job>,
 }
 
 impl JobFold {
-    /// Applies a record that lies under `keys`.
+    /// Applies a record whose frames are stored under `keys`; `now` is the process's monotonic clock.
     pub fn apply(&mut self, record: JobRecord, keys: Vec<Vec<u8>>, now: Duration) -> Effect {
         let id = record.job().to_owned();
         let effect = match record {
             JobRecord::Accepted(spec) => self.accept(spec, now),
             JobRecord::Settled { job, results } => self.settle(job, results),
-            JobRecord::HandedOver { job, progress } => self.hand_over(&job, progress),
+            JobRecord::HandedOver { job, progress } => self.merge_progress(&job, progress),
             JobRecord::Ended { job } => self.end(job),
         };
         if let Some(job) = self.jobs.get_mut(&id) {
@@ -154,21 +156,21 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return Effect::Nothing;
         };
-        let mut any = false;
+        let mut has_new_result = false;
         for result in results {
-            any |= job.settle(result);
+            has_new_result |= job.settle(result);
         }
-        if any {
+        if has_new_result {
             Effect::Progress(id)
         } else {
             Effect::Nothing
         }
     }
 
-    fn hand_over(&mut self, id: &str, progress: Vec<Progress>) -> Effect {
+    fn merge_progress(&mut self, id: &str, progress: Vec<Progress>) -> Effect {
         if let Some(job) = self.jobs.get_mut(id) {
             for item in progress {
-                job.hand_over(item);
+                job.merge_progress(item);
             }
         }
         Effect::Nothing
@@ -184,48 +186,49 @@
         }
     }
 
-    /// A job by its identifier.
+    /// Returns the job with this identifier.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// Every job.
+    /// Returns all jobs, in the order of their identifiers.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// Items of open jobs without a result, oldest job first.
+    /// Returns the items without a result of all jobs that are not closed, in the order in which the jobs were first
+    /// seen: the job, the index of the item and when the job was first seen.
     pub fn unsettled_items(&self) -> Vec<(Arc<JobSpec>, usize, Duration)> {
         let mut open: Vec<&Job> = self.jobs.values().filter(|job| !job.is_closed()).collect();
         open.sort_by_key(|job| job.first_seen);
         let items = open.into_iter().flat_map(|job| {
-            let left = (0..job.spec.items.len()).filter(|item| !job.is_settled(*item));
-            left.map(|item| (Arc::clone(&job.spec), item, job.first_seen))
+            let unsettled = (0..job.spec.items.len()).filter(|item| !job.is_settled(*item));
+            unsettled.map(|item| (Arc::clone(&job.spec), item, job.first_seen))
         });
         items.collect()
     }
 
-    /// Tokens of items without a result, by job; none of a closed one.
+    /// Returns the tokens of each job's items without a result; 0 for a closed job.
     pub fn waiting_tokens(&self) -> impl Iterator<Item = (&JobSpec, u64)> {
         self.jobs.values().map(|job| {
             if job.is_closed() {
                 return (job.spec.as_ref(), 0);
             }
             let items = job.spec.items.iter().enumerate();
-            let left = items.filter(|(index, _)| !job.is_settled(*index));
-            let tokens = total_tokens(left.map(|(_, item)| item.tokens));
+            let unsettled = items.filter(|(index, _)| !job.is_settled(*index));
+            let tokens = total_tokens(unsettled.map(|(_, item)| item.tokens));
             (job.spec.as_ref(), tokens)
         })
     }
 
-    /// Closed jobs first seen before `horizon`.
+    /// Returns the identifiers of closed jobs that were first seen before `horizon`.
     pub fn expired(&self, horizon: Duration) -> Vec<String> {
         let old = self.jobs.values().filter(|job| job.is_closed());
         let old = old.filter(|job| job.first_seen < horizon);
         old.map(|job| job.spec.id.clone()).collect()
     }
 
-    /// Forgets a job; gives the keys of its records.
+    /// Removes a job and returns the keys of its records; returns none if the job is unknown.
     pub fn forget(&mut self, id: &str) -> Vec<Vec<u8>> {
         let job = self.jobs.remove(id);
         job.map(|job| job.keys).unwrap_or_default()
--- a/crates/swiftshunt-jobs/src/lib.rs
+++ b/crates/swiftshunt-jobs/src/lib.rs
@@ -1,8 +1,8 @@
 //! Batch jobs as a fold over the records of a journal partition, without I/O.
 //!
-//! At each point the first valid record wins: the first acceptance of a job, the first result of an
-//! item, the first end. The position of a result is the order of first result records, so every
-//! node lists the same results at the same positions.
+//! The first valid record of each kind takes effect, and later ones change nothing: the first acceptance of a
+//! job, the first result of an item, the first end of a job. The position of a result in its job's list is the
+//! order in which the first results were recorded, so every node lists the same results at the same positions.
 
 mod fold;
 mod record;
--- a/crates/swiftshunt-jobs/src/record.rs
+++ b/crates/swiftshunt-jobs/src/record.rs
@@ -1,4 +1,4 @@
-//! The records of batch jobs.
+//! The records of batch jobs, as they are stored in the journal.
 
 use std::time::Duration;
 
@@ -6,47 +6,48 @@
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::TenantName;
 
-/// An item of a batch job, as its caller handed it in.
+/// An item of a batch job, as its caller submitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemSpec {
-    /// Its identifier, unique within the job.
+    /// Identifier, unique within the job.
     pub id: String,
-    /// The path that it is sent to.
+    /// Path of the request to the worker.
     pub path: String,
-    /// Headers to send.
+    /// Headers of the request to the worker.
     pub headers: Vec<(String, String)>,
-    /// Body to send.
+    /// Body of the request to the worker.
     pub body: Bytes,
-    /// Tokens of the prompt and the most that come out.
+    /// Tokens of the prompt plus the maximum number of output tokens.
     pub tokens: u64,
 }
 
-/// A batch job, as its caller handed it in.
+/// A batch job, as its caller submitted it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its identifier.
+    /// Identifier within the system; see [`qualified_job_id`].
     pub id: String,
-    /// The host that the caller named.
+    /// Host that the caller named in the submission.
     pub host: String,
-    /// The path that it was handed in at.
+    /// Path of the submission.
     pub path: String,
-    /// Its items.
+    /// The items; results refer to them by index.
     pub items: Vec<ItemSpec>,
-    /// When it was taken, in milliseconds of Unix time by the clock of the gateway that took it; 0 if
-    /// that is not known. Clocks differ and jump: it decides which item goes first, and nothing else.
+    /// When the job was accepted, in milliseconds of Unix time by the clock of the accepting gateway; 0 if unknown.
+    /// Clocks of gateways differ and jump, so this time serves only to decide which item runs first.
     #[serde(default)]
     pub taken_unix_ms: u64,
-    /// The tenant that handed it in, and for which its items run, whatever becomes of the tenant; none
-    /// where callers need no keys.
+    /// The tenant that submitted the job; its items run for this tenant even if the tenant is removed later. `None`
+    /// if the caller was not identified as a tenant.
     #[serde(default)]
     pub tenant: Option<TenantName>,
-    /// The route that it was handed in on, whose limit it counts for; none in records of earlier builds.
+    /// The route of the submission, whose limit of waiting tokens the job counts towards; `None` in records of
+    /// earlier builds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub route: Option<String>,
 }
 
-/// The identifier of a job within the system. Callers choose identifiers: those of two tenants never
-/// meet, so that a tenant's job is for another as if it did not exist.
+/// Returns the identifier of a job within the system, from the one that the caller chose. Identifiers of different
+/// tenants never collide, so that no tenant can see another tenant's job.
 pub fn qualified_job_id(tenant: Option<&TenantName>, id: &str) -> String {
     match tenant {
         None => id.to_owned(),
@@ -54,26 +55,26 @@
     }
 }
 
-/// Largest age that is believed: a clock that was set wrong tells of any.
-const OLDEST: Duration = Duration::from_secs(600);
+/// Upper bound of a job's computed age, because a clock that is set wrong can yield any age.
+const MAX_AGE: Duration = Duration::from_secs(600);
 
 impl JobSpec {
-    /// How long ago the job was taken by the clocks, at `unix_ms`; nothing if that is not known.
+    /// Returns how long before `unix_ms` the job was accepted, by wall clocks; zero if unknown, and 600 s at most.
     pub fn age(&self, unix_ms: u64) -> Duration {
         if self.taken_unix_ms == 0 {
             return Duration::ZERO;
         }
         let age = unix_ms.saturating_sub(self.taken_unix_ms);
-        Duration::from_millis(age).min(OLDEST)
+        Duration::from_millis(age).min(MAX_AGE)
     }
 }
 
-/// How an item ended.
+/// The final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemOutcome {
-    /// The whole output is there.
+    /// The output is complete.
     Completed,
-    /// It will not be tried again.
+    /// The item failed and will not be tried again.
     GivenUp,
 }
 
@@ -82,53 +83,53 @@
 pub struct Settled {
     /// Index of the item in the job.
     pub item: u32,
-    /// How it ended.
+    /// The final state of the item.
     pub outcome: ItemOutcome,
-    /// The output; empty unless completed.
+    /// The output; empty unless the outcome is `Completed`.
     pub text: String,
 }
 
-/// The output of an item so far, left by a runner for the next one.
+/// The partial output of an item, which one runner records so that the next one can continue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// Index of the item in the job.
     pub item: u32,
-    /// The last event that is in the text.
+    /// Number of the last event whose data `text` contains.
     pub last_event: u64,
-    /// Data of all events so far.
+    /// Data of all events up to `last_event`.
     pub text: String,
-    /// Runs that failed.
+    /// Number of runs of the item that failed.
     pub failures: u32,
 }
 
-/// A record.
+/// A record about a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobRecord {
-    /// The job is the system's to keep.
+    /// The system accepted the job and is responsible for it from now on.
     Accepted(JobSpec),
     /// Results of items of a job.
     Settled {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// The results.
+        /// The results; only the first one of each item counts.
         results: Vec<Settled>,
     },
-    /// Items of a job that go on with another runner.
+    /// Partial outputs of items of a job that another runner is to continue.
     HandedOver {
-        /// The job.
+        /// Identifier of the job.
         job: String,
-        /// How far they are.
+        /// The partial outputs.
         progress: Vec<Progress>,
     },
     /// The caller ended the job.
     Ended {
-        /// The job.
+        /// Identifier of the job.
         job: String,
     },
 }
 
 impl JobRecord {
-    /// The job that the record is about.
+    /// Returns the identifier of the job that the record is about.
     pub fn job(&self) -> &str {
         match self {
             Self::Accepted(spec) => &spec.id,
--- a/crates/swiftshunt-jobs/tests/fold.rs
+++ b/crates/swiftshunt-jobs/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of job records, also under thousands of seeded schedules.
+//! The fold of job records, with single records and with 3000 seeded schedules of records.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_first_record_stands() {
+fn repeated_records_change_nothing() {
     let mut fold = JobFold::default();
     let accepted = JobRecord::Accepted(spec("j", 2));
     assert_eq!(
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_ended_job_keeps_what_is_listed_and_runs_nothing_more() {
+fn an_ended_job_keeps_its_results_and_has_no_unsettled_items() {
     let mut fold = JobFold::default();
     apply(&mut fold, JobRecord::Accepted(spec("j", 2)));
     apply(&mut fold, results("j", vec![settled(0, "listed")]));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn progress_only_goes_on() {
+fn an_earlier_progress_does_not_replace_a_later_one() {
     let mut fold = JobFold::default();
     apply(&mut fold, JobRecord::Accepted(spec("j", 1)));
     for last_event in [4, 9, 6] {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn only_closed_jobs_expire_and_give_their_keys_back() {
+fn only_closed_jobs_expire_and_return_the_keys_of_their_records() {
     let mut fold = JobFold::default();
     let key = |name: &str| vec![name.as_bytes().to_vec()];
     let second = Duration::from_secs(1);
@@ -149,7 +149,7 @@
     assert!(fold.job("done").is_none());
 }
 
-/// Records as several runners and callers would write them, some of them twice and late.
+/// Records as several runners and callers write them, shuffled, with some acceptances and results repeated.
 fn schedule(random: &mut StdRng) -> Vec<JobRecord> {
     let mut records = Vec::new();
     for job in 0..random.random_range(1..4) {
@@ -174,30 +174,32 @@
     records
 }
 
-/// Every node, however it learnt the records, lists the same results at the same positions, and a
-/// position never changes once it was listed.
+/// A result that was listed at a position must stay there, and a node that restarts and reads all records again
+/// must list the same results at the same positions.
 #[test]
-fn positions_never_change_under_any_schedule() {
+fn positions_of_results_never_change_under_any_schedule() {
     for seed in 0..3_000 {
         let mut random = StdRng::seed_from_u64(seed);
         let records = schedule(&mut random);
-        let mut whole = JobFold::default();
-        let mut seen: BTreeMap<String, Vec<Settled>> = BTreeMap::new();
+        let mut original = JobFold::default();
+        let mut listed: BTreeMap<String, Vec<Settled>> = BTreeMap::new();
         for record in records.clone() {
-            apply(&mut whole, record);
-            for job in whole.jobs() {
-                let before = seen.entry(job.spec.id.clone()).or_default();
+            apply(&mut original, record);
+            for job in original.jobs() {
+                let before = listed.entry(job.spec.id.clone()).or_default();
                 assert_eq!(&job.results[..before.len()], &before[..], "seed {seed}");
                 before.clone_from(&job.results);
             }
         }
-        // A node that starts again in the middle and reads everything from the start.
+        // A node that restarted and reads all records from the beginning.
         let mut restarted = JobFold::default();
         for record in records {
             apply(&mut restarted, record);
         }
-        for job in whole.jobs() {
-            let other = restarted.job(&job.spec.id).expect("the same jobs");
+        for job in original.jobs() {
+            let other = restarted
+                .job(&job.spec.id)
+                .expect("the restarted fold lacks a job");
             assert_eq!(job.results, other.results, "seed {seed}");
             let mut items: Vec<u32> = job.results.iter().map(|result| result.item).collect();
             items.sort_unstable();
@@ -205,7 +207,7 @@
             assert_eq!(
                 items.len(),
                 job.results.len(),
-                "seed {seed}: an item stands twice"
+                "seed {seed}: an item has two results"
             );
         }
     }
