--- a/crates/swiftshunt-journal/src/assembly.rs
+++ b/crates/swiftshunt-journal/src/assembly.rs
@@ -1,8 +1,7 @@
-//! Logical records of any size, cut into frames that the log takes, and put together again.
+//! Splitting of logical records of any size into frames that fit into the log, and their reassembly.
 //!
-//! Frames carry a nonce, their number and whether they are the last. Repeated appends of the same
-//! frames change nothing: the first copy of each stands. A logical record takes effect at the
-//! offset of the frame that completed it.
+//! Each frame carries the nonce of its record, its index and the number of frames. Appending the same frames again
+//! changes nothing. A logical record takes effect at the offset of the frame that completed it.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +10,7 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// One frame as it lies in the log.
+/// A frame as it is stored in the log.
 #[derive(Serialize, Deserialize)]
 struct Frame {
     nonce: u64,
@@ -22,7 +21,7 @@
 }
 
 mod serde_bytes_compat {
-    //! Frames as CBOR byte strings.
+    //! Encodes the content of a frame as a CBOR byte string.
     use bytes::Bytes;
     use serde::{Deserialize, Deserializer, Serializer};
 
@@ -35,31 +34,32 @@
     }
 }
 
-/// Why a frame or record was not understood.
+/// A frame or record that could not be encoded or decoded.
 #[derive(Debug, Display, Error)]
 #[display("a journal record is not readable: {reason}")]
 pub struct FramingError {
-    /// The codec's reason.
+    /// The error message of the CBOR codec.
     pub reason: String,
 }
 
-/// Bytes of a frame beside its content: CBOR heads, names, numbers and the key.
+/// Upper bound of the size of a frame without its content, in bytes: CBOR headers, field names, numbers and the key.
 const FRAME_OVERHEAD: usize = 512;
 
-/// Longest name that stands in keys as it is, in bytes: a log's keys may be no longer than 255.
-const LONGEST_NAME: usize = 128;
+/// Longest name, in bytes, that a key contains unchanged; keys of the log are limited to 255 bytes.
+const MAX_NAME_BYTES: usize = 128;
 
-/// A name as it stands in keys, which logs list in text and in addresses: others than short and plain ones are
-/// told by a digest.
+/// Returns the form of a name that is used in keys. The log lists keys as text and in URLs, so a name that is long or
+/// contains other than plain characters is replaced by its digest.
 fn key_name(name: &str) -> Cow<'_, str> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
-    if name.len() <= LONGEST_NAME && name.bytes().all(is_plain) {
+    if name.len() <= MAX_NAME_BYTES && name.bytes().all(is_plain) {
         return Cow::Borrowed(name);
     }
     Cow::Owned(blake3::hash(name.as_bytes()).to_hex().to_string())
 }
 
-/// Cuts a logical record about what has a name into keyed frames of at most `limit` bytes each.
+/// Splits a logical record into frames of at most `limit` bytes each, and returns them with their keys. `name`
+/// identifies the subject of the record in the keys; `nonce` must be unique to the record.
 pub fn frames(
     name: &str,
     nonce: u64,
@@ -92,14 +92,14 @@
     Ok(framed)
 }
 
-/// A logical record, put together.
+/// A logical record, reassembled from its frames.
 #[derive(Debug)]
 pub struct LogicalRecord<T> {
-    /// Its nonce.
+    /// Nonce of the record's frames.
     pub nonce: u64,
-    /// Keys of its frames, for dropping them.
+    /// Keys of the record's frames, for dropping them from the log.
     pub keys: Vec<Vec<u8>>,
-    /// The record.
+    /// The decoded record.
     pub record: T,
 }
 
@@ -109,7 +109,7 @@
     keys: Vec<Vec<u8>>,
 }
 
-/// Puts frames together. Nonces that were complete once are passed over.
+/// Reassembles logical records from frames. Frames of a record that is already complete are ignored.
 #[derive(Debug, Default)]
 pub struct Assembly {
     partial: BTreeMap<u64, Partial>,
@@ -117,7 +117,9 @@
 }
 
 impl Assembly {
-    /// Takes a frame; gives the logical record if this frame completed it.
+    /// Adds a frame; returns the logical record if this frame completed it.
+    ///
+    /// Fails if the frame or the completed record cannot be decoded.
     pub fn add_frame<T: serde::de::DeserializeOwned>(
         &mut self,
         key: Vec<u8>,
@@ -154,7 +156,7 @@
         }))
     }
 
-    /// Forgets the nonce of a frame that was dropped from the log.
+    /// Removes the state of the record whose frame with this key was dropped from the log.
     pub fn forget(&mut self, key: &[u8]) {
         let Some(nonce) = nonce_of(key) else {
             return;
@@ -164,7 +166,7 @@
     }
 }
 
-/// The nonce in a frame's key.
+/// Extracts the nonce from a frame's key.
 fn nonce_of(key: &[u8]) -> Option<u64> {
     let key = std::str::from_utf8(key).ok()?;
     let nonce = key.rsplit(':').nth(1)?;
--- a/crates/swiftshunt-journal/src/bulk_window.rs
+++ b/crates/swiftshunt-journal/src/bulk_window.rs
@@ -1,50 +1,54 @@
-//! How many long reads are under way at a time. Pure: the times that they took are given.
+//! A limit of concurrent bulk reads of the log that adapts to their duration. Without I/O: the caller measures the
+//! durations.
 
 use std::time::Duration;
 
-/// Reads under way at first, at least and at most.
-const FIRST: f64 = 2.0;
-const FEWEST: f64 = 1.0;
-const MOST: f64 = 6.0;
-/// Time of a read up to which there may be more of them: what is urgent waits as long behind one at most.
-const SHORT: Duration = Duration::from_millis(250);
-/// Time of a read from which there are to be fewer.
-const LONG: Duration = Duration::from_millis(500);
-/// Factor by which there are fewer after a read that took long or failed.
-const BACK_OFF: f64 = 0.5;
+/// Initial, lowest and highest limit of concurrent reads.
+const INITIAL_LIMIT: f64 = 2.0;
+const MIN_LIMIT: f64 = 1.0;
+const MAX_LIMIT: f64 = 6.0;
+/// Duration of a read up to which the limit rises, so that an urgent read waits behind a bulk read for at most about
+/// this long.
+const SHORT_READ: Duration = Duration::from_millis(250);
+/// Duration of a read from which the limit falls.
+const LONG_READ: Duration = Duration::from_millis(500);
+/// Factor applied to the limit after a read that took long or failed.
+const BACK_OFF_FACTOR: f64 = 0.5;
 
-/// The reads under way, and how many there may be: more while their answers come soon, half as many after one that
-/// came late or never. What is in flight towards a thin link stays near what it delivers within that time.
+/// The number of reads in flight and its limit, which rises while responses arrive soon and is halved after one that
+/// arrived late or never. This keeps the data in flight on a slow link near what the link delivers within that time.
 #[derive(Debug)]
 pub struct BulkWindow {
     limit: f64,
-    under_way: u32,
+    in_flight: u32,
 }
 
 impl Default for BulkWindow {
     fn default() -> Self {
         Self {
-            limit: FIRST,
-            under_way: 0,
+            limit: INITIAL_LIMIT,
+            in_flight: 0,
         }
     }
 }
 
 impl BulkWindow {
-    /// Whether a read may begin; if so, it is under way from now on.
+    /// Starts a read if the limit allows it; returns whether it did. Each started read needs a call of `record_end`.
     pub fn try_begin(&mut self) -> bool {
-        let may_begin = f64::from(self.under_way) + 1.0 <= self.limit;
-        self.under_way += u32::from(may_begin);
-        may_begin
+        let may_start = f64::from(self.in_flight) + 1.0 <= self.limit;
+        self.in_flight += u32::from(may_start);
+        may_start
     }
 
-    /// A read has ended, with how long it took, or without an answer.
-    pub fn record_end(&mut self, took: Option<Duration>) {
-        self.under_way = self.under_way.saturating_sub(1);
-        match took {
-            Some(took) if took <= SHORT => self.limit = (self.limit + 1.0 / self.limit).min(MOST),
-            Some(took) if took < LONG => {}
-            Some(_) | None => self.limit = (self.limit * BACK_OFF).max(FEWEST),
+    /// Records the end of a read and adapts the limit; `duration` is `None` if the read failed.
+    pub fn record_end(&mut self, duration: Option<Duration>) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        match duration {
+            Some(duration) if duration <= SHORT_READ => {
+                self.limit = (self.limit + 1.0 / self.limit).min(MAX_LIMIT)
+            }
+            Some(duration) if duration < LONG_READ => {}
+            Some(_) | None => self.limit = (self.limit * BACK_OFF_FACTOR).max(MIN_LIMIT),
         }
     }
 }
--- a/crates/swiftshunt-journal/src/lib.rs
+++ b/crates/swiftshunt-journal/src/lib.rs
@@ -1,9 +1,8 @@
-//! The journal: what must last, as records in the partitions of an append-only log that keeps the
-//! newest record of each key.
+//! The journal: durable records in the partitions of an append-only log that keeps the newest record of each key.
 //!
-//! Each record has a key of its own, so that the newest record of every key is the whole journal,
-//! however short the log's history is. What is no longer needed is dropped by key. State is the
-//! fold of a partition's records in the order of their offsets.
+//! Each journal record has a key of its own, so the newest records of all keys are the complete journal even if the
+//! log keeps only a short history. Records that are no longer needed are dropped by key. State is the fold of a
+//! partition's records in the order of their offsets.
 
 mod assembly;
 mod bulk_window;
--- a/crates/swiftshunt-journal/src/log.rs
+++ b/crates/swiftshunt-journal/src/log.rs
@@ -1,4 +1,4 @@
-//! The log as the product needs it. Implementations translate; they decide nothing.
+//! The interface to the log. Implementations translate calls and results and make no decisions of their own.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,105 +11,105 @@
 /// A topic of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Topic {
-    /// The operators' configuration.
+    /// The configuration that operators publish.
     Configuration,
     /// The directory of workers.
     Workers,
-    /// Batch jobs.
+    /// The records of batch jobs.
     Jobs,
-    /// The gateways that are there.
+    /// The gateways that are running.
     Gateways,
-    /// Workers that ended while they ran a request.
+    /// Workers that ended while they ran a request, as evidence for the quarantine of requests.
     Quarantine,
-    /// Who counts for limits over all gateways.
+    /// The registers of limits that apply to all gateways together: which gateway counts each of them.
     Limits,
 }
 
-/// A record under a key. An empty value drops the key.
+/// A record of a keyed partition. An empty value drops the key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyedRecord {
-    /// Its place in the partition.
+    /// Offset of the record in the partition.
     pub offset: u64,
-    /// The key.
+    /// Key; a newer record replaces older ones with the same key.
     pub key: Vec<u8>,
-    /// The value.
+    /// Content; empty if the record drops its key.
     pub value: Bytes,
 }
 
-/// How an append ended.
+/// The outcome of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The records stand, the last one just before `end`.
+    /// The records were appended; the last one is just before `end`.
     Done {
-        /// End of the partition after them.
+        /// End offset of the partition after the append.
         end: u64,
     },
-    /// Nothing was done.
+    /// The log rejected the append; no record was appended.
     Refused,
-    /// No answer: the records may stand now, later or never.
+    /// The log did not answer: the records may have been appended, may still be appended later, or never.
     Unknown,
 }
 
-/// What a read gave.
+/// The outcome of a read.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadOutcome {
-    /// Records from the offset asked for.
+    /// Records from the requested offset on; possibly none.
     Records {
-        /// In the order of their offsets.
+        /// The records, in the order of their offsets.
         records: Vec<KeyedRecord>,
-        /// End of the partition.
+        /// End offset of the partition.
         end: u64,
     },
-    /// The records asked for are gone.
+    /// The log no longer keeps the records at the requested offset.
     Dropped,
 }
 
-/// A page of the newest records, one a key, in the order of keys.
+/// A page of a listing of the newest record of each key, in the order of keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewestPage {
-    /// The records.
+    /// The records of this page.
     pub records: Vec<KeyedRecord>,
-    /// Whether more follow.
+    /// Whether more pages follow.
     pub more: bool,
-    /// End of the partition as of this page.
+    /// End offset of the partition when this page was read.
     pub end: u64,
 }
 
-/// What a member of a group holds.
+/// The partitions that the group assigns to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Rises with each change of the group.
+    /// Generation of the group, which rises with each change of its members.
     pub generation: u64,
-    /// The partitions held.
+    /// The partitions that the member holds.
     pub partitions: Vec<u32>,
 }
 
-/// Why a call to the log gave nothing.
+/// The reason why a call to the log failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogError {
-    /// The log said no; nothing was done.
+    /// The log rejected the call; it had no effect.
     #[display("the log refused the call (status {status})")]
     Refused {
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// No connection was made; nothing was done.
+    /// No connection could be made; the call had no effect.
     #[display("the log is not reached: {reason}")]
     Unreachable {
-        /// What the connection said.
+        /// The error of the connection.
         reason: String,
     },
-    /// No answer, or none that can be read.
+    /// The log sent no response, or one that cannot be decoded; the call may have taken effect.
     #[display("the log did not answer: {reason}")]
     Unanswered {
-        /// What the connection said.
+        /// The error of the connection or the decoder.
         reason: String,
     },
 }
 
-/// The log.
+/// An append-only log with keyed partitions and groups that share the partitions of a topic.
 pub trait Log: Send + Sync {
-    /// Appends records of one partition, all or none.
+    /// Appends records, as pairs of key and value, to one partition: all or none.
     fn append(
         &self,
         topic: Topic,
@@ -117,7 +117,7 @@
         records: Vec<(Vec<u8>, Bytes)>,
     ) -> BoxFuture<'_, AppendOutcome>;
 
-    /// Reads from an offset on, waiting up to `wait` for a first record.
+    /// Reads records from an offset on; if there are none yet, waits up to `wait` for the first one.
     fn read(
         &self,
         topic: Topic,
@@ -126,7 +126,7 @@
         wait: Duration,
     ) -> BoxFuture<'_, Result<ReadOutcome, LogError>>;
 
-    /// Reads the newest record of each key behind `after`.
+    /// Reads a page of the newest records of the keys that follow `after`, or of all keys if it is `None`.
     fn newest(
         &self,
         topic: Topic,
@@ -134,7 +134,8 @@
         after: Option<Vec<u8>>,
     ) -> BoxFuture<'_, Result<NewestPage, LogError>>;
 
-    /// Joins the group that shares a topic's partitions, or stays in it.
+    /// Joins the group that shares a topic's partitions, or renews the membership for `ttl`; returns the partitions
+    /// that the member holds.
     fn renew<'a>(
         &'a self,
         topic: Topic,
@@ -143,9 +144,9 @@
         generation: u64,
     ) -> BoxFuture<'a, Result<Lease, LogError>>;
 
-    /// Which member of the group holds each partition of a topic.
+    /// Returns the member of the group that holds each partition of a topic.
     fn owners(&self, topic: Topic) -> BoxFuture<'_, Result<BTreeMap<u32, String>, LogError>>;
 
-    /// Leaves the group.
+    /// Leaves the group that shares a topic's partitions.
     fn leave<'a>(&'a self, topic: Topic, member: &'a str) -> BoxFuture<'a, Result<(), LogError>>;
 }
--- a/crates/swiftshunt-journal/src/tail_window.rs
+++ b/crates/swiftshunt-journal/src/tail_window.rs
@@ -1,4 +1,5 @@
-//! The newest part of a tail, as one reader passes it on to those who follow the tail through it.
+//! The newest part of a tail, which one gateway reads from the log and passes on to its followers: gateways that
+//! follow the tail through this reader.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
@@ -7,89 +8,92 @@
 
 use crate::KeyedRecord;
 
-/// Records that are kept: those who follow fall behind by some seconds at most, and one that falls
-/// further reads the log.
-const MOST_RECORDS: usize = 4_096;
+/// Maximum number of records in the window. Followers are usually at most a few seconds behind; one that is further
+/// behind reads the log itself.
+const MAX_RECORDS: usize = 4_096;
 
-/// A part of a tail.
+/// The part of a tail that the reader sends to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TailPart {
-    /// The records that matter, in the order of their offsets.
+    /// The newest relevant record of each key, in the order of their offsets.
     pub records: Vec<KeyedRecord>,
-    /// Offset up to which the reader has read.
+    /// Offset from which the follower continues: the end of what the reader has read, or the follower's own offset if
+    /// that is further.
     pub next: u64,
-    /// How long ago the log was back after it had not answered the reader, if it had not.
+    /// How long ago the log answered the reader again after an outage; `None` if the reader saw no outage.
     pub returned_ago: Option<Duration>,
 }
 
-/// Everything that matters between two offsets, and whether the reader may be relied on.
+/// The relevant records between two offsets, and the time until which the window is valid.
 #[derive(Debug, Default)]
 pub struct TailWindow {
     start: u64,
     next: u64,
     records: VecDeque<KeyedRecord>,
-    /// Until when the reader may be relied on; none while it may not.
-    sure_until: Option<Duration>,
+    /// Time until which followers may rely on the window; `None` while they may not.
+    valid_until: Option<Duration>,
     returned_at: Option<Duration>,
 }
 
 impl TailWindow {
-    /// The log answered the reader with what stands from an offset up to `next`; `records` are those
-    /// that matter of it. What was read before stays if this follows it. The next answer is due by
-    /// `sure_until`: a reader that stood still, or reads no more, must not be relied on for longer.
-    /// `returned_at` is when the log was back after it had not answered. Tells whether there is something
-    /// new.
+    /// Records that the log answered the reader with the records from offset `from` up to `next`, of which `records`
+    /// are the relevant ones. The window keeps its earlier records if `from` is where it ended, and starts anew
+    /// otherwise.
+    ///
+    /// The log's next answer is due by `valid_until`; followers must not rely on the window for longer, because the
+    /// reader may have been suspended or may have stopped reading. `returned_at` is when the log answered again after
+    /// an outage. Returns whether there are new relevant records.
     pub fn record_read(
         &mut self,
         from: u64,
         records: Vec<KeyedRecord>,
         next: u64,
-        sure_until: Duration,
+        valid_until: Duration,
         returned_at: Option<Duration>,
     ) -> bool {
-        let is_new = !records.is_empty();
+        let has_new_records = !records.is_empty();
         let records = newest_of_keys(records);
         if self.next != from {
             self.start = from;
             self.records.clear();
         }
-        self.supersede(&records);
+        self.remove_superseded(&records);
         self.records.extend(records);
-        while self.records.len() > MOST_RECORDS {
+        while self.records.len() > MAX_RECORDS {
             let oldest = self.records.pop_front();
             self.start = oldest.map_or(self.start, |record| record.offset + 1);
         }
         self.next = next;
-        self.sure_until = Some(sure_until);
+        self.valid_until = Some(valid_until);
         self.returned_at = returned_at;
-        is_new
+        has_new_records
     }
 
-    /// Drops what newer records of the same keys make needless: a configuration of 30 KB that changes every
-    /// 60 ms, passed on whole to 30 gateways, takes a link of 30 Mbit/s for seconds.
-    fn supersede(&mut self, newer: &[KeyedRecord]) {
+    /// Removes records that newer records of the same keys replace. If every version of a configuration of 30 KB that
+    /// changes every 60 ms went to 30 gateways, it would occupy a link of 30 Mbit/s for seconds.
+    fn remove_superseded(&mut self, newer: &[KeyedRecord]) {
         let keys: HashSet<&[u8]> = newer.iter().map(|record| record.key.as_slice()).collect();
         self.records
             .retain(|record| !keys.contains(record.key.as_slice()));
     }
 
-    /// The log does not answer the reader in time, or it reads no more: nobody is to rely on it. Tells
-    /// whether somebody could until now.
+    /// Marks the window as invalid, because the log does not answer the reader in time or the reader has stopped
+    /// reading. Returns whether it was marked valid before.
     pub fn invalidate(&mut self) -> bool {
-        self.sure_until.take().is_some()
+        self.valid_until.take().is_some()
     }
 
-    /// Whether there is an answer to a question for what stands from an offset on; otherwise it is to
-    /// wait for the next change.
+    /// Returns whether a follower's request for the records from an offset on can be answered now: there is such a
+    /// record, or the window does not cover the offset. Otherwise the request waits for the next change.
     pub fn can_answer(&self, from: u64, now: Duration) -> bool {
         let newest = self.records.back();
         let has_more = newest.is_some_and(|record| record.offset >= from);
-        !self.knows(from, now) || has_more
+        !self.covers(from, now) || has_more
     }
 
-    /// What stands from an offset on; none if the reader does not know.
+    /// Returns the records from an offset on; `None` if the window is not valid or begins after the offset.
     pub fn part(&self, from: u64, now: Duration) -> Option<TailPart> {
-        if !self.knows(from, now) {
+        if !self.covers(from, now) {
             return None;
         }
         let records = self.records.iter().filter(|record| record.offset >= from);
@@ -100,13 +104,13 @@
         })
     }
 
-    fn knows(&self, from: u64, now: Duration) -> bool {
-        let is_sure = self.sure_until.is_some_and(|until| now < until);
-        is_sure && from >= self.start
+    fn covers(&self, from: u64, now: Duration) -> bool {
+        let is_valid = self.valid_until.is_some_and(|until| now < until);
+        is_valid && from >= self.start
     }
 }
 
-/// The last record of each key, in the order of offsets.
+/// Returns the last record of each key, in the order of offsets.
 fn newest_of_keys(records: Vec<KeyedRecord>) -> Vec<KeyedRecord> {
     let mut seen = HashSet::new();
     let mut newest: Vec<KeyedRecord> = records
@@ -118,20 +122,22 @@
     newest
 }
 
-/// The records that matter of those that were read: every end of a key, what `is_news` says, and what
-/// follows that under the same key, since news is judged by what was known before all of them.
+/// Returns the relevant ones of the records that were read: records that drop a key, records that `is_relevant`
+/// selects, and all later records of the same keys. The later ones are needed because `is_relevant` compares each
+/// record with what was known before all of them.
 pub fn relevant_records(
     records: &[KeyedRecord],
-    is_news: impl Fn(&KeyedRecord) -> bool,
+    is_relevant: impl Fn(&KeyedRecord) -> bool,
 ) -> Vec<KeyedRecord> {
     let mut keys = HashSet::new();
-    let matter = records.iter().filter(|record| {
+    let relevant = records.iter().filter(|record| {
         let key = record.key.as_slice();
-        let matters = record.value.is_empty() || keys.contains(key) || is_news(record);
-        if matters {
+        let is_relevant_or_follows =
+            record.value.is_empty() || keys.contains(key) || is_relevant(record);
+        if is_relevant_or_follows {
             keys.insert(key);
         }
-        matters
+        is_relevant_or_follows
     });
-    matter.cloned().collect()
+    relevant.cloned().collect()
 }
--- a/crates/swiftshunt-journal/tests/bulk_window.rs
+++ b/crates/swiftshunt-journal/tests/bulk_window.rs
@@ -1,4 +1,4 @@
-//! How many long reads are under way.
+//! The limit of concurrent bulk reads.
 
 use std::time::Duration;
 
@@ -7,45 +7,48 @@
 const SOON: Option<Duration> = Some(Duration::from_millis(40));
 const LATE: Option<Duration> = Some(Duration::from_secs(2));
 
-/// Reads that may begin at once.
-fn room(window: &mut BulkWindow) -> u32 {
-    let mut begun = 0;
+/// Starts as many reads as the window allows, and returns their number.
+fn start_all(window: &mut BulkWindow) -> u32 {
+    let mut started = 0;
     while window.try_begin() {
-        begun += 1;
+        started += 1;
     }
-    begun
+    started
 }
 
-/// A window after reads that took this long, one after the other.
-fn after(took: Option<Duration>, reads: u32) -> BulkWindow {
+/// Returns a window after consecutive reads of this duration; `None` stands for reads that failed.
+fn window_after(duration: Option<Duration>, reads: u32) -> BulkWindow {
     let mut window = BulkWindow::default();
     for _ in 0..reads {
         assert!(window.try_begin());
-        window.record_end(took);
+        window.record_end(duration);
     }
     window
 }
 
 #[test]
-fn more_reads_begin_while_answers_come_soon() {
-    let at_first = room(&mut BulkWindow::default());
-    assert!(room(&mut after(SOON, 20)) > at_first);
+fn short_reads_raise_the_limit() {
+    let at_first = start_all(&mut BulkWindow::default());
+    assert!(start_all(&mut window_after(SOON, 20)) > at_first);
 }
 
 #[test]
-fn one_read_is_left_while_answers_come_late_or_never() {
-    assert_eq!(room(&mut after(LATE, 20)), 1);
-    assert_eq!(room(&mut after(None, 20)), 1);
+fn long_or_failed_reads_lower_the_limit_to_one() {
+    assert_eq!(start_all(&mut window_after(LATE, 20)), 1);
+    assert_eq!(start_all(&mut window_after(None, 20)), 1);
 }
 
 #[test]
-fn there_is_a_bound_also_where_answers_come_soon() {
-    assert_eq!(room(&mut after(SOON, 40)), room(&mut after(SOON, 4_000)));
+fn the_limit_stays_bounded_after_many_short_reads() {
+    assert_eq!(
+        start_all(&mut window_after(SOON, 40)),
+        start_all(&mut window_after(SOON, 4_000))
+    );
 }
 
 #[test]
-fn a_read_that_ended_makes_room() {
-    let mut window = after(LATE, 20);
+fn the_end_of_a_read_allows_another_one() {
+    let mut window = window_after(LATE, 20);
     assert!(window.try_begin());
     assert!(!window.try_begin());
     window.record_end(LATE);
--- a/crates/swiftshunt-journal/tests/journal.rs
+++ b/crates/swiftshunt-journal/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The view of a keyed partition and the assembly of records.
+//! The view of a keyed partition and the reassembly of records from frames.
 
 use bytes::Bytes;
 use swiftshunt_journal::{Assembly, Change, KeyedRecord, KeyedView, NewestPage, frames};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_is_appended_while_a_listing_is_read_is_left_to_the_tail() {
+fn records_appended_during_a_listing_are_applied_from_the_tail() {
     let mut view = KeyedView::default();
     view.apply_page(page(vec![record(1, "a", "1")], true, 2));
     let changes = view.apply_page(page(vec![record(3, "z", "1")], false, 4));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn keys_that_a_newer_listing_lacks_are_gone() {
+fn keys_missing_from_a_newer_listing_are_dropped() {
     let mut view = KeyedView::default();
     view.apply_tail(vec![record(0, "a", "1"), record(1, "b", "1")]);
     let changes = view.apply_page(page(vec![record(1, "b", "1")], false, 9));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn records_that_come_twice_change_nothing() {
+fn repeated_records_change_nothing() {
     let mut view = KeyedView::default();
     let both = vec![record(0, "a", "1"), record(1, "b", "1")];
     assert_eq!(view.apply_tail(both.clone()).len(), 2);
@@ -81,24 +81,24 @@
 
 #[test_case(10, 600, 1; "one frame")]
 #[test_case(5_000, 1_024, 10; "many frames")]
-fn records_of_any_size_come_back(size: usize, limit: usize, least: usize) {
+fn records_of_any_size_are_reassembled_once(size: usize, limit: usize, least: usize) {
     let text = "x".repeat(size);
     let framed = frames("job", 7, &text, limit).expect("frames");
     assert!(framed.len() >= least);
     assert!(framed.iter().all(|(_, value)| value.len() <= limit));
     let mut assembly = Assembly::default();
-    let mut whole = Vec::new();
-    // Out of order, and each twice.
+    let mut reassembled = Vec::new();
+    // The frames arrive out of order, and each arrives twice.
     for (key, value) in framed.iter().rev().chain(&framed) {
-        whole.extend(
+        reassembled.extend(
             assembly
                 .add_frame::<String>(key.clone(), value)
                 .expect("a frame"),
         );
     }
-    assert_eq!(whole.len(), 1);
-    assert_eq!(whole[0].record, text);
-    assert_eq!(whole[0].keys.len(), framed.len());
+    assert_eq!(reassembled.len(), 1);
+    assert_eq!(reassembled[0].record, text);
+    assert_eq!(reassembled[0].keys.len(), framed.len());
 }
 
 #[test]
@@ -106,30 +106,30 @@
     let framed = frames("job", 7, &"x".repeat(3_000), 1_024).expect("frames");
     let mut assembly = Assembly::default();
     for (key, value) in &framed[..framed.len() - 1] {
-        let taken = assembly.add_frame::<String>(key.clone(), value);
-        assert!(taken.expect("a frame").is_none());
+        let logical = assembly.add_frame::<String>(key.clone(), value);
+        assert!(logical.expect("a frame").is_none());
     }
 }
 
 #[test]
-fn spoiled_frames_are_named() {
+fn an_unreadable_frame_is_reported() {
     let mut assembly = Assembly::default();
     let error = assembly.add_frame::<String>(b"job:0:0".to_vec(), b"spoiled");
     assert!(
         error
-            .expect_err("no frame")
+            .expect_err("an unreadable frame was accepted")
             .to_string()
             .contains("not readable")
     );
 }
 
-/// Callers choose the names of jobs.
-#[test_case("job-1.a~b:c", true; "a plain one stands in the key")]
-#[test_case("a&b", false; "one that has a meaning in addresses")]
-#[test_case("a b#c%", false; "one that addresses cannot hold")]
-#[test_case("\u{e9}", false; "one beyond ascii")]
-#[test_case(&"long".repeat(500), false; "a long one")]
-fn keys_fit_into_the_log_whatever_a_record_is_about(name: &str, stands: bool) {
+/// Callers choose the names of jobs, so a name may be too long for a key or contain characters that URLs reserve.
+#[test_case("job-1.a~b:c", true; "a plain name is kept")]
+#[test_case("a&b", false; "a character that URLs reserve")]
+#[test_case("a b#c%", false; "characters that URLs cannot contain")]
+#[test_case("\u{e9}", false; "a character beyond ascii")]
+#[test_case(&"long".repeat(500), false; "a long name")]
+fn keys_are_short_and_safe_in_urls_for_any_name(name: &str, is_kept: bool) {
     let framed = frames(name, 7, &"text", 1_024).expect("frames");
     let (key, value) = framed.into_iter().next().expect("a frame");
     assert!(key.len() <= 255);
@@ -137,9 +137,11 @@
         key.iter()
             .all(|byte| byte.is_ascii_graphic() && !b"&#%+".contains(byte))
     );
-    let text = String::from_utf8(key.clone()).expect("a text");
-    assert_eq!(text.starts_with(&format!("{name}:")), stands);
+    let text = String::from_utf8(key.clone()).expect("the key is not UTF-8");
+    assert_eq!(text.starts_with(&format!("{name}:")), is_kept);
     let mut assembly = Assembly::default();
-    let taken = assembly.add_frame::<String>(key, &value).expect("readable");
-    assert_eq!(taken.expect("whole").record, "text");
+    let logical = assembly
+        .add_frame::<String>(key, &value)
+        .expect("the frame is unreadable");
+    assert_eq!(logical.expect("the record is incomplete").record, "text");
 }
