--- a/crates/swiftshunt-jobs/src/record.rs
+++ b/crates/swiftshunt-jobs/src/record.rs
@@ -74,7 +74,7 @@
 pub enum ItemOutcome {
     /// The output is complete.
     Completed,
-    /// The item failed and will not be tried again.
+    /// The item has no output and will not be tried again: it failed too often, is too old or cannot be sent.
     GivenUp,
 }
 
--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -58,7 +58,7 @@
     pub shares: Vec<Share>,
     /// Time after which a request is given up.
     pub timeout: Duration,
-    /// Latency objective: time to the response, or to the first event of a stream.
+    /// Latency objective: longest time to the response, or to the first event of a stream, that earns full credit.
     pub objective: Duration,
     /// Maximum number of attempts for one request, including the first.
     pub max_attempts: u32,
