--- a/crates/swiftshunt-journal/src/bulk_window.rs
+++ b/crates/swiftshunt-journal/src/bulk_window.rs
@@ -16,7 +16,8 @@
 const BACK_OFF_FACTOR: f64 = 0.5;
 
 /// The number of reads in flight and its limit, which rises while responses arrive soon and is halved after one that
-/// arrived late or never. This keeps the data in flight on a slow link near what the link delivers within 250 to 500 ms.
+/// arrived late or never. This keeps the data in flight on a slow link near what the link delivers within 250 to
+/// 500 ms.
 #[derive(Debug)]
 pub struct BulkWindow {
     limit: f64,
