--- a/crates/swiftshunt-jobs/tests/fold.rs
+++ b/crates/swiftshunt-jobs/tests/fold.rs
@@ -61,7 +61,7 @@
     apply(&mut fold, results("j", vec![settled(1, "first")]));
     let second = results("j", vec![settled(1, "second"), settled(0, "other")]);
     assert_eq!(apply(&mut fold, second), Effect::Progress("j".into()));
-    let job = fold.job("j").expect("a job");
+    let job = fold.job("j").expect("job j is unknown");
     let texts: Vec<&str> = job.results.iter().map(|result| &*result.text).collect();
     assert_eq!(texts, ["first", "other"]);
     assert!(job.is_closed());
@@ -86,7 +86,7 @@
     assert_eq!(apply(&mut fold, end.clone()), Effect::Ended("j".into()));
     assert_eq!(apply(&mut fold, end), Effect::Nothing);
     apply(&mut fold, results("j", vec![settled(1, "late")]));
-    assert_eq!(fold.job("j").expect("a job").results.len(), 1);
+    assert_eq!(fold.job("j").expect("job j is unknown").results.len(), 1);
     assert!(fold.unsettled_items().is_empty());
 }
 
@@ -97,7 +97,7 @@
     let long = "x".repeat(1_000);
     let all = (0..3).map(|item| settled(item, &long)).collect();
     apply(&mut fold, results("j", all));
-    let job = fold.job("j").expect("a job");
+    let job = fold.job("j").expect("job j is unknown");
     assert_eq!(job.page(0, 1).results.len(), 1);
     assert_eq!(job.page(0, 2_500).results.len(), 2);
     assert_eq!(job.page(2, 1 << 20).results.len(), 1);
@@ -122,10 +122,15 @@
         };
         apply(&mut fold, record);
     }
-    let job = fold.job("j").expect("a job");
+    let job = fold.job("j").expect("job j is unknown");
     assert_eq!(job.progress(0).map(|progress| progress.last_event), Some(9));
     apply(&mut fold, results("j", vec![settled(0, "whole")]));
-    assert!(fold.job("j").expect("a job").progress(0).is_none());
+    assert!(
+        fold.job("j")
+            .expect("job j is unknown")
+            .progress(0)
+            .is_none()
+    );
 }
 
 #[test]
--- a/crates/swiftshunt-journal/tests/journal.rs
+++ b/crates/swiftshunt-journal/tests/journal.rs
@@ -83,7 +83,7 @@
 #[test_case(5_000, 1_024, 10; "many frames")]
 fn records_of_any_size_are_reassembled_once(size: usize, limit: usize, least: usize) {
     let text = "x".repeat(size);
-    let framed = frames("job", 7, &text, limit).expect("frames");
+    let framed = frames("job", 7, &text, limit).expect("the record cannot be framed");
     assert!(framed.len() >= least);
     assert!(framed.iter().all(|(_, value)| value.len() <= limit));
     let mut assembly = Assembly::default();
@@ -93,7 +93,7 @@
         reassembled.extend(
             assembly
                 .add_frame::<String>(key.clone(), value)
-                .expect("a frame"),
+                .expect("the frame is unreadable"),
         );
     }
     assert_eq!(reassembled.len(), 1);
@@ -103,11 +103,11 @@
 
 #[test]
 fn a_record_whose_last_frame_is_missing_has_no_effect() {
-    let framed = frames("job", 7, &"x".repeat(3_000), 1_024).expect("frames");
+    let framed = frames("job", 7, &"x".repeat(3_000), 1_024).expect("the record cannot be framed");
     let mut assembly = Assembly::default();
     for (key, value) in &framed[..framed.len() - 1] {
         let logical = assembly.add_frame::<String>(key.clone(), value);
-        assert!(logical.expect("a frame").is_none());
+        assert!(logical.expect("the frame is unreadable").is_none());
     }
 }
 
@@ -130,8 +130,8 @@
 #[test_case("\u{e9}", false; "a character beyond ascii")]
 #[test_case(&"long".repeat(500), false; "a long name")]
 fn keys_are_short_and_safe_in_urls_for_any_name(name: &str, is_kept: bool) {
-    let framed = frames(name, 7, &"text", 1_024).expect("frames");
-    let (key, value) = framed.into_iter().next().expect("a frame");
+    let framed = frames(name, 7, &"text", 1_024).expect("the record cannot be framed");
+    let (key, value) = framed.into_iter().next().expect("the record has no frame");
     assert!(key.len() <= 255);
     assert!(
         key.iter()
--- a/crates/swiftshunt-journal/tests/tail_window.rs
+++ b/crates/swiftshunt-journal/tests/tail_window.rs
@@ -84,7 +84,7 @@
         VALID_UNTIL,
         Some(Duration::from_secs(8)),
     );
-    let part = window.part(16, NOW).expect("a part");
+    let part = window.part(16, NOW).expect("the window gives no part");
     assert_eq!(part.returned_ago, Some(Duration::from_secs(1)));
 }
 
@@ -106,7 +106,7 @@
     let records = records.collect();
     window.record_read(0, records, 5_000, VALID_UNTIL, None);
     assert_eq!(window.part(0, NOW), None);
-    let part = window.part(4_000, NOW).expect("a part");
+    let part = window.part(4_000, NOW).expect("the window gives no part");
     assert_eq!(part.records.len(), 1_000);
 }
 
--- a/crates/swiftshunt-routing/src/tenants.rs
+++ b/crates/swiftshunt-routing/src/tenants.rs
@@ -154,7 +154,7 @@
 
 impl Tenants {
     /// Indexes the tenants by their keys. Call [`Configuration::validate`](crate::Configuration::validate) to
-    /// reject duplicate names and keys.
+    /// reject duplicate names and keys of two tenants.
     pub fn new(tenants: Vec<Tenant>) -> Self {
         let all: Vec<Arc<Tenant>> = tenants.into_iter().map(Arc::new).collect();
         let by_key = all.iter().flat_map(|tenant| {
