--- a/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
@@ -165,7 +165,7 @@
         let key = entry(&format!("frame-key-{index}"));
         let value = entry(&format!("frame-{index}"));
         let logical = assembly
-            .take::<JobRecord>(key, &value)
+            .add_frame::<JobRecord>(key, &value)
             .expect("a readable frame");
         let is_last = index + 1 == count;
         assert_eq!(logical.is_some(), is_last, "frame {index}");
--- a/crates/swiftshunt-gateway/src/tails/published.rs
+++ b/crates/swiftshunt-gateway/src/tails/published.rs
@@ -14,7 +14,7 @@
 }
 
 impl PublishedTail {
-    /// Publishes records that were read; see [`TailWindow::read`].
+    /// Publishes records that were read; see [`TailWindow::record_read`].
     pub(super) fn record_read(
         &self,
         from: u64,
@@ -23,13 +23,14 @@
         sure_until: Duration,
         returned_at: Option<Duration>,
     ) {
-        self.window
-            .send_if_modified(|window| window.read(from, records, next, sure_until, returned_at));
+        self.window.send_if_modified(|window| {
+            window.record_read(from, records, next, sure_until, returned_at)
+        });
     }
 
-    /// Stops answering until the next read is recorded; see [`TailWindow::not_sure`].
+    /// Stops answering until the next read is recorded; see [`TailWindow::invalidate`].
     pub(super) fn not_sure(&self) {
-        self.window.send_if_modified(TailWindow::not_sure);
+        self.window.send_if_modified(TailWindow::invalidate);
     }
 
     /// Returns the records from an offset on as soon as there are some, or an empty part after `wait`. Returns `None`
@@ -41,7 +42,7 @@
         clock: Clock,
     ) -> Option<TailPart> {
         let mut changes = self.window.subscribe();
-        let decided = changes.wait_for(|window| window.is_decided(from, clock.now()));
+        let decided = changes.wait_for(|window| window.can_answer(from, clock.now()));
         // After a time-out, the part below is the answer, possibly without records.
         drop(tokio::time::timeout(wait, decided).await);
         self.window.borrow().part(from, clock.now())
--- a/crates/swiftshunt-gateway/src/zone_latencies.rs
+++ b/crates/swiftshunt-gateway/src/zone_latencies.rs
@@ -58,7 +58,8 @@
             return within_region;
         }
         let round_trips = lock(&self.round_trips);
-        within_region + round_trips.response_timeout(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
+        within_region
+            + round_trips.response_timeout(&zone.to_owned(), UNOBSERVED_ROUND_TRIP, BOUNDS)
     }
 
     /// Returns the longest time-out for an answer from any zone, given the time-out within a region.
