--- a/crates/swiftshunt-gateway/src/abandon_guard.rs
+++ b/crates/swiftshunt-gateway/src/abandon_guard.rs
@@ -4,7 +4,8 @@
 use crate::metrics::RequestEnd;
 use crate::request_context::RequestContext;
 
-/// Counts a request as in flight until this is dropped, and as abandoned unless it was marked as answered by then.
+/// A guard of a request that its creator has counted as in flight. Dropping the guard ends that count, and counts the
+/// request as abandoned unless it was marked as answered.
 pub(crate) struct AbandonGuard<'d> {
     dispatcher: &'d Dispatcher,
     route: String,
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Records that the request has its answer.
+    /// Drops the guard of a request that has its answer.
     pub(crate) fn mark_answered(mut self) {
         self.answered = true;
     }
--- a/crates/swiftshunt-gateway/src/answers.rs
+++ b/crates/swiftshunt-gateway/src/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that the gateway makes itself, and the headers of forwarded ones.
+//! Answers that the gateway generates itself, and the headers of forwarded ones.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -49,8 +49,8 @@
     answer_with_retry_after(StatusCode::SERVICE_UNAVAILABLE, text, retry_after)
 }
 
-/// Returns the answer (429) to a request beyond a limit, of which nothing was stored; the caller may repeat it after
-/// `retry_after`.
+/// Returns the answer (429) to a request that exceeds a limit and of which nothing was stored; the caller may repeat it
+/// after `retry_after`.
 pub(crate) fn too_many(text: &'static str, retry_after: Duration) -> CallerAnswer {
     answer_with_retry_after(StatusCode::TOO_MANY_REQUESTS, text, retry_after)
 }
--- a/crates/swiftshunt-gateway/src/clock.rs
+++ b/crates/swiftshunt-gateway/src/clock.rs
@@ -4,8 +4,8 @@
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// A monotonic clock that starts with the process. It includes the time in which the machine was suspended: after a
-/// suspension, leases, the directory and the confirmation of the configuration are as old as for every other
+/// A monotonic clock that starts at zero with the gateway. It includes the time in which the machine was suspended:
+/// after a suspension, leases, the directory and the confirmation of the configuration are as old as for every other
 /// machine. The runtime's timers do not include that time and may fire long after the deadline, so code that depends
 /// on an age reads this clock.
 #[derive(Clone, Copy, Debug)]
@@ -35,7 +35,7 @@
 /// Returns the time since the machine started, including suspensions.
 fn since_boot() -> Duration {
     let Timespec { tv_sec, tv_nsec } = clock_gettime(ClockId::Boottime);
-    // Neither is negative: the clock begins at 0, and the nanoseconds are below one second.
+    // Neither number is negative: the clock begins at 0, and the nanoseconds are below one second.
     let seconds = u64::try_from(tv_sec).unwrap_or_default();
     let nanoseconds = u32::try_from(tv_nsec).unwrap_or_default();
     Duration::new(seconds, nanoseconds)
--- a/crates/swiftshunt-gateway/src/datagrams.rs
+++ b/crates/swiftshunt-gateway/src/datagrams.rs
@@ -13,7 +13,7 @@
 /// Largest datagram that is received, in bytes.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_400;
 
-/// Sends and receives datagrams, and counts them.
+/// Sends and receives datagrams, and counts those that are sent or dropped.
 pub(crate) struct Datagrams {
     socket: UdpSocket,
     members: Arc<Members>,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Sends a message to each of `to`.
+    /// Sends a message to each gateway in `to`.
     pub(crate) fn send(&self, message: &Notice, to: impl IntoIterator<Item = SocketAddr>) {
         let mut datagram = Vec::new();
         if let Err(error) = ciborium::into_writer(message, &mut datagram) {
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -42,8 +42,8 @@
 }
 
 impl IdentifiedRequest {
-    /// Returns the time at which the request is given up: the caller's timeout or the route's, whichever is
-    /// shorter.
+    /// Returns the time at which the request is given up: its arrival plus the caller's timeout or the route's,
+    /// whichever is shorter.
     fn deadline(&self) -> Duration {
         let timeout = self.route.timeout;
         self.arrived + self.facts.caller_timeout.unwrap_or(timeout).min(timeout)
@@ -92,8 +92,8 @@
         answer
     }
 
-    /// Returns the answer to a request that arrives so late in a stop that it might not end within the grace
-    /// period.
+    /// Returns the answer to a request that arrives in the last stage of a stop, when it might not end within the
+    /// grace period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
         let retry_after = retry_after_elsewhere(rand::random());
         let metrics = &self.dispatcher.metrics;
@@ -111,8 +111,8 @@
         not_run("no configuration is known yet", retry_after)
     }
 
-    /// Answers a call about a batch job. The route is not looked up, since a job outlives its route: only the
-    /// journal tells whether the job exists.
+    /// Answers a call about a batch job. The route is not looked up, since a job may outlive its route: only
+    /// the journal shows whether the job exists.
     async fn answer_job_call(
         &self,
         configuration: &Configuration,
@@ -165,8 +165,8 @@
         self.dispatcher.metrics.record_rejected_key(rejected);
         let facts = self.dispatcher.protocol.request_facts(&head.headers);
         let request = facts.id.as_deref().unwrap_or("");
-        let since = self.dispatcher.fleet_state.confirmed_at();
-        let age = self.dispatcher.clock.now().saturating_sub(since);
+        let confirmed_at = self.dispatcher.fleet_state.confirmed_at();
+        let age = self.dispatcher.clock.now().saturating_sub(confirmed_at);
         log::info!(request, path = head.uri.path(), reason:% = rejected, version,
             confirmed_ms_ago = age.as_millis() as u64; "a caller's key is not taken");
         let mut answer = plain(StatusCode::UNAUTHORIZED, "a key that is known is needed");
@@ -178,11 +178,11 @@
     /// Returns the answer that refuses a tenant's request if the configuration was not confirmed within
     /// `max_config_age`; `None` if the request may be served.
     fn refuse_unconfirmed(&self, caller: &Caller) -> Option<CallerAnswer> {
-        let within = self.max_config_age?;
+        let max_age = self.max_config_age?;
         let tenant = caller.tenant()?;
         let now = self.dispatcher.clock.now();
         let age = now.saturating_sub(self.dispatcher.fleet_state.confirmed_at());
-        if age <= within {
+        if age <= max_age {
             return None;
         }
         let retry_after = retry_after_elsewhere(rand::random());
@@ -297,8 +297,8 @@
 
 /// Returns the host that a request names, in lower case and without a port.
 fn host_of(head: &request::Parts) -> String {
-    let named = head.headers.get("host").and_then(|host| host.to_str().ok());
-    let host = named.or(head.uri.host()).unwrap_or("");
+    let host_header = head.headers.get("host").and_then(|host| host.to_str().ok());
+    let host = host_header.or(head.uri.host()).unwrap_or("");
     let without_port = host.rsplit_once(':').map_or(host, |(name, port)| {
         if port.bytes().all(|byte| byte.is_ascii_digit()) {
             name
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -23,7 +23,7 @@
 /// The propagation limit divided by this is the pause between two reads of the directory, so that changes are read
 /// in batches: each worker writes about once a second, and each write would wake every gateway.
 const READS_PER_PROPAGATION_LIMIT: u32 = 5;
-/// Time after the log becomes available again within which workers register again whose entries have lapsed.
+/// Time after the log becomes available again within which workers with lapsed entries register again.
 const REREGISTRATION_TIME: Duration = Duration::from_secs(2);
 /// Share of the propagation limit for which workers with lapsed entries may continue to serve: a worker that has
 /// left must get no requests once the limit is over.
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -51,7 +51,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The zones of the settings are no valid topology.
+    /// The zones of the settings do not form a valid topology.
     #[display("{_0}")]
     Topology(TopologyError),
 }
@@ -71,8 +71,8 @@
 
 /// Interval at which idle connections that have timed out are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Delay of this interval from which a pause of the process is logged: after a pause, the gateway's view of the fleet
-/// is out of date by as much.
+/// Delay of a sweep from which a pause of the process is logged: after a pause, the gateway's view of the fleet is out
+/// of date by the length of the pause.
 const MIN_LOGGED_PAUSE: Duration = Duration::from_millis(500);
 /// Interval at which a stop checks whether all results are written.
 const STOP_POLL: Duration = Duration::from_millis(50);
--- a/crates/swiftshunt-gateway/src/job_regions.rs
+++ b/crates/swiftshunt-gateway/src/job_regions.rs
@@ -73,8 +73,8 @@
         matches!(self.regions(), Regions::Within(_)) && !self.includes_this_gateway()
     }
 
-    /// Returns those of the gateways that may see jobs. Unless all regions may, a gateway whose region is not known is
-    /// left out.
+    /// Returns those of the gateways that may handle jobs. A gateway whose region is not known is left out, unless
+    /// jobs may be handled in all regions.
     pub(crate) fn filter_gateways(&self, gateways: Vec<SocketAddr>) -> Vec<SocketAddr> {
         let regions = match self.regions() {
             Regions::All => return gateways,
@@ -90,7 +90,8 @@
         gateways.into_iter().filter(is_within).collect()
     }
 
-    /// Whether a job with this residency can be accepted: it must allow every region whose gateways may run jobs.
+    /// Whether a job with this residency can be accepted: the residency must allow every region whose gateways may run
+    /// jobs.
     pub(crate) fn may_accept(&self, residency: &Residency) -> bool {
         if residency.is_anywhere() {
             return true;
--- a/crates/swiftshunt-gateway/src/listing.rs
+++ b/crates/swiftshunt-gateway/src/listing.rs
@@ -2,9 +2,9 @@
 
 use swiftshunt_journal::{LogError, NewestPage};
 
-/// A listing, page by page. After a failed call it continues with the page that failed. The pages are no consistent
-/// snapshot anyway, and with a log that refuses some of its calls, a listing of many pages would hardly ever succeed
-/// in one pass.
+/// A listing, page by page. After a failed call it continues with the page that failed: if the log refuses some of its
+/// calls, a listing of many pages would hardly ever succeed in one pass. Nothing is lost by that, since the pages of a
+/// single pass are no consistent snapshot either.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     pages: Vec<NewestPage>,
@@ -13,9 +13,9 @@
 }
 
 impl Listing {
-    /// Reads the remaining pages, returns all of them, and resets the listing. `page` reads the page behind a key from
-    /// a state in which the partition has at least the given end. Records before the end that the first page reports
-    /// must be in the pages; later ones are left to the tail.
+    /// Reads the remaining pages, returns all pages, and resets the listing. `page` reads the page that follows a
+    /// key, from a state in which the partition has at least the given end. Records before the end that the first page
+    /// reports must be in the pages; later records are read from the tail.
     pub(crate) async fn read<Reading>(
         &mut self,
         page: impl Fn(Option<Vec<u8>>, u64) -> Reading,
--- a/crates/swiftshunt-gateway/src/local_faults.rs
+++ b/crates/swiftshunt-gateway/src/local_faults.rs
@@ -6,8 +6,8 @@
 /// Time within which failures at many workers indicate a fault of this gateway's own links: connections that are reset
 /// together fail within milliseconds of each other, and time-outs end at about the same time.
 const FAILURE_WINDOW: Duration = Duration::from_millis(300);
-/// One in this many workers of a service may fail within that time before this gateway counts as the cause: racks and
-/// zones of workers are smaller than that.
+/// One in this many workers of a service may fail within `FAILURE_WINDOW` before this gateway counts as the cause: a
+/// rack or zone, whose workers may fail together, has a smaller share of the workers.
 const MAX_FAILING_DIVISOR: usize = 4;
 /// Number of workers that may fail in any case, for services with few workers.
 const MIN_FAILING_LIMIT: usize = 3;
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -24,8 +24,8 @@
 const MISSES_BEFORE_SUSPICION: u32 = 2;
 /// Duration of the first suspicion; each consecutive one lasts twice as long.
 const INITIAL_SUSPICION: Duration = Duration::from_millis(500);
-/// Upper bound of that duration: a gateway that was unreachable owns its cells again after this time at the
-/// latest.
+/// Upper bound of the duration of a suspicion: a gateway that was unreachable owns its cells again after this time
+/// at the latest.
 const MAX_SUSPICION: Duration = Duration::from_secs(4);
 /// Time without contact from any other gateway after which this one considers itself cut off, if
 /// `CUT_OFF_SUSPECTS` others have missed answers.
@@ -48,7 +48,7 @@
     fn begin(&mut self, gateway: SocketAddr, now: Duration) {
         let time = INITIAL_SUSPICION * 2_u32.pow(self.repeats.min(MAX_DOUBLINGS));
         self.until = now + time.min(MAX_SUSPICION);
-        // After this time, a single missed answer renews the suspicion.
+        // Once the suspicion has expired, a single missed answer renews it.
         self.misses = self.misses.max(MISSES_BEFORE_SUSPICION);
         self.repeats += 1;
         log::info!(gateway = gateway.to_string().as_str(),
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -25,8 +25,8 @@
     pub(crate) dispatcher: Arc<Dispatcher>,
     pub(crate) batch: Arc<Batch>,
     pub(crate) rates: Arc<Rates>,
-    /// Queue of the requests that would miss their objective on any worker, in the order in which they were
-    /// found to be late. Only the request that holds the lock looks for a slot.
+    /// Queue of late requests, which would miss their objective on any worker, in the order in which they were
+    /// found to be late. Only the request that holds the lock tries to get a slot.
     pub(crate) late_queue: tokio::sync::Mutex<()>,
     /// Time since the last confirmation of the configuration after which callers with keys are refused; `None`
     /// if they are served at any age.
@@ -39,7 +39,7 @@
 /// still meet their objective. The rest must suffice to get a slot and to produce the first event before the
 /// caller gives up.
 const LATE_WAIT_SHARE: f64 = 0.5;
-/// Interval at which a late request looks for a slot.
+/// Interval at which a late request tries to get a slot.
 const LATE_RETRY_INTERVAL: Duration = Duration::from_millis(40);
 /// Activity of any worker within this time shows that this gateway reaches workers.
 const RECENT_ACTIVITY: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
                 return self.refuse_quarantined(context, held);
             }
             self.bind_residency(context);
-            self.avoid_closed_service(context);
+            self.replace_ineligible_service(context);
             let chosen = self.place(context).await;
             // The configuration may have changed while the request waited for a slot.
             self.bind_residency(context);
@@ -126,13 +126,13 @@
 
     /// Draws another service of the route's split if the current one has no eligible worker any more. A request
     /// that may have run keeps its service.
-    fn avoid_closed_service(&self, context: &mut RequestContext) {
+    fn replace_ineligible_service(&self, context: &mut RequestContext) {
         let fleet_state = &self.dispatcher.fleet_state;
         let residency = &context.outgoing.demand.residency;
-        let is_open = fleet_state
+        let is_eligible = fleet_state
             .selector()
             .has_eligible_worker(&context.service, residency);
-        if context.runs == 0 && !is_open {
+        if context.runs == 0 && !is_eligible {
             context.service = fleet_state.next_service(&context.route, residency);
         }
     }
@@ -149,6 +149,8 @@
         }
     }
 
+    /// Chooses the worker for a late request: waits in the queue until a slot is free at once, and accepts any slot
+    /// after `LATE_WAIT_SHARE` of the timeout.
     async fn place_late(&self, context: &RequestContext) -> Option<ChosenWorker> {
         let clock = self.dispatcher.clock;
         let queued_at = clock.now();
@@ -202,9 +204,9 @@
         let selector = self.dispatcher.fleet_state.selector();
         let reaches_workers = selector.has_activity_since(now.saturating_sub(RECENT_ACTIVITY));
         let residency = &context.outgoing.demand.residency;
-        let closed = selector.service_obstacle(&context.service, residency, now);
-        let obstacle = if let Some(closed) = closed {
-            closed
+        let service_obstacle = selector.service_obstacle(&context.service, residency, now);
+        let obstacle = if let Some(service_obstacle) = service_obstacle {
+            service_obstacle
         } else if context.was_declined
             || selector.awaits_start_permits(&context.service, residency, now)
         {
@@ -290,6 +292,8 @@
         let status = answer.head.status;
         if status.is_server_error() || promises_not_run(status) {
             context.runs += 1;
+            // A status that promises the caller that the request did not run is never forwarded: the worker did not
+            // declare that, so the request may have run.
             let is_false_promise = promises_not_run(status);
             if context.may_repeat() || is_false_promise {
                 log::info!(request = context.id(),
@@ -383,10 +387,10 @@
         not_run(reason, retry_after)
     }
 
-    /// Returns the final answer to a request in quarantine: workers ended while they ran it, and a further send
-    /// could end another worker together with the other requests there. If the request did not run in this
-    /// call, the caller may repeat it after the hold. A 4xx status would be final for callers, also for one
-    /// whose request did not cause the ends.
+    /// Returns the final answer to a request in quarantine. Workers ended while they ran it, and a further send
+    /// could end another worker together with the other requests there. If this gateway has sent the request to no
+    /// worker that may have run it, the caller may repeat it after the hold. The status is no 4xx: callers would
+    /// treat that as final, even if the request was not what ended the workers.
     fn refuse_quarantined(&self, context: &RequestContext, held: QuarantineHold) -> CallerAnswer {
         log::info!(request = context.id(), fingerprint:% = context.outgoing.request_content.fingerprint(),
             ends = held.ends, held_for_ms = held.time_left.as_millis() as u64, runs = context.runs;
--- a/crates/swiftshunt-gateway/src/peer_http.rs
+++ b/crates/swiftshunt-gateway/src/peer_http.rs
@@ -49,8 +49,8 @@
         .ok()
 }
 
-/// Decodes a call of another gateway of at most `limit` bytes. The error is the answer to a call that cannot be
-/// decoded.
+/// Decodes a call of another gateway, whose body may have at most `limit` bytes. The error is the answer to a call that
+/// cannot be decoded.
 pub(crate) async fn read_call<T: DeserializeOwned>(
     request: Request<Incoming>,
     limit: usize,
--- a/crates/swiftshunt-gateway/src/peers.rs
+++ b/crates/swiftshunt-gateway/src/peers.rs
@@ -1,9 +1,9 @@
 //! Registration of this gateway, the list of the others, and the notices that gateways send each other.
 //!
-//! An engine reads prompts in the order of their arrival, and the load that answers carry is seconds old. A
-//! gateway that does not know of a prompt of tens of thousands of tokens that another one has just sent would
-//! queue short prompts behind it. A notice is a datagram: if one is lost, a choice of a worker is worse, and
-//! nothing else follows.
+//! Gateways notify each other of long prompts. An engine reads prompts in the order of their arrival, and the load
+//! that answers carry is seconds old. So a gateway that does not know of a prompt of tens of thousands of tokens
+//! that another one has just sent would queue short prompts behind it. If such a notice is lost, workers are chosen
+//! less well, and nothing else follows.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -46,16 +46,16 @@
 const REGISTRATION_INTERVAL: Duration = Duration::from_secs(60);
 /// Pause after a registration that failed.
 const REGISTRATION_RETRY_DELAY: Duration = Duration::from_secs(2);
-/// Timing of reads of the list. It is slow, since the list changes seldom and a stale list does little harm.
+/// Timing of reads of the list. Long waits suffice, since the list changes seldom and a stale list does little harm.
 const LIST_TIMING: TailTiming = TailTiming {
     wait: Duration::from_secs(20),
     hedge_after: Duration::from_secs(5),
 };
 /// Pause after a change of the list, so that the records of gateways that start together are read together.
 const READ_PAUSE_AFTER_CHANGE: Duration = Duration::from_secs(1);
-/// Pause after a read that only renewed records: among hundreds of gateways, some renew theirs in every second.
+/// Pause after a read that returned only renewals: among hundreds of gateways, some renew their records every second.
 const READ_PAUSE_AFTER_RENEWAL: Duration = Duration::from_secs(4);
-/// Shortest interval between two log lines on gateways that have started: hundreds may start at a time.
+/// Shortest interval between two log lines about gateways that have started: hundreds may start at a time.
 const START_LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a socket error.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(100);
@@ -108,6 +108,7 @@
     metrics: Arc<Metrics>,
     unreadable: Arc<UnreadableRecords>,
     clock: Clock,
+    /// Limits the rate of notices of prompts and of this gateway's start.
     budget: Mutex<TokenBucket>,
     starts: Mutex<GatewayStarts>,
 }
@@ -162,7 +163,7 @@
         self.datagrams.send(&notice, near);
     }
 
-    /// Announces the start of this gateway to all others, since it takes over cells.
+    /// Announces the start of this gateway, which takes over cells, to as many others as the budget of notices allows.
     fn announce_start(&self) {
         let notice = Notice::Here {
             from: self.members.own_address(),
@@ -203,11 +204,11 @@
     }
 
     /// Receives and handles notices until the process ends.
-    pub(crate) async fn receive_notices(self: Arc<Self>, receivers: NoticeHandlers) {
+    pub(crate) async fn receive_notices(self: Arc<Self>, handlers: NoticeHandlers) {
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
         loop {
             match self.datagrams.receive(&mut datagram).await {
-                Ok((length, from)) => self.handle_datagram(&datagram[..length], from, &receivers),
+                Ok((length, from)) => self.handle_datagram(&datagram[..length], from, &handlers),
                 Err(error) => {
                     log::debug!("cannot receive a notice: {error}");
                     tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
@@ -216,7 +217,7 @@
         }
     }
 
-    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr, receivers: &NoticeHandlers) {
+    fn handle_datagram(&self, datagram: &[u8], from: SocketAddr, handlers: &NoticeHandlers) {
         let Ok(notice) = ciborium::from_reader::<Notice, _>(datagram) else {
             self.metrics.notices_dropped.inc();
             return;
@@ -240,11 +241,11 @@
                 }
                 self.log_gateway_start(from);
             }
-            Notice::Slots(message) => receivers.slots.handle_message(message, from),
-            Notice::Waiting(message) => receivers.waiting_limits.handle_message(message, from),
-            Notice::Rate(message) => receivers.rates.handle_message(message, from),
-            Notice::Quarantine(message) => receivers.quarantine.handle_message(message, from),
-            Notice::Start(message) => receivers.start_permits.handle_message(message, from),
+            Notice::Slots(message) => handlers.slots.handle_message(message, from),
+            Notice::Waiting(message) => handlers.waiting_limits.handle_message(message, from),
+            Notice::Rate(message) => handlers.rates.handle_message(message, from),
+            Notice::Quarantine(message) => handlers.quarantine.handle_message(message, from),
+            Notice::Start(message) => handlers.start_permits.handle_message(message, from),
         }
     }
 
--- a/crates/swiftshunt-gateway/src/protocol.rs
+++ b/crates/swiftshunt-gateway/src/protocol.rs
@@ -151,7 +151,7 @@
     pub reason: String,
 }
 
-/// The kind of a record that operators write, as its key tells.
+/// The kind of a record that operators write, as determined by its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorRecord {
     /// The configuration.
--- a/crates/swiftshunt-gateway/src/running.rs
+++ b/crates/swiftshunt-gateway/src/running.rs
@@ -34,6 +34,7 @@
 }
 
 impl RunningItems {
+    /// Adds an item, and returns the token by which its run is stopped.
     pub(crate) fn insert(
         &self,
         id: ItemId,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Records the worker of an item, and returns the token that interrupts the attempt there.
+    /// Records the worker that runs an item, or that none does, and returns the token that interrupts the attempt.
     pub(crate) fn set_worker(&self, id: &ItemId, worker: Option<&str>) -> CancellationToken {
         let interrupt = CancellationToken::new();
         if let Some(item) = lock(&self.items).get_mut(id) {
@@ -90,17 +91,17 @@
     }
 
     /// Interrupts the item that is last in rank among those at workers that `is_affected` accepts. Returns its job and
-    /// index, or `None` if no item runs there.
+    /// index, or `None` if no item runs at these workers.
     pub(crate) fn interrupt_one(
         &self,
         is_affected: impl Fn(&str) -> bool,
         now: Duration,
     ) -> Option<String> {
         let mut items = lock(&self.items);
-        let of_worker = items
+        let affected = items
             .iter_mut()
             .filter(|(_, item)| item.worker.as_deref().is_some_and(&is_affected));
-        let (id, item) = of_worker.max_by_key(|(_, item)| item.times.rank(now))?;
+        let (id, item) = affected.max_by_key(|(_, item)| item.times.rank(now))?;
         item.worker = None;
         item.interrupt.cancel();
         Some(format!("{}/{}", id.job, id.index))
--- a/crates/swiftshunt-gateway/src/server.rs
+++ b/crates/swiftshunt-gateway/src/server.rs
@@ -116,7 +116,7 @@
     let service = service_fn(move |request: Request<Incoming>| {
         let online = Arc::clone(&online);
         let draining = draining.clone();
-        // A request that arrives at this stage might not end within the grace period.
+        // A request that arrives in the closing stage might not end within the grace period.
         let is_closing = closing.is_cancelled();
         async move {
             let mut answer = if is_closing {
@@ -156,7 +156,7 @@
 }
 
 /// Serves the calls of other gateways until the process ends: calls about jobs, relayed calls to the log, and reads
-/// of its tails.
+/// of the log's tails.
 pub(crate) async fn serve_peers(
     listener: TcpListener,
     protocol: Arc<dyn Protocol>,
@@ -217,7 +217,7 @@
     .await;
 }
 
-/// Answers every request on a listener by `answer`, whatever its path.
+/// Answers every request on a listener with `answer`, whatever its path.
 async fn serve_any_path(
     listener: TcpListener,
     answer: impl Fn() -> CallerAnswer + Clone + Send + 'static,
--- a/crates/swiftshunt-gateway/src/settings.rs
+++ b/crates/swiftshunt-gateway/src/settings.rs
@@ -55,8 +55,8 @@
     pub callers: SocketAddr,
     /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Address for other gateways: calls about jobs, relayed calls to the log, reads of its tails (TCP), and notices
-    /// (UDP).
+    /// Address for other gateways: calls about jobs, relayed calls to the log, reads of the log's tails (TCP), and
+    /// notices (UDP).
     pub peers: SocketAddr,
     /// Address for metrics; `None` if they are not served.
     #[serde(default)]
@@ -148,7 +148,7 @@
     pub window: Duration,
     /// Share of a window's limit by which the limit may be exceeded while gateways cannot reach each other.
     pub tolerance: f64,
-    /// Number of requests in a window by which the limit may be exceeded in addition to that share.
+    /// Number of requests in a window by which the limit may be exceeded in addition to `tolerance`.
     pub tolerated_requests: f64,
 }
 
@@ -243,7 +243,7 @@
     }
 }
 
-/// A reader answers this many gateways about once in two seconds each, which takes a small part of a core.
+/// A reader answers each of this many gateways about once in two seconds, which takes a small part of a core.
 fn default_gateways_per_reader() -> usize {
     24
 }
@@ -271,12 +271,12 @@
         /// Position and description of the error.
         reason: String,
     },
-    /// The zones are no valid topology.
+    /// The zones do not form a valid topology.
     #[display("{file}: {source}")]
     Topology {
         /// Path of the settings file.
         file: String,
-        /// Error of the topology.
+        /// What is wrong with the zones.
         source: TopologyError,
     },
     /// A value is out of its range.
--- a/crates/swiftshunt-gateway/src/traffic.rs
+++ b/crates/swiftshunt-gateway/src/traffic.rs
@@ -41,7 +41,7 @@
     Rates,
     /// Messages about requests in quarantine.
     Quarantine,
-    /// Requests for start permits for cold workers, and their answers.
+    /// Requests for start permits for cold workers, and the issuers' answers.
     ColdStarts,
     /// Tails of topics that one gateway reads for others.
     Tails,
--- a/crates/swiftshunt-gateway/src/unreadable.rs
+++ b/crates/swiftshunt-gateway/src/unreadable.rs
@@ -45,8 +45,8 @@
         self.metrics.records_unreadable.inc();
         let now = self.clock.now();
         let mut known = lock(&self.known);
-        let place = (topic, key.to_vec());
-        if let Some(known) = known.get_mut(&place) {
+        let topic_key = (topic, key.to_vec());
+        if let Some(known) = known.get_mut(&topic_key) {
             known.is_unreadable = true;
             if now < known.logged_at + LOG_INTERVAL {
                 return;
@@ -60,7 +60,7 @@
             is_unreadable: true,
             logged_at: now,
         };
-        known.insert(place, state);
+        known.insert(topic_key, state);
     }
 
     /// Whether the latest record under a key is known to be unreadable.
--- a/crates/swiftshunt-gateway/src/upstream.rs
+++ b/crates/swiftshunt-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: opening, a pool of idle ones, and their removal at the first sign of a fault.
+//! Connections to workers: opening, a pool of idle ones, and their removal when they time out or fail.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Time before the worker's idle time-out from which a connection is no longer used.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(800);
-/// Time for which connections to a worker are used only once, after it sent an answer to another request.
+/// Time for which each connection to a worker is used only once, after the worker sent the answer to another request.
 const SINGLE_USE_TIME: Duration = Duration::from_secs(20);
 /// Largest number of idle connections kept for a worker.
 const MAX_IDLE_PER_WORKER: usize = 8;
@@ -56,8 +56,9 @@
 }
 
 impl Upstream {
-    /// Takes the connection that has been idle longest: surplus bytes of a previous answer have most likely arrived
-    /// there by now, so that the connection no longer counts as ready.
+    /// Removes and returns the usable connection that has been idle longest; `None` if there is none. Surplus bytes
+    /// behind a previous answer have most likely arrived by now on a connection that was idle for long, and such a
+    /// connection is discarded, since it is not ready.
     pub(crate) fn take_idle(&self, incarnation: &str, now: Duration) -> Option<Sender> {
         let mut idle = lock(&self.idle);
         let of_worker = idle.get_mut(incarnation)?;
