--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -94,10 +94,10 @@
                 source,
             })
         };
-        let callers = bind("listen.callers", settings.listen.callers)?;
-        let ready = bind("listen.ready", settings.listen.ready)?;
-        let peers = bind("listen.peers", settings.listen.peers)?;
-        let peers_address = peers.local_addr().unwrap_or(settings.listen.peers);
+        let caller_listener = bind("listen.callers", settings.listen.callers)?;
+        let ready_listener = bind("listen.ready", settings.listen.ready)?;
+        let peer_listener = bind("listen.peers", settings.listen.peers)?;
+        let peers_address = peer_listener.local_addr().unwrap_or(settings.listen.peers);
         let metrics_listener = settings
             .listen
             .metrics
@@ -108,19 +108,19 @@
         let topology = settings.topology().map_err(StartError::Topology)?;
         let selector = Selector::with_topology(topology.clone());
         let fleet_state = Arc::new(FleetState::new(selector, settings.cold));
-        let notices = bind_datagrams(peers_address).map_err(|source| StartError::Listen {
+        let notice_socket = bind_datagrams(peers_address).map_err(|source| StartError::Listen {
             field: "listen.peers",
             address: peers_address,
             source,
         })?;
         let members = Arc::new(Members::new(peers_address, topology, clock));
         let datagrams = Arc::new(Datagrams::new(
-            notices,
+            notice_socket,
             Arc::clone(&members),
             Arc::clone(&metrics),
         ));
         let unreadable = Arc::new(UnreadableRecords::new(Arc::clone(&metrics), clock));
-        let others = Arc::new(Peers::new(
+        let peers = Arc::new(Peers::new(
             Arc::clone(&datagrams),
             Arc::clone(&members),
             &settings.gateways.seeds,
@@ -136,7 +136,7 @@
         let log = CountedLog::new(log, metrics.traffic.clone());
         let relayed = Arc::new(RelayedLog::new(
             Arc::new(log),
-            Arc::clone(&others),
+            Arc::clone(&peers),
             Arc::clone(&job_regions),
             Arc::clone(&metrics),
             clock,
@@ -197,7 +197,7 @@
             fleet_state: Arc::clone(&fleet_state),
             upstream: Upstream::default(),
             metrics: Arc::clone(&metrics),
-            peers: Arc::clone(&others),
+            peers: Arc::clone(&peers),
             slots: Arc::clone(&slots),
             start_permits: Arc::clone(&start_permits),
             quarantine: Arc::clone(&quarantine),
@@ -231,8 +231,10 @@
             clock,
         });
         let stop = Stop::default();
-        let callers_address = callers.local_addr().unwrap_or(settings.listen.callers);
-        let ready_address = ready.local_addr().unwrap_or(settings.listen.ready);
+        let callers_address = caller_listener
+            .local_addr()
+            .unwrap_or(settings.listen.callers);
+        let ready_address = ready_listener.local_addr().unwrap_or(settings.listen.ready);
         let directory = settings.directory.clone();
         let propagation_limit = directory.obey_within.min(settings.evacuation.obey_within);
         let evacuation_monitor = EvacuationMonitor {
@@ -246,21 +248,25 @@
             tokio::spawn(Arc::clone(&fleet_followers).follow_configuration(propagation_limit)),
             tokio::spawn(fleet_followers.follow_directory(directory)),
             tokio::spawn(serve_callers(
-                callers,
+                caller_listener,
                 online,
                 Arc::clone(&fleet_state),
                 stop.clone(),
             )),
-            tokio::spawn(serve_ready(ready, Arc::clone(&fleet_state), stop.clone())),
+            tokio::spawn(serve_ready(
+                ready_listener,
+                Arc::clone(&fleet_state),
+                stop.clone(),
+            )),
             tokio::spawn(serve_peers(
-                peers,
+                peer_listener,
                 Arc::clone(&protocol),
                 Arc::clone(&batch),
                 Arc::clone(&relayed),
                 Arc::clone(&tails),
             )),
             tokio::spawn(relayed.probe_log()),
-            tokio::spawn(Arc::clone(&others).receive_notices(NoticeHandlers {
+            tokio::spawn(Arc::clone(&peers).receive_notices(NoticeHandlers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
                 rates: Arc::clone(&rates),
@@ -273,8 +279,8 @@
             tokio::spawn(rates.run_cleanup()),
             tokio::spawn(Arc::clone(&slots).run_reporting()),
             tokio::spawn(slots.run_free_slot_announcements()),
-            tokio::spawn(Arc::clone(&others).run_registration(Arc::clone(&log))),
-            tokio::spawn(Arc::clone(&others).follow_membership(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&peers).run_registration(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&peers).follow_membership(Arc::clone(&log))),
             tokio::spawn(sweep(dispatcher)),
             tokio::spawn(evacuation_monitor.run()),
         ];
@@ -291,7 +297,7 @@
             stop,
             stop_settings: settings.stop.clone(),
             batch,
-            peers: others,
+            peers,
             log,
             tasks,
         })
@@ -316,13 +322,13 @@
     /// expected, closes idle connections, and waits for requests in progress.
     pub async fn stop(self) {
         let time_limit = self.stop_settings.grace.saturating_sub(GRACE_MARGIN);
-        log::info!(limit_ms = time_limit.as_millis() as u64; "gateway drains");
+        log::info!(limit_ms = time_limit.as_millis() as u64; "gateway is stopping; handing over its batch jobs and draining connections");
         if tokio::time::timeout(time_limit, self.drain())
             .await
             .is_err()
         {
             log::warn!(connections = self.stop.connections.len();
-                "requests did not end within the grace period; stopping nevertheless");
+                "graceful stop did not complete within the grace period; stopping nevertheless");
         }
         log::info!("gateway stops");
         for task in &self.tasks {
@@ -355,10 +361,10 @@
 /// Closes timed-out idle connections to workers at a fixed interval, and logs pauses of the process.
 async fn sweep(dispatcher: Arc<Dispatcher>) {
     loop {
-        let slept_at = dispatcher.clock.now();
+        let sleep_began_at = dispatcher.clock.now();
         tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = dispatcher.clock.now();
-        let late = now.saturating_sub(slept_at + SWEEP_INTERVAL);
+        let late = now.saturating_sub(sleep_began_at + SWEEP_INTERVAL);
         if late >= MIN_LOGGED_PAUSE {
             log::warn!(late_ms = late.as_millis() as u64; "this process stood still");
         }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Chooses the worker for a late request: waits in the queue until a slot is free at once, and accepts any slot
-    /// after `LATE_WAIT_SHARE` of the timeout.
+    /// Chooses the worker for a late request: waits in the queue until a worker has a free slot, and accepts any
+    /// worker after `LATE_WAIT_SHARE` of the timeout.
     async fn place_late(&self, context: &RequestContext) -> Option<ChosenWorker> {
         let clock = self.dispatcher.clock;
         let queued_at = clock.now();
--- a/crates/swiftshunt-gateway/src/upstream.rs
+++ b/crates/swiftshunt-gateway/src/upstream.rs
@@ -44,8 +44,8 @@
 
 struct IdleConnection {
     sender: Sender,
-    since: Duration,
-    until: Duration,
+    idle_since: Duration,
+    expires_at: Duration,
 }
 
 /// Connections to workers, by incarnation.
@@ -63,7 +63,7 @@
         let mut idle = lock(&self.idle);
         let of_worker = idle.get_mut(incarnation)?;
         while let Some(connection) = of_worker.pop_front() {
-            if connection.until > now && connection.sender.is_ready() {
+            if connection.expires_at > now && connection.sender.is_ready() {
                 return Some(connection.sender);
             }
         }
@@ -85,12 +85,13 @@
         let idle_timeout = idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
         let mut idle = lock(&self.idle);
         let of_worker = idle.entry(incarnation.to_owned()).or_default();
-        of_worker.retain(|connection| connection.until > now && !connection.sender.is_closed());
+        of_worker
+            .retain(|connection| connection.expires_at > now && !connection.sender.is_closed());
         if of_worker.len() < MAX_IDLE_PER_WORKER {
             of_worker.push_back(IdleConnection {
                 sender,
-                since: now,
-                until: now + idle_timeout,
+                idle_since: now,
+                expires_at: now + idle_timeout,
             });
         }
     }
@@ -112,7 +113,9 @@
         let mut idle = lock(&self.idle);
         idle.retain(|incarnation, of_worker| {
             of_worker.retain(|connection| {
-                connection.since <= now && connection.until > now && !connection.sender.is_closed()
+                connection.idle_since <= now
+                    && connection.expires_at > now
+                    && !connection.sender.is_closed()
             });
             !of_worker.is_empty() && is_known(incarnation)
         });
