--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -379,7 +379,7 @@
         request
     }
 
-    /// Returns when a limit of the send is reached.
+    /// Waits until a limit of the send is reached, and returns the failure.
     async fn wait_until_limit(&self, chosen: &ChosenWorker, limits: SendLimits) -> SendFailure {
         let started = self.clock.now();
         let now = started;
--- a/crates/swiftshunt-gateway/src/gateway.rs
+++ b/crates/swiftshunt-gateway/src/gateway.rs
@@ -120,7 +120,7 @@
             Arc::clone(&metrics),
         ));
         let unreadable = Arc::new(UnreadableRecords::new(Arc::clone(&metrics), clock));
-        let peers = Arc::new(Peers::new(
+        let other_gateways = Arc::new(Peers::new(
             Arc::clone(&datagrams),
             Arc::clone(&members),
             &settings.gateways.seeds,
@@ -136,7 +136,7 @@
         let log = CountedLog::new(log, metrics.traffic.clone());
         let relayed = Arc::new(RelayedLog::new(
             Arc::new(log),
-            Arc::clone(&peers),
+            Arc::clone(&other_gateways),
             Arc::clone(&job_regions),
             Arc::clone(&metrics),
             clock,
@@ -197,7 +197,7 @@
             fleet_state: Arc::clone(&fleet_state),
             upstream: Upstream::default(),
             metrics: Arc::clone(&metrics),
-            peers: Arc::clone(&peers),
+            peers: Arc::clone(&other_gateways),
             slots: Arc::clone(&slots),
             start_permits: Arc::clone(&start_permits),
             quarantine: Arc::clone(&quarantine),
@@ -266,7 +266,7 @@
                 Arc::clone(&tails),
             )),
             tokio::spawn(relayed.probe_log()),
-            tokio::spawn(Arc::clone(&peers).receive_notices(NoticeHandlers {
+            tokio::spawn(Arc::clone(&other_gateways).receive_notices(NoticeHandlers {
                 slots: Arc::clone(&slots),
                 waiting_limits,
                 rates: Arc::clone(&rates),
@@ -279,8 +279,8 @@
             tokio::spawn(rates.run_cleanup()),
             tokio::spawn(Arc::clone(&slots).run_reporting()),
             tokio::spawn(slots.run_free_slot_announcements()),
-            tokio::spawn(Arc::clone(&peers).run_registration(Arc::clone(&log))),
-            tokio::spawn(Arc::clone(&peers).follow_membership(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&other_gateways).run_registration(Arc::clone(&log))),
+            tokio::spawn(Arc::clone(&other_gateways).follow_membership(Arc::clone(&log))),
             tokio::spawn(sweep(dispatcher)),
             tokio::spawn(evacuation_monitor.run()),
         ];
@@ -297,7 +297,7 @@
             stop,
             stop_settings: settings.stop.clone(),
             batch,
-            peers,
+            peers: other_gateways,
             log,
             tasks,
         })
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -30,6 +30,7 @@
 /// Time without contact from any other gateway after which this one considers itself cut off, if
 /// `CUT_OFF_SUSPECTS` others have missed answers.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
+/// Number of other gateways with missed answers from which this one may consider itself cut off.
 const CUT_OFF_SUSPECTS: usize = 2;
 /// Upper bound of the number of doublings of a suspicion.
 const MAX_DOUBLINGS: u32 = 3;
@@ -259,8 +260,7 @@
             .unwrap_or(self.own)
     }
 
-    /// Whether a gateway is in a region. `None` stands for the single region of a deployment, which holds every
-    /// gateway.
+    /// Whether a gateway is in a region; always true for `None`, which means the single region of a deployment.
     fn is_in(&self, known: &MemberList, gateway: SocketAddr, region: Option<&RegionName>) -> bool {
         let Some(region) = region else {
             return true;
@@ -292,8 +292,8 @@
     }
 
     /// Returns the issuers of start permits for a worker, by rank: the first gateways in the worker's own order
-    /// among those of its region, including suspected ones. `None` stands for a rank whose gateway is no longer
-    /// listed; another gateway gets the rank `UNLISTED_NODE_TTL` after the removal.
+    /// among those of its region, including suspected ones. `None` is a rank whose gateway is no longer
+    /// listed; another gateway gets that rank `UNLISTED_NODE_TTL` after the removal.
     pub(crate) fn permit_issuers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
         let region = self.topology.dividing_region_of(zone);
         let removed_since = self.clock.now().saturating_sub(UNLISTED_NODE_TTL);
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -19,7 +19,6 @@
 /// Interval between two checks of a worker whose stream is silent.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The result of a read from a stream.
 enum StreamChunk {
     Bytes(Bytes),
     End,
@@ -213,7 +212,8 @@
             longest_ms = longest.as_millis() as u64; "a stream paused for longer than its route allows");
     }
 
-    /// Replaces the failed answer by one of another worker that continues the stream.
+    /// Replaces the failed answer by the answer of another worker that continues the stream. Returns an error, which
+    /// aborts the caller's stream, if no worker does.
     async fn resume_elsewhere(&mut self, failure: SendFailure) -> Result<(), BodyError> {
         let last = self.resume.as_ref().and_then(Resume::position);
         if let Some(mut answer) = self.answer.take() {
--- a/crates/swiftshunt-gateway/src/start_permits.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -25,7 +25,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(14);
 /// Upper bound of the time-out for any issuer: a permit that arrives this late is still valid for some time.
 const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
-/// Time for which a worker gets no sends if none of its issuers answered, or the gateway that was asked cannot issue
+/// Time for which a worker gets no sends if none of its issuers answered, or those that answered cannot issue
 /// permits for it.
 const NO_ISSUER_BACKOFF: Duration = Duration::from_millis(200);
 /// Lower bound of the time for which a worker gets no sends after its issuers refused a permit.
@@ -53,7 +53,7 @@
     last_request: AtomicU64,
 }
 
-/// An open request for a permit. Dropping it removes the request, also if the task that made it was cancelled.
+/// An open request for a permit. Dropping this removes the request, also when the task that sent it was cancelled.
 struct PendingRequest<'s> {
     permits: &'s StartPermits,
     ask: u64,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Requests a permit from the issuers of a worker, one after the other.
+    /// Requests a permit from the issuers of a worker, one after the other, until one grants it.
     async fn request_from_issuers(&self, chosen: &ChosenWorker, bound: &ColdBound) -> Verdict {
         let mut issuers = self.members.permit_issuers(&chosen.id, &chosen.zone);
         if prefers_second_issuer(bound, rand::random()) {
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -19,11 +19,12 @@
 const WAITS_PER_PROPAGATION_LIMIT: u32 = 2;
 /// The propagation limit divided by this is the time for which an answer may be overdue before its read is repeated.
 const HEDGES_PER_PROPAGATION_LIMIT: u32 = 4;
-/// Base of the exponential pause after a failed call, and the upper bound of the pause.
+/// Base of the exponential pause after a failed call.
 const BACKOFF_BASE: Duration = Duration::from_millis(80);
+/// Upper bound of that pause.
 const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// Pauses after failed calls to the log, and logs when the log becomes unavailable and when it answers again.
+/// Pauses after failed calls to the log. Logs the second failure in a row, and the first answer after that.
 pub(crate) struct LogBackoff {
     what: &'static str,
     partition: u32,
@@ -91,7 +92,7 @@
 
 /// Reads the tail of a topic. Calls made while the log was unavailable are never answered, not even once the log is
 /// available again, and a slow log answers late. So the read is repeated while the overdue one is still open, and the
-/// first outcome counts. `overdue` is called on each repetition.
+/// first outcome counts. `overdue` is called whenever the read has been repeated.
 async fn read_hedged(
     log: &dyn Log,
     topic: Topic,
