--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -24,12 +24,13 @@
 const MISSES_BEFORE_SUSPICION: u32 = 2;
 /// Duration of the first suspicion; each consecutive one lasts twice as long.
 const INITIAL_SUSPICION: Duration = Duration::from_millis(500);
-/// Upper bound of that duration: a gateway that was unreachable owns its cells again after this time at the
-/// latest.
+/// Upper bound of the duration of a suspicion: a gateway that was unreachable owns its cells again after this time
+/// at the latest.
 const MAX_SUSPICION: Duration = Duration::from_secs(4);
 /// Time without contact from any other gateway after which this one considers itself cut off, if
 /// `CUT_OFF_SUSPECTS` others have missed answers.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(300);
+/// Number of other gateways with missed answers from which this one may consider itself cut off.
 const CUT_OFF_SUSPECTS: usize = 2;
 /// Upper bound of the number of doublings of a suspicion.
 const MAX_DOUBLINGS: u32 = 3;
@@ -48,7 +49,7 @@
     fn begin(&mut self, gateway: SocketAddr, now: Duration) {
         let time = INITIAL_SUSPICION * 2_u32.pow(self.repeats.min(MAX_DOUBLINGS));
         self.until = now + time.min(MAX_SUSPICION);
-        // After this time, a single missed answer renews the suspicion.
+        // Once the suspicion has expired, a single missed answer renews it.
         self.misses = self.misses.max(MISSES_BEFORE_SUSPICION);
         self.repeats += 1;
         log::info!(gateway = gateway.to_string().as_str(),
@@ -259,8 +260,7 @@
             .unwrap_or(self.own)
     }
 
-    /// Whether a gateway is in a region. `None` stands for the single region of a deployment, which holds every
-    /// gateway.
+    /// Whether a gateway is in a region; always true for `None`, which means the single region of a deployment.
     fn is_in(&self, known: &MemberList, gateway: SocketAddr, region: Option<&RegionName>) -> bool {
         let Some(region) = region else {
             return true;
@@ -292,8 +292,8 @@
     }
 
     /// Returns the issuers of start permits for a worker, by rank: the first gateways in the worker's own order
-    /// among those of its region, including suspected ones. `None` stands for a rank whose gateway is no longer
-    /// listed; another gateway gets the rank `UNLISTED_NODE_TTL` after the removal.
+    /// among those of its region, including suspected ones. `None` is a rank whose gateway is no longer
+    /// listed; another gateway gets that rank `UNLISTED_NODE_TTL` after the removal.
     pub(crate) fn permit_issuers(&self, worker: &str, zone: &str) -> Vec<Option<SocketAddr>> {
         let region = self.topology.dividing_region_of(zone);
         let removed_since = self.clock.now().saturating_sub(UNLISTED_NODE_TTL);
