--- a/crates/swiftshunt/tests/common/mod.rs
+++ b/crates/swiftshunt/tests/common/mod.rs
@@ -1,17 +1,17 @@
-//! What the integration tests share.
+//! Helpers shared by the process tests of nodes.
 
 use std::path::Path;
 
 use swiftshunt_lab::harness::{Binaries, Fleet, FleetOptions};
 use tokio::sync::{Mutex, MutexGuard};
 
-/// One fleet at a time: tests count on the machine keeping up with theirs.
+/// Runs one fleet at a time: the tests have time limits that fail on an overloaded machine.
 static ONE_FLEET: Mutex<()> = Mutex::const_new(());
 
-/// A fleet that no other test of this program shares the machine with.
+/// A fleet that holds the lock until it is dropped, so that no other test of this program runs a fleet.
 pub struct ExclusiveFleet {
     fleet: Fleet,
-    _turn: MutexGuard<'static, ()>,
+    _guard: MutexGuard<'static, ()>,
 }
 
 impl std::ops::Deref for ExclusiveFleet {
@@ -28,14 +28,14 @@
     }
 }
 
-/// Starts a fleet of real processes.
+/// Waits for its turn and starts a fleet of node processes.
 pub async fn start_fleet(options: FleetOptions) -> ExclusiveFleet {
-    let turn = ONE_FLEET.lock().await;
+    let guard = ONE_FLEET.lock().await;
     let binaries = Binaries::beside(env!("CARGO_BIN_EXE_swiftshunt"));
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let fleet = Fleet::start(binaries, scratch, options).await;
     ExclusiveFleet {
-        fleet: fleet.expect("a fleet"),
-        _turn: turn,
+        fleet: fleet.expect("the fleet did not start"),
+        _guard: guard,
     }
 }
--- a/crates/swiftshunt/tests/gateway/mod.rs
+++ b/crates/swiftshunt/tests/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the gateway share.
-#![allow(dead_code)] // Each test program uses a part of it.
+//! Helpers shared by the process tests of the gateway.
+#![allow(dead_code)] // Each test program uses only some of these helpers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,13 +16,13 @@
 use swiftshunt_platform::words::values;
 use tokio::sync::{Mutex, MutexGuard};
 
-/// One fleet at a time: tests count on the machine keeping up with theirs.
+/// Runs one fleet at a time: the tests have time limits that fail on an overloaded machine.
 static ONE_FLEET: Mutex<()> = Mutex::const_new(());
 
-/// A fleet that no other test of this program shares the machine with.
+/// A fleet that holds the lock until it is dropped, so that no other test of this program runs a fleet.
 pub struct ExclusiveFleet {
     fleet: PlatformFleet,
-    _turn: MutexGuard<'static, ()>,
+    _guard: MutexGuard<'static, ()>,
 }
 
 impl Deref for ExclusiveFleet {
@@ -39,18 +39,21 @@
     }
 }
 
-/// Starts real gateways before stand-ins.
+/// Waits for its turn and starts gateway processes with simulated workers and a simulated platform log.
 pub async fn start(options: PlatformOptions) -> ExclusiveFleet {
-    let turn = ONE_FLEET.lock().await;
+    let guard = ONE_FLEET.lock().await;
     let binary = Path::new(env!("CARGO_BIN_EXE_swiftshunt"));
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let fleet = PlatformFleet::start(binary, scratch, options).await;
-    let fleet = fleet.expect("a fleet");
+    let fleet = fleet.expect("the fleet did not start");
     println!("logs: {}", fleet.logs().display());
-    ExclusiveFleet { fleet, _turn: turn }
+    ExclusiveFleet {
+        fleet,
+        _guard: guard,
+    }
 }
 
-/// A store that does not answer.
+/// Returns the faults of a platform log that accepts connections and never answers.
 pub fn down() -> StoreFaults {
     StoreFaults {
         down: Some(Down::Silent),
@@ -58,7 +61,7 @@
     }
 }
 
-/// Asserts that a stream has every event, once, in order.
+/// Asserts that a stream contains each of its events once and in order.
 pub fn assert_all_events(body: &[u8], id: &str, events: u64) {
     let text = String::from_utf8_lossy(body);
     let expected: String = (0..events)
@@ -67,18 +70,18 @@
     assert_eq!(text, expected);
 }
 
-/// The text of an item whose output is whole.
+/// Returns the expected output of a completed item.
 pub fn whole_text(item: &str, events: u64) -> String {
     let pieces: Vec<String> = (0..events).map(|event| event_data(item, event)).collect();
     pieces.join("\n")
 }
 
-/// Events of an item.
+/// Number of events of an item.
 pub const EVENTS: u64 = 8;
-/// Answered at once.
+/// Wait time of a query for results that is answered immediately.
 pub const NO_WAIT: Duration = Duration::ZERO;
 
-/// Results of a job as one gateway lists them.
+/// Returns the results of a job that a gateway lists; empty if the query fails.
 pub async fn listed(fleet: &ExclusiveFleet, gateway: SocketAddr, job: &str) -> Vec<ResultDocument> {
     let answer = fleet.caller.results(gateway, job, 0, NO_WAIT).await;
     let Ok((StatusCode::OK, document)) = answer else {
@@ -87,6 +90,7 @@
     document.results
 }
 
+/// Waits until a gateway lists a result for each item of a job.
 pub async fn whole_job(fleet: &ExclusiveFleet, gateway: SocketAddr, job: &str, items: usize) {
     eventually("every item has a result", || async {
         listed(fleet, gateway, job).await.len() == items
@@ -94,13 +98,13 @@
     .await;
 }
 
-/// Asserts that every item is listed once, with its whole output.
+/// Asserts that the results contain each item of the job, completed with its whole output.
 pub fn assert_completed(results: &[ResultDocument], job: &str, items: usize) {
     let by_item: BTreeMap<&str, &ResultDocument> = results
         .iter()
         .map(|result| (result.id.as_str(), result))
         .collect();
-    assert_eq!(by_item.len(), items, "an item is listed twice");
+    assert_eq!(by_item.len(), items, "wrong number of listed items");
     for item in 0..items {
         let id = item_id(job, item);
         let result = by_item[id.as_str()];
@@ -109,6 +113,7 @@
     }
 }
 
+/// Submits a job and asserts that it is accepted.
 pub async fn submit(fleet: &ExclusiveFleet, gateway: SocketAddr, job: &str, items: usize) {
     let status = fleet.caller.submit(gateway, BATCH, job, items).await;
     assert_eq!(status.expect("an answer"), StatusCode::ACCEPTED);
--- a/crates/swiftshunt/tests/gateway_batch.rs
+++ b/crates/swiftshunt/tests/gateway_batch.rs
@@ -1,4 +1,4 @@
-//! A gateway before a platform's stand-ins: batch jobs, also when gateways and the store fail.
+//! Batch jobs on gateways with simulated workers, also while gateways and the platform's log fail.
 
 mod gateway;
 
@@ -14,7 +14,7 @@
 use test_case::test_case;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_run_once_and_listed_alike_everywhere() {
+async fn each_item_runs_once_and_all_gateways_list_the_same_results() {
     let fleet = start(PlatformOptions::default()).await;
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     submit(&fleet, one, "job-1", 10).await;
@@ -33,9 +33,10 @@
     assert_eq!(body, item_body("job-1", 3));
 }
 
-/// Keys of the log are short; a record under one that was cut would be lost after its 202.
+/// Keys in the log have a limited length. A job stored under a truncated key would be lost although it
+/// was acknowledged with 202.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_with_a_long_identifier_is_kept() {
+async fn a_job_with_a_long_identifier_is_not_lost() {
     let fleet = start(PlatformOptions::default()).await;
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     let job = "long".repeat(100);
@@ -45,7 +46,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_stays_readable_when_its_host_has_no_route_any_more() {
+async fn a_job_stays_readable_after_its_route_is_removed() {
     let mut fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-1", 2).await;
@@ -66,7 +67,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn pages_begin_where_they_are_asked_to() {
+async fn result_pages_start_at_the_requested_position() {
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-1", 5).await;
@@ -83,7 +84,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_job_is_not_found_and_an_unsure_gateway_says_so() {
+async fn an_unknown_job_is_404_and_503_while_the_log_is_unreachable() {
     let fleet = start(PlatformOptions::default()).await;
     let gateway = &fleet.gateways[0];
     let answer = fleet
@@ -91,7 +92,8 @@
         .results(gateway.callers, "none", 0, NO_WAIT)
         .await;
     assert_eq!(answer.expect("an answer").0, StatusCode::NOT_FOUND);
-    // The other one may hold the job's partition, and is sure while it reaches the log.
+    // Every gateway loses the log: the other one may own the job's partition, and could still tell that
+    // the job is unknown while it reaches the log.
     for gateway in &fleet.gateways {
         gateway.door.set(gateway::down());
     }
@@ -103,10 +105,10 @@
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
-/// A gateway whose replay lagged said that nothing stood at a position that
-/// another gateway had listed.
+/// Guards against an empty page for a position at which another gateway already lists results: a gateway
+/// whose replay of the log lags must not report the position as empty.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_whose_replay_lags_does_not_say_that_a_position_is_empty() {
+async fn a_gateway_whose_replay_lags_does_not_report_an_empty_page() {
     let fleet = start(PlatformOptions::default()).await;
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     submit(&fleet, one, "job-1", 3).await;
@@ -127,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_outlives_every_gateway_at_once() {
+async fn a_job_survives_a_restart_of_all_gateways() {
     let mut fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(60),
         ..PlatformOptions::default()
@@ -144,7 +146,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn results_outlive_dropped_history() {
+async fn results_survive_compaction_of_the_log() {
     let mut fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-1", 6).await;
@@ -159,10 +161,10 @@
     whole_job(&fleet, restarted, "job-2", 6).await;
 }
 
-#[test_case(Duration::ZERO; "done at once")]
-#[test_case(Duration::from_millis(1500); "done late")]
+#[test_case(Duration::ZERO; "append is executed immediately")]
+#[test_case(Duration::from_millis(1500); "append is executed late")]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_store_double_nothing(done_late: Duration) {
+async fn lost_answers_of_the_log_duplicate_no_results(done_late: Duration) {
     let fleet = start(PlatformOptions {
         seed: 7,
         ..PlatformOptions::default()
@@ -178,10 +180,10 @@
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     for number in 0..6 {
         let job = format!("job-{number}");
-        eventually("the job is taken", || async {
+        eventually("the job is accepted", || async {
             let status = fleet.caller.submit(one, BATCH, &job, 4).await;
             let status = status.expect("an answer");
-            // What may stand must not be denied.
+            // 503 means that the job is not stored, but the append whose answer was lost may be.
             assert_ne!(status, StatusCode::SERVICE_UNAVAILABLE);
             status == StatusCode::ACCEPTED
         })
@@ -194,14 +196,15 @@
     }
 }
 
-/// A log that loses an answer says nothing more: a job is taken in time all the same, since it is
-/// handed in again beside the append whose answer is overdue.
+/// The log stays silent after it lost an answer. The gateway still accepts jobs in time, because it
+/// appends a job again while the answer of the first append is overdue.
 #[tokio::test(flavor = "multi_thread")]
-async fn jobs_are_taken_in_time_while_the_store_loses_answers_in_silence() {
+async fn jobs_are_accepted_in_time_while_the_log_silently_loses_answers() {
     const JOBS: usize = 24;
-    /// Time within which callers want a 202: less than a call to the log may take.
+    /// Time within which a job must be accepted: less than the time limit of one call to the log.
     const IN_TIME: Duration = Duration::from_millis(1_000);
-    /// Jobs that may be late: with four appends open, one in forty loses all four answers.
+    /// Maximum number of late jobs: with four open appends per job and 40 % of the answers lost, about one
+    /// job in forty loses all four.
     const LATE: usize = 5;
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
@@ -211,28 +214,28 @@
         lost_in_silence: true,
         ..StoreFaults::default()
     });
-    let hand_in = |number: usize| {
+    let submit_in_time = |number: usize| {
         let fleet = &fleet;
         async move {
             let job = format!("job-{number}");
             let began = std::time::Instant::now();
-            let taken = fleet.caller.submit(gateway, BATCH, &job, 1).await;
-            taken.is_ok_and(|status| status == StatusCode::ACCEPTED) && began.elapsed() < IN_TIME
+            let status = fleet.caller.submit(gateway, BATCH, &job, 1).await;
+            status.is_ok_and(|status| status == StatusCode::ACCEPTED) && began.elapsed() < IN_TIME
         }
     };
-    let handed_in = futures_util::future::join_all((1..=JOBS).map(hand_in));
-    let late = handed_in.await.into_iter().filter(|in_time| !in_time);
+    let submissions = futures_util::future::join_all((1..=JOBS).map(submit_in_time));
+    let late = submissions.await.into_iter().filter(|in_time| !in_time);
     let late = late.count();
     println!("{late} of {JOBS} jobs were late");
     assert!(late <= LATE, "{late} jobs were late");
 }
 
-#[test_case(Down::Busy; "refusing")]
-#[test_case(Down::Reset; "resetting")]
+#[test_case(Down::Busy; "log answers busy")]
+#[test_case(Down::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_is_taken_while_the_store_is_down_and_a_refusal_is_true(down: Down) {
+async fn no_job_is_accepted_while_the_log_is_down_and_a_rejected_job_never_runs(down: Down) {
     let fleet = start(PlatformOptions::default()).await;
-    // A gateway that alone is turned away takes jobs through another.
+    // All gateways lose the log: a single one would submit the job through another gateway.
     for gateway in &fleet.gateways {
         let faults = StoreFaults {
             down: Some(down),
@@ -255,9 +258,10 @@
     }
 }
 
-/// 339 runs of items were cut since leases ran out while nobody could renew.
+/// Guards against runs that are cut off because leases expire while the log is down and no gateway can
+/// renew them (339 runs in one outage).
 #[tokio::test(flavor = "multi_thread")]
-async fn items_go_on_while_the_store_is_down_for_everybody() {
+async fn items_keep_running_while_the_log_is_down_for_all_gateways() {
     let fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(400),
         ..PlatformOptions::default()
@@ -273,8 +277,8 @@
     for gateway in &fleet.gateways {
         gateway.door.set(gateway::down());
     }
-    // Longer than a lease, shorter than the leases' keeping.
-    eventually("every run comes to its end", || async {
+    // The runs take longer than a lease, but less than the time for which the log retains leases.
+    eventually("every item has a finished run", || async {
         let ended = |item: &String| fleet.runs_of(item).iter().any(|run| run.ended);
         items.iter().all(ended)
     })
@@ -289,7 +293,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_gateway_leaves_word_how_far_items_came() {
+async fn a_stopping_gateway_hands_over_the_progress_of_its_items() {
     let fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(250),
         ..PlatformOptions::default()
@@ -319,8 +323,12 @@
         after.len() > before.len(),
         "the stopped gateway ran nothing"
     );
-    let anew = |runs: &[Run]| runs.iter().filter(|run| run.last_event.is_none()).count();
-    assert_eq!(anew(&before), anew(&after), "an item began anew: {after:?}");
+    let from_start = |runs: &[Run]| runs.iter().filter(|run| run.last_event.is_none()).count();
+    assert_eq!(
+        from_start(&before),
+        from_start(&after),
+        "an item started over: {after:?}"
+    );
 }
 
 fn all_runs(fleet: &ExclusiveFleet, items: &[String]) -> Vec<Run> {
@@ -329,7 +337,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_ended_job_stops() {
+async fn items_of_an_ended_job_stop_running() {
     let fleet = start(PlatformOptions {
         events: 200,
         event_pause: Duration::from_millis(50),
@@ -352,15 +360,15 @@
             .map(|item| fleet.runs_of(&item_id("job-1", item)).len())
             .sum()
     };
-    let then = count();
+    let count_before = count();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(then, count());
+    assert_eq!(count_before, count());
 }
 
-#[test_case(Manner::Fail, 3; "failures")]
-#[test_case(Manner::Never, 1; "items that can never be done")]
+#[test_case(Manner::Fail, 3; "failed runs")]
+#[test_case(Manner::Never, 1; "items that workers reject as impossible")]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_that_fails_is_given_up_after_as_many_runs(manner: Manner, runs: usize) {
+async fn a_failing_item_is_given_up_after_the_allowed_number_of_runs(manner: Manner, runs: usize) {
     let fleet = start(PlatformOptions::default()).await;
     for engine in &fleet.engines {
         engine.set(manner);
@@ -377,7 +385,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_item_goes_on_behind_its_last_event() {
+async fn an_item_whose_stream_breaks_resumes_after_its_last_event() {
     let fleet = start(PlatformOptions::default()).await;
     for engine in &fleet.engines {
         engine.set(Manner::BreakAfter(3));
@@ -387,13 +395,13 @@
     whole_job(&fleet, gateway, "job-1", 3).await;
     assert_completed(&listed(&fleet, gateway, "job-1").await, "job-1", 3);
     let runs = fleet.runs_of(&item_id("job-1", 0));
-    let begun_anew = runs.iter().filter(|run| run.last_event.is_none());
-    assert_eq!(begun_anew.count(), 1, "{runs:?}");
-    assert!(runs.len() > 1, "nothing broke off");
+    let from_start = runs.iter().filter(|run| run.last_event.is_none());
+    assert_eq!(from_start.count(), 1, "{runs:?}");
+    assert!(runs.len() > 1, "no run broke off");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn partitions_that_are_dealt_anew_double_no_result() {
+async fn reassigned_partitions_duplicate_no_results() {
     let fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(100),
         ..PlatformOptions::default()
@@ -418,7 +426,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_runner_is_replaced_and_its_late_results_change_nothing() {
+async fn items_of_a_paused_gateway_run_elsewhere_and_its_late_results_change_nothing() {
     let fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(150),
         ..PlatformOptions::default()
--- a/crates/swiftshunt/tests/gateway_quarantine.rs
+++ b/crates/swiftshunt/tests/gateway_quarantine.rs
@@ -1,12 +1,11 @@
-//! Requests that end the workers that run them.
+//! Quarantine of requests that end (crash) the workers that run them.
 //!
-//! What users saw: a tenth of all short streams failed, again and again for seconds, and one worker after
-//! the other had to start anew. Callers sent a request that ended the worker which began to run it; they got
-//! 502 and sent it again, with a new identifier, to another gateway, which gave it to another worker. One
-//! request ended 28 workers that way, and with each of them the streams of its other callers broke off.
-//! The cause: what a failure said was kept for the worker alone, and by the gateway alone that saw it.
-//! The evidence: 46 sends broke off before a first event, one send for each try, spread over all gateways
-//! and workers, while 28 and 18 ends were those of the same two bodies.
+//! Guards against one request that ends worker after worker: its caller gets 502 and sends it again, with a
+//! new identifier, to another gateway, which sends it to another worker. With each worker, the streams of
+//! its other callers break off. This happens if a failure is recorded only for the worker, and only by the
+//! gateway that saw it. In one such run two request bodies ended 28 and 18 workers, in 46 sends over all
+//! gateways and workers that broke off before a first event, one send for each attempt, and for seconds at
+//! a time a tenth of all short streams failed.
 
 mod gateway;
 
@@ -27,10 +26,10 @@
 
 /// The body of a request that ends its workers.
 const HARMFUL: &str = "a question that ends its worker";
-/// Ends of workers after which a request is not sent any more.
-const MOST_ENDS: usize = 3;
-/// Tries of one request, one after the other.
-const TRIES: usize = 10;
+/// Number of ended workers after which a request is no longer sent.
+const MAX_ENDS: usize = 3;
+/// Number of consecutive attempts of the same request.
+const ATTEMPTS: usize = 10;
 const GATEWAYS: usize = 3;
 
 async fn fleet() -> ExclusiveFleet {
@@ -47,7 +46,7 @@
     .await
 }
 
-/// Sends the harmful request at each gateway at the same time; gives the statuses.
+/// Sends the harmful request to all gateways at the same time and returns the statuses.
 async fn try_everywhere(fleet: &ExclusiveFleet, path: &str, name: &str) -> Vec<StatusCode> {
     let tries = fleet.gateways.iter().enumerate().map(|(index, gateway)| {
         let id = format!("{name}-{index}");
@@ -55,7 +54,7 @@
             let answer = fleet
                 .caller
                 .ask_with_body(gateway.callers, path, &id, HARMFUL);
-            // A stream may also break off.
+            // A stream may also break off, which counts as 502.
             match answer.await {
                 Ok(answer) => {
                     println!("{id}: {} {:?}", answer.status, answer.body);
@@ -71,8 +70,8 @@
     futures_util::future::join_all(tries).await
 }
 
-/// Waits until every gateway holds the harmful request back. What it ends until then is told.
-async fn until_held(fleet: &ExclusiveFleet, path: &str) {
+/// Sends the harmful request until every gateway refuses it. It may end workers until then.
+async fn until_refused(fleet: &ExclusiveFleet, path: &str) {
     for number in 0.. {
         let statuses = try_everywhere(fleet, path, &format!("held-{number}")).await;
         if statuses
@@ -85,14 +84,14 @@
     }
 }
 
-/// Sends the harmful request again and again, to each gateway in turn and with a new identifier each time; gives
-/// the identifiers and what became of them.
+/// Sends the harmful request `ATTEMPTS` times, to each gateway in turn and with a new identifier each time.
+/// Returns the identifiers and the responses.
 async fn try_in_turn(
     fleet: &ExclusiveFleet,
     path: &str,
 ) -> Vec<(String, Result<HttpAnswer, HttpError>)> {
     let mut tried = Vec::new();
-    for number in 0..TRIES {
+    for number in 0..ATTEMPTS {
         let gateway = fleet.gateways[number % GATEWAYS].callers;
         let id = format!("harmful-{number}");
         let answer = fleet
@@ -104,22 +103,22 @@
     tried
 }
 
-/// The status of an answer, if there is one.
+/// Returns the status of a response, or `None` if there was none.
 fn status_of(answer: &Result<HttpAnswer, HttpError>) -> Option<StatusCode> {
     answer.as_ref().map(|answer| answer.status).ok()
 }
 
-/// Workers that have ended.
+/// Returns the number of workers that have ended.
 fn ended(fleet: &ExclusiveFleet) -> usize {
     let workers = fleet.whole.iter().chain(&fleet.engines);
     workers.filter(|worker| worker.has_ended()).count()
 }
 
-/// The same request comes again and again, to each gateway in turn and with a new identifier each time: it
-/// ends three workers and no more, whatever its route allows, and whoever sends it is told that it was not
-/// run and when it may come back. All others are served.
+/// The same request arrives at each gateway in turn, with a new identifier each time. It ends at most three
+/// workers, whatever its route allows. Later attempts get 503 with `retry-after` and do not run, while other
+/// requests are served.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_its_workers_is_sent_no_more_after_the_third() {
+async fn a_request_that_ends_three_workers_is_not_sent_again() {
     for path in [ASK, ONCE, STREAM, STREAM_ONCE] {
         let fleet = fleet().await;
         let mut statuses = Vec::new();
@@ -133,11 +132,7 @@
             statuses.push(status);
         }
         println!("{path}: {} workers ended, {statuses:?}", ended(&fleet));
-        assert!(
-            ended(&fleet) <= MOST_ENDS,
-            "{path}: {} ended",
-            ended(&fleet)
-        );
+        assert!(ended(&fleet) <= MAX_ENDS, "{path}: {} ended", ended(&fleet));
         let last = statuses.last().copied().flatten();
         assert_eq!(last, Some(StatusCode::SERVICE_UNAVAILABLE), "{path}");
         for gateway in &fleet.gateways {
@@ -153,15 +148,15 @@
     }
 }
 
-/// Tries at three gateways at the same moment may each end a worker before anybody knows. Then there is an
-/// end to it, everywhere.
+/// Simultaneous attempts at three gateways may each end a worker before any gateway knows of the others.
+/// After that every gateway refuses the request.
 #[tokio::test(flavor = "multi_thread")]
-async fn tries_at_the_same_moment_are_followed_by_none() {
+async fn simultaneous_attempts_end_no_workers_after_the_first_rounds() {
     let fleet = fleet().await;
     for round in 0..2 {
         try_everywhere(&fleet, STREAM_ONCE, &format!("first-{round}")).await;
     }
-    until_held(&fleet, STREAM_ONCE).await;
+    until_refused(&fleet, STREAM_ONCE).await;
     let ended_first = ended(&fleet);
     println!("{ended_first} workers ended");
     assert!(ended_first <= 2 * GATEWAYS, "{ended_first}");
@@ -172,11 +167,12 @@
     assert_eq!(ended(&fleet), ended_first);
 }
 
-/// All gateways are killed at the same moment: the log knows what the request did.
+/// The ends of workers are recorded in the log, so that gateways still refuse the request after all of them
+/// were killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_that_start_anew_hold_it_back_at_once() {
+async fn restarted_gateways_refuse_a_quarantined_request_immediately() {
     let mut fleet = fleet().await;
-    until_held(&fleet, ONCE).await;
+    until_refused(&fleet, ONCE).await;
     let ended_first = ended(&fleet);
     eventually("the ends are recorded", || async {
         fleet.store.keys(topics::QUARANTINE) >= ended_first
@@ -199,11 +195,12 @@
     assert_eq!(ended(&fleet), ended_first);
 }
 
-/// While the log is away gateways tell each other, and record it when the log is back.
+/// While the log is unreachable, gateways report ended workers to each other, and record them once the log
+/// is back.
 #[tokio::test(flavor = "multi_thread")]
-async fn it_is_held_back_while_the_log_is_away() {
+async fn a_harmful_request_is_refused_while_the_log_is_unreachable() {
     let fleet = fleet().await;
-    // Gateways learn of each other.
+    // The gateways need this long to discover each other.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for gateway in &fleet.gateways {
         gateway.door.set(down());
@@ -211,19 +208,20 @@
     let tried = try_in_turn(&fleet, STREAM_ONCE).await;
     let statuses: Vec<_> = tried.iter().map(|(_, answer)| status_of(answer)).collect();
     println!("{} workers ended, {statuses:?}", ended(&fleet));
-    assert!(ended(&fleet) <= MOST_ENDS, "{}", ended(&fleet));
+    assert!(ended(&fleet) <= MAX_ENDS, "{}", ended(&fleet));
     for gateway in &fleet.gateways {
         gateway.door.set(Default::default());
     }
     eventually("the ends are recorded", || async {
-        fleet.store.keys(topics::QUARANTINE) >= MOST_ENDS
+        fleet.store.keys(topics::QUARANTINE) >= MAX_ENDS
     })
     .await;
 }
 
-/// An item that ends its workers waits and is given up in its time; the others of its job are done.
+/// An item that ends its workers is given up once its route's maximum wait time is over; the other items of
+/// its job are completed.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_item_that_ends_its_workers_keeps_its_job_from_nothing() {
+async fn an_item_that_ends_its_workers_does_not_block_its_job() {
     let mut fleet = fleet_ended_by(&item_body("job", 2)).await;
     let mut configuration = first_configuration();
     for route in &mut configuration.routes {
@@ -242,7 +240,7 @@
         results.extend(page.results);
     }
     println!("{} workers ended", ended(&fleet));
-    assert!(ended(&fleet) <= MOST_ENDS, "{}", ended(&fleet));
+    assert!(ended(&fleet) <= MAX_ENDS, "{}", ended(&fleet));
     for result in results {
         let is_harmful = result.id == item_id("job", 2);
         let expected = if is_harmful {
@@ -254,12 +252,13 @@
     }
 }
 
-/// A request that many send runs wherever a worker crashes; it also ends well, and is served on.
+/// A popular request runs on each worker that crashes for other reasons. Since it also succeeds elsewhere, it
+/// must not be quarantined.
 #[test_case(ASK, false; "whole answers")]
 #[test_case(STREAM, false; "streams")]
 #[test_case(ASK, true; "whole answers while the log is away")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_ends_well_elsewhere_is_served_on(path: &str, is_log_away: bool) {
+async fn a_request_that_succeeds_elsewhere_is_not_quarantined(path: &str, is_log_away: bool) {
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 8,
@@ -269,7 +268,7 @@
     })
     .await;
     if is_log_away {
-        // Gateways learn of each other first.
+        // The gateways need this long to discover each other.
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         for gateway in &fleet.gateways {
             gateway.door.set(down());
@@ -284,7 +283,7 @@
             tokio::spawn(async move { caller.ask_with_body(gateway, &path, &id, "popular").await });
         let workers = || fleet.whole.iter().chain(&fleet.engines);
         let runs_at = || workers().find(|worker| worker.running() > 0 && !worker.has_ended());
-        eventually("it runs", || async { runs_at().is_some() }).await;
+        eventually("the request runs", || async { runs_at().is_some() }).await;
         runs_at().expect("a worker").crash();
         let answer = asked.await.expect("a task").expect("an answer");
         assert_eq!(answer.status, StatusCode::OK, "crash {crash}");
@@ -297,13 +296,17 @@
     }
 }
 
-/// Workers that start again under their identifiers, and of which there are fewer than ends that hold a
-/// request: each of their lives counts, also where a worker is back before anybody looks. Then the directory
-/// tells, which takes as long as its changes are gathered.
-#[test_case(Duration::from_millis(200), Duration::ZERO; "that is seen to be gone")]
-#[test_case(Duration::ZERO, Duration::from_millis(1_500); "that is back at once")]
+/// There are fewer workers than ends that quarantine a request, and they restart under their old
+/// identifiers: each of their incarnations must count as one end. If a worker is back before a gateway
+/// notices its end, only the directory shows the restart, which takes as long as directory changes are
+/// batched.
+#[test_case(Duration::from_millis(200), Duration::ZERO; "gateways notice that the worker is gone")]
+#[test_case(Duration::ZERO, Duration::from_millis(1_500); "worker is back before gateways notice")]
 #[tokio::test(flavor = "multi_thread")]
-async fn each_life_of_a_worker_counts(gone_for: Duration, pause: Duration) {
+async fn each_incarnation_of_a_restarted_worker_counts_as_an_end(
+    gone_for: Duration,
+    pause: Duration,
+) {
     let mut fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 1,
@@ -313,7 +316,7 @@
     })
     .await;
     let mut ends = 0;
-    for number in 0..TRIES {
+    for number in 0..ATTEMPTS {
         let gateway = fleet.gateways[number % GATEWAYS].callers;
         let id = format!("harmful-{number}");
         let answer = fleet.caller.ask_with_body(gateway, ONCE, &id, HARMFUL);
@@ -337,10 +340,11 @@
             tokio::time::sleep(pause).await;
         }
     }
-    assert_eq!(ends, MOST_ENDS);
+    assert_eq!(ends, MAX_ENDS);
 }
 
-/// Workers of the service `whole` behind links of their own, which are listed in their place.
+/// Opens a link to each worker of the service `whole` and lists the link's address in the directory instead
+/// of the worker's.
 async fn behind_links(fleet: &ExclusiveFleet) -> Vec<Option<Link>> {
     let mut links = Vec::new();
     for worker in &fleet.whole {
@@ -352,7 +356,8 @@
     links
 }
 
-/// Lists a worker at the address of its link, as it does itself every second or so.
+/// Writes the directory entry of a worker with the address of its link, as a worker itself does about once a
+/// second.
 fn list_at(fleet: &ExclusiveFleet, worker: &Worker, address: SocketAddr) {
     let mut entry = PlatformFleet::entry_of(worker, "whole", values::READY);
     entry.address = address.to_string();
@@ -362,11 +367,12 @@
         .put(topics::WORKERS, worker.incarnation(), entry);
 }
 
-/// Whatever stands on the way to workers refuses connections for a moment, as it does for a process that has
-/// ended, while one request runs at one after the other. The workers are there all the same and renew their
-/// entries: the request is served again within seconds. It was held for 15 minutes.
+/// Guards against a quarantine of 15 minutes for a request that ended no worker. While the request runs on
+/// one worker after the other, the network path to each refuses connections for a moment, as it does for an
+/// ended process. The workers still run and renew their entries, so the request must be served again within
+/// seconds.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_link_that_refuses_holds_no_request_for_long() {
+async fn a_link_that_refuses_connections_quarantines_no_request_for_long() {
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 5,
@@ -376,18 +382,18 @@
     .await;
     let mut links = behind_links(&fleet).await;
     let addresses: Vec<_> = links.iter().flatten().map(|link| link.address).collect();
-    // Until the directory names the links alone.
+    // By then the directory names only the links.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    for cut in 0..MOST_ENDS {
+    for cut in 0..MAX_ENDS {
         let gateway = fleet.gateways[cut % GATEWAYS].callers;
         let caller = fleet.caller.clone();
         let id = format!("innocent-{cut}");
         let asked =
             tokio::spawn(async move { caller.ask_with_body(gateway, ONCE, &id, "innocent").await });
         let running = || fleet.whole.iter().position(|worker| worker.running() > 0);
-        eventually("it runs", || async { running().is_some() }).await;
+        eventually("the request runs", || async { running().is_some() }).await;
         let index = running().expect("a worker");
-        let link = links[index].take().expect("each is cut once");
+        let link = links[index].take().expect("a link is cut twice");
         link.set_fault(Fault::Cut);
         drop(link);
         let answer = asked.await.expect("a task");
@@ -412,7 +418,7 @@
             tokio::time::sleep(Duration::from_millis(400)).await;
             status == Some(StatusCode::OK)
         };
-        eventually("it is served again", served).await;
+        eventually("the request is served again", served).await;
     }
     assert!(fleet.whole.iter().all(|worker| !worker.has_ended()));
 }
