--- a/crates/swiftshunt/tests/gateway_evacuation.rs
+++ b/crates/swiftshunt/tests/gateway_evacuation.rs
@@ -1,5 +1,5 @@
-//! A zone that operators evacuate: its workers get nothing new by any path, what runs there goes on, and the
-//! rest of the fleet serves.
+//! Evacuation of a zone by operators: its workers receive nothing new from any gateway, what already runs
+//! there continues, and the other zones serve all requests.
 
 mod gateway;
 
@@ -19,16 +19,16 @@
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time within which an evacuation must be obeyed, as the settings of these fleets say.
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
-/// Time in which gateways learn of each other, and in which one notices that it is turned away.
+/// Time within which gateways must apply an evacuation, as set for these fleets.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which gateways discover each other, and in which a gateway notices that the log does not serve it.
 const SETTLED: Duration = Duration::from_millis(2_500);
-/// Time within which a refusal counts as one at once.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Maximum time until a refusal that must not wait for a worker.
+const REFUSED_WITHIN: Duration = Duration::from_millis(200);
 const A: &str = "zone-a";
 const B: &str = "zone-b";
 
-/// Two gateways and two workers of each service, one in either zone of a region.
+/// Returns options for two gateways and two workers per service, one of each in both zones of a region.
 fn two_zones() -> PlatformOptions {
     PlatformOptions {
         places: Places::new(&[(A, "north"), (B, "north")]),
@@ -36,15 +36,15 @@
     }
 }
 
-/// The workers in zone a, and how many requests each has run.
+/// Returns the number of runs of each worker in zone a.
 fn runs_in_a(fleet: &ExclusiveFleet) -> Vec<usize> {
     let workers = fleet.whole.iter().chain(&fleet.engines);
     let in_a = workers.filter(|worker| worker.settings().zone == A);
     in_a.map(|worker| worker.runs().len()).collect()
 }
 
-/// Sends requests of each kind and a job to every gateway; all are to be served.
-async fn all_kinds_are_served(fleet: &ExclusiveFleet, name: &str) {
+/// Sends requests of each kind and a job to each gateway and asserts that all are served.
+async fn assert_all_kinds_are_served(fleet: &ExclusiveFleet, name: &str) {
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let gateway = gateway.callers;
         for request in 0..8 {
@@ -60,38 +60,39 @@
     }
 }
 
-/// Asserts that all is served and nothing of it reaches zone a.
-async fn zone_a_gets_nothing(fleet: &ExclusiveFleet, name: &str) {
+/// Asserts that all requests and items are served and that none of them runs in zone a.
+async fn assert_zone_a_receives_nothing(fleet: &ExclusiveFleet, name: &str) {
     let before = runs_in_a(fleet);
-    all_kinds_are_served(fleet, name).await;
+    assert_all_kinds_are_served(fleet, name).await;
     assert_eq!(runs_in_a(fleet), before, "{name}");
 }
 
-async fn zone_a_is_used_again(fleet: &ExclusiveFleet, name: &str) {
+/// Asserts that all requests and items are served and that some of them run in zone a.
+async fn assert_zone_a_is_used(fleet: &ExclusiveFleet, name: &str) {
     let before = runs_in_a(fleet);
-    all_kinds_are_served(fleet, name).await;
+    assert_all_kinds_are_served(fleet, name).await;
     let after = runs_in_a(fleet);
     assert!(after.iter().sum::<usize>() > before.iter().sum(), "{name}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_zone_gets_nothing_until_the_evacuation_is_withdrawn() {
+async fn an_evacuated_zone_receives_nothing_until_the_evacuation_is_withdrawn() {
     let mut fleet = start(two_zones()).await;
     fleet.evacuate(A);
-    // A configuration beside it changes nothing of it.
+    // Publishing a configuration does not withdraw the evacuation.
     fleet.configure(first_configuration());
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_gets_nothing(&fleet, "evacuated").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_receives_nothing(&fleet, "evacuated").await;
     fleet.configure(first_configuration());
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_gets_nothing(&fleet, "configured").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_receives_nothing(&fleet, "configured").await;
     fleet.withdraw_evacuation(A);
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_is_used_again(&fleet, "withdrawn").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_is_used(&fleet, "withdrawn").await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_runs_in_an_evacuated_zone_goes_on() {
+async fn a_stream_that_runs_in_an_evacuated_zone_continues_there() {
     const EVENTS: u64 = 40;
     let fleet = start(PlatformOptions {
         gateways: 1,
@@ -112,13 +113,17 @@
     let answer = stream.await.expect("a task").expect("an answer");
     assert_eq!(answer.status, StatusCode::OK);
     assert_all_events(&answer.body, "stream", EVENTS);
-    assert_eq!(fleet.runs_of("stream").len(), 1, "it ran on");
+    assert_eq!(
+        fleet.runs_of("stream").len(),
+        1,
+        "the stream was moved to another worker"
+    );
 }
 
-#[test_case(false; "with its history")]
-#[test_case(true; "after dropped history")]
+#[test_case(false; "complete log")]
+#[test_case(true; "compacted log")]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuation_outlasts_a_restart_of_all_gateways(drops_history: bool) {
+async fn an_evacuation_survives_a_restart_of_all_gateways(drops_history: bool) {
     let mut fleet = start(two_zones()).await;
     fleet.evacuate(A);
     if drops_history {
@@ -128,7 +133,7 @@
         fleet.restart(index).expect("a gateway");
     }
     let before = runs_in_a(&fleet);
-    // From its first answer on: a gateway that does not know of it yet must not serve.
+    // A restarted gateway must not serve before it has read the evacuation.
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let serves = || async {
             let id = format!("first-{number}-{:x}", rand::random::<u64>());
@@ -138,14 +143,14 @@
         eventually("the gateway serves", serves).await;
     }
     assert_eq!(runs_in_a(&fleet), before);
-    zone_a_gets_nothing(&fleet, "restarted").await;
+    assert_zone_a_receives_nothing(&fleet, "restarted").await;
 }
 
-#[test_case(Down::Silent; "by silence")]
-#[test_case(Down::Busy; "by refusals")]
-#[test_case(Down::Reset; "by resets")]
+#[test_case(Down::Silent; "log does not answer")]
+#[test_case(Down::Busy; "log answers busy")]
+#[test_case(Down::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_the_log_turns_away_obeys(how: Down) {
+async fn a_gateway_without_access_to_the_log_applies_an_evacuation(how: Down) {
     let fleet = start(two_zones()).await;
     tokio::time::sleep(SETTLED).await;
     fleet.gateways[0].door.set(StoreFaults {
@@ -154,22 +159,23 @@
     });
     tokio::time::sleep(SETTLED).await;
     fleet.evacuate(A);
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_gets_nothing(&fleet, "turned-away").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_receives_nothing(&fleet, "turned-away").await;
     fleet.withdraw_evacuation(A);
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_is_used_again(&fleet, "withdrawn").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_is_used(&fleet, "withdrawn").await;
 }
 
-/// Written and withdrawn while nobody reads, and the history of both dropped: what counts is what stands.
-#[test_case(true; "it was withdrawn meanwhile")]
-#[test_case(false; "it was written meanwhile")]
+/// An evacuation is written or withdrawn while no gateway reaches the log, and the log is then compacted: the
+/// gateways must apply the state that they find afterwards.
+#[test_case(true; "withdrawn in the outage")]
+#[test_case(false; "written in the outage")]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_changed_while_the_store_was_away_holds_once_it_is_back(withdrawn: bool) {
+async fn a_change_during_an_outage_of_the_log_applies_after_it(withdrawn: bool) {
     let fleet = start(two_zones()).await;
     if withdrawn {
         fleet.evacuate(A);
-        tokio::time::sleep(OBEY_WITHIN).await;
+        tokio::time::sleep(APPLIED_WITHIN).await;
     }
     for gateway in &fleet.gateways {
         gateway.door.set(gateway::down());
@@ -186,37 +192,41 @@
     }
     tokio::time::sleep(SETTLED).await;
     if withdrawn {
-        zone_a_is_used_again(&fleet, "back").await;
+        assert_zone_a_is_used(&fleet, "back").await;
     } else {
-        zone_a_gets_nothing(&fleet, "back").await;
+        assert_zone_a_receives_nothing(&fleet, "back").await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_all_zones_evacuated_requests_are_refused_at_once_and_items_wait() {
+async fn with_all_zones_evacuated_requests_are_refused_immediately_and_items_wait() {
     let fleet = start(two_zones()).await;
     let gateway = &fleet.gateways[0];
     fleet.evacuate(A);
     fleet.evacuate(B);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     for path in [ASK, "/once/", STREAM] {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = fleet
             .caller
             .ask(gateway.callers, path, "none", DEADLINE)
             .await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
-        assert!(asked.elapsed() < AT_ONCE, "{path}: {:?}", asked.elapsed());
-        let come_back = answer.headers.get("retry-after");
-        assert!(come_back.is_some(), "{path}: no time to come back");
+        assert!(
+            sent_at.elapsed() < REFUSED_WITHIN,
+            "{path}: {:?}",
+            sent_at.elapsed()
+        );
+        let retry_after = answer.headers.get("retry-after");
+        assert!(retry_after.is_some(), "{path}: no retry-after header");
     }
     let evacuated = "swiftshunt_refusals_total{reason=\"Evacuated\"}";
     let refused = fleet.caller.figure(gateway.metrics, evacuated).await;
     assert_eq!(refused, 3.0);
     let before = runs_in_a(&fleet);
     submit(&fleet, gateway.callers, "waits", 3).await;
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     assert!(listed(&fleet, gateway.callers, "waits").await.is_empty());
     assert_eq!(runs_in_a(&fleet), before);
     fleet.withdraw_evacuation(B);
@@ -224,9 +234,9 @@
     assert_eq!(runs_in_a(&fleet), before);
 }
 
-/// A part of a split all of whose zones are evacuated leaves its share to the others.
+/// If all workers of one service of a split are in evacuated zones, the other services take its share.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_split_goes_on_with_the_services_that_are_open() {
+async fn a_split_uses_the_services_that_are_not_evacuated() {
     let mut fleet = start(two_zones()).await;
     let mut configuration = first_configuration();
     let mut parts = route("/parts/", values::IDEMPOTENT, "whole");
@@ -234,10 +244,10 @@
     parts.backends = split(&[("whole", 1), ("engine", 1)]);
     configuration.routes.push(parts);
     fleet.configure(configuration);
-    // The service `whole` is left in zone a alone.
+    // The service `whole` has no worker outside of zone a any more.
     fleet.unlist(&fleet.whole[1]);
     fleet.evacuate(A);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let gateway = fleet.gateways[0].callers;
     for number in 0..6 {
         let id = format!("part-{number}");
@@ -246,10 +256,10 @@
     }
 }
 
-/// Items that would keep a zone from being empty step aside with their progress, when they have had their
-/// time and there is room elsewhere.
+/// Items that run longer than `items_leave_after` in an evacuated zone move to another zone that has free
+/// slots, and resume there after their last event.
 #[tokio::test(flavor = "multi_thread")]
-async fn long_items_leave_an_evacuated_zone_with_their_progress() {
+async fn long_items_move_out_of_an_evacuated_zone_with_their_progress() {
     const EVENTS: u64 = 80;
     let fleet = start(PlatformOptions {
         gateways: 1,
@@ -264,51 +274,55 @@
     let in_a: &Worker = &fleet.engines[0];
     eventually("items run in zone a", || async { in_a.running() > 0 }).await;
     fleet.evacuate(A);
-    let emptied = Instant::now();
-    let figure = format!("swiftshunt_evacuated_in_progress{{zone=\"{A}\"}}");
-    eventually("an operator sees what runs in zone a", || async {
-        fleet.caller.figure(gateway.metrics, &figure).await > 0.0
+    let evacuated_at = Instant::now();
+    let metric = format!("swiftshunt_evacuated_in_progress{{zone=\"{A}\"}}");
+    eventually("the metric shows runs in zone a", || async {
+        fleet.caller.figure(gateway.metrics, &metric).await > 0.0
     })
     .await;
     eventually("zone a is empty", || async { in_a.running() == 0 }).await;
     let whole_item = Duration::from_millis(100) * EVENTS as u32;
-    assert!(emptied.elapsed() < whole_item, "{:?}", emptied.elapsed());
-    eventually("an operator sees that zone a is empty", || async {
-        fleet.caller.figure(gateway.metrics, &figure).await == 0.0
+    assert!(
+        evacuated_at.elapsed() < whole_item,
+        "{:?}",
+        evacuated_at.elapsed()
+    );
+    eventually("the metric shows no runs in zone a", || async {
+        fleet.caller.figure(gateway.metrics, &metric).await == 0.0
     })
     .await;
     whole_job(&fleet, gateway.callers, "long", 6).await;
     let runs = fleet.engines[1].runs();
     let resumed = runs.iter().filter(|run| run.last_event.is_some()).count();
-    assert!(resumed > 0, "none brought its progress");
+    assert!(resumed > 0, "no item was resumed with its progress");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_what_is_evacuated() {
+async fn metrics_show_the_evacuated_zones() {
     let fleet = start(two_zones()).await;
-    let figure = format!("swiftshunt_evacuated_zones{{zone=\"{A}\"}}");
+    let metric = format!("swiftshunt_evacuated_zones{{zone=\"{A}\"}}");
     for gateway in &fleet.gateways {
-        assert_eq!(fleet.caller.figure(gateway.metrics, &figure).await, 0.0);
+        assert_eq!(fleet.caller.figure(gateway.metrics, &metric).await, 0.0);
     }
     fleet.evacuate(A);
     for gateway in &fleet.gateways {
-        eventually("the zone is told as evacuated", || async {
-            fleet.caller.figure(gateway.metrics, &figure).await == 1.0
+        eventually("the metric shows the zone as evacuated", || async {
+            fleet.caller.figure(gateway.metrics, &metric).await == 1.0
         })
         .await;
     }
     fleet.withdraw_evacuation(A);
     for gateway in &fleet.gateways {
-        eventually("the zone is no longer told", || async {
-            fleet.caller.figure(gateway.metrics, &figure).await == 0.0
+        eventually("the metric shows the zone as not evacuated", || async {
+            fleet.caller.figure(gateway.metrics, &metric).await == 0.0
         })
         .await;
     }
 }
 
-/// `swiftshunt publish` for an operator who has the platform's log alone.
+/// `swiftshunt publish` needs only the address of the platform's log for evacuations.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_writes_and_withdraws_an_evacuation() {
+async fn the_publish_command_writes_and_withdraws_an_evacuation() {
     let fleet = start(two_zones()).await;
     let publish = |log: &str, what: &str| {
         let binary = Path::new(env!("CARGO_BIN_EXE_swiftshunt"));
@@ -320,23 +334,23 @@
     let written = publish(&log, "--evacuate");
     assert!(written.status.success(), "{written:?}");
     assert_eq!(fleet.store.keys(topics::OPERATOR), 2);
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_gets_nothing(&fleet, "written").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_receives_nothing(&fleet, "written").await;
     let withdrawn = publish(&log, "--withdraw");
     assert!(withdrawn.status.success(), "{withdrawn:?}");
-    tokio::time::sleep(OBEY_WITHIN).await;
-    zone_a_is_used_again(&fleet, "withdrawn").await;
-    // Nobody listens there: the operator is told that nothing was written.
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    assert_zone_a_is_used(&fleet, "withdrawn").await;
+    // Nothing listens at this address, so the command must fail.
     let nowhere = publish("127.0.0.1:9", "--evacuate");
     assert!(!nowhere.status.success(), "{nowhere:?}");
 }
 
-/// A job handed in at a gateway whose zone is evacuated runs elsewhere.
+/// A gateway in an evacuated zone still accepts jobs, and their items run in the other zone.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_in_an_evacuated_zone_serves_on() {
+async fn a_gateway_in_an_evacuated_zone_still_accepts_jobs() {
     let fleet = start(two_zones()).await;
     fleet.evacuate(A);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let gateway = fleet.gateways[0].callers;
     let status = fleet.caller.submit(gateway, BATCH, "job", 4).await;
     assert_eq!(status.expect("an answer"), StatusCode::ACCEPTED);
--- a/crates/swiftshunt/tests/gateway_requests.rs
+++ b/crates/swiftshunt/tests/gateway_requests.rs
@@ -1,4 +1,4 @@
-//! A gateway before a platform's stand-ins: requests and streams, also when workers fail.
+//! Requests and streams through gateways with simulated workers, also while workers fail.
 
 mod gateway;
 
@@ -16,7 +16,7 @@
 const DEADLINE: Duration = Duration::from_secs(6);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_are_passed_on_unchanged() {
+async fn responses_are_forwarded_unchanged() {
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, "/ask/x", "r1", DEADLINE).await;
@@ -27,12 +27,12 @@
     let runs = fleet.runs_of("r1");
     assert_eq!(runs.len(), 1);
     assert_eq!(runs[0].path, "/ask/x");
-    let told = runs[0].deadline_ms.expect("a deadline");
-    assert!(told <= DEADLINE.as_millis() as u64);
+    let deadline_ms = runs[0].deadline_ms.expect("a deadline");
+    assert!(deadline_ms <= DEADLINE.as_millis() as u64);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_arrive_whole() {
+async fn streams_arrive_complete() {
     let fleet = start(PlatformOptions::default()).await;
     for path in [STREAM, STREAM_ONCE] {
         let gateway = fleet.gateways[0].callers;
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_without_a_configuration_says_when_to_come_back() {
+async fn a_gateway_without_a_configuration_is_not_ready_and_answers_503_with_retry_after() {
     let mut fleet = start(PlatformOptions::default()).await;
     let door = fleet.gateways[0].door.clone();
     door.set(gateway::down());
@@ -67,13 +67,13 @@
 }
 
 #[test_case(Manner::LoseAnswer; "lost answers")]
-#[test_case(Manner::Fail; "failures")]
+#[test_case(Manner::Fail; "failed runs")]
 #[test_case(Manner::Unsigned; "answers without a signature")]
 #[test_case(Manner::AnswerAnother; "answers to other requests")]
-#[test_case(Manner::FalseRefusal; "refusals that do not say that it did not run")]
-#[test_case(Manner::Decline; "workers that decline")]
+#[test_case(Manner::FalseRefusal; "503 without the statement that the request did not run")]
+#[test_case(Manner::Decline; "workers that decline the request")]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_be_repeated_is_served_by_another_worker(manner: Manner) {
+async fn a_repeatable_request_is_retried_at_another_worker(manner: Manner) {
     let fleet = start(PlatformOptions::default()).await;
     fleet.whole[0].set(manner);
     for number in 0..12 {
@@ -88,11 +88,11 @@
 
 #[test_case(ONCE, Manner::LoseAnswer; "lost answers")]
 #[test_case(ONCE, Manner::AnswerAnother; "answers to other requests")]
-#[test_case(ONCE, Manner::FalseRefusal; "refusals that do not say that it did not run")]
+#[test_case(ONCE, Manner::FalseRefusal; "503 without the statement that the request did not run")]
 #[test_case(STREAM_ONCE, Manner::BreakAfter(0); "streams without an event")]
 #[test_case(STREAM_ONCE, Manner::LoseAnswer; "lost streams")]
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_not_be_repeated_runs_once_and_nothing_is_promised(path: &str, manner: Manner) {
+async fn a_request_that_may_not_be_repeated_runs_once_and_gets_502(path: &str, manner: Manner) {
     let fleet = start(PlatformOptions::default()).await;
     for worker in fleet.whole.iter().chain(&fleet.engines) {
         worker.set(manner);
@@ -108,23 +108,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_is_true_and_comes_at_once() {
+async fn a_request_that_all_workers_decline_gets_503_early_and_never_runs() {
     let fleet = start(PlatformOptions::default()).await;
     for worker in &fleet.whole {
         worker.set(Manner::Decline);
     }
-    let asked = std::time::Instant::now();
+    let sent_at = std::time::Instant::now();
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, ONCE, "r1", DEADLINE).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
     assert!(fleet.runs_of("r1").is_empty());
-    assert!(asked.elapsed() < DEADLINE / 2);
+    assert!(sent_at.elapsed() < DEADLINE / 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_resumable_stream_goes_on_at_another_worker() {
+async fn a_broken_resumable_stream_is_resumed_at_another_worker() {
     let fleet = start(PlatformOptions::default()).await;
     fleet.engines[0].set(Manner::BreakAfter(3));
     for number in 0..8 {
@@ -142,20 +142,20 @@
     );
 }
 
-/// Silence of a worker is a reason to go on elsewhere, and none to end an answer that can go nowhere
-/// else.
+/// A silent worker makes the gateway resume the stream at another worker. If the route allows no further
+/// attempt, the gateway must wait for the worker instead of breaking the stream off.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_at_its_last_worker_is_not_cut_for_silence() {
+async fn a_stream_at_its_last_attempt_is_not_broken_off_for_silence() {
     let mut fleet = start(PlatformOptions::default()).await;
     let mut configuration = first_configuration();
     for route in &mut configuration.routes {
         route.max_attempts = 2;
     }
     fleet.configure(configuration);
-    // A configuration is in force within two seconds.
+    // A configuration takes effect within two seconds.
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.engines[0].set(Manner::BreakAfter(3));
-    // Longer than the silence after which a stream goes on elsewhere.
+    // Longer than the silence after which a stream is resumed at another worker.
     fleet.engines[1].set(Manner::Late(Duration::from_millis(1_300)));
     let is_resumed = |id: &str| {
         let runs = fleet.engines[1].runs();
@@ -167,7 +167,8 @@
         let id = format!("s{number}");
         let gateway = fleet.gateways[number % 2].callers;
         let answer = fleet.caller.ask(gateway, STREAM, &id, DEADLINE).await;
-        // One that begins at the late worker goes on at the other, which breaks it off for good.
+        // A stream that starts at the late worker is resumed at the other one, which breaks it off at the
+        // last attempt: only streams that end at the late worker are complete.
         if is_resumed(&id) {
             resumed += 1;
             assert_all_events(&answer.expect("a whole answer").body, &id, 8);
@@ -176,16 +177,17 @@
     assert!(resumed > 0, "no stream was resumed at the late worker");
 }
 
-/// An engine that reads a long prompt gives no sign of life meanwhile.
+/// An engine sends nothing while it reads a long prompt. The gateway must allow for the length of the prompt
+/// before it treats the silence as a failure.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_prompt_is_not_taken_away_while_it_is_read() {
+async fn a_long_prompt_is_not_retried_while_it_is_read() {
     const TOKENS: u32 = 40_000;
     let options = PlatformOptions {
         workers: 3,
         ..PlatformOptions::default()
     };
     let fleet = start(options).await;
-    // Longer than the silence after which a short prompt is taken away.
+    // Longer than the silence after which a request with a short prompt is sent to another engine.
     let reading = Duration::from_millis(1_000);
     for engine in &fleet.engines {
         engine.set(Manner::Late(reading));
@@ -201,19 +203,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_stream_that_may_not_be_resumed_does_not_look_whole() {
+async fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
     let fleet = start(PlatformOptions::default()).await;
     for engine in &fleet.engines {
         engine.set(Manner::BreakAfter(3));
     }
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, STREAM_ONCE, "s1", DEADLINE).await;
-    assert!(answer.is_err(), "a cut stream looked whole: {answer:?}");
+    assert!(
+        answer.is_err(),
+        "a broken stream ended like a complete one: {answer:?}"
+    );
     assert_eq!(fleet.runs_of("s1").len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dark_worker_is_left_for_another_one() {
+async fn requests_at_a_worker_that_does_not_answer_are_retried_at_another() {
     let fleet = start(PlatformOptions::default()).await;
     fleet.whole[0].set(Manner::Dark);
     for number in 0..6 {
@@ -225,9 +230,10 @@
     }
 }
 
-/// A worker that answers others may leave one request hanging.
+/// A worker may leave one request hanging while it answers later ones. The gateway must then send the
+/// request to another worker.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_was_overtaken_is_taken_away() {
+async fn a_request_that_hangs_while_later_ones_are_answered_is_retried() {
     let fleet = start(PlatformOptions::default()).await;
     fleet.whole[0].set(Manner::HangSometimes);
     let gateway = fleet.gateways[0].callers;
@@ -244,10 +250,10 @@
     }
 }
 
-/// Found on days of our own: a worker that failed at once looked idle and drew requests that may
-/// not be repeated.
+/// Guards against a worker that fails immediately, looks idle for that reason, and so attracts requests that
+/// may not be repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_fails_at_once_does_not_draw_requests() {
+async fn a_worker_that_fails_immediately_does_not_attract_requests() {
     let fleet = start(PlatformOptions::default()).await;
     fleet.whole[0].set(Manner::Fail);
     let gateway = fleet.gateways[0].callers;
@@ -263,7 +269,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_time_of_a_route_is_kept() {
+async fn a_request_fails_with_504_after_the_time_out_of_its_route() {
     let mut fleet = start(PlatformOptions::default()).await;
     for worker in &fleet.whole {
         worker.set(Manner::Dark);
@@ -274,42 +280,42 @@
     }
     fleet.configure(configuration);
     let gateway = fleet.gateways[0].callers;
-    // The new time is in force once a request ends by it.
+    // The new time-out is in force once a request fails after it.
     let fleet = &fleet;
-    eventually("the route's time is in force", || async move {
-        let asked = std::time::Instant::now();
+    eventually("the time-out of the route is in force", || async move {
+        let sent_at = std::time::Instant::now();
         let answer = fleet.caller.ask(gateway, ONCE, "r1", DEADLINE).await;
         let status = answer.expect("an answer").status;
         assert_eq!(status, StatusCode::GATEWAY_TIMEOUT);
-        asked.elapsed() < Duration::from_millis(1_200)
+        sent_at.elapsed() < Duration::from_millis(1_200)
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_frees_its_worker() {
+async fn a_disconnected_caller_stops_the_run_at_its_worker() {
     let fleet = start(PlatformOptions {
         events: 500,
         ..PlatformOptions::default()
     })
     .await;
     let gateway = fleet.gateways[0].callers;
-    let patience = Duration::from_millis(300);
+    let leave_after = Duration::from_millis(300);
     fleet
         .caller
-        .ask_and_leave(gateway, STREAM, "s1", patience)
+        .ask_and_leave(gateway, STREAM, "s1", leave_after)
         .await;
     tokio::time::sleep(Duration::from_secs(6)).await;
     let runs = fleet.runs_of("s1");
     assert_eq!(runs.len(), 1);
     assert!(
         !runs[0].ended,
-        "the worker went on after the caller had left"
+        "the worker finished the run after the caller had disconnected"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_split_has_the_shares_of_its_weights() {
+async fn a_split_distributes_requests_by_its_weights() {
     let mut fleet = start(PlatformOptions::default()).await;
     let mut configuration = first_configuration();
     configuration.routes[0].backends = split(&[("whole", 3), ("engine", 1)]);
@@ -332,9 +338,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_address_that_is_another_workers_now_runs_nothing() {
+async fn requests_for_an_ended_incarnation_do_not_run_on_the_worker_now_at_its_address() {
     let fleet = start(PlatformOptions::default()).await;
-    // The directory still names an incarnation that is gone at the address of another one.
+    // The directory still lists an ended incarnation, at an address that another worker uses now.
     fleet.unlist(&fleet.whole[0]);
     let old = swiftshunt_platform::documents::WorkerDocument {
         service: "whole".to_owned(),
@@ -356,12 +362,13 @@
     assert!(fleet.engines[0].runs().is_empty());
 }
 
-/// A gateway knows at once of a long prompt that another one has sent, and puts no short ones behind
-/// it.
+/// A gateway learns of a long prompt that another gateway has sent before it sends its next requests, and
+/// does not queue short prompts behind it.
 #[tokio::test(flavor = "multi_thread")]
-async fn short_prompts_keep_clear_of_a_long_one_that_another_gateway_sent() {
+async fn short_prompts_avoid_an_engine_with_a_long_prompt_of_another_gateway() {
     const SHORT: usize = 16;
-    // What takes engines that show nothing yet half a second to read, and these do take as long.
+    // The assumed reading time of this prompt is half a second for an engine without measurements, and these
+    // engines do take that long.
     const LONG_TOKENS: u32 = 20_000;
     const READING: Duration = Duration::from_millis(500);
     let fleet = start(PlatformOptions::default()).await;
@@ -369,41 +376,48 @@
         engine.set(Manner::Late(READING));
     }
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
-    let tries = std::sync::atomic::AtomicUsize::new(0);
+    let attempts = std::sync::atomic::AtomicUsize::new(0);
     let worker_of = |id: &str| {
         let ran = |worker: &&swiftshunt_lab::platform::worker::Worker| {
             worker.runs().iter().any(|run| run.id == id)
         };
-        let worker = fleet.engines.iter().find(ran).expect("it ran");
+        let worker = fleet
+            .engines
+            .iter()
+            .find(ran)
+            .expect("no engine ran the request");
         worker.incarnation().to_owned()
     };
-    eventually("short prompts go where the long one is not", || async {
-        // The last try's long prompt is read by now.
-        tokio::time::sleep(Duration::from_millis(1_200)).await;
-        let number = tries.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        let long = format!("long-{number}");
-        let asked = fleet
-            .caller
-            .ask_with_prompt(one, STREAM, &long, LONG_TOKENS);
-        let ids: Vec<String> = (0..SHORT)
-            .map(|short| format!("short-{number}-{short}"))
-            .collect();
-        let shorts = async {
-            eventually("the long prompt is read", || async {
-                !fleet.runs_of(&long).is_empty()
-            })
-            .await;
-            let asked = ids
-                .iter()
-                .map(|id| fleet.caller.ask_with_prompt(two, STREAM, id, 10));
-            futures_util::future::join_all(asked).await
-        };
-        let (answer, answers) = tokio::join!(asked, shorts);
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-        for answer in answers {
+    eventually(
+        "short prompts go to another engine than the long one",
+        || async {
+            // By then the long prompt of the previous attempt is read.
+            tokio::time::sleep(Duration::from_millis(1_200)).await;
+            let number = attempts.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+            let long = format!("long-{number}");
+            let asked = fleet
+                .caller
+                .ask_with_prompt(one, STREAM, &long, LONG_TOKENS);
+            let ids: Vec<String> = (0..SHORT)
+                .map(|short| format!("short-{number}-{short}"))
+                .collect();
+            let shorts = async {
+                eventually("the long prompt reaches an engine", || async {
+                    !fleet.runs_of(&long).is_empty()
+                })
+                .await;
+                let asked = ids
+                    .iter()
+                    .map(|id| fleet.caller.ask_with_prompt(two, STREAM, id, 10));
+                futures_util::future::join_all(asked).await
+            };
+            let (answer, answers) = tokio::join!(asked, shorts);
             assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-        }
-        ids.iter().all(|id| worker_of(id) != worker_of(&long))
-    })
+            for answer in answers {
+                assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+            }
+            ids.iter().all(|id| worker_of(id) != worker_of(&long))
+        },
+    )
     .await;
 }
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -1,4 +1,4 @@
-//! Who may call: keys, tenants, and that a tenant's jobs are its own.
+//! Authentication of callers by keys, and isolation of the jobs of tenants.
 
 mod gateway;
 
@@ -15,9 +15,9 @@
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time within which a change must be obeyed.
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
-/// Time in which gateways learn of each other, and in which one notices that the store turns it away.
+/// Time within which gateways must apply a change.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which gateways discover each other, and in which a gateway notices that the log does not answer it.
 const SETTLED: Duration = Duration::from_millis(2_500);
 
 const KEY_A: &str = "first-key-of-a";
@@ -31,13 +31,13 @@
     ]
 }
 
-/// Gateways before a configuration with tenants, in force everywhere.
+/// Starts a fleet with two tenants and waits until all gateways apply that configuration.
 async fn fleet_of(options: PlatformOptions) -> ExclusiveFleet {
     let mut fleet = start(options).await;
     configure(&mut fleet, &tenants());
     let stranger = fleet.caller.clone();
     for gateway in &fleet.gateways {
-        eventually("keys are asked for", || async {
+        eventually("the gateway requires a key", || async {
             status(&stranger, gateway.callers, ASK, "r").await == StatusCode::UNAUTHORIZED
         })
         .await;
@@ -63,18 +63,18 @@
     answer.expect("an answer").status
 }
 
-/// Tenants that a request's workers were told.
-fn told(fleet: &ExclusiveFleet, id: &str) -> Vec<Vec<String>> {
+/// Returns the values of the tenant header of each run of a request; asserts that no run received a key.
+fn forwarded_tenants(fleet: &ExclusiveFleet, id: &str) -> Vec<Vec<String>> {
     let runs = fleet.runs_of(id).into_iter();
-    let told = runs.map(|run| {
-        assert!(!run.has_credentials, "{id}: a worker was shown a key");
+    let tenants = runs.map(|run| {
+        assert!(!run.has_credentials, "{id}: a worker received a key");
         run.tenants
     });
-    told.collect()
+    tenants.collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_are_told_the_tenant_and_never_the_key() {
+async fn workers_receive_the_tenant_and_never_the_key() {
     let fleet = fleet_of(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     for (id, key, tenant) in [
@@ -88,14 +88,14 @@
             let spoofed = [(headers::TENANT, "another")];
             let answer = caller.ask_with_headers(gateway, path, &id, &spoofed).await;
             assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-            assert_eq!(told(&fleet, &id), [[tenant]]);
+            assert_eq!(forwarded_tenants(&fleet, &id), [[tenant]]);
         }
     }
-    // On a public route nobody needs a key, and nobody may name a tenant.
+    // A public route needs no key, and a tenant header from a caller is removed.
     let spoofed = [(headers::TENANT, "a")];
     let answer = fleet.caller.ask_with_headers(gateway, ONCE, "p1", &spoofed);
     assert_eq!(answer.await.expect("an answer").status, StatusCode::OK);
-    assert_eq!(told(&fleet, "p1"), [Vec::<String>::new()]);
+    assert_eq!(forwarded_tenants(&fleet, "p1"), [Vec::<String>::new()]);
 }
 
 #[test_case(&[]; "no key")]
@@ -103,10 +103,12 @@
 #[test_case(&[("authorization", "Bearer first-key-of-a")]; "another scheme")]
 #[test_case(&[("authorization", "first-key-of-a")]; "no scheme")]
 #[test_case(&[("authorization", "Token first-key-of-a"), ("authorization", "Token first-key-of-a")]; "two keys")]
-#[test_case(&[("proxy-authorization", "Token first-key-of-a")]; "another header")]
-#[test_case(&[("authorization", "Token  first-key-of-a")]; "two blanks")]
+#[test_case(&[("proxy-authorization", "Token first-key-of-a")]; "key in another header")]
+#[test_case(&[("authorization", "Token  first-key-of-a")]; "two spaces")]
 #[tokio::test(flavor = "multi_thread")]
-async fn who_shows_no_known_key_is_not_served(shown: &'static [(&'static str, &'static str)]) {
+async fn callers_without_a_known_key_are_refused(
+    credentials: &'static [(&'static str, &'static str)],
+) {
     let fleet = fleet_of(PlatformOptions {
         gateways: 1,
         ..PlatformOptions::default()
@@ -121,11 +123,11 @@
     ] {
         let answer = fleet
             .caller
-            .ask_with_headers(gateway, path, id, shown)
+            .ask_with_headers(gateway, path, id, credentials)
             .await;
         let answer = answer.expect("an answer");
         let expected = if path.starts_with("/v1/") && id == "r4" {
-            // No call about a job is made with this method.
+            // Job resources do not support this method.
             StatusCode::BAD_REQUEST
         } else {
             StatusCode::UNAUTHORIZED
@@ -135,39 +137,39 @@
     }
     let asked = fleet.caller.results(gateway, "job", 0, NO_WAIT).await;
     assert_eq!(asked.expect("an answer").0, StatusCode::UNAUTHORIZED);
-    // The route is looked for first.
+    // The route is looked up before the key.
     let nowhere = fleet
         .caller
-        .ask_with_headers(gateway, "/nowhere/", "r5", shown);
+        .ask_with_headers(gateway, "/nowhere/", "r5", credentials);
     assert_eq!(
         nowhere.await.expect("an answer").status,
         StatusCode::NOT_FOUND
     );
 }
 
-/// A key that was taken away serves nothing any more at any gateway, also at one that the store turns away;
-/// the tenant's other key goes on; nothing of it comes back when all start anew, or with the key's return
-/// under another tenant.
+/// A revoked key is refused by all gateways within the bound, also by one that cannot reach the log, while
+/// the tenant's other key stays valid. The revoked key stays refused after a restart of all gateways; if it
+/// is later assigned to another tenant, it authenticates that tenant.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_key_that_was_taken_away_serves_nothing_after_its_bound() {
+async fn a_revoked_key_is_refused_everywhere_within_the_bound() {
     let mut fleet = fleet_of(PlatformOptions {
         gateways: 3,
         ..PlatformOptions::default()
     })
     .await;
-    let [gone, kept] = [KEY_A, SECOND_KEY_A].map(|key| fleet.caller.with_key(key));
-    // Gateways have learnt of each other, so that one that is turned away finds another.
+    let [revoked, valid] = [KEY_A, SECOND_KEY_A].map(|key| fleet.caller.with_key(key));
+    // The gateways discover each other first, so that one without the log can read through another.
     tokio::time::sleep(SETTLED).await;
     fleet.gateways[1].door.set(gateway::down());
     tokio::time::sleep(SETTLED).await;
-    let mut without = tenants();
-    without[0].api_keys.remove(0);
-    configure(&mut fleet, &without);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    let mut changed = tenants();
+    changed[0].api_keys.remove(0);
+    configure(&mut fleet, &changed);
+    tokio::time::sleep(APPLIED_WITHIN).await;
     for (index, gateway) in fleet.gateways.iter().enumerate() {
-        let refused = status(&gone, gateway.callers, ASK, &format!("g{index}")).await;
-        assert_eq!(refused, StatusCode::UNAUTHORIZED, "gateway {index}");
-        let served = status(&kept, gateway.callers, ASK, &format!("k{index}")).await;
+        let revoked_status = status(&revoked, gateway.callers, ASK, &format!("g{index}")).await;
+        assert_eq!(revoked_status, StatusCode::UNAUTHORIZED, "gateway {index}");
+        let served = status(&valid, gateway.callers, ASK, &format!("k{index}")).await;
         assert_eq!(served, StatusCode::OK, "gateway {index}");
     }
     fleet.gateways[1].door.set(StoreFaults::default());
@@ -175,30 +177,30 @@
         fleet.restart(index).expect("a gateway");
     }
     for gateway in &fleet.gateways {
-        eventually("it serves again", || async {
-            status(&kept, gateway.callers, ASK, "again").await == StatusCode::OK
+        eventually("the gateway serves again", || async {
+            status(&valid, gateway.callers, ASK, "again").await == StatusCode::OK
         })
         .await;
-        let refused = status(&gone, gateway.callers, ASK, "gone").await;
-        assert_eq!(refused, StatusCode::UNAUTHORIZED);
+        let revoked_status = status(&revoked, gateway.callers, ASK, "gone").await;
+        assert_eq!(revoked_status, StatusCode::UNAUTHORIZED);
     }
-    without[1].api_keys.push(KEY_A.to_owned());
-    configure(&mut fleet, &without);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    changed[1].api_keys.push(KEY_A.to_owned());
+    configure(&mut fleet, &changed);
+    tokio::time::sleep(APPLIED_WITHIN).await;
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         let id = format!("moved-{index}");
         assert_eq!(
-            status(&gone, gateway.callers, ASK, &id).await,
+            status(&revoked, gateway.callers, ASK, &id).await,
             StatusCode::OK
         );
-        assert_eq!(told(&fleet, &id), [["b"]]);
+        assert_eq!(forwarded_tenants(&fleet, &id), [["b"]]);
     }
 }
 
-/// For another tenant a job does not exist, at the gateway that runs it and at those that pass calls on; the
-/// same identifier names another job for it.
+/// For another tenant a job does not exist, at the gateway that owns it and at those that forward calls to
+/// the owner. Two tenants may use the same identifier for different jobs.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_is_its_tenants_alone() {
+async fn a_job_is_invisible_to_other_tenants() {
     const ITEMS: usize = 3;
     let fleet = fleet_of(PlatformOptions {
         gateways: 3,
@@ -207,12 +209,12 @@
     .await;
     let [owner, other] = [KEY_A, KEY_B].map(|key| fleet.caller.with_key(key));
     let first = fleet.gateways[0].callers;
-    let taken = owner.submit(first, BATCH, "job", ITEMS).await;
-    assert_eq!(taken.expect("an answer"), StatusCode::ACCEPTED);
+    let submitted = owner.submit(first, BATCH, "job", ITEMS).await;
+    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
     for gateway in &fleet.gateways {
         let gateway = gateway.callers;
         let item = item_id("job", 0);
-        eventually("the owner reads it", || async {
+        eventually("the owner can read the job", || async {
             let read = owner.results(gateway, "job", 0, NO_WAIT).await;
             read.is_ok_and(|(status, page)| status == StatusCode::OK && page.total == ITEMS)
         })
@@ -230,7 +232,7 @@
         .submit(fleet.gateways[1].callers, BATCH, "job", 1)
         .await;
     assert_eq!(again.expect("an answer"), StatusCode::ACCEPTED);
-    eventually("both are done", || async {
+    eventually("both jobs are completed", || async {
         let of_owner = owner.results(first, "job", 0, NO_WAIT).await;
         let of_other = other.results(first, "job", 0, NO_WAIT).await;
         let lengths = (of_owner.expect("results").1, of_other.expect("results").1);
@@ -244,9 +246,9 @@
     assert_completed(&page.results, "job", ITEMS);
 }
 
-/// Items run for the tenant that handed them in, also once its keys and the tenant itself are gone.
+/// Items run on behalf of the tenant that submitted them, even after the tenant and its keys were removed.
 #[tokio::test(flavor = "multi_thread")]
-async fn items_run_for_their_tenant_though_it_is_gone() {
+async fn items_of_a_removed_tenant_still_run_on_its_behalf() {
     const ITEMS: usize = 4;
     let mut fleet = fleet_of(PlatformOptions {
         event_pause: Duration::from_millis(400),
@@ -255,13 +257,13 @@
     .await;
     let owner = fleet.caller.with_key(KEY_A);
     let gateway = fleet.gateways[0].callers;
-    let taken = owner.submit(gateway, BATCH, "job", ITEMS).await;
-    assert_eq!(taken.expect("an answer"), StatusCode::ACCEPTED);
+    let submitted = owner.submit(gateway, BATCH, "job", ITEMS).await;
+    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
     configure(&mut fleet, &tenants()[1..]);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let read = owner.results(gateway, "job", 0, NO_WAIT).await;
     assert_eq!(read.expect("an answer").0, StatusCode::UNAUTHORIZED);
-    eventually("all have run", || async {
+    eventually("all items have run", || async {
         let whole = |item| {
             let runs = fleet.runs_of(&item_id("job", item));
             runs.iter().any(|run| run.ended)
@@ -270,13 +272,13 @@
     })
     .await;
     for item in 0..ITEMS {
-        for tenants in told(&fleet, &item_id("job", item)) {
+        for tenants in forwarded_tenants(&fleet, &item_id("job", item)) {
             assert_eq!(tenants, ["a"]);
         }
     }
-    // A key of the tenant that comes later reads them.
+    // The results are readable with a new key of the same tenant.
     configure(&mut fleet, &[TenantText::new("a", &["a-later-key"])]);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let later = fleet.caller.with_key("a-later-key");
     let (status, page) = later
         .results(gateway, "job", 0, NO_WAIT)
@@ -289,8 +291,8 @@
     );
 }
 
-/// No key is written anywhere: not to a log at any level, not to metrics, and not to other gateways, also
-/// when one of them reads the configuration through another.
+/// Keys appear neither in logs of any level nor in metrics, also when a gateway reads the configuration
+/// through another one.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_key_appears_in_any_output() {
     let mut fleet = fleet_of(PlatformOptions {
@@ -301,8 +303,8 @@
     .await;
     let caller = fleet.caller.with_key(KEY_A);
     let gateway = fleet.gateways[0].callers;
-    let taken = caller.submit(gateway, BATCH, "job", 2).await;
-    assert_eq!(taken.expect("an answer"), StatusCode::ACCEPTED);
+    let submitted = caller.submit(gateway, BATCH, "job", 2).await;
+    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
     fleet.gateways[1].door.set(gateway::down());
     configure(&mut fleet, &tenants());
     for (index, gateway) in fleet.gateways.iter().enumerate() {
@@ -313,9 +315,9 @@
         drop(caller.results(gateway.callers, "job", 0, NO_WAIT).await);
         let metrics = fleet.caller.metrics(gateway.metrics).await;
         assert!(metrics.contains("swiftshunt_rejected_keys"));
-        assert_says_no_key(&metrics);
+        assert_contains_no_key(&metrics);
     }
-    whole_job_of(&fleet, &caller).await;
+    wait_for_two_results(&fleet, &caller).await;
     let logs = std::fs::read_dir(fleet.logs()).expect("logs");
     let mut read = 0;
     for file in logs {
@@ -327,15 +329,15 @@
                 "{}",
                 path.display()
             );
-            assert_says_no_key(&text);
+            assert_contains_no_key(&text);
             read += 1;
         }
     }
     assert_eq!(read, 3);
 }
 
-async fn whole_job_of(fleet: &ExclusiveFleet, caller: &PlatformCaller) {
-    eventually("the job is done", || async {
+async fn wait_for_two_results(fleet: &ExclusiveFleet, caller: &PlatformCaller) {
+    eventually("the job is completed", || async {
         let read = caller
             .results(fleet.gateways[2].callers, "job", 0, NO_WAIT)
             .await;
@@ -344,18 +346,21 @@
     .await;
 }
 
-fn assert_says_no_key(text: &str) {
+fn assert_contains_no_key(text: &str) {
     for key in [KEY_A, SECOND_KEY_A, KEY_B, "unknown-secret-key"] {
-        assert!(!text.contains(key), "a key stands in an output");
+        assert!(!text.contains(key), "the output contains a key");
     }
 }
 
-/// Where the settings say so, a gateway that could not confirm its configuration for long refuses callers
-/// with keys; else it serves on as last known.
-#[test_case("", StatusCode::OK; "as last known")]
-#[test_case("[tenants]\nstrict = true\nconfirm_within = \"2s\"", StatusCode::SERVICE_UNAVAILABLE; "strict")]
+/// A gateway that cannot confirm its configuration for longer than `confirm_within` refuses callers with keys
+/// if `strict` is set. Otherwise it serves them by the last known configuration.
+#[test_case("", StatusCode::OK; "served by the last known configuration")]
+#[test_case("[tenants]\nstrict = true\nconfirm_within = \"2s\"", StatusCode::SERVICE_UNAVAILABLE; "refused if strict")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_configuration_that_is_not_confirmed(settings: &str, expected: StatusCode) {
+async fn an_unconfirmed_configuration_serves_or_refuses_keys_as_set(
+    settings: &str,
+    expected: StatusCode,
+) {
     let fleet = fleet_of(PlatformOptions {
         settings: settings.to_owned(),
         ..PlatformOptions::default()
@@ -373,22 +378,23 @@
         StatusCode::OK
     );
     fleet.gateways[0].door.set(StoreFaults::default());
-    eventually("it serves again", || async {
+    eventually("the gateway serves again", || async {
         status(&caller, gateway, ASK, "r2").await == StatusCode::OK
     })
     .await;
 }
 
-/// Jobs of callers without keys go on as before where there are no tenants.
+/// Without tenants in the configuration, credentials are forwarded to workers, and requests and jobs are
+/// served without authentication.
 #[tokio::test(flavor = "multi_thread")]
-async fn without_tenants_keys_are_passed_on_and_ask_for_nothing() {
+async fn without_tenants_keys_are_forwarded_and_not_checked() {
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let caller = fleet.caller.with_key("anything");
     assert_eq!(status(&caller, gateway, ASK, "r1").await, StatusCode::OK);
     let run = &fleet.runs_of("r1")[0];
     assert!(run.has_credentials && run.tenants.is_empty());
-    let taken = caller.submit(gateway, BATCH, "job", 2).await;
-    assert_eq!(taken.expect("an answer"), StatusCode::ACCEPTED);
+    let submitted = caller.submit(gateway, BATCH, "job", 2).await;
+    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
     whole_job(&fleet, fleet.gateways[1].callers, "job", 2).await;
 }
