--- a/crates/swiftshunt/tests/at_most_once.rs
+++ b/crates/swiftshunt/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A submission that is not repeatable runs at most once, and "not run" is true.
+//! A submission that is not repeatable runs at most once, and never runs if the response says `not_run`.
 
 mod common;
 
@@ -16,7 +16,7 @@
 use swiftshunt_types::{SubmissionId, partition_of};
 use test_case::test_case;
 
-/// Partitions of a node's default settings.
+/// Number of partitions in a node's default settings.
 const PARTITIONS: u16 = 8;
 
 fn id_of(key: &str) -> SubmissionId {
@@ -41,7 +41,7 @@
 #[test_case(Behaviour { die_before: true, ..Behaviour::default() }; "worker dies before it acts")]
 #[test_case(Behaviour { die_after: true, ..Behaviour::default() }; "worker dies after it acted")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_dies_with_it(behaviour: Behaviour) {
+async fn a_submission_runs_at_most_once_if_its_worker_dies(behaviour: Behaviour) {
     let fleet = start_fleet(FleetOptions::new("once_worker")).await;
     fleet.set_behaviour(0, &behaviour).await;
     let keys: Vec<String> = (0..20).map(|index| format!("desk-{index}")).collect();
@@ -65,16 +65,22 @@
             again.body, answer.body,
             "{key}: a resend changed the result"
         );
-        assert_eq!(runs_of(&fleet, key), runs, "{key}: a resend ran it");
+        assert_eq!(
+            runs_of(&fleet, key),
+            runs,
+            "{key}: a resend ran the submission"
+        );
     }
 }
 
-/// The dispatch is committed, and the node that decided it is stopped before it sends; it goes on
+/// The leader is paused after the dispatch of a submission is committed and before it is sent, and resumed
 /// after another node has settled the submission.
 #[test_case(false; "not repeatable")]
 #[test_case(true; "repeatable")]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_dispatching_node_is_paused_between_commit_and_send(repeatable: bool) {
+async fn a_submission_runs_at_most_once_if_its_leader_is_paused_between_commit_and_send(
+    repeatable: bool,
+) {
     let fleet = start_fleet(FleetOptions::new("once_paused")).await;
     let slow = LogFaults {
         delay_ms: 150,
@@ -83,7 +89,7 @@
     fleet.set_log_faults(&slow).await;
     let (key, leader) = pause_before_send(&fleet, repeatable).await;
     let other = (leader + 1) % 3;
-    // "Come back later" is no result: a caller sends the same key again, as it is told to.
+    // 503 is no result: the caller resubmits the same key, as `retry-after` asks it to.
     let answer = eventually("the submission is settled by another node", || async {
         let answer = submit(&fleet, other, &key, repeatable).await?;
         (answer.status != 503).then_some(answer)
@@ -103,11 +109,12 @@
     assert_eq!(
         runs_of(&fleet, &key),
         runs,
-        "{key} ran when the paused node woke"
+        "{key} ran after the paused node was resumed"
     );
 }
 
-/// Finds a submission whose dispatch is committed and not yet sent, and stops its leader there.
+/// Submits keys until the leader of one is paused after its dispatch was committed and before it was sent.
+/// Returns that key and the index of the paused leader.
 async fn pause_before_send(fleet: &Fleet, repeatable: bool) -> (String, usize) {
     for attempt in 0.. {
         let key = format!("paused-{attempt}");
@@ -144,12 +151,12 @@
     unreachable!("attempts do not end")
 }
 
-#[test_case(Fault::Cut; "cut")]
-#[test_case(Fault::DropAnswers; "answers lost")]
-#[test_case(Fault::Freeze; "frozen")]
-#[test_case(Fault::Delay(Duration::from_millis(300)); "slow")]
+#[test_case(Fault::Cut; "link cut")]
+#[test_case(Fault::DropAnswers; "answers dropped")]
+#[test_case(Fault::Freeze; "link frozen")]
+#[test_case(Fault::Delay(Duration::from_millis(300)); "link slow")]
 #[tokio::test(flavor = "multi_thread")]
-async fn not_run_is_true_whatever_the_link_to_the_workers_does(fault: Fault) {
+async fn not_run_is_true_under_faults_of_the_links_to_workers(fault: Fault) {
     let fleet = start_fleet(FleetOptions::new("not_run_link")).await;
     let keys: Vec<String> = (0..30).map(|index| format!("link-{index}")).collect();
     let submissions = keys.iter().enumerate().map(|(index, key)| {
@@ -190,7 +197,7 @@
     for answer in refused {
         assert!(
             answer.retry_after.is_some(),
-            "no word when to come back: {answer:?}"
+            "no retry-after header: {answer:?}"
         );
     }
     assert_not_run_is_true(&fleet, &keys, &answers);
@@ -199,7 +206,7 @@
     assert_not_run_is_true(&fleet, &keys, &answers);
 }
 
-/// No key that was answered "not run" is in the journal, and none ran twice.
+/// Asserts that no key with the response `not_run` is in the workers' journal, and that no key ran twice.
 fn assert_not_run_is_true(fleet: &Fleet, keys: &[String], answers: &[Option<Answered>]) {
     let ran: HashSet<String> = fleet.journal.counts().into_keys().collect();
     for (key, answer) in keys.iter().zip(answers) {
--- a/crates/swiftshunt/tests/batch_jobs.rs
+++ b/crates/swiftshunt/tests/batch_jobs.rs
@@ -1,4 +1,5 @@
-//! Jobs: a cancelled one stops, online work never waits behind them, each ends whole.
+//! Batch jobs: cancelled jobs stop, online requests do not wait behind batch items, and completed jobs
+//! contain each result once.
 
 mod common;
 
@@ -17,10 +18,10 @@
 
 const PARTITIONS: u16 = 8;
 const MAX_TOKENS: u32 = 40;
-/// Long enough for an item that was about to start to have started.
+/// Time after which an item that was about to start has started.
 const SETTLE: Duration = Duration::from_secs(2);
 
-/// Uploads `items` items and creates a job over them; returns its identifier.
+/// Uploads a file of `items` items, creates a job from it and returns the job's identifier.
 async fn create_job(fleet: &Fleet, items: usize, name: &str) -> String {
     let contents: Vec<String> = (0..items)
         .map(|index| format!("{name} item {index}"))
@@ -55,7 +56,7 @@
     job(fleet, node, id).await?["request_counts"]["completed"].as_u64()
 }
 
-/// Waits until a job is well under way.
+/// Waits until more than 20 items of a job are completed.
 async fn wait_until_running(fleet: &Fleet, node: SocketAddr, id: &str) {
     eventually("the job runs", || async {
         (completed_items(fleet, node, id).await? > 20).then_some(())
@@ -63,7 +64,7 @@
     .await;
 }
 
-/// How many items of a job the engines took in.
+/// Returns the number of items of a job that engines have received.
 async fn started_items(fleet: &mut Fleet, id: &str) -> usize {
     let journals = fleet.engine_journals().await;
     journals
@@ -72,15 +73,15 @@
         .count()
 }
 
-async fn leader_of_job(fleet: &Fleet, asked: usize, id: &str) -> usize {
+async fn leader_of_job(fleet: &Fleet, node: usize, id: &str) -> usize {
     eventually("the job's partition has a leader", || async {
-        fleet.leader_of(asked, partition_of(id, PARTITIONS).0).await
+        fleet.leader_of(node, partition_of(id, PARTITIONS).0).await
     })
     .await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn nothing_of_a_job_starts_after_its_cancellation_not_even_under_a_new_leader() {
+async fn no_item_starts_after_a_cancellation_even_under_a_new_leader() {
     let mut fleet = start_fleet(FleetOptions::new("cancel_leader")).await;
     let id = create_job(&fleet, 2000, "long").await;
     let node = fleet.nodes[0].api;
@@ -114,7 +115,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paused_leader_starts_nothing_of_a_job_cancelled_meanwhile() {
+async fn a_resumed_leader_starts_no_items_of_a_job_cancelled_during_its_pause() {
     let mut fleet = start_fleet(FleetOptions::new("cancel_paused")).await;
     let id = create_job(&fleet, 2000, "long").await;
     let node = fleet.nodes[0].api;
@@ -143,9 +144,10 @@
     );
 }
 
-/// Two operators, one on either side of a cut, command the same job at once.
+/// Two operators on different sides of a network partition change the same job at the same time. The majority
+/// side decides, and the other operator is told who won once the partition ends.
 #[tokio::test(flavor = "multi_thread")]
-async fn operators_on_either_side_of_a_cut_are_told_the_same_winner() {
+async fn operators_on_both_sides_of_a_partition_learn_the_same_winner() {
     let fleet = start_fleet(FleetOptions::new("cancel_race")).await;
     let id = create_job(&fleet, 2000, "contested").await;
     let leader = leader_of_job(&fleet, 0, &id).await;
@@ -169,19 +171,20 @@
         .collect();
     assert_eq!(answers[1].status, 200, "the majority decides: {answers:?}");
     assert_eq!(answers[0].status, 503, "the minority cannot: {answers:?}");
-    // "not_run" if no connection to the leader was left, "unknown" if the cut met a request on one.
+    // The execution is `not_run` if no connection to the leader was open, and `unknown` if the request was
+    // already sent over an open one when the link was cut.
     assert!(
         answers[0].execution().is_some() && answers[0].retry_after.is_some(),
         "{answers:?}"
     );
     fleet.set_isolated(isolated, Fault::None);
     let (api, text) = &statements[0];
-    let told = eventually("the cut operator is told the winner", || async {
+    let refused = eventually("the isolated operator learns the winner", || async {
         let answer = fleet.operator.statement(*api, text).await.ok()?;
         (answer.status == 409).then_some(answer)
     })
     .await;
-    assert!(told.body.contains("operator test"), "{told:?}");
+    assert!(refused.body.contains("operator test"), "{refused:?}");
     let cancel_again = fleet
         .operator
         .statement(*api, &statements[1].1)
@@ -196,7 +199,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn online_work_never_waits_behind_batch_work() {
+async fn online_requests_never_wait_behind_batch_items() {
     let options = FleetOptions {
         engine_flags: vec!["--slots".to_owned(), "8".to_owned()],
         ..FleetOptions::new("online_first")
@@ -206,7 +209,7 @@
     for heap in 0..6 {
         jobs.push(create_job(&fleet, 60, &format!("heap-{heap}")).await);
     }
-    eventually("batch work fills the engines", || async {
+    eventually("batch items fill the engines", || async {
         let mut running = 0;
         for engine in &fleet.engines {
             let load = fleet
@@ -237,14 +240,14 @@
         .filter(|entry| entry.priority == Priority::Online)
         .collect();
     assert_eq!(online.len(), 18);
-    // A step that runs when a request arrives is ended first; a second one may have begun.
+    // The step in progress when a request arrives is completed first, and a second one may have begun.
     let late: Vec<_> = online
         .iter()
         .filter(|entry| entry.waited_steps.is_none_or(|steps| steps > 2))
         .collect();
     assert!(
         late.is_empty(),
-        "online requests waited behind batch work: {late:?}"
+        "online requests waited behind batch items: {late:?}"
     );
     let node = fleet.nodes[0].api;
     for (heap, id) in jobs.iter().enumerate() {
@@ -258,11 +261,12 @@
             done["output_file_id"].as_str().expect("a file")
         );
         let output = fleet.tenant.get(node, &path).await.expect("an answer").body;
-        assert_whole(&output, &format!("heap-{heap}"), 60);
+        assert_complete(&output, &format!("heap-{heap}"), 60);
     }
 }
 
-fn assert_whole(output: &str, name: &str, items: usize) {
+/// Asserts that the output contains the expected result of each item once.
+fn assert_complete(output: &str, name: &str, items: usize) {
     let mut seen = HashSet::new();
     for line in output.lines() {
         let line: Value = serde_json::from_str(line).expect("a result line");
@@ -277,13 +281,13 @@
             line["response"]["body"]["choices"][0]["message"]["content"],
             expected.as_str()
         );
-        assert!(seen.insert(index), "an item stands twice");
+        assert!(seen.insert(index), "an item is listed twice");
     }
     assert_eq!(seen.len(), items);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_survives_its_leader_an_engine_and_the_log() {
+async fn a_job_survives_the_loss_of_its_leader_an_engine_and_the_log() {
     let mut fleet = start_fleet(FleetOptions::new("job_survives")).await;
     let id = create_job(&fleet, 400, "sturdy").await;
     let node = fleet.nodes[0].api;
@@ -309,13 +313,13 @@
         done["output_file_id"].as_str().expect("a file")
     );
     let output = fleet.tenant.get(api, &path).await.expect("an answer").body;
-    assert_whole(&output, "sturdy", 400);
+    assert_complete(&output, "sturdy", 400);
 }
 
-/// A leader that is paused about as long as its lease stands finds the lease over and may still get
-/// it renewed: the job goes on.
+/// A leader that is paused for about the duration of its lease finds the lease expired, and may still get it
+/// renewed. The job must continue in both cases.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_goes_on_after_short_pauses_of_its_leader() {
+async fn a_job_continues_after_short_pauses_of_its_leader() {
     let fleet = start_fleet(FleetOptions::new("job_short_pauses")).await;
     let id = create_job(&fleet, 600, "paused").await;
     let node = fleet.nodes[0].api;
@@ -334,9 +338,9 @@
     .await;
 }
 
-/// A client that believes its job lost sends it again: it is the same job.
+/// A client that got no response creates the job again. Both requests must name the same job.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_sent_twice_is_one_job() {
+async fn a_job_created_twice_is_one_job() {
     let fleet = start_fleet(FleetOptions::new("job_twice")).await;
     let lines = batch_lines(MODEL, &["once".to_owned()], MAX_TOKENS);
     let node = fleet.nodes[0].api;
--- a/crates/swiftshunt/tests/command_line.rs
+++ b/crates/swiftshunt/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line refuses wrong settings with file, field and reason, before anything listens.
+//! The command line refuses invalid settings before it opens any listener, and names file, field and reason.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -32,7 +32,7 @@
 "#;
 
 #[test]
-fn good_settings_pass() {
+fn valid_settings_pass() {
     let file = write("good.toml", GOOD);
     let output = swiftshunt(&["check-config", &file.display().to_string()]);
     assert!(output.status.success(), "{output:?}");
@@ -40,10 +40,10 @@
 
 #[test_case("zoom = 1\n", "", &[":1:", "zoom"]; "unknown key")]
 #[test_case("", "[ledger]\nelection_timeout = \"-3s\"\n", &["election_timeout"]; "impossible duration")]
-#[test_case("", "[ledger]\nelection_timeout = \"1ms\"\n", &["ledger.election_timeout", "heartbeat"]; "duration that cannot work")]
+#[test_case("", "[ledger]\nelection_timeout = \"1ms\"\n", &["ledger.election_timeout", "heartbeat"]; "election timeout shorter than the heartbeat")]
 #[test_case("seeds = [\"nowhere\"]\n", "", &[":1:", "seeds"]; "bad address")]
 #[test_case("", "[[operators]]\nname = \"x\"\ntoken_digest = \"12\"\n", &["operators[0].token_digest", "64"]; "token in place of a digest")]
-fn wrong_settings_are_refused(head: &str, tail: &str, expected: &[&str]) {
+fn invalid_settings_are_refused(head: &str, tail: &str, expected: &[&str]) {
     let name = format!(
         "wrong-{}.toml",
         expected.join("-").replace([':', '[', ']', '.'], "_")
@@ -59,7 +59,10 @@
         for part in expected {
             assert!(error.contains(part), "{part} is not in: {error}");
         }
-        assert!(output.stdout.is_empty(), "something listened: {output:?}");
+        assert!(
+            output.stdout.is_empty(),
+            "the node printed listening addresses: {output:?}"
+        );
     }
 }
 
@@ -76,9 +79,9 @@
 }
 
 #[test]
-fn an_address_in_use_is_one_error() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address").to_string();
+fn an_address_in_use_is_reported_with_its_setting() {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address").to_string();
     let file = write("taken.toml", GOOD).display().to_string();
     let output = swiftshunt(&["node", "--config", &file, "--api", &address]);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
@@ -90,7 +93,7 @@
 }
 
 #[test]
-fn a_wrong_statement_points_at_its_column() {
+fn an_invalid_statement_is_reported_with_its_column() {
     let arguments = ["ctl", "--node", "127.0.0.1:1", "--token", "t", "show nods"];
     let output = swiftshunt(&arguments);
     assert_eq!(output.status.code(), Some(2), "{output:?}");
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn a_node_that_is_not_there_has_its_own_exit_code() {
+fn an_unreachable_node_has_its_own_exit_code() {
     let arguments = ["ctl", "--node", "127.0.0.1:1", "--token", "t", "show nodes"];
     assert_eq!(swiftshunt(&arguments).status.code(), Some(3));
 }
--- a/crates/swiftshunt/tests/configuration.rs
+++ b/crates/swiftshunt/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! An accepted configuration applies at all nodes within seconds and never reverts to an older version.
 
 mod common;
 
@@ -14,10 +14,10 @@
 use swiftshunt_lab::proxy::Fault;
 use swiftshunt_types::token_digest;
 
-/// The bound of the brief's "within seconds".
-const EVERYWHERE: Duration = Duration::from_secs(13);
+/// Time within which an accepted configuration must apply at all nodes.
+const APPLIED_WITHIN: Duration = Duration::from_secs(13);
 
-/// A configuration that differs from the first by one more pool.
+/// Returns the initial configuration with one more pool.
 fn configuration(pool: &str) -> String {
     format!(
         "{}[[pools]]\nname = \"{pool}\"\nkind = \"submission\"\n",
@@ -33,16 +33,20 @@
     answer.ok()?.json()["version"].as_u64()
 }
 
-async fn in_force_everywhere(fleet: &Fleet, wanted: u64, nodes: &[usize]) {
+/// Waits until each of the nodes reports version `wanted` or a later one.
+async fn wait_for_version(fleet: &Fleet, wanted: u64, nodes: &[usize]) {
     for node in nodes {
-        eventually_within(EVERYWHERE, "the version is in force everywhere", || async {
-            (version(fleet, *node).await? >= wanted).then_some(())
-        })
+        eventually_within(
+            APPLIED_WITHIN,
+            "the version applies at all nodes",
+            || async { (version(fleet, *node).await? >= wanted).then_some(()) },
+        )
         .await;
     }
 }
 
-/// Watches every node's version until told to stop; panics if one falls.
+/// Polls the version of each node until the returned flag is set; a task panics if its node's version falls.
+/// Each task returns the number of versions that it has read.
 fn watch(fleet: &Fleet) -> (Arc<AtomicBool>, Vec<tokio::task::JoinHandle<usize>>) {
     let stop = Arc::new(AtomicBool::new(false));
     let watchers = fleet.nodes.iter().map(|node| {
@@ -71,20 +75,20 @@
     (stop, watchers)
 }
 
-async fn end(stop: Arc<AtomicBool>, watchers: Vec<tokio::task::JoinHandle<usize>>) {
+async fn stop_watching(stop: Arc<AtomicBool>, watchers: Vec<tokio::task::JoinHandle<usize>>) {
     stop.store(true, Ordering::Relaxed);
     for watcher in watchers {
-        assert!(watcher.await.expect("no version fell") > 0);
+        assert!(watcher.await.expect("a version fell") > 0);
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_at_once_one_wins_and_one_is_told() {
+async fn of_two_simultaneous_publications_one_wins_and_one_gets_409() {
     let fleet = start_fleet(FleetOptions::new("config_race")).await;
     let (stop, watchers) = watch(&fleet);
     for round in 0..10 {
         let base = version(&fleet, 0).await.expect("a version");
-        in_force_everywhere(&fleet, base, &[0, 1, 2]).await;
+        wait_for_version(&fleet, base, &[0, 1, 2]).await;
         let (one, other) = (
             configuration(&format!("one-{round}")),
             configuration(&format!("other-{round}")),
@@ -110,13 +114,13 @@
             losers[0]
         );
         assert_eq!(losers[0].execution().as_deref(), Some("not_run"));
-        in_force_everywhere(&fleet, won, &[0, 1, 2]).await;
+        wait_for_version(&fleet, won, &[0, 1, 2]).await;
     }
-    end(stop, watchers).await;
+    stop_watching(stop, watchers).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_that_cannot_reach_the_log_hears_from_its_peers() {
+async fn a_zone_without_the_log_gets_configurations_from_its_peers() {
     let fleet = start_fleet(FleetOptions::new("config_peers")).await;
     let (stop, watchers) = watch(&fleet);
     fleet.log.set_fault_from(fleet.nodes[2].source, Fault::Cut);
@@ -128,12 +132,12 @@
     let won = published.expect("an answer").json()["version"]
         .as_u64()
         .expect("a version");
-    in_force_everywhere(&fleet, won, &[0, 1, 2]).await;
-    end(stop, watchers).await;
+    wait_for_version(&fleet, won, &[0, 1, 2]).await;
+    stop_watching(stop, watchers).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_cut_off_whole_catches_up_and_never_goes_back() {
+async fn an_isolated_zone_catches_up_and_never_reverts() {
     let fleet = start_fleet(FleetOptions::new("config_cut")).await;
     let (stop, watchers) = watch(&fleet);
     fleet.set_isolated(2, Fault::Cut);
@@ -146,7 +150,7 @@
     let won = published.expect("an answer").json()["version"]
         .as_u64()
         .expect("a version");
-    in_force_everywhere(&fleet, won, &[0, 1]).await;
+    wait_for_version(&fleet, won, &[0, 1]).await;
     let stale = fleet
         .operator
         .publish(fleet.nodes[2].api, base, &configuration("late"))
@@ -154,15 +158,15 @@
     assert_ne!(
         stale.expect("an answer").status,
         200,
-        "the cut zone cannot decide"
+        "the isolated zone accepted a configuration"
     );
     fleet.set_isolated(2, Fault::None);
-    in_force_everywhere(&fleet, won, &[2]).await;
-    end(stop, watchers).await;
+    wait_for_version(&fleet, won, &[2]).await;
+    stop_watching(stop, watchers).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_while_the_log_is_down_serves_only_the_newest_version() {
+async fn a_node_started_while_the_log_is_down_serves_only_the_newest_version() {
     let mut fleet = start_fleet(FleetOptions::new("config_restart")).await;
     let base = version(&fleet, 0).await.expect("a version");
     let published = fleet
@@ -172,7 +176,7 @@
     let won = published.expect("an answer").json()["version"]
         .as_u64()
         .expect("a version");
-    in_force_everywhere(&fleet, won, &[0, 1, 2]).await;
+    wait_for_version(&fleet, won, &[0, 1, 2]).await;
     let down = LogFaults {
         down: true,
         ..LogFaults::default()
@@ -181,8 +185,8 @@
     fleet.nodes[2].process.kill();
     let restarted = fleet.start_node(2).await.expect("a node");
     let api = fleet.nodes[restarted].api;
-    // It serves only once it has the version that its peers have.
-    eventually_within(EVERYWHERE, "the new node serves", || async {
+    // A node serves only once it has the version of its peers.
+    eventually_within(APPLIED_WITHIN, "the new node serves", || async {
         let answer = fleet.tenant.get(api, "/v1/models").await.ok()?;
         (answer.status == 200).then_some(())
     })
@@ -191,7 +195,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_log_that_answers_from_an_old_offset_brings_nothing_back() {
+async fn a_log_that_answers_from_an_old_offset_reverts_no_version() {
     let fleet = start_fleet(FleetOptions::new("config_old_offset")).await;
     let (stop, watchers) = watch(&fleet);
     let mut base = version(&fleet, 0).await.expect("a version");
@@ -205,7 +209,7 @@
             .as_u64()
             .expect("a version");
     }
-    in_force_everywhere(&fleet, base, &[0, 1, 2]).await;
+    wait_for_version(&fleet, base, &[0, 1, 2]).await;
     let old = LogFaults {
         read_back: 3,
         ..LogFaults::default()
@@ -216,7 +220,7 @@
         assert_eq!(version(&fleet, node).await, Some(base));
     }
     fleet.set_log_faults(&LogFaults::default()).await;
-    end(stop, watchers).await;
+    stop_watching(stop, watchers).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -224,15 +228,15 @@
     let fleet = start_fleet(FleetOptions::new("config_revoke")).await;
     let base = version(&fleet, 0).await.expect("a version");
     let digest = token_digest(TENANT_TOKEN).to_string();
-    let without = fleet_configuration().replace(&digest, token_digest("another").as_str());
+    let revoked = fleet_configuration().replace(&digest, token_digest("another").as_str());
     let published = fleet
         .operator
-        .publish(fleet.nodes[0].api, base, &without)
+        .publish(fleet.nodes[0].api, base, &revoked)
         .await;
     let won = published.expect("an answer").json()["version"]
         .as_u64()
         .expect("a version");
-    in_force_everywhere(&fleet, won, &[0, 1, 2]).await;
+    wait_for_version(&fleet, won, &[0, 1, 2]).await;
     for node in &fleet.nodes {
         let answer = fleet
             .tenant
--- a/crates/swiftshunt/tests/exactly_once.rs
+++ b/crates/swiftshunt/tests/exactly_once.rs
@@ -1,4 +1,5 @@
-//! Every accepted submission completes exactly once and stays readable, whatever is killed or cut.
+//! Each accepted submission completes exactly once, and its result stays readable, also if processes are
+//! killed or links are cut.
 
 mod common;
 
@@ -16,14 +17,13 @@
 use swiftshunt_lab::proxy::Fault;
 use swiftshunt_lab::submission_worker::Behaviour;
 
-/// Pause of a caller between its tries.
-const CALLER_PAUSE: Duration = Duration::from_millis(50);
+/// Pause of a caller between attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Answers with a result, by key: the first body seen, and whether another one was seen.
+/// Bodies of all responses with status 200, by key.
 type Answers = Arc<Mutex<BTreeMap<String, Vec<String>>>>;
 
-/// Sends one key to each node in turn until a result comes back, as a client that believes its
-/// request lost.
+/// Submits a key to each node in turn until a response has a result, as a client does that gets no response.
 async fn submit_until_answered(
     caller: Caller,
     nodes: Vec<SocketAddr>,
@@ -40,15 +40,15 @@
         if let Ok(answer) = answer
             && answer.status == 200
         {
-            let mut answers = answers.lock().expect("no panic");
+            let mut answers = answers.lock().expect("a caller panicked");
             answers.entry(key).or_default().push(answer.body);
             return;
         }
-        tokio::time::sleep(CALLER_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Starts callers that each submit a key of their own, twice at the same time through two nodes.
+/// Starts two callers for each of `count` keys, which submit it at the same time through different nodes.
 fn start_callers(
     fleet: &Fleet,
     count: usize,
@@ -65,16 +65,16 @@
 }
 
 async fn wait_for_answers(answers: &Answers, count: usize) {
-    eventually("enough answers came", || async {
-        let answered = answers.lock().expect("no panic").len();
+    eventually("enough keys have a result", || async {
+        let answered = answers.lock().expect("a caller panicked").len();
         (answered >= count).then_some(())
     })
     .await;
 }
 
-/// Every key has one result, the same through every running node as in the first answer.
+/// Asserts that each key has a single result, and that each running node returns it.
 async fn assert_readable_everywhere(fleet: &mut Fleet, answers: &Answers) {
-    let answers = answers.lock().expect("no panic").clone();
+    let answers = answers.lock().expect("a caller panicked").clone();
     let running = fleet.running_nodes();
     for (key, bodies) in answers {
         assert!(
@@ -85,7 +85,7 @@
         let path = format!("/v1/submissions/{}", id["id"].as_str().expect("an id"));
         for node in &running {
             let api = fleet.nodes[*node].api;
-            let read = eventually("the result is read", || async {
+            let read = eventually("the result is readable", || async {
                 let read = fleet.tenant.get(api, &path).await.ok()?;
                 (read.status == 200).then_some(read.body)
             })
@@ -95,7 +95,7 @@
     }
 }
 
-/// Executions beyond one per key.
+/// Returns the keys that ran more than once, with their numbers of runs.
 fn extra_executions(fleet: &Fleet) -> HashMap<String, usize> {
     let mut counts = fleet.journal.counts();
     counts.retain(|_, count| *count > 1);
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_is_killed_right_after_it_acknowledged() {
+async fn results_stay_readable_after_a_node_is_killed() {
     let mut fleet = start_fleet(FleetOptions::new("kill_node")).await;
     let answers = Answers::default();
     let callers = start_callers(&fleet, 100, &answers);
@@ -117,17 +117,17 @@
     assert_readable_everywhere(&mut fleet, &answers).await;
 }
 
-/// The workers here know no keys, so whatever keeps a resend from running is the ledger.
+/// These workers do not deduplicate by key, so only the nodes' ledger keeps a resend from running.
 #[tokio::test(flavor = "multi_thread")]
-async fn resends_at_once_and_later_run_once_on_workers_that_know_no_keys() {
+async fn resends_run_once_on_workers_that_do_not_deduplicate() {
     let mut fleet = start_fleet(FleetOptions::new("resends")).await;
     for worker in 0..2 {
-        let forgetful = Behaviour {
+        let without_keys = Behaviour {
             delay_ms: 20,
             forgets_keys: true,
             ..Behaviour::default()
         };
-        fleet.set_behaviour(worker, &forgetful).await;
+        fleet.set_behaviour(worker, &without_keys).await;
     }
     let answers = Answers::default();
     for _ in 0..2 {
@@ -138,7 +138,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_is_killed_with_submissions_in_progress() {
+async fn only_submissions_in_progress_at_a_killed_worker_run_again() {
     let mut fleet = start_fleet(FleetOptions::new("kill_worker")).await;
     for worker in 0..2 {
         let slow = Behaviour {
@@ -153,22 +153,22 @@
     fleet.workers[0].process.kill();
     join_all(callers).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
-    // Those that were on the dead worker may run again elsewhere; nothing else may.
+    // Only submissions that ran on the killed worker may run again elsewhere.
     for key in extra_executions(&fleet).keys() {
         let executions = fleet.journal.executions();
-        let on_dead = executions
+        let on_killed = executions
             .iter()
             .filter(|run| run.key == *key && run.worker == "book-0");
         assert_eq!(
-            on_dead.count(),
+            on_killed.count(),
             1,
-            "{key} ran twice without its worker's death"
+            "{key} ran twice although its worker was not killed"
         );
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_is_down_then_slow_then_loses_answers() {
+async fn submissions_run_once_while_the_log_is_down_slow_or_loses_answers() {
     let mut fleet = start_fleet(FleetOptions::new("log_faults")).await;
     let faults = [
         LogFaults {
@@ -206,7 +206,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_node_is_killed_after_acknowledging() {
+async fn results_survive_the_loss_of_all_nodes() {
     let mut fleet = start_fleet(FleetOptions::new("kill_all")).await;
     let answers = Answers::default();
     let callers = start_callers(&fleet, 60, &answers);
@@ -231,7 +231,7 @@
 }
 
 fn first_bodies(answers: &Answers) -> BTreeMap<String, String> {
-    let answers = answers.lock().expect("no panic");
+    let answers = answers.lock().expect("a caller panicked");
     answers
         .iter()
         .map(|(key, bodies)| (key.clone(), bodies[0].clone()))
@@ -239,7 +239,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_is_cut_off_while_callers_resend() {
+async fn submissions_run_once_while_a_zone_is_isolated() {
     let mut fleet = start_fleet(FleetOptions::new("cut_zone")).await;
     let answers = Answers::default();
     let callers = start_callers(&fleet, 80, &answers);
--- a/crates/swiftshunt/tests/explain.rs
+++ b/crates/swiftshunt/tests/explain.rs
@@ -8,7 +8,8 @@
 {"time":"2026-12-02T10:00:01.100Z","node":"gateway-1","level":"info","message":"answered","request":"r2","worker":"w1","status":200,"waited_ms":410}
 "#;
 
-/// As a collector writes it, with a time and a name before the line, and with lines of its own.
+/// A log as a collector stores it: each line has a prefix of time and process name, and the collector adds
+/// lines of its own.
 const TWO: &str = r#"the collector starts
    9.1 gateway-2 {"time":"2026-12-02T10:00:01.195Z","node":"gateway-2","level":"info","message":"worker gone","worker":"w7"}
    9.3 gateway-2 {"time":"2026-12-02T10:00:01.150Z","node":"gateway-2","level":"info","message":"worker gone","worker":"w9"}
@@ -33,21 +34,25 @@
 }
 
 #[test]
-fn lines_stand_in_the_order_of_time_with_what_happened_to_their_worker() {
+fn lines_are_ordered_by_time_with_events_of_their_worker() {
     let output = explain("r1");
     assert!(output.status.success(), "{output:?}");
-    let told = String::from_utf8_lossy(&output.stdout).into_owned();
-    let place = |text: &str| told.find(text).unwrap_or_else(|| panic!("{text}: {told}"));
-    assert!(place("a send failed") < place("given up"));
-    assert!(place("meanwhile:") < place("gateway-2 worker gone worker=w7"));
-    assert!(!told.contains("r2") && !told.contains("w9"), "{told}");
+    let report = String::from_utf8_lossy(&output.stdout).into_owned();
+    let position = |text: &str| {
+        report
+            .find(text)
+            .unwrap_or_else(|| panic!("{text}: {report}"))
+    };
+    assert!(position("a send failed") < position("given up"));
+    assert!(position("meanwhile:") < position("gateway-2 worker gone worker=w7"));
+    assert!(!report.contains("r2") && !report.contains("w9"), "{report}");
     let cause = "cause: it was given up, since it may have run and may not be repeated after \
                  failed sends: broken: connection error at w7";
-    assert!(told.contains(cause), "{told}");
+    assert!(report.contains(cause), "{report}");
 }
 
 #[test]
-fn what_no_line_names_is_said_so() {
+fn an_identifier_that_no_line_names_is_an_error() {
     let output = explain("r9");
     assert_eq!(output.status.code(), Some(1), "{output:?}");
     let error = String::from_utf8_lossy(&output.stderr);
@@ -55,7 +60,7 @@
 }
 
 #[test]
-fn a_log_that_cannot_be_read_is_named() {
+fn an_unreadable_log_is_named_in_the_error() {
     let output = Command::new(env!("CARGO_BIN_EXE_swiftshunt"))
         .args(["explain", "r1", "--logs", "no-such-file.log"])
         .output()
--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -1,4 +1,5 @@
-//! Cold workers: all gateways together keep within what one bears, whatever is sent and whoever is gone.
+//! Cold workers: all gateways together send a cold worker no more requests per second than its bound, also
+//! after gateways were killed or restarted.
 
 mod gateway;
 
@@ -12,26 +13,27 @@
 use swiftshunt_lab::platform::worker::Worker;
 use swiftshunt_platform::words::{topics, values};
 
-/// What a cold worker bears a second, by the configuration.
-const BEARS: f64 = 4.0;
-/// What the settings allow in any one second: `BEARS` times 1.5, and 4 more.
+/// Requests per second that the configuration allows for a cold worker.
+const COLD_PER_S: f64 = 4.0;
+/// Maximum number of requests in any one second by the settings: `COLD_PER_S` times 1.5, plus 4.
 const ALLOWED: usize = 10;
-/// How long a worker is cold.
+/// Duration for which a worker is cold.
 const COLD: Duration = Duration::from_secs(4);
-/// Time in which gateways hear of each other, and after which keepers hand out starts.
+/// Time in which gateways discover each other, and after which the owners of cold workers' budgets grant
+/// requests.
 const SETTLED: Duration = Duration::from_millis(4_500);
-/// Time of an answer: with it the other worker alone has no slot for all requests.
-const BUSY: Duration = Duration::from_millis(480);
-/// Pause between requests.
+/// Duration of a run: with it, the other worker alone has too few slots for all requests.
+const RUN_TIME: Duration = Duration::from_millis(480);
+/// Interval between requests.
 const PAUSE: Duration = Duration::from_millis(15);
-/// Pause between looks at the worker.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval between readings of the worker's number of runs.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 async fn fleet() -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways: 4,
-        event_pause: BUSY / 8,
-        whole_pause: BUSY,
+        event_pause: RUN_TIME / 8,
+        whole_pause: RUN_TIME,
         settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
         ..PlatformOptions::default()
     })
@@ -39,24 +41,24 @@
     let mut configuration = first_configuration();
     for service in &mut configuration.services {
         service.cold_s = COLD.as_secs_f64();
-        service.cold_per_s = BEARS;
+        service.cold_per_s = COLD_PER_S;
     }
     fleet.configure(configuration);
     tokio::time::sleep(SETTLED).await;
     fleet
 }
 
-/// Lists a worker as one that is cold.
-fn turns_cold(fleet: &ExclusiveFleet, worker: &Worker, service: &str) {
+/// Writes a directory entry that marks the worker as cold.
+fn mark_cold(fleet: &ExclusiveFleet, worker: &Worker, service: &str) {
     let mut entry = json!(PlatformFleet::entry_of(worker, service, values::READY));
     entry["coldLeftMs"] = json!(COLD.as_millis() as u64);
     let body = serde_json::to_vec(&entry).expect("an entry");
     fleet.store.put(topics::WORKERS, worker.incarnation(), body);
 }
 
-/// Sends requests to all gateways by turns for a while; gives most that came to the worker in one second, and how
-/// many did in all.
-async fn most_in_a_second(
+/// Sends requests to the gateways in turn while the worker is cold. Returns the maximum number of runs that
+/// the worker started in one second, and the total.
+async fn max_runs_per_second(
     fleet: &ExclusiveFleet,
     worker: &Worker,
     path: &'static str,
@@ -75,12 +77,12 @@
             let id = format!("request-{sent}");
             sent += 1;
             tokio::spawn(async move {
-                let patience = Duration::from_secs(5);
-                caller.ask(gateway, path, &id, patience).await
+                let deadline = Duration::from_secs(5);
+                caller.ask(gateway, path, &id, deadline).await
             });
         }
         seen.push((Instant::now(), worker.runs().len()));
-        tokio::time::sleep(LOOK.min(PAUSE)).await;
+        tokio::time::sleep(POLL_INTERVAL.min(PAUSE)).await;
     }
     let windows = seen.iter().map(|(from, count)| {
         let within = seen
@@ -93,12 +95,12 @@
     (most, worker.runs().len() - before)
 }
 
-/// Callers' streams and batch items together.
+/// Online streams and batch items share the bound of a cold engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_and_items_keep_a_cold_worker_within_its_bound() {
+async fn streams_and_items_together_do_not_exceed_the_bound_of_a_cold_worker() {
     let fleet = fleet().await;
     let engine = &fleet.engines[0];
-    turns_cold(&fleet, engine, "engine");
+    mark_cold(&fleet, engine, "engine");
     tokio::time::sleep(Duration::from_millis(700)).await;
     for job in 0..4 {
         submit(
@@ -109,29 +111,30 @@
         )
         .await;
     }
-    let (most, all) = most_in_a_second(&fleet, engine, STREAM, &[0, 1, 2, 3]).await;
-    println!("{most} in a second, {all} in all");
+    let (most, total) = max_runs_per_second(&fleet, engine, STREAM, &[0, 1, 2, 3]).await;
+    println!("{most} in a second, {total} in total");
     assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
-    assert!(all > 0, "a cold worker is to carry what it bears");
+    assert!(total > 0, "the cold worker received no request");
 }
 
-/// A service without batch items, whose workers each gateway chooses alone; one gateway is killed meanwhile.
+/// For a service without batch items, each gateway selects workers by itself. One gateway is killed before
+/// the worker becomes cold.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_service_without_items_keeps_the_bound_also_while_a_gateway_is_gone() {
+async fn online_requests_do_not_exceed_the_bound_of_a_cold_worker_after_a_gateway_is_killed() {
     let mut fleet = fleet().await;
     fleet.gateways[3].process.kill();
     let worker = &fleet.whole[0];
-    turns_cold(&fleet, worker, "whole");
+    mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let (most, all) = most_in_a_second(&fleet, worker, ASK, &[0, 1, 2]).await;
-    println!("{most} in a second, {all} in all");
+    let (most, total) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2]).await;
+    println!("{most} in a second, {total} in total");
     assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
-    assert!(all > 0, "a cold worker is to carry what it bears");
+    assert!(total > 0, "the cold worker received no request");
 }
 
-/// Gateways that have just started know nothing of what others handed out a moment ago.
+/// Restarted gateways do not know how many requests were granted just before the restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_that_start_anew_keep_a_cold_worker_within_its_bound() {
+async fn restarted_gateways_do_not_exceed_the_bound_of_a_cold_worker() {
     let mut fleet = fleet().await;
     for gateway in 0..4 {
         fleet.restart(gateway).expect("a gateway");
@@ -144,8 +147,8 @@
         .await;
     }
     let worker = &fleet.whole[0];
-    turns_cold(&fleet, worker, "whole");
+    mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let (most, _) = most_in_a_second(&fleet, worker, ASK, &[0, 1, 2, 3]).await;
+    let (most, _) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2, 3]).await;
     assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
 }
--- a/crates/swiftshunt/tests/gateway_connections.rs
+++ b/crates/swiftshunt/tests/gateway_connections.rs
@@ -1,5 +1,4 @@
-//! Connections of callers: those that are closed early, and those that come as soon as a gateway says
-//! that it is ready.
+//! Connections of callers that are closed early, or opened as soon as a gateway reports that it is ready.
 
 mod gateway;
 
@@ -17,30 +16,30 @@
 use tokio::net::TcpStream;
 
 const DEADLINE: Duration = Duration::from_secs(5);
-/// Time after a caller has left in which its worker is free again.
+/// Time within which a worker's slot is free after the caller has disconnected.
 const FREE_WITHIN: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn running(fleet: &ExclusiveFleet) -> usize {
     let workers = fleet.whole.iter().chain(&fleet.engines);
     workers.map(|worker| worker.running()).sum()
 }
 
-/// How long after now slots are taken.
-async fn taken_for(fleet: &ExclusiveFleet) -> Duration {
-    let left = Instant::now();
-    while running(fleet) > 0 && left.elapsed() < DEADLINE {
-        tokio::time::sleep(LOOK).await;
+/// Waits until no request runs, or until `DEADLINE` is over, and returns how long that took.
+async fn time_until_idle(fleet: &ExclusiveFleet) -> Duration {
+    let started_at = Instant::now();
+    while running(fleet) > 0 && started_at.elapsed() < DEADLINE {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    left.elapsed()
+    started_at.elapsed()
 }
 
-#[test_case(ASK; "an answer that may be repeated, not begun")]
-#[test_case(ONCE; "an answer that may not, not begun")]
-#[test_case(STREAM; "a stream that may be resumed")]
-#[test_case(STREAM_ONCE; "a stream that may not")]
+#[test_case(ASK; "a repeatable request before its response")]
+#[test_case(ONCE; "a request that may not be repeated, before its response")]
+#[test_case(STREAM; "a resumable stream")]
+#[test_case(STREAM_ONCE; "a stream that may not be resumed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_frees_its_worker_within_half_a_second(path: &str) {
+async fn a_disconnected_caller_frees_its_worker_within_half_a_second(path: &str) {
     let fleet = start(PlatformOptions {
         events: 200,
         event_pause: Duration::from_millis(20),
@@ -49,24 +48,30 @@
     })
     .await;
     let gateway = fleet.gateways[0].callers;
-    let patience = Duration::from_millis(300);
+    let leave_after = Duration::from_millis(300);
     let calls = (0..6).map(|number| {
         let caller = fleet.caller.clone();
         let id = format!("r{number}");
-        async move { caller.ask_and_leave(gateway, path, &id, patience).await }
+        async move { caller.ask_and_leave(gateway, path, &id, leave_after).await }
     });
     let ran = async {
-        tokio::time::sleep(patience / 2).await;
+        tokio::time::sleep(leave_after / 2).await;
         running(&fleet)
     };
     let (_, ran) = tokio::join!(join_all(calls), ran);
-    assert_eq!(ran, 6, "requests that ran before their callers left");
-    let taken = taken_for(&fleet).await;
-    assert!(taken < FREE_WITHIN, "slots were taken for {taken:?}");
+    assert_eq!(
+        ran, 6,
+        "not all requests ran before their callers disconnected"
+    );
+    let occupied = time_until_idle(&fleet).await;
+    assert!(
+        occupied < FREE_WITHIN,
+        "slots were in use for {occupied:?} after the callers disconnected"
+    );
 }
 
-/// Sends the head of a request and a part of its body, and leaves.
-async fn begin_and_leave(gateway: SocketAddr, id: &str) -> std::io::Result<()> {
+/// Sends the head of a request and a part of its body, and closes the connection.
+async fn send_incomplete(gateway: SocketAddr, id: &str) -> std::io::Result<()> {
     let mut stream = TcpStream::connect(gateway).await?;
     let head = format!(
         "POST {ASK}begun HTTP/1.1\r\nhost: {HOST}\r\n{}: {id}\r\ncontent-length: 1000\r\n\r\n",
@@ -80,11 +85,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_whose_caller_leaves_before_it_was_read_runs_nowhere() {
+async fn an_incomplete_request_of_a_disconnected_caller_does_not_run() {
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     for number in 0..5 {
-        let left = begin_and_leave(gateway, &format!("begun-{number}")).await;
+        let left = send_incomplete(gateway, &format!("begun-{number}")).await;
         left.expect("a connection");
     }
     let answer = fleet.caller.ask(gateway, ASK, "whole", DEADLINE).await;
@@ -96,16 +101,17 @@
     }
 }
 
-/// Whoever sends callers to a gateway asks whether it is ready, and sends them at the first yes.
+/// A load balancer sends callers to a gateway after the first successful readiness check, so the gateway must
+/// already accept connections then.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_says_that_it_is_ready_takes_connections_at_once() {
+async fn a_ready_gateway_accepts_connections_immediately() {
     const STARTS: usize = 4;
     let mut fleet = start(PlatformOptions::default()).await;
     for round in 0..STARTS {
         fleet.restart(0).expect("a gateway");
         let gateway = &fleet.gateways[0];
         while !fleet.caller.is_ready(gateway.ready).await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         let asked = (0..20).map(|number| {
             let caller = fleet.caller.clone();
--- a/crates/swiftshunt/tests/gateway_directory.rs
+++ b/crates/swiftshunt/tests/gateway_directory.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their identifier, and entries of the directory that others wrote.
+//! The worker directory: workers that restart under their identifiers, and malformed entries.
 
 mod gateway;
 
@@ -13,8 +13,8 @@
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time within which a change of the directory is obeyed.
-const OBEYED: Duration = Duration::from_secs(2);
+/// Time within which gateways must apply a change of the directory.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
 
 async fn fleet(workers: usize) -> ExclusiveFleet {
     start(PlatformOptions {
@@ -31,13 +31,13 @@
     answer.expect("an answer").status
 }
 
-/// The only worker was leaving, failed and ended; it starts again under its identifier. Nothing of its last
-/// life keeps requests from it.
-#[test_case(values::DRAINING, Manner::Sound; "that was leaving")]
-#[test_case(values::READY, Manner::Fail; "that failed")]
-#[test_case(values::READY, Manner::Dark; "that did not answer")]
+/// The only worker was draining, failing or silent before it restarted under its identifier. Nothing known of
+/// its previous incarnation may keep requests from the new one.
+#[test_case(values::DRAINING, Manner::Sound; "worker was draining")]
+#[test_case(values::READY, Manner::Fail; "worker was failing")]
+#[test_case(values::READY, Manner::Dark; "worker did not answer")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_worker_that_starts_again_is_a_new_one(state: &str, manner: Manner) {
+async fn a_restarted_worker_is_used_whatever_it_did_before(state: &str, manner: Manner) {
     let mut fleet = fleet(1).await;
     assert_eq!(ask(&fleet, "before").await, StatusCode::OK);
     fleet.whole[0].set(manner);
@@ -45,20 +45,24 @@
     for number in 0..6 {
         let gateway = fleet.gateways[0].callers;
         let id = format!("meanwhile-{number}");
-        let patience = Duration::from_millis(200);
+        let leave_after = Duration::from_millis(200);
         fleet
             .caller
-            .ask_and_leave(gateway, ASK, &id, patience)
+            .ask_and_leave(gateway, ASK, &id, leave_after)
             .await;
     }
     fleet.restart_worker(0).await.expect("a worker");
-    let began = std::time::Instant::now();
-    eventually("it serves", || async {
+    let restarted_at = std::time::Instant::now();
+    eventually("the worker serves", || async {
         ask(&fleet, "after").await == StatusCode::OK
     })
     .await;
-    println!("served again after {:?}", began.elapsed());
-    assert!(began.elapsed() < OBEYED, "{:?}", began.elapsed());
+    println!("served again after {:?}", restarted_at.elapsed());
+    assert!(
+        restarted_at.elapsed() < APPLIED_WITHIN,
+        "{:?}",
+        restarted_at.elapsed()
+    );
     for number in 0..10 {
         assert_eq!(
             ask(&fleet, &format!("later-{number}")).await,
@@ -67,13 +71,14 @@
     }
 }
 
-/// What its last life said comes after what its new one did: it is not leaving.
+/// Entries of the previous incarnation with the state `draining` arrive after those of the new one. The
+/// gateway must go on sending requests to the worker.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_a_last_life_said_changes_nothing() {
+async fn late_entries_of_a_previous_incarnation_change_nothing() {
     let mut fleet = fleet(1).await;
     let mut late = PlatformFleet::entry_of(&fleet.whole[0], "whole", values::DRAINING);
     fleet.restart_worker(0).await.expect("a worker");
-    eventually("it serves", || async {
+    eventually("the worker serves", || async {
         ask(&fleet, "after").await == StatusCode::OK
     })
     .await;
@@ -82,13 +87,13 @@
         let body = serde_json::to_vec(&late).expect("a document");
         let id = fleet.whole[0].incarnation();
         fleet.store.put(topics::WORKERS, id, body);
-        tokio::time::sleep(OBEYED / 10).await;
+        tokio::time::sleep(APPLIED_WITHIN / 10).await;
         assert_eq!(ask(&fleet, "once more").await, StatusCode::OK);
     }
 }
 
-/// A sound entry of a worker that takes requests and answers none, changed in one place.
-fn foreign(
+/// Returns a valid entry of a ready worker with one field replaced, or removed if there is no value.
+fn changed_entry(
     worker: &swiftshunt_lab::platform::worker::Worker,
     change: (&str, Option<Value>),
 ) -> Vec<u8> {
@@ -102,13 +107,14 @@
     entry.to_string().into_bytes()
 }
 
-/// Entries that another writer left name no worker to use, the others hold, and each is told of once.
+/// Malformed entries of another writer add no worker and leave the valid entries in effect. Each is logged
+/// once.
 #[tokio::test(flavor = "multi_thread")]
-async fn entries_of_another_writer_name_no_worker() {
+async fn malformed_entries_add_no_worker() {
     let fleet = fleet(3).await;
-    // Whatever reaches it by one of these entries is seen there.
-    let bait = &fleet.whole[2];
-    fleet.unlist(bait);
+    // All malformed entries have the address of this worker, so a gateway that uses one of them is detected.
+    let unlisted = &fleet.whole[2];
+    fleet.unlist(unlisted);
     let changes = [
         ("service", None),
         ("address", None),
@@ -129,16 +135,16 @@
         ("born", Some(json!(1.5))),
         ("service", Some(json!("a service of nobody"))),
     ];
-    let mut bodies: Vec<Vec<u8>> = changes.map(|change| foreign(bait, change)).into();
+    let mut bodies: Vec<Vec<u8>> = changes.map(|change| changed_entry(unlisted, change)).into();
     bodies.extend([
         b"{".to_vec(),
         vec![0xff, 0xfe, 0x00],
         b"[]".to_vec(),
         b"null".to_vec(),
     ]);
-    // One that says whole-0 in its key, and whole-0 itself, which writes again as it always does.
-    tokio::time::sleep(OBEYED).await;
-    let before = bait.runs().len();
+    // One malformed entry has the key of the worker whole-0, which then writes its valid entry again.
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    let before = unlisted.runs().len();
     for _ in 0..20 {
         for (number, body) in bodies.iter().enumerate() {
             let key = format!("foreign-{number}");
@@ -149,14 +155,14 @@
         assert_eq!(ask(&fleet, "as ever").await, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    assert_eq!(bait.runs().len(), before, "a foreign entry was used");
+    assert_eq!(unlisted.runs().len(), before, "a malformed entry was used");
     let logs = std::fs::read_to_string(fleet.logs().join("gateway-0.log")).expect("a log");
     let lines = logs
         .lines()
         .filter(|line| line.contains("a record cannot be read"));
     let lines = lines.count();
     println!("{lines} lines for {} entries", bodies.len() * 20);
-    // One for each key.
+    // At most one line for each key.
     assert!(lines <= bodies.len() + 1, "{lines} lines");
     let unreadable = fleet.caller.figure(
         fleet.gateways[0].metrics,
--- a/crates/swiftshunt/tests/gateway_metrics.rs
+++ b/crates/swiftshunt/tests/gateway_metrics.rs
@@ -1,4 +1,4 @@
-//! Figures that a gateway tells of what it decides.
+//! Metrics and log lines about the decisions of a gateway.
 
 mod gateway;
 
@@ -9,7 +9,8 @@
 use swiftshunt_lab::platform::fleet::{ASK, BATCH, PlatformOptions, STREAM, eventually};
 use swiftshunt_lab::platform::store::{Down, StoreFaults};
 
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which gateways must apply a change.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(5);
 const REFUSALS: &str = "swiftshunt_refusals_total";
 
@@ -29,7 +30,7 @@
     for worker in &fleet.whole {
         fleet.unlist(worker);
     }
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
     let status = answer.expect("an answer").status;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
@@ -50,9 +51,10 @@
     assert_eq!(refused("NoWorker").await, 1.0);
 }
 
-/// A stream that began in time is late by a pause: without a line nobody could tell why.
+/// A stream that starts in time may still end late because of a pause. The log line and the metric show the
+/// reason.
 #[tokio::test(flavor = "multi_thread")]
-async fn streams_that_pause_for_too_long_are_counted_and_named() {
+async fn streams_that_pause_for_too_long_are_counted_and_logged() {
     let fleet = start(PlatformOptions {
         gateways: 1,
         events: 3,
@@ -76,9 +78,10 @@
     assert!((500..5_000).contains(&longest), "{line}");
 }
 
-/// What was late tells when it was sent and what its worker had to read.
+/// The log line of a late response contains when the request was sent and how much of its prompt the worker
+/// had to read.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_late_answer_is_logged_with_what_took_its_time() {
+async fn a_late_response_is_logged_with_its_times() {
     let fleet = start(PlatformOptions {
         gateways: 1,
         whole_pause: Duration::from_millis(500),
@@ -99,7 +102,7 @@
     );
 }
 
-/// The line of a request whose message begins with `message`, once the gateway has written it.
+/// Waits for a log line about a request whose message begins with `message`, and returns it.
 async fn line_of(fleet: &ExclusiveFleet, request: &str, message: &str) -> serde_json::Value {
     let file = fleet.logs().join("gateway-0.log");
     let find = || {
--- a/crates/swiftshunt/tests/gateway_peaks.rs
+++ b/crates/swiftshunt/tests/gateway_peaks.rs
@@ -1,4 +1,4 @@
-//! Peaks above what the engines can serve: what callers get.
+//! Peaks of load above the capacity of the engines.
 
 mod gateway;
 
@@ -8,22 +8,22 @@
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{PlatformOptions, STREAM};
 
-/// Time in which gateways hear of each other, and in which the owner of the slots has heard of all.
+/// Time in which gateways discover each other, and in which the slot owner receives reports of all of them.
 const SETTLED: Duration = Duration::from_millis(2_500);
-/// Time that callers have.
+/// Time limit of callers.
 const DEADLINE: Duration = Duration::from_secs(8);
 /// Events of a stream, and the pause between them: a stream holds its slot for 0.4 s, and 32 slots serve 80 a
 /// second.
 const EVENTS: u64 = 8;
 const EVENT_PAUSE: Duration = Duration::from_millis(50);
-/// Time within which a stream has ended whose first event was in time, with room for the machine: 0.3 s and
-/// the stream itself, half as much again.
+/// Time within which a stream ends if its first event was in time: 0.3 s plus the duration of the stream, and
+/// half as much again as a margin for a slow machine.
 const IN_TIME: Duration = Duration::from_millis(900);
-/// Streams of a peak: half as many again as can be served while it lasts.
+/// Number of streams in a peak: 1.5 times as many as can be served during it.
 const PEAK: usize = 360;
 const PEAK_LASTS: Duration = Duration::from_secs(3);
 
-/// Sends streams evenly, and gives how long each took.
+/// Sends streams at a constant rate and returns the duration of each.
 async fn send(fleet: &ExclusiveFleet, name: &str, count: usize, over: Duration) -> Vec<Duration> {
     let began = tokio::time::Instant::now();
     let mut sent = Vec::new();
@@ -33,10 +33,10 @@
         let caller = fleet.caller.clone();
         let id = format!("{name}-{number}");
         sent.push(tokio::spawn(async move {
-            let asked = Instant::now();
+            let sent_at = Instant::now();
             let answer = caller.ask(gateway, STREAM, &id, DEADLINE).await;
             assert_eq!(answer.expect("an answer").status, StatusCode::OK, "{id}");
-            asked.elapsed()
+            sent_at.elapsed()
         }));
     }
     let mut took = Vec::new();
@@ -46,11 +46,12 @@
     took
 }
 
-/// For three seconds half as many streams again come as there are slots. Those that can still be in time go
-/// first; the others wait until the peak is over, and all are served. First come, first served makes nearly
-/// all late from the first second on: 0.35 and 0.36 of them were in time in two runs, 0.70 to 0.71 are in four.
+/// For three seconds, 1.5 times as many streams arrive as can be served. Streams that can still be in time go
+/// first, the others wait until the peak is over, and all are served. Guards against first come, first served,
+/// which makes nearly all streams late from the first second on: the share in time was 0.35 and 0.36 in two
+/// runs with it, and 0.70 to 0.71 in four runs without it.
 #[tokio::test(flavor = "multi_thread")]
-async fn at_a_peak_those_that_can_be_in_time_go_first_and_all_are_served() {
+async fn at_a_peak_streams_that_can_be_in_time_go_first_and_all_are_served() {
     let fleet = start(PlatformOptions {
         gateways: 3,
         events: EVENTS,
@@ -59,7 +60,7 @@
     })
     .await;
     tokio::time::sleep(SETTLED).await;
-    // How long a stream holds its slot is learnt.
+    // From these streams the gateways learn how long a stream holds its slot.
     send(&fleet, "before", 60, Duration::from_secs(2)).await;
     let took = send(&fleet, "peak", PEAK, PEAK_LASTS).await;
     let in_time = took.iter().filter(|took| **took <= IN_TIME).count();
