--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -19,8 +19,7 @@
 const ALLOWED: usize = 10;
 /// Duration for which a worker is cold.
 const COLD: Duration = Duration::from_secs(4);
-/// Time in which gateways discover each other, and after which the owners of cold workers' budgets grant
-/// requests.
+/// Time in which gateways discover each other, and after which permit issuers grant starts at cold workers.
 const SETTLED: Duration = Duration::from_millis(4_500);
 /// Duration of a run: with it, the other worker alone has too few slots for all requests.
 const RUN_TIME: Duration = Duration::from_millis(480);
--- a/crates/swiftshunt/tests/gateway_peers.rs
+++ b/crates/swiftshunt/tests/gateway_peers.rs
@@ -1,4 +1,4 @@
-//! What gateways do together for batch jobs: calls passed on, slots shared, partitions moved.
+//! Cooperation of gateways on batch jobs: forwarded calls and reassigned partitions.
 
 mod gateway;
 
@@ -10,13 +10,13 @@
 use swiftshunt_lab::platform::fleet::{PlatformOptions, eventually};
 use swiftshunt_lab::platform::store::StoreFaults;
 
-/// Calls about a job are answered by the gateway that runs it, wherever they come in: also where
-/// they come to a gateway that cannot read the log.
+/// A gateway forwards calls about a job to the gateway that owns it. A gateway that cannot read the log must
+/// therefore still answer them.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_cut_off_from_the_log_still_answers_calls_about_jobs() {
+async fn a_gateway_without_the_log_still_answers_calls_about_jobs() {
     let fleet = start(PlatformOptions::default()).await;
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
-    // Of eight jobs some run at either gateway.
+    // Each gateway owns some of the eight jobs.
     let jobs: Vec<String> = (0..8).map(|number| format!("job-{number}")).collect();
     for job in &jobs {
         drop(fleet.caller.results(two, job, 0, NO_WAIT).await);
@@ -25,27 +25,27 @@
     for job in &jobs {
         submit(&fleet, one, job, 3).await;
     }
-    let mut read = 0;
+    let mut read_count = 0;
     for job in &jobs {
         whole_job(&fleet, one, job, 3).await;
         let answer = fleet.caller.results(two, job, 0, NO_WAIT).await;
         let (status, page) = answer.expect("an answer");
         if status == StatusCode::OK {
             assert_completed(&page.results, job, 3);
-            read += 1;
+            read_count += 1;
         } else {
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{job}");
         }
     }
     assert!(
-        read > 0,
-        "no job was read through the gateway that is cut off"
+        read_count > 0,
+        "no job was read through the gateway without the log"
     );
 }
 
-/// Where the gateway that runs a job does not answer, the log does.
+/// If the owner of a job does not answer, another gateway reads the results from the log.
 #[tokio::test(flavor = "multi_thread")]
-async fn calls_about_a_job_are_answered_while_its_runner_is_frozen() {
+async fn calls_about_a_job_are_answered_while_its_owner_is_paused() {
     let fleet = start(PlatformOptions {
         lease: Duration::from_secs(30),
         ..PlatformOptions::default()
@@ -61,7 +61,7 @@
     }
     fleet.gateways[0].process.pause();
     for job in &jobs {
-        eventually("the job is read while its runner is frozen", || async {
+        eventually("the job is readable while its owner is paused", || async {
             let results = listed(&fleet, two, job).await;
             results.len() == 3
         })
@@ -70,10 +70,10 @@
     }
 }
 
-/// A gateway that gets a partition back runs nothing by what it knew of it before: a read of the log
-/// may be lost, and its fold be older than an end that was acknowledged since.
+/// A gateway that owns a partition again must not run items by its earlier state of the partition: if its
+/// reads of the log are lost, that state may be older than an acknowledged end of the job.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_ended_job_stops_also_where_the_new_runner_knew_it_before() {
+async fn an_ended_job_does_not_run_at_a_new_owner_with_outdated_state() {
     const ITEMS: usize = 150;
     let fleet = start(PlatformOptions {
         event_pause: Duration::from_millis(60),
@@ -86,10 +86,13 @@
         let items = (0..ITEMS).map(|item| item_id("job-1", item));
         items.map(|item| fleet.runs_of(&item).len()).sum()
     };
-    // The partition is at either gateway once, so that both know the job.
+    // Each gateway owns the partition once, so that both know the job.
     for moves in 1..3 {
         let before = runs();
-        eventually("the job runs on", || async { runs() > before + 8 }).await;
+        eventually("more items of the job run", || async {
+            runs() > before + 8
+        })
+        .await;
         println!("{} runs before move {moves}", runs());
         fleet.store.deal_anew();
         tokio::time::sleep(Duration::from_millis(800)).await;
@@ -104,7 +107,7 @@
     assert_eq!(status.expect("an answer"), StatusCode::OK);
     fleet.store.deal_anew();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
-    let then = runs();
+    let count_before = runs();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(then, runs(), "items of an ended job run");
+    assert_eq!(count_before, runs(), "items of an ended job run");
 }
--- a/crates/swiftshunt/tests/gateway_rates.rs
+++ b/crates/swiftshunt/tests/gateway_rates.rs
@@ -1,4 +1,4 @@
-//! The limit of a tenant's requests holds for all gateways together.
+//! The request rate limit of a tenant, which holds for all gateways together.
 
 mod gateway;
 
@@ -14,15 +14,18 @@
 use tokio::time::Instant;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time in which gateways learn of each other.
+/// Time in which gateways discover each other.
 const SETTLED: Duration = Duration::from_millis(2_500);
 const LIMITED: &str = "key-of-the-limited";
 const FREE: &str = "key-of-the-free";
-/// Requests a second, and on top of that.
+/// Requests per second of the limited tenant.
 const RATE: f64 = 10.0;
+/// Requests that it may send in addition at once.
 const BURST: f64 = 10.0;
-/// The window, and what it may have beyond the limit: a tenth, and 20.
+/// Length of the window over which served requests are counted.
 const WINDOW: Duration = Duration::from_secs(5);
+/// Maximum number of served requests in a window: the limit (10 per second for 5 s, plus a burst of 10), a
+/// tenth more, and 20.
 const BOUND: usize = 86;
 const SETTINGS: &str = "[tenants]\nwindow = \"5s\"\ntolerance = 0.1\ntolerated_requests = 20";
 
@@ -41,7 +44,7 @@
     tokio::time::sleep(SETTLED).await;
     let free = fleet.caller.with_key(FREE);
     for gateway in &fleet.gateways {
-        eventually("keys are known", || async {
+        eventually("the gateway accepts the keys", || async {
             let answer = free.ask(gateway.callers, ASK, "known", DEADLINE).await;
             answer.is_ok_and(|answer| answer.status == StatusCode::OK)
         })
@@ -50,21 +53,21 @@
     fleet
 }
 
-/// What became of a request, and when it was sent.
-struct Asked {
-    at: Instant,
+/// A request with the time at which it was sent and the status of its response.
+struct SentRequest {
+    sent_at: Instant,
     status: Option<StatusCode>,
-    comes_back: bool,
+    has_retry_after: bool,
 }
 
-/// Asks in turn at every gateway, `per_second` times for as long; gateways may be down.
-async fn ask_all(
+/// Sends `per_second` requests a second for `lasts`, to each gateway in turn; gateways may be down.
+async fn send_all(
     fleet: &ExclusiveFleet,
     key: &str,
     per_second: u32,
     lasts: Duration,
     name: &str,
-) -> Vec<Asked> {
+) -> Vec<SentRequest> {
     let began = Instant::now();
     let pause = Duration::from_secs(1) / per_second;
     let mut asked = Vec::new();
@@ -74,12 +77,12 @@
         let gateway = fleet.gateways[number as usize % fleet.gateways.len()].callers;
         let id = format!("{name}-{number}");
         asked.push(tokio::spawn(async move {
-            let at = Instant::now();
+            let sent_at = Instant::now();
             let answer = caller.ask(gateway, ASK, &id, DEADLINE).await.ok();
-            Asked {
-                at,
+            SentRequest {
+                sent_at,
                 status: answer.as_ref().map(|answer| answer.status),
-                comes_back: answer.is_some_and(|it| it.headers.contains_key(RETRY_AFTER)),
+                has_retry_after: answer.is_some_and(|it| it.headers.contains_key(RETRY_AFTER)),
             }
         }));
     }
@@ -90,11 +93,11 @@
     all
 }
 
-/// Most requests of a window that were sent in it and served.
-fn most_in_a_window(asked: &[Asked]) -> usize {
-    let served = asked.iter();
+/// Returns the maximum number of served requests that were sent within one window.
+fn max_served_in_window(requests: &[SentRequest]) -> usize {
+    let served = requests.iter();
     let served = served.filter(|one| one.status == Some(StatusCode::OK));
-    let mut times: Vec<Instant> = served.map(|one| one.at).collect();
+    let mut times: Vec<Instant> = served.map(|one| one.sent_at).collect();
     times.sort();
     let within = |first: &Instant| {
         let after = times.iter().filter(|at| *at >= first);
@@ -103,19 +106,19 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// Six times its limit over three gateways: it gets its limit and no more, is told when to come back, and
-/// nobody else is refused.
+/// A tenant that sends six times its limit through three gateways is served at its limit. Its other requests
+/// get 429 with `retry-after`, and no other tenant is refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tenant_beyond_its_limit_gets_its_limit_and_no_more() {
+async fn a_tenant_beyond_its_limit_is_served_at_its_limit() {
     let fleet = limited_fleet().await;
-    let hot = ask_all(&fleet, LIMITED, 60, Duration::from_secs(7), "hot");
-    let others = ask_all(&fleet, FREE, 30, Duration::from_secs(7), "free");
+    let hot = send_all(&fleet, LIMITED, 60, Duration::from_secs(7), "hot");
+    let others = send_all(&fleet, FREE, 30, Duration::from_secs(7), "free");
     let (hot, others) = tokio::join!(hot, others);
-    let most = most_in_a_window(&hot);
+    let most = max_served_in_window(&hot);
     println!("most in a window: {most}");
     assert!((48..=BOUND).contains(&most), "{most}");
     for one in &hot {
-        let refused = one.status == Some(StatusCode::TOO_MANY_REQUESTS) && one.comes_back;
+        let refused = one.status == Some(StatusCode::TOO_MANY_REQUESTS) && one.has_retry_after;
         assert!(
             refused || one.status == Some(StatusCode::OK),
             "{:?}",
@@ -125,63 +128,63 @@
     assert!(others.iter().all(|one| one.status == Some(StatusCode::OK)));
 }
 
-/// What keeps its limit is let in, one request after the other at each gateway.
+/// All requests of a tenant within its limit are served, although they alternate between gateways.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_tenant_that_keeps_its_limit_is_never_refused() {
+async fn a_tenant_within_its_limit_is_never_refused() {
     let fleet = limited_fleet().await;
-    let asked = ask_all(&fleet, LIMITED, 8, Duration::from_secs(6), "usual").await;
+    let asked = send_all(&fleet, LIMITED, 8, Duration::from_secs(6), "usual").await;
     assert!(asked.iter().all(|one| one.status == Some(StatusCode::OK)));
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    /// Every gateway is killed and starts anew: what was let in before must not be let in once more.
+enum Failure {
+    /// All gateways are killed and restarted: requests served before the restart must still count.
     AllRestart,
-    /// Each gateway in turn stands still for a second, also the one that counts.
-    EachStandsStill,
-    /// One after the other is killed and starts anew.
+    /// Each gateway in turn is paused for a second, including the one that counts.
+    EachPaused,
+    /// The gateways are killed and restarted one after the other.
     EachRestarts,
 }
 
-#[test_case(Trouble::AllRestart; "all start anew")]
-#[test_case(Trouble::EachStandsStill; "each stands still")]
-#[test_case(Trouble::EachRestarts; "each starts anew")]
+#[test_case(Failure::AllRestart; "all restart")]
+#[test_case(Failure::EachPaused; "each is paused")]
+#[test_case(Failure::EachRestarts; "each restarts")]
 #[tokio::test(flavor = "multi_thread")]
-async fn the_limit_holds_while_gateways_are_in_trouble(trouble: Trouble) {
+async fn the_limit_holds_while_gateways_fail(failure: Failure) {
     let mut fleet = limited_fleet().await;
-    let mut all = ask_all(&fleet, LIMITED, 60, Duration::from_secs(2), "before").await;
-    match trouble {
-        Trouble::AllRestart => {
+    let mut all = send_all(&fleet, LIMITED, 60, Duration::from_secs(2), "before").await;
+    match failure {
+        Failure::AllRestart => {
             for index in 0..3 {
                 fleet.restart(index).expect("a gateway");
             }
-            all.extend(ask_all(&fleet, LIMITED, 60, Duration::from_secs(5), "after").await);
+            all.extend(send_all(&fleet, LIMITED, 60, Duration::from_secs(5), "after").await);
         }
-        Trouble::EachStandsStill => {
+        Failure::EachPaused => {
             for index in 0..3 {
                 fleet.gateways[index].process.pause();
                 let name = format!("still-{index}");
-                let asking = ask_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
-                let waking = async {
+                let asking = send_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
+                let resume_later = async {
                     tokio::time::sleep(Duration::from_secs(1)).await;
                     fleet.gateways[index].process.resume();
                 };
-                let (asked, ()) = tokio::join!(asking, waking);
+                let (asked, ()) = tokio::join!(asking, resume_later);
                 all.extend(asked);
             }
         }
-        Trouble::EachRestarts => {
+        Failure::EachRestarts => {
             for index in 0..3 {
                 fleet.restart(index).expect("a gateway");
                 let name = format!("restart-{index}");
-                let asked = ask_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
+                let asked = send_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
                 all.extend(asked.await);
             }
         }
     }
-    let most = most_in_a_window(&all);
-    println!("most in a window, {trouble:?}: {most}");
+    let most = max_served_in_window(&all);
+    println!("most in a window, {failure:?}: {most}");
     assert!(most <= BOUND, "{most}");
     let served = all.iter().filter(|one| one.status == Some(StatusCode::OK));
-    assert!(served.count() >= 30, "hardly anything was served");
+    assert!(served.count() >= 30, "fewer than 30 requests were served");
 }
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -1,4 +1,4 @@
-//! Gateways that read the directory and the configuration for others.
+//! Reader gateways, which read the directory and the configuration from the log for other gateways.
 
 mod gateway;
 
@@ -15,16 +15,16 @@
 use swiftshunt_platform::words::{topics, values};
 use test_case::test_case;
 
-/// Time within which a leaving worker and a new configuration are obeyed.
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which gateways must apply a worker's departure and a new configuration.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(5);
-/// Time in which workers renew their entries, as those of the users' platform do.
+/// Interval at which workers renew their entries, as on a real platform.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 const GATEWAYS: usize = 5;
-/// Two of up to five gateways read for the others.
+/// With this setting, two of up to five gateways read for the others.
 const SHARING: &str = "gateways_per_reader = 2";
 
-/// Five gateways, of which two read for the others.
+/// Starts five gateways and waits until only two of them read from the log.
 async fn start_sharing() -> ExclusiveFleet {
     let options = PlatformOptions {
         gateways: GATEWAYS,
@@ -32,15 +32,15 @@
         ..PlatformOptions::default()
     };
     let fleet = start(options).await;
-    // Readers are known once the gateways know each other.
-    eventually("some gateways read no more", || async {
+    // The readers are selected once the gateways know each other.
+    eventually("two gateways read from the log", || async {
         readers(&fleet).await.len() == 2
     })
     .await;
     fleet
 }
 
-/// Renews the entries of all workers for a while.
+/// Renews the entries of all workers for `time`.
 async fn renew_entries(fleet: &ExclusiveFleet, time: Duration) {
     let began = Instant::now();
     while began.elapsed() < time {
@@ -49,30 +49,30 @@
     }
 }
 
-/// Gateways that read the directory themselves while entries are renewed.
+/// Returns the indexes of the gateways that read the directory from the log while entries are renewed.
 async fn readers(fleet: &ExclusiveFleet) -> Vec<usize> {
     let reads = || -> Vec<u64> {
         let doors = fleet.gateways.iter().map(|gateway| &gateway.door);
         doors.map(|door| door.reads(topics::WORKERS)).collect()
     };
     let before = reads();
-    renew_entries(fleet, OBEY_WITHIN).await;
+    renew_entries(fleet, APPLIED_WITHIN).await;
     let after = reads();
     let read = before.iter().zip(&after).enumerate();
     let read = read.filter(|(_, (before, after))| *after > &(*before + 1));
     read.map(|(index, _)| index).collect()
 }
 
-/// Asserts that a worker that leaves gets nothing from these gateways once it must be obeyed, and that a
-/// configuration that comes at the same time is in force there.
-async fn obey(fleet: &mut ExclusiveFleet, gateways: &[usize]) {
+/// Removes a worker and adds a route. Asserts that, after `APPLIED_WITHIN`, these gateways send nothing to the
+/// worker and serve the route.
+async fn assert_changes_apply(fleet: &mut ExclusiveFleet, gateways: &[usize]) {
     fleet.unlist(&fleet.whole[0]);
     let mut configuration = first_configuration();
     configuration
         .routes
         .push(route("/added/", values::IDEMPOTENT, "whole"));
     fleet.configure(configuration);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let before = fleet.whole[0].runs().len();
     for number in 0..12 {
         let gateway = &fleet.gateways[gateways[number % gateways.len()]];
@@ -86,44 +86,44 @@
     assert_eq!(
         fleet.whole[0].runs().len(),
         before,
-        "runs at the gone worker"
+        "a request ran at the removed worker"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_two_gateways_read_is_obeyed_by_five() {
+async fn changes_read_by_two_gateways_apply_at_five() {
     let mut fleet = start_sharing().await;
     let all: Vec<usize> = (0..GATEWAYS).collect();
-    obey(&mut fleet, &all).await;
+    assert_changes_apply(&mut fleet, &all).await;
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Loss {
-    /// The readers stand still: their connections stay open and nothing comes.
-    Frozen,
+    /// The readers are paused: their connections stay open and send nothing.
+    Paused,
     /// The readers are killed.
     Killed,
     /// The log does not answer the readers.
     LogSilent,
-    /// The log answers everything but the reads of the readers.
+    /// The log answers all calls of the readers but reads.
     ReadsLost,
-    /// The log turns the readers away.
+    /// The log answers the readers that it is busy.
     LogBusy,
 }
 
-#[test_case(Loss::Frozen; "frozen")]
+#[test_case(Loss::Paused; "paused")]
 #[test_case(Loss::Killed; "killed")]
 #[test_case(Loss::LogSilent; "log silent")]
 #[test_case(Loss::ReadsLost; "reads lost")]
 #[test_case(Loss::LogBusy; "log busy")]
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_are_obeyed_in_time_without_readers(loss: Loss) {
+async fn changes_apply_in_time_after_the_loss_of_readers(loss: Loss) {
     let mut fleet = start_sharing().await;
     let readers = readers(&fleet).await;
     for reader in &readers {
         let gateway = &mut fleet.gateways[*reader];
         match loss {
-            Loss::Frozen => gateway.process.pause(),
+            Loss::Paused => gateway.process.pause(),
             Loss::Killed => gateway.process.kill(),
             Loss::LogSilent => gateway.door.set(gateway::down()),
             Loss::ReadsLost => gateway.door.set(StoreFaults {
@@ -137,22 +137,22 @@
         }
     }
     let others: Vec<usize> = (0..GATEWAYS).filter(|it| !readers.contains(it)).collect();
-    obey(&mut fleet, &others).await;
+    assert_changes_apply(&mut fleet, &others).await;
 }
 
-/// A gateway that the log turns away goes on learning of changes by its reader.
+/// A gateway that cannot reach the log still receives changes from its reader.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_turned_away_learns_by_its_reader() {
+async fn a_gateway_without_the_log_receives_changes_from_its_reader() {
     let mut fleet = start_sharing().await;
     let readers = readers(&fleet).await;
     let others: Vec<usize> = (0..GATEWAYS).filter(|it| !readers.contains(it)).collect();
     for other in &others {
         fleet.gateways[*other].door.set(gateway::down());
     }
-    obey(&mut fleet, &others).await;
+    assert_changes_apply(&mut fleet, &others).await;
 }
 
-/// A call as gateways make it, for what is new behind the end of the directory.
+/// The body of a gateway's call for new records from an offset beyond the end of the directory.
 #[derive(Serialize)]
 struct TailCall {
     topic: &'static str,
@@ -160,25 +160,28 @@
     wait: Duration,
 }
 
-/// A gateway that has read for others and reads no more must not go on saying that nothing is new:
-/// others may still take it for a reader.
+/// A gateway that is no longer a reader must not answer that there are no new records, since others may still
+/// treat it as a reader.
 #[tokio::test(flavor = "multi_thread")]
-async fn only_readers_answer_for_the_log() {
+async fn only_readers_answer_calls_for_new_records() {
     let mut fleet = start(PlatformOptions {
         directory: SHARING.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
-    eventually("both read", || async { readers(&fleet).await.len() == 2 }).await;
-    // Of five the two that read are others, nine times of ten.
+    eventually("both gateways read from the log", || async {
+        readers(&fleet).await.len() == 2
+    })
+    .await;
+    // In nine of ten cases, the readers among five gateways are not the same two.
     for _ in 2..GATEWAYS {
         fleet.add_gateway("").await.expect("a gateway");
     }
     for gateway in &fleet.gateways {
         let caller = fleet.caller.clone();
-        eventually("it is ready", || caller.is_ready(gateway.ready)).await;
+        eventually("the gateway is ready", || caller.is_ready(gateway.ready)).await;
     }
-    eventually("others read no more", || async {
+    eventually("two gateways read from the log", || async {
         readers(&fleet).await.len() == 2
     })
     .await;
@@ -189,7 +192,7 @@
         from: 1_000_000,
         wait: Duration::ZERO,
     };
-    let body = encode_cbor(&call).expect("a form");
+    let body = encode_cbor(&call).expect("the call cannot be encoded");
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         fleet.list_all(values::READY);
         let request = HttpRequest::post(gateway.peers, "/peer/tail", CBOR, body.clone());
--- a/crates/swiftshunt/tests/gateway_refused.rs
+++ b/crates/swiftshunt/tests/gateway_refused.rs
@@ -1,5 +1,5 @@
-//! Gateways that alone are turned away by the log, while it serves the others: they reach it through
-//! another gateway.
+//! Gateways that the log does not serve while it serves the others: they reach the log through another
+//! gateway.
 
 mod gateway;
 
@@ -15,13 +15,13 @@
 use test_case::test_case;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time within which a change must be obeyed.
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
-/// Time in which gateways learn of each other, and in which one notices that it is turned away.
+/// Time within which gateways must apply a change.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which gateways discover each other, and in which a gateway notices that the log does not serve it.
 const SETTLED: Duration = Duration::from_millis(2_500);
 
-/// Two gateways that know each other, the first of which the log turns away.
-async fn with_one_turned_away(how: Down) -> ExclusiveFleet {
+/// Starts two gateways, lets them discover each other, and cuts the first off from the log.
+async fn with_one_refused(how: Down) -> ExclusiveFleet {
     let fleet = start(PlatformOptions::default()).await;
     tokio::time::sleep(SETTLED).await;
     let faults = StoreFaults {
@@ -33,10 +33,10 @@
     fleet
 }
 
-/// Many gateways that start at once list a large directory together, and the log refuses a part of
-/// their calls: a listing of several pages must get through all the same.
+/// When many gateways start at once and list a large directory, the log refuses some of their calls. A listing
+/// of several pages must still be completed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_large_directory_is_listed_though_calls_in_between_are_refused() {
+async fn a_large_directory_is_listed_although_some_calls_are_refused() {
     const ENTRIES: usize = 1_400;
     let options = PlatformOptions {
         gateways: 1,
@@ -53,7 +53,7 @@
             ..Default::default()
         };
         let body = serde_json::to_vec(&other).expect("a document");
-        // Some come before the workers that serve, and some behind them.
+        // Half of the keys sort before those of the serving workers, and half after them.
         let key = format!("{}-{number}", if number % 2 == 0 { "a" } else { "z" });
         fleet.store.put(topics::WORKERS, &key, body);
     }
@@ -63,28 +63,28 @@
     });
     fleet.restart(0).expect("a gateway");
     let gateway = fleet.gateways[0].callers;
-    eventually("the workers are known", || async {
+    eventually("the gateway knows the workers", || async {
         let answer = fleet.caller.ask(gateway, ASK, "r", DEADLINE).await;
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     })
     .await;
 }
 
-#[test_case(Down::Silent; "by silence")]
-#[test_case(Down::Busy; "by refusals")]
-#[test_case(Down::Reset; "by resets")]
+#[test_case(Down::Silent; "log does not answer")]
+#[test_case(Down::Busy; "log answers busy")]
+#[test_case(Down::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_turned_away_obeys_changes_in_time(how: Down) {
-    let mut fleet = with_one_turned_away(how).await;
-    let mut without = first_configuration();
-    without.routes.remove(1);
-    fleet.configure(without);
+async fn a_refused_gateway_applies_changes_in_time(how: Down) {
+    let mut fleet = with_one_refused(how).await;
+    let mut changed = first_configuration();
+    changed.routes.remove(1);
+    fleet.configure(changed);
     fleet.list(&fleet.whole[0], "whole", values::DRAINING);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let before = fleet.whole[0].runs().len();
     let gateway = fleet.gateways[0].callers;
-    let gone = fleet.caller.ask(gateway, "/once/", "r", DEADLINE).await;
-    assert_eq!(gone.expect("an answer").status, StatusCode::NOT_FOUND);
+    let removed = fleet.caller.ask(gateway, "/once/", "r", DEADLINE).await;
+    assert_eq!(removed.expect("an answer").status, StatusCode::NOT_FOUND);
     for number in 0..12 {
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
@@ -93,15 +93,15 @@
     assert_eq!(fleet.whole[0].runs().len(), before);
 }
 
-#[test_case(Down::Silent; "by silence")]
-#[test_case(Down::Busy; "by refusals")]
-#[test_case(Down::Reset; "by resets")]
+#[test_case(Down::Silent; "log does not answer")]
+#[test_case(Down::Busy; "log answers busy")]
+#[test_case(Down::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_is_turned_away_takes_and_lists_jobs(how: Down) {
+async fn a_refused_gateway_accepts_and_lists_jobs(how: Down) {
     const ITEMS: usize = 4;
-    let fleet = with_one_turned_away(how).await;
+    let fleet = with_one_refused(how).await;
     let [refused, other] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
-    // Of eight jobs some run at either gateway.
+    // Each gateway owns some of the eight jobs.
     for number in 0..8 {
         let job = format!("job-{number}");
         submit(&fleet, refused, &job, ITEMS).await;
@@ -112,13 +112,13 @@
     }
 }
 
-/// Where nobody reaches the log, callers are told so as soon as before, and all goes on once it is
-/// back.
-#[test_case(Down::Busy; "by refusals")]
-#[test_case(Down::Reset; "by resets")]
+/// If no gateway reaches the log, submissions fail without additional delay, and jobs are accepted again once
+/// the log is back.
+#[test_case(Down::Busy; "log answers busy")]
+#[test_case(Down::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_that_are_all_turned_away_say_so_at_once(how: Down) {
-    let fleet = with_one_turned_away(how).await;
+async fn submissions_fail_without_delay_if_all_gateways_are_refused(how: Down) {
+    let fleet = with_one_refused(how).await;
     let faults = StoreFaults {
         down: Some(how),
         ..StoreFaults::default()
@@ -126,7 +126,7 @@
     fleet.gateways[1].door.set(faults);
     tokio::time::sleep(SETTLED).await;
     for (number, gateway) in fleet.gateways.iter().enumerate() {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let job = format!("job-{number}");
         let status = fleet.caller.submit(gateway.callers, BATCH, &job, 2).await;
         let status = status.expect("an answer");
@@ -134,7 +134,7 @@
             [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT].contains(&status),
             "{status}"
         );
-        assert!(asked.elapsed() < Duration::from_secs(4));
+        assert!(sent_at.elapsed() < Duration::from_secs(4));
     }
     for gateway in &fleet.gateways {
         gateway.door.set(StoreFaults::default());
@@ -147,12 +147,12 @@
     }
 }
 
-/// A gateway that starts while it is turned away knows others from its settings alone.
-#[test_case(Down::Silent; "by silence")]
-#[test_case(Down::Busy; "by refusals")]
+/// A gateway that starts while the log does not serve it knows other gateways only from its settings.
+#[test_case(Down::Silent; "log does not answer")]
+#[test_case(Down::Busy; "log answers busy")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_while_it_is_turned_away_serves(how: Down) {
-    let mut fleet = with_one_turned_away(how).await;
+async fn a_gateway_that_starts_while_it_is_refused_serves(how: Down) {
+    let mut fleet = with_one_refused(how).await;
     let seed = fleet.gateways[1].peers;
     let lines = format!("[gateways]\nseeds = [\"{seed}\"]");
     fleet.add_settings(0, &lines).expect("a settings file");
@@ -166,11 +166,11 @@
     whole_job(&fleet, gateway, "job-1", 2).await;
 }
 
-/// Where every gateway starts anew, one that the log answers makes itself known to those that it
-/// turns away.
+/// After a restart of all gateways, a gateway that the log serves must announce itself to one that the log
+/// does not serve.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_is_heard_of_by_one_that_is_turned_away() {
-    let mut fleet = with_one_turned_away(Down::Busy).await;
+async fn a_starting_gateway_announces_itself_to_a_refused_one() {
+    let mut fleet = with_one_refused(Down::Busy).await;
     fleet.restart(0).expect("a gateway");
     fleet.restart(1).expect("a gateway");
     let ready = fleet.gateways[0].ready;
--- a/crates/swiftshunt/tests/gateway_regions.rs
+++ b/crates/swiftshunt/tests/gateway_regions.rs
@@ -1,4 +1,5 @@
-//! Two regions: each serves its own callers, and takes the other's where those would be late at home.
+//! Two regions: each serves its own callers, and also those of the other region if they would otherwise be
+//! late.
 
 mod gateway;
 
@@ -9,20 +10,20 @@
 use swiftshunt_lab::platform::places::Places;
 use swiftshunt_platform::words::{topics, values};
 
-/// Gateways and workers stand in them by turns: those with even numbers in the north.
+/// Zones and their regions. Gateways and workers are placed in turn: those with even indexes in the north.
 const PLACES: [(&str, &str); 2] = [("north-a", "north"), ("south-a", "south")];
-/// Slots of the one engine of a region.
+/// Number of slots of the only engine in a region.
 const SLOTS: usize = 16;
-/// Time in which gateways hear of each other, and owners of what is free elsewhere.
+/// Time in which gateways discover each other, and slot owners learn of free slots in the other region.
 const SETTLED: Duration = Duration::from_millis(3_500);
-/// Time within which a stream that finds a slot runs.
-const AT_ONCE: Duration = Duration::from_millis(700);
-/// Time in which gateways notice that an owner is gone.
+/// Time within which a stream runs if a slot is free.
+const RUNS_WITHIN: Duration = Duration::from_millis(700);
+/// Time in which gateways notice that a slot owner is gone.
 const OWNER_GONE: Duration = Duration::from_millis(2_500);
-/// Figure of requests that went to another region.
+/// Name of the metric of requests that were sent to another region.
 const CROSSED: &str = "swiftshunt_requests_crossed_total";
 
-/// Four gateways, two in each region, and an engine in each at which a stream takes 20 s.
+/// Starts two gateways and an engine in each of the two regions; a stream takes 20 s.
 async fn two_regions() -> ExclusiveFleet {
     let fleet = start(PlatformOptions {
         gateways: 4,
@@ -36,14 +37,15 @@
     fleet
 }
 
+/// Opens streams at the gateways in turn without waiting for their responses.
 fn open_streams(fleet: &ExclusiveFleet, gateways: &[usize], ids: &[String]) {
     for (number, id) in ids.iter().enumerate() {
         let caller = fleet.caller.clone();
         let address = fleet.gateways[gateways[number % gateways.len()]].callers;
         let id = id.clone();
         tokio::spawn(async move {
-            let patience = Duration::from_secs(30);
-            caller.ask(address, STREAM, &id, patience).await
+            let deadline = Duration::from_secs(30);
+            caller.ask(address, STREAM, &id, deadline).await
         });
     }
 }
@@ -54,15 +56,16 @@
         .collect()
 }
 
-/// Waits until the engines of north and south run so many streams.
-async fn until_running(fleet: &ExclusiveFleet, north: usize, south: usize) {
+/// Waits until the engines run exactly these numbers of streams; panics after `RUNS_WITHIN`.
+async fn wait_until_running(fleet: &ExclusiveFleet, north: usize, south: usize) {
     let running = || (fleet.engines[0].running(), fleet.engines[1].running());
     let what = format!("{north} run in the north and {south} in the south");
     let is_so = || async { running() == (north, south) };
-    let waited = tokio::time::timeout(AT_ONCE, eventually(&what, is_so)).await;
+    let waited = tokio::time::timeout(RUNS_WITHIN, eventually(&what, is_so)).await;
     assert!(waited.is_ok(), "{what}: {:?}", running());
 }
 
+/// Returns the number of requests that the gateways have sent to another region.
 async fn crossed(fleet: &ExclusiveFleet, gateways: &[usize]) -> f64 {
     let mut sum = 0.0;
     for gateway in gateways {
@@ -77,48 +80,49 @@
     const MORE: usize = 5;
     let fleet = two_regions().await;
     open_streams(&fleet, &[0, 2], &ids("own", SLOTS));
-    until_running(&fleet, SLOTS, 0).await;
+    wait_until_running(&fleet, SLOTS, 0).await;
     open_streams(&fleet, &[0, 2], &ids("more", MORE));
-    until_running(&fleet, SLOTS, MORE).await;
+    wait_until_running(&fleet, SLOTS, MORE).await;
     assert_eq!(crossed(&fleet, &[0, 2]).await, MORE as f64);
 }
 
-/// While its region has room nothing crosses, also where one gateway that decides its slots dies.
+/// While a region has free slots, no request is sent to the other one, even if a gateway that may be the slot
+/// owner is killed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_whose_owner_dies_keeps_its_requests() {
+async fn a_region_whose_slot_owner_is_killed_keeps_its_requests() {
     const EACH: usize = 4;
-    for dies in [0, 2] {
+    for killed in [0, 2] {
         let mut fleet = two_regions().await;
-        let stays = 2 - dies;
-        open_streams(&fleet, &[stays], &ids("before", EACH));
-        until_running(&fleet, EACH, 0).await;
-        fleet.gateways[dies].process.kill();
-        open_streams(&fleet, &[stays], &ids("at-once", EACH));
-        until_running(&fleet, 2 * EACH, 0).await;
+        let remaining = 2 - killed;
+        open_streams(&fleet, &[remaining], &ids("before", EACH));
+        wait_until_running(&fleet, EACH, 0).await;
+        fleet.gateways[killed].process.kill();
+        open_streams(&fleet, &[remaining], &ids("at-once", EACH));
+        wait_until_running(&fleet, 2 * EACH, 0).await;
         tokio::time::sleep(OWNER_GONE).await;
-        open_streams(&fleet, &[stays], &ids("later", EACH));
-        until_running(&fleet, 3 * EACH, 0).await;
+        open_streams(&fleet, &[remaining], &ids("later", EACH));
+        wait_until_running(&fleet, 3 * EACH, 0).await;
     }
 }
 
-/// The other region is silent: its part of what gateways decide must cost nobody here any time.
+/// The other region does not answer. Decisions that involve its gateways must not delay requests in this one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_serves_its_callers_without_the_other() {
+async fn a_region_serves_its_callers_while_the_other_does_not_answer() {
     const FEW: usize = 6;
     let fleet = two_regions().await;
     for south in [1, 3] {
         fleet.gateways[south].process.pause();
     }
     open_streams(&fleet, &[0, 2], &ids("cut", FEW));
-    until_running(&fleet, FEW, 0).await;
+    wait_until_running(&fleet, FEW, 0).await;
     for south in [1, 3] {
         fleet.gateways[south].process.resume();
     }
 }
 
-/// What all gateways need of the log crosses to a region for its readers alone.
+/// Records of the log are sent into a region only for its reader gateways.
 #[tokio::test(flavor = "multi_thread")]
-async fn each_region_has_readers_of_its_own() {
+async fn each_region_has_its_own_readers() {
     const GATEWAYS: usize = 8;
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
@@ -131,7 +135,7 @@
         let doors = fleet.gateways.iter().map(|gateway| &gateway.door);
         doors.map(|door| door.reads(topics::WORKERS)).collect()
     };
-    eventually("two of each region read", || async {
+    eventually("two gateways of each region read from the log", || async {
         let before = reads();
         for _ in 0..8 {
             fleet.list_all(values::READY);
--- a/crates/swiftshunt/tests/gateway_residency.rs
+++ b/crates/swiftshunt/tests/gateway_residency.rs
@@ -1,4 +1,4 @@
-//! Requests and jobs that may be handled in one region alone, at gateways of two.
+//! Routes whose requests and jobs are restricted to one of two regions (`allowed_regions`).
 
 mod gateway;
 
@@ -14,17 +14,21 @@
 use swiftshunt_platform::words::topics;
 
 const DEADLINE: Duration = Duration::from_secs(6);
-/// Time within which a change of the configuration must be obeyed.
-const OBEY_WITHIN: Duration = Duration::from_secs(2);
-/// Time in which leases move after that.
+/// Time within which gateways must apply a change.
+const APPLIED_WITHIN: Duration = Duration::from_secs(2);
+/// Time in which leases move to other gateways after a change was applied.
 const LEASES_MOVE: Duration = Duration::from_millis(2_500);
-/// Time within which a refusal counts as one at once.
-const AT_ONCE: Duration = Duration::from_millis(200);
+/// Maximum time until a refusal that must not wait for a worker.
+const REFUSED_WITHIN: Duration = Duration::from_millis(200);
 const ITEMS: usize = 4;
 const SOUTH: &str = "south";
 
-/// Gateways and workers by turns in the north (0, 2) and in the south (1, 3), all of whose routes are as `bind` says.
-async fn two_regions(gateways: usize, bind: impl Fn(&mut ConfigurationDocument)) -> ExclusiveFleet {
+/// Starts gateways and workers in turn in the north (0, 2) and in the south (1, 3), with a configuration that
+/// `restrict` has changed.
+async fn two_regions(
+    gateways: usize,
+    restrict: impl Fn(&mut ConfigurationDocument),
+) -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways,
         places: Places::new(&[("zone-n", "north"), ("zone-s", SOUTH)]),
@@ -32,9 +36,9 @@
     })
     .await;
     let mut configuration = first_configuration();
-    bind(&mut configuration);
+    restrict(&mut configuration);
     fleet.configure(configuration);
-    tokio::time::sleep(OBEY_WITHIN + LEASES_MOVE).await;
+    tokio::time::sleep(APPLIED_WITHIN + LEASES_MOVE).await;
     fleet
 }
 
@@ -49,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_may_be_handled_in_one_region_runs_there_alone() {
+async fn restricted_requests_and_jobs_run_only_in_their_region() {
     let fleet = two_regions(2, all_in_the_south).await;
     let read_before = fleet.gateways[0].door.reads(topics::JOBS);
     for (number, gateway) in fleet.gateways.iter().enumerate() {
@@ -75,9 +79,10 @@
     assert_eq!(read, read_before, "a gateway of the north read jobs");
 }
 
-/// Items of a gateway that died are taken over within the region; while nobody is there, calls are refused.
+/// Items of a killed gateway are taken over by another gateway of the allowed region. While that region has no
+/// gateway, calls about the job are refused.
 #[tokio::test(flavor = "multi_thread")]
-async fn after_a_death_jobs_stay_in_their_region() {
+async fn jobs_stay_in_their_region_after_gateways_are_killed() {
     let mut fleet = two_regions(4, all_in_the_south).await;
     let north = fleet.gateways[0].callers;
     submit(&fleet, north, "job", ITEMS).await;
@@ -94,26 +99,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn with_no_allowed_worker_a_request_is_refused_at_once() {
+async fn a_request_without_an_allowed_worker_is_refused_immediately() {
     let fleet = two_regions(2, all_in_the_south).await;
     fleet.unlist(&fleet.whole[1]);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let answer = fleet.caller.ask(gateway.callers, ASK, "r", DEADLINE).await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
-        assert!(asked.elapsed() < AT_ONCE, "{:?}", asked.elapsed());
+        assert!(
+            sent_at.elapsed() < REFUSED_WITHIN,
+            "{:?}",
+            sent_at.elapsed()
+        );
         let reason = "swiftshunt_refusals_total{reason=\"OutsideResidency\"}";
         assert_eq!(fleet.caller.figure(gateway.metrics, reason).await, 1.0);
     }
     assert_eq!(runs_in_the_north(&fleet), 0);
 }
 
-/// A change of the configuration that narrows it binds what is handed in after it, and what was before.
+/// A configuration that restricts the regions of routes applies to new requests and jobs, while results of
+/// earlier jobs stay readable.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_that_narrows_it_binds() {
+async fn a_restriction_applies_to_running_gateways() {
     let mut fleet = two_regions(2, |_| {}).await;
     let north = fleet.gateways[0].callers;
     submit(&fleet, north, "before", ITEMS).await;
@@ -121,7 +131,7 @@
     let mut configuration = first_configuration();
     all_in_the_south(&mut configuration);
     fleet.configure(configuration);
-    tokio::time::sleep(OBEY_WITHIN).await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
     let before = runs_in_the_north(&fleet);
     for number in 0..6 {
         let id = format!("r-{number}");
@@ -134,9 +144,9 @@
     assert_eq!(runs_in_the_north(&fleet), before);
 }
 
-/// Where the log turns a gateway away, jobs go to it through others of their regions alone.
+/// If a gateway cannot reach the log, jobs are appended only through gateways of their allowed regions.
 #[tokio::test(flavor = "multi_thread")]
-async fn jobs_are_appended_through_gateways_of_their_regions_alone() {
+async fn jobs_are_appended_only_through_gateways_of_their_regions() {
     let fleet = two_regions(2, all_in_the_south).await;
     let [north, south] = [&fleet.gateways[0], &fleet.gateways[1]];
     south.door.set(down());
@@ -169,10 +179,10 @@
     assert_eq!(runs_in_the_north(&fleet), 0);
 }
 
-/// Routes that share no region: jobs of the first are run, those of the other are refused and never come to a
-/// machine that may not see them.
+/// If two batch routes have no allowed region in common, jobs of the first are run. Jobs of the other are
+/// refused immediately and never sent to machines outside of their region.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_no_gateway_may_run_is_refused_at_once() {
+async fn a_job_that_no_gateway_may_run_is_refused_immediately() {
     let fleet = two_regions(2, |configuration| {
         all_in_the_south(configuration);
         let mut other = configuration.routes.last().cloned().expect("a batch route");
@@ -183,14 +193,18 @@
     })
     .await;
     for gateway in &fleet.gateways {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let gateway = gateway.callers;
         let status = fleet
             .caller
             .submit(gateway, "/batch-north/", "n", ITEMS)
             .await;
         assert_eq!(status.expect("an answer"), StatusCode::SERVICE_UNAVAILABLE);
-        assert!(asked.elapsed() < AT_ONCE, "{:?}", asked.elapsed());
+        assert!(
+            sent_at.elapsed() < REFUSED_WITHIN,
+            "{:?}",
+            sent_at.elapsed()
+        );
         let job = format!("south-{}", gateway.port());
         submit(&fleet, gateway, &job, ITEMS).await;
         whole_job(&fleet, gateway, &job, ITEMS).await;
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -1,4 +1,4 @@
-//! Gateways in two regions with a thin line between them, and the store in one of them.
+//! Gateways in two regions with a slow link between them, and the platform's log in one of the regions.
 
 mod gateway;
 
@@ -17,22 +17,22 @@
 const JOBS: usize = 12;
 const ITEMS: usize = 8;
 const ITEM_BYTES: usize = 40_000;
-/// Two in the store's region, four in the other one.
+/// Number of gateways: two in the region of the log, four in the other one.
 const GATEWAYS: usize = 6;
-/// The journal crosses once in some three seconds.
+/// Bandwidth of the link: it transfers the whole journal once in about three seconds.
 const LINE_BYTES_PER_S: u64 = 2_000_000;
-/// Time within which jobs are readable again everywhere.
+/// Time within which all jobs must be readable again at all gateways.
 const READABLE_WITHIN: Duration = Duration::from_secs(10);
-/// Bytes that may cross, as a multiple of what is kept.
-const MOST_CROSSING: f64 = 1.5;
-/// Pause of a caller between two calls.
+/// Maximum number of bytes over the link, as a multiple of the stored bytes.
+const MAX_TRANSFER: f64 = 1.5;
+/// Pause of a caller between attempts.
 const CALL_PAUSE: Duration = Duration::from_millis(300);
 
 fn job(number: usize) -> String {
     format!("job-{number}")
 }
 
-/// A fleet whose journal is long against the line, with all jobs run.
+/// Starts a fleet and completes all jobs, so that the journal is large for the bandwidth of the link.
 async fn start_with_jobs(line: &Arc<Width>) -> ExclusiveFleet {
     let places = [("near", "here"), ("far-a", "there"), ("far-b", "there")];
     let options = PlatformOptions {
@@ -48,23 +48,23 @@
     let mut configuration = first_configuration();
     configuration.limits.max_body_bytes = 4 * ITEMS * ITEM_BYTES;
     fleet.configure(configuration);
-    eventually("long jobs are taken", || async {
+    eventually("the larger body limit applies", || async {
         let bodies = std::iter::once("x".repeat(2 * ITEM_BYTES));
-        let taken = fleet
+        let submitted = fleet
             .caller
             .submit_bodies(gateway, BATCH, "first", bodies)
             .await;
-        taken.is_ok_and(|status| status == StatusCode::ACCEPTED)
+        submitted.is_ok_and(|status| status == StatusCode::ACCEPTED)
     })
     .await;
     for number in 0..JOBS {
         let job = job(number);
         let bodies = (0..ITEMS).map(|item| format!("{job}/{item}").repeat(ITEM_BYTES / 8));
-        let taken = fleet
+        let submitted = fleet
             .caller
             .submit_bodies(gateway, BATCH, &job, bodies)
             .await;
-        assert_eq!(taken.expect("an answer"), StatusCode::ACCEPTED);
+        assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
     }
     for number in 0..JOBS {
         whole_job(&fleet, gateway, &job(number), ITEMS).await;
@@ -72,8 +72,8 @@
     fleet
 }
 
-/// Has callers at each of these gateways ask for each job until it is listed; gives how long that took.
-async fn all_jobs_are_read(fleet: &ExclusiveFleet, gateways: &[SocketAddr]) -> Duration {
+/// Queries each job at each of the gateways until all its results are listed, and returns how long that took.
+async fn read_all_jobs(fleet: &ExclusiveFleet, gateways: &[SocketAddr]) -> Duration {
     let began = Instant::now();
     let mut callers = JoinSet::new();
     for gateway in gateways {
@@ -94,23 +94,23 @@
     }
     let whole = async {
         while let Some(ended) = callers.join_next().await {
-            ended.expect("a job that is found");
+            ended.expect("a job is not found");
         }
     };
     let in_time = tokio::time::timeout(READABLE_WITHIN, whole).await;
     assert!(
         in_time.is_ok(),
-        "{} of the calls are not answered",
+        "{} jobs are not readable in time",
         callers.len()
     );
     began.elapsed()
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_region_behind_a_thin_line_reads_all_jobs_after_a_total_loss() {
+async fn a_region_behind_a_slow_link_reads_all_jobs_after_all_gateways_were_killed() {
     let line = Arc::new(Width::default());
     let mut fleet = start_with_jobs(&line).await;
-    let kept = fleet.store.bytes(topics::JOBS);
+    let stored = fleet.store.bytes(topics::JOBS);
     line.limit(LINE_BYTES_PER_S);
     for gateway in &mut fleet.gateways {
         gateway.process.kill();
@@ -120,11 +120,11 @@
         fleet.restart(index).expect("a gateway");
     }
     let gateways: Vec<SocketAddr> = fleet.gateways.iter().map(|it| it.callers).collect();
-    let took = all_jobs_are_read(&fleet, &gateways).await;
-    let crossed = line.passed() - before;
-    println!("kept {kept}, crossed {crossed}, read after {took:?}");
+    let took = read_all_jobs(&fleet, &gateways).await;
+    let transferred = line.passed() - before;
+    println!("{stored} bytes stored, {transferred} transferred, all jobs readable after {took:?}");
     assert!(
-        crossed as f64 <= MOST_CROSSING * kept as f64,
-        "{crossed} bytes crossed for {kept} that are kept"
+        transferred as f64 <= MAX_TRANSFER * stored as f64,
+        "{transferred} bytes transferred for {stored} stored"
     );
 }
--- a/crates/swiftshunt/tests/gateway_upgrade.rs
+++ b/crates/swiftshunt/tests/gateway_upgrade.rs
@@ -1,5 +1,5 @@
-//! Two builds of the gateway side by side: the gateways of one are replaced by those of the other, one after the
-//! other, while callers, streams and jobs go on.
+//! Rolling upgrade: gateways of one build are replaced by those of another one after the other, while
+//! requests, streams and jobs continue.
 //!
 //! `SWIFTSHUNT_OLD_PROGRAM` names the program of an earlier build; without one the build replaces itself.
 
@@ -19,49 +19,56 @@
 use swiftshunt_lab::platform::fleet::{ASK, ONCE, PlatformOptions, STREAM, STREAM_ONCE};
 use tokio::task::JoinSet;
 
-/// Names the program of an earlier build.
+/// Environment variable with the path of an earlier build's program.
 const OLD_PROGRAM: &str = "SWIFTSHUNT_OLD_PROGRAM";
-/// Gateways: half of each build at the beginning.
+/// Number of gateways; at first half of them run each build.
 const GATEWAYS: usize = 4;
-/// Callers of each route.
+/// Number of callers of each route.
 const CALLERS: usize = 4;
-/// Time that a request has.
+/// Time limit of a request.
 const DEADLINE: Duration = Duration::from_secs(6);
 /// Pause of a caller between two requests.
 const PAUSE: Duration = Duration::from_millis(15);
 /// Time for which a mixture of builds serves before the next gateway is replaced.
 const SIDE_BY_SIDE: Duration = Duration::from_millis(700);
-/// Time from which callers are sent to a gateway no more until it is told to stop.
-const TAKEN_OUT: Duration = Duration::from_millis(50);
-/// Pause between the events of a stream: so long that some are on their way whenever a gateway is told to stop.
+/// Time between the moment when callers stop using a gateway and its SIGTERM.
+const DRAIN_TIME: Duration = Duration::from_millis(50);
+/// Pause between the events of a stream, so long that some streams are in progress whenever a gateway stops.
 const EVENT_PAUSE: Duration = Duration::from_millis(40);
-/// Items of a job.
+/// Number of items of a job.
 const ITEMS: usize = 12;
 
-/// What callers use and see.
+/// State that the callers share.
 #[derive(Default)]
 struct Load {
-    /// Where callers are sent.
+    /// Addresses of the gateways that callers use.
     gateways: Mutex<Vec<SocketAddr>>,
     is_over: AtomicBool,
+    /// Number of requests that were answered or failed.
     asked: AtomicUsize,
-    /// Requests that may run once at most.
+    /// Identifiers of the requests that may run at most once.
     once: Mutex<Vec<String>>,
-    /// What was not served.
+    /// Descriptions of the requests that were not served.
     failures: Mutex<Vec<String>>,
 }
 
 impl Load {
     fn gateway(&self, turn: usize) -> SocketAddr {
-        let gateways = self.gateways.lock().expect("no panic");
+        let gateways = self.gateways.lock().expect("a caller panicked");
         gateways[turn % gateways.len()]
     }
 
     fn failed(&self, what: String) {
-        self.failures.lock().expect("no panic").push(what);
+        self.failures.lock().expect("a caller panicked").push(what);
     }
 
-    async fn ask_on(self: Arc<Self>, caller: PlatformCaller, path: &'static str, number: usize) {
+    /// Sends requests to a route, one after the other, until the load is over.
+    async fn ask_repeatedly(
+        self: Arc<Self>,
+        caller: PlatformCaller,
+        path: &'static str,
+        number: usize,
+    ) {
         for turn in 0.. {
             if self.is_over.load(Ordering::Relaxed) {
                 return;
@@ -69,7 +76,10 @@
             let id = format!("{}-{number}-{turn}", path.trim_matches('/'));
             let gateway = self.gateway(number + turn);
             if path == ONCE || path == STREAM_ONCE {
-                self.once.lock().expect("no panic").push(id.clone());
+                self.once
+                    .lock()
+                    .expect("a caller panicked")
+                    .push(id.clone());
             }
             match caller.ask(gateway, path, &id, DEADLINE).await {
                 Ok(answer) if answer.status == StatusCode::OK => {
@@ -86,10 +96,10 @@
     }
 }
 
-/// Replaces the gateways one by one by `program`; gives the jobs that were handed in meanwhile.
+/// Replaces the gateways one by one by those of `program`. Returns the jobs that were submitted meanwhile.
 async fn replace_all(fleet: &mut ExclusiveFleet, load: &Load, program: &Path) -> Vec<String> {
     let mut jobs = Vec::new();
-    // An earlier build does not know this record, nor the zone.
+    // Earlier builds do not know this kind of record or this zone.
     fleet.evacuate("zone-z");
     for index in 0..GATEWAYS {
         let leaving = fleet.gateways[index].callers;
@@ -98,12 +108,12 @@
         jobs.push(job);
         load.gateways
             .lock()
-            .expect("no panic")
+            .expect("a caller panicked")
             .retain(|gateway| *gateway != leaving);
-        tokio::time::sleep(TAKEN_OUT).await;
+        tokio::time::sleep(DRAIN_TIME).await;
         fleet.replace(index, program).await.expect("a gateway");
         let new = fleet.gateways[index].callers;
-        load.gateways.lock().expect("no panic").push(new);
+        load.gateways.lock().expect("a caller panicked").push(new);
         let job = format!("job-{index}-new");
         submit(fleet, new, &job, ITEMS).await;
         jobs.push(job);
@@ -112,6 +122,7 @@
     jobs
 }
 
+/// Asserts that all gateways list the complete results of the jobs.
 async fn assert_jobs(fleet: &ExclusiveFleet, jobs: &[String]) {
     for job in jobs {
         for gateway in &fleet.gateways {
@@ -125,8 +136,9 @@
     }
 }
 
-/// Half of the gateways run `before`, half `after`; then all run `after`.
-async fn replaced_under_load(before: PathBuf, after: PathBuf) {
+/// Starts half of the gateways from `before` and half from `after`, replaces all of them by `after` under load,
+/// and asserts that all requests and jobs are served.
+async fn replace_under_load(before: PathBuf, after: PathBuf) {
     let options = PlatformOptions {
         gateways: GATEWAYS,
         programs: vec![before, after.clone()],
@@ -136,11 +148,14 @@
     let mut fleet = start(options).await;
     let load = Arc::new(Load::default());
     let gateways = fleet.gateways.iter().map(|gateway| gateway.callers);
-    load.gateways.lock().expect("no panic").extend(gateways);
+    load.gateways
+        .lock()
+        .expect("a caller panicked")
+        .extend(gateways);
     let mut callers = JoinSet::new();
     for path in [ASK, ONCE, STREAM, STREAM_ONCE] {
         for number in 0..CALLERS {
-            let asking = Arc::clone(&load).ask_on(fleet.caller.clone(), path, number);
+            let asking = Arc::clone(&load).ask_repeatedly(fleet.caller.clone(), path, number);
             callers.spawn(asking);
         }
     }
@@ -148,14 +163,14 @@
     let jobs = replace_all(&mut fleet, &load, &after).await;
     load.is_over.store(true, Ordering::Relaxed);
     while let Some(ended) = callers.join_next().await {
-        ended.expect("a caller whose answers are whole");
+        ended.expect("a caller panicked");
     }
     println!("{} requests", load.asked.load(Ordering::Relaxed));
     assert_eq!(
-        *load.failures.lock().expect("no panic"),
+        *load.failures.lock().expect("a caller panicked"),
         Vec::<String>::new()
     );
-    for id in load.once.lock().expect("no panic").iter() {
+    for id in load.once.lock().expect("a caller panicked").iter() {
         assert_eq!(fleet.runs_of(id).len(), 1, "{id}");
     }
     assert_jobs(&fleet, &jobs).await;
@@ -165,7 +180,7 @@
     env!("CARGO_BIN_EXE_swiftshunt").into()
 }
 
-/// The program of an earlier build, if there is one.
+/// Returns the program of an earlier build, or `None` if the environment variable is not set.
 fn earlier_build() -> Option<PathBuf> {
     let program = std::env::var_os(OLD_PROGRAM).map(PathBuf::from);
     if program.is_none() {
@@ -176,19 +191,19 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn gateways_are_replaced_by_their_own_build_under_load() {
-    replaced_under_load(this_build(), this_build()).await;
+    replace_under_load(this_build(), this_build()).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_of_an_earlier_build_are_replaced_under_load() {
+async fn gateways_of_an_earlier_build_are_replace_under_load() {
     if let Some(earlier) = earlier_build() {
-        replaced_under_load(earlier, this_build()).await;
+        replace_under_load(earlier, this_build()).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_go_back_to_an_earlier_build_under_load() {
+async fn gateways_are_downgraded_to_an_earlier_build_under_load() {
     if let Some(earlier) = earlier_build() {
-        replaced_under_load(this_build(), earlier).await;
+        replace_under_load(this_build(), earlier).await;
     }
 }
--- a/crates/swiftshunt/tests/leaving.rs
+++ b/crates/swiftshunt/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! A back end that is leaving receives no new work after a few seconds.
+//! A leaving back end (engine or worker) receives no new requests after a few seconds.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use swiftshunt_types::MachineState;
 use test_case::test_case;
 
-/// The list shows a change this late.
+/// Delay of changes in the machine list.
 const LIST_LAG: Duration = Duration::from_secs(2);
-/// The bound after which nothing new may start, counted from the platform's word.
+/// Time after the announcement from which no new request may start at the back end.
 const BOUND: Duration = Duration::from_secs(4);
 const ROUNDS: usize = 10;
 
-/// Chats and submissions through every node.
+/// Sends chats and submissions through every node.
 async fn load(fleet: &Fleet, name: &str) {
     for round in 0..ROUNDS {
         let requests = (0..12).map(|index| {
@@ -39,6 +39,7 @@
     }
 }
 
+/// Returns the numbers of requests that the first engine and the first worker have received.
 async fn starts(fleet: &Fleet) -> (usize, usize) {
     let engine = fleet.engine_journal(0).await.len();
     let executions = fleet.journal.executions();
@@ -50,23 +51,23 @@
 }
 
 #[derive(Clone, Copy)]
-enum Word {
-    /// The list says so, late, to every zone.
+enum Announcement {
+    /// The machine list shows it, with a delay, to all zones.
     List,
-    /// The list says so, late, and only one zone's node reaches it.
+    /// The machine list shows it, with a delay, and only the node of one zone reaches the list.
     ListInOneZone,
-    /// The worker says so in its load report.
+    /// The back ends report it with their load.
     Worker,
-    /// The worker says so, and only one zone's node reaches it.
+    /// The back ends report it, and only the node of one zone learns of it from them.
     WorkerInOneZone,
 }
 
-#[test_case(Word::List; "by the list")]
-#[test_case(Word::ListInOneZone; "by the list in one zone")]
-#[test_case(Word::Worker; "by its own word")]
-#[test_case(Word::WorkerInOneZone; "by its own word in one zone")]
+#[test_case(Announcement::List; "machine list")]
+#[test_case(Announcement::ListInOneZone; "machine list in one zone")]
+#[test_case(Announcement::Worker; "load report")]
+#[test_case(Announcement::WorkerInOneZone; "load report in one zone")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_back_end_gets_nothing_new(word: Word) {
+async fn a_leaving_back_end_receives_no_new_requests(announcement: Announcement) {
     let options = FleetOptions {
         list_lag: LIST_LAG,
         ..FleetOptions::new("leaving")
@@ -78,9 +79,9 @@
         engine > 0 && worker > 0,
         "nothing ran there before: {engine}, {worker}"
     );
-    match word {
-        Word::List | Word::ListInOneZone => {
-            if matches!(word, Word::ListInOneZone) {
+    match announcement {
+        Announcement::List | Announcement::ListInOneZone => {
+            if matches!(announcement, Announcement::ListInOneZone) {
                 for node in &fleet.nodes[1..] {
                     fleet.list.set_fault_from(node.source, Fault::Cut);
                 }
@@ -89,15 +90,15 @@
             fleet.workers[0].machine.state = MachineState::Leaving;
             fleet.publish_machines().await;
         }
-        Word::Worker | Word::WorkerInOneZone => {
+        Announcement::Worker | Announcement::WorkerInOneZone => {
             for direct in [fleet.engines[0].direct, fleet.workers[0].direct] {
                 fleet.control(direct, "leave", &json!({})).await;
             }
         }
     }
-    if matches!(word, Word::WorkerInOneZone) {
-        // The word reaches one node; then nobody asks the workers any more, but all may send.
-        eventually("one node has heard", || async {
+    if matches!(announcement, Announcement::WorkerInOneZone) {
+        // After one node has received the report, no node polls the workers any more, but all may send requests.
+        eventually("one node has received the reports", || async {
             let api = fleet.nodes[0].api;
             let statement = "show workers where accepting = false";
             let table = fleet.operator.statement(api, statement).await.ok()?.json();
@@ -111,6 +112,6 @@
     assert_eq!(
         starts(&fleet).await,
         before,
-        "new work started on leaving back ends"
+        "requests started at leaving back ends"
     );
 }
--- a/crates/swiftshunt/tests/planned_stop.rs
+++ b/crates/swiftshunt/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request in progress.
+//! A planned stop breaks off no request in progress.
 
 mod common;
 
@@ -17,18 +17,17 @@
 const MAX_TOKENS: u32 = 60;
 const ITEMS: usize = 300;
 
-/// What callers saw.
+/// Results of the callers' requests.
 #[derive(Default)]
 struct Tally {
     served: AtomicUsize,
     refused: AtomicUsize,
-    cut: std::sync::Mutex<Vec<String>>,
+    broken_off: std::sync::Mutex<Vec<String>>,
 }
 
 impl Tally {
-    /// Sorts an error: a refusal that says "not run" and when to come back, or no connection at
-    /// all, is no cut.
-    fn error(&self, error: &HttpError) {
+    /// Counts a failed connection or a refusal with `not_run` as refused, and any other error as broken off.
+    fn record_error(&self, error: &HttpError) {
         match error {
             HttpError::NotConnected { .. } => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
@@ -38,7 +37,11 @@
             } if body.contains("not_run") => {
                 self.refused.fetch_add(1, Ordering::Relaxed);
             }
-            error => self.cut.lock().expect("no panic").push(error.to_string()),
+            error => self
+                .broken_off
+                .lock()
+                .expect("a caller panicked")
+                .push(error.to_string()),
         }
     }
 }
@@ -67,11 +70,11 @@
                 tally.served.fetch_add(1, Ordering::Relaxed);
             }
             Ok(streamed) => tally
-                .cut
+                .broken_off
                 .lock()
-                .expect("no panic")
+                .expect("a caller panicked")
                 .push(format!("{streamed:?}")),
-            Err(error) => tally.error(&error),
+            Err(error) => tally.record_error(&error),
         }
     }
 }
@@ -101,19 +104,19 @@
                 tally.served.fetch_add(1, Ordering::Relaxed);
             }
             Ok(answer) => {
-                let told = answer.retry_after.is_some()
+                let may_retry = answer.retry_after.is_some()
                     && answer.execution().as_deref() == Some("not_run");
-                if answer.status == 503 && told {
+                if answer.status == 503 && may_retry {
                     tally.refused.fetch_add(1, Ordering::Relaxed);
                 } else {
                     tally
-                        .cut
+                        .broken_off
                         .lock()
-                        .expect("no panic")
+                        .expect("a caller panicked")
                         .push(format!("{answer:?}"));
                 }
             }
-            Err(error) => tally.error(&error),
+            Err(error) => tally.record_error(&error),
         }
     }
 }
@@ -178,15 +181,15 @@
     }
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
-        caller.await.expect("no panic");
+        caller.await.expect("a caller panicked");
     }
-    let cut = tally.cut.lock().expect("no panic").clone();
+    let broken_off = tally.broken_off.lock().expect("a caller panicked").clone();
     let served = tally.served.load(Ordering::Relaxed);
     assert!(
-        cut.is_empty(),
-        "{} requests cut, {served} served: {:?}",
-        cut.len(),
-        cut.first()
+        broken_off.is_empty(),
+        "{} requests broken off, {served} served: {:?}",
+        broken_off.len(),
+        broken_off.first()
     );
     assert!(served > 50, "only {served} served");
     let api = fleet.nodes[5].api;
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The fault soak with fixed seeds and with every plan that ever broke a promise; and that it notices
-//! stand-ins that break promises themselves.
+//! The fault soak with fixed seeds and with recorded plans that once broke a promise. Other tests prove that
+//! the soak detects simulated processes that break a promise.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,18 +13,18 @@
 use test_case::test_case;
 use tokio::sync::Mutex;
 
-/// One round at a time: rounds count on the machine keeping up with their load.
+/// Runs one round at a time: the promises have time limits that fail on an overloaded machine.
 static ONE_ROUND: Mutex<()> = Mutex::const_new(());
 
-/// Rounds so far: each has a folder of its own.
+/// Number of rounds so far; each round writes to a folder of its own.
 static ROUNDS: AtomicUsize = AtomicUsize::new(0);
 /// Length of a round of a fixed seed, in minutes.
 const ROUND_MINUTES: f64 = 0.35;
-/// Length of a round with one fault alone.
+/// Length of a round with a single fault, in minutes.
 const SHORT_MINUTES: f64 = 0.15;
 
 async fn play(plan: Plan) -> History {
-    let _turn = ONE_ROUND.lock().await;
+    let _guard = ONE_ROUND.lock().await;
     let binaries = Binaries::beside(env!("CARGO_BIN_EXE_swiftshunt"));
     let number = ROUNDS.fetch_add(1, Ordering::Relaxed);
     let folder = format!("soak-{}-{}-{number}", plan.seed, std::process::id());
@@ -48,14 +48,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn promises_hold_under_the_faults_of_a_seed(seed: u64) {
     let history = play(Plan::draw(seed, ROUND_MINUTES)).await;
-    assert!(history.online.len() > 100, "hardly any load");
+    assert!(history.online.len() > 100, "at most 100 online requests");
     assert!(!history.jobs.is_empty());
     assert_all_kept(&history);
 }
 
-/// Plans that broke a promise once; `lab/seeds/README.md` tells why.
+/// Replays the plans that once broke a promise; `lab/seeds/README.md` lists the reasons.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_where_they_once_broke() {
+async fn promises_hold_for_recorded_plans_that_broke_one() {
     let folder: PathBuf = [env!("CARGO_MANIFEST_DIR"), "../../lab/seeds"]
         .iter()
         .collect();
@@ -73,8 +73,8 @@
     }
 }
 
-/// A plan with one thing going wrong from its first second on.
-fn alone(disruption: Disruption) -> Plan {
+/// Returns a plan with a single disruption, from its first second on.
+fn plan_with(disruption: Disruption) -> Plan {
     let mut plan = Plan::draw(1, SHORT_MINUTES);
     plan.job_burst_interval_ms = 1_000;
     plan.faults = vec![Step {
@@ -86,11 +86,11 @@
     plan
 }
 
-fn served_badly(service: Service, manner: Manner) -> Disruption {
+fn worker_manner(service: Service, manner: Manner) -> Disruption {
     Disruption::ServiceManner { service, manner }
 }
 
-fn forgetful() -> Disruption {
+fn store_that_loses_records() -> Disruption {
     let faults = StoreFaults {
         forgotten: 1.0,
         ..StoreFaults::default()
@@ -101,26 +101,26 @@
     }
 }
 
-#[test_case(Promise::OwnAnswer, served_badly(Service::Whole, Manner::WrongBody); "wrong bodies")]
-#[test_case(Promise::AtMostOnce, served_badly(Service::Whole, Manner::TellTwice); "double runs")]
-#[test_case(Promise::NotRun, served_badly(Service::Whole, Manner::LyingRefusal); "false words that nothing ran")]
-#[test_case(Promise::ExactlyOnce, forgetful(); "a store that forgets")]
+#[test_case(Promise::OwnAnswer, worker_manner(Service::Whole, Manner::WrongBody); "wrong response bodies")]
+#[test_case(Promise::AtMostOnce, worker_manner(Service::Whole, Manner::TellTwice); "double runs")]
+#[test_case(Promise::NotRun, worker_manner(Service::Whole, Manner::LyingRefusal); "false statements that a request did not run")]
+#[test_case(Promise::ExactlyOnce, store_that_loses_records(); "a log that loses records")]
 #[tokio::test(flavor = "multi_thread")]
-async fn stand_ins_that_break_a_promise_are_noticed(promise: Promise, disruption: Disruption) {
-    let history = play(alone(disruption)).await;
+async fn a_broken_promise_is_detected(promise: Promise, disruption: Disruption) {
+    let history = play(plan_with(disruption)).await;
     let verdict = judge(promise, &history);
     assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
 }
 
-/// A zone is evacuated in which workers stand that claim to be in the other one, as do those of the region that a
-/// route is not bound to.
+/// Workers in an evacuated zone, and those in a region that a route excludes, claim to be in the other zone.
+/// The soak must detect the requests that run there.
 #[test_case(Promise::Evacuated)]
 #[test_case(Promise::Residency)]
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_hide_where_they_stand_are_noticed(promise: Promise) {
-    let alone = alone(Disruption::Evacuate { zone: 1 });
-    let mut plan = alone.clone().in_two_regions();
-    plan.faults = alone.faults;
+async fn workers_that_report_a_wrong_zone_are_detected(promise: Promise) {
+    let single = plan_with(Disruption::Evacuate { zone: 1 });
+    let mut plan = single.clone().in_two_regions();
+    plan.faults = single.faults;
     plan.cold = None;
     if let Some(regions) = &mut plan.regions {
         regions.is_told = false;
@@ -131,8 +131,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_limit_that_nobody_tells_of_is_passed_and_noticed() {
-    let mut plan = alone(Disruption::Configure);
+async fn a_queue_limit_missing_from_the_configuration_is_detected() {
+    let mut plan = plan_with(Disruption::Configure);
     plan.waiting_limit = Some(WaitingLimit {
         tokens: 1,
         is_told: false,
@@ -143,8 +143,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn workers_that_hide_that_they_are_cold_are_noticed() {
-    let mut plan = alone(Disruption::CrashWorker {
+async fn workers_that_do_not_report_that_they_are_cold_are_detected() {
+    let mut plan = plan_with(Disruption::CrashWorker {
         service: Service::Whole,
         index: 0,
         same_address: false,
--- a/crates/swiftshunt/tests/targets.rs
+++ b/crates/swiftshunt/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Serving targets are met in time, through a change of leader; events keep slots free.
+//! Serving targets are met in time, also if the leader changes, and declared events can be listed and dropped.
 
 mod common;
 
@@ -23,7 +23,7 @@
     (answer.status == 200).then(|| answer.json()["rows"].as_array().cloned())?
 }
 
-/// Zones in which an engine serves the model that was ordered.
+/// Returns the zone of each engine that serves the ordered model, sorted.
 async fn loaded_zones(fleet: &Fleet) -> Vec<usize> {
     let mut zones = Vec::new();
     for (index, engine) in fleet.engines.iter().enumerate() {
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_is_met_although_its_planner_is_killed() {
+async fn a_target_is_met_although_its_leader_is_killed() {
     let mut fleet = start_fleet(options("targets")).await;
     let refused = fleet
         .tenant
@@ -89,12 +89,12 @@
     let orders = rows(&fleet, other, "show orders").await.expect("orders");
     assert!(
         explained.is_some() || orders.len() >= 3,
-        "nothing tells why engines were ordered"
+        "neither an explanation nor the orders are shown"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn declarations_are_shown_on_every_node_and_dropped_once() {
+async fn events_are_listed_by_every_node_and_dropped_once() {
     let fleet = start_fleet(options("declarations")).await;
     let api = fleet.nodes[0].api;
     let statement = format!(
--- a/crates/swiftshunt/tests/whole_answers.rs
+++ b/crates/swiftshunt/tests/whole_answers.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, whatever happens to the engines.
+//! Each caller gets the complete answer to its own request although an engine fails.
 
 mod common;
 
@@ -15,7 +15,7 @@
 const CALLERS: usize = 220;
 const MAX_TOKENS: u32 = 60;
 
-/// Streams to every caller; each compares its answer with its own prompt's.
+/// Opens a stream for each caller and asserts that it is the complete answer to the caller's prompt.
 async fn ask_all(fleet: &Fleet, round: &str) {
     let callers = (0..CALLERS).map(|index| {
         let node = fleet.nodes[index % fleet.nodes.len()].api;
@@ -29,7 +29,7 @@
             let streamed = streamed.expect("a stream");
             assert_eq!(streamed.error, None, "caller {index}");
             assert_eq!(streamed.text, expected, "caller {index}");
-            assert!(streamed.done, "caller {index} saw no end");
+            assert!(streamed.done, "the stream of caller {index} has no end");
         }
     });
     join_all(callers).await;
@@ -38,29 +38,28 @@
 fn options(name: &'static str) -> FleetOptions {
     FleetOptions {
         engines: 6,
-        // Doubled events stand for answers that arrive twice.
+        // The engines duplicate events, as if answers arrived twice.
         engine_flags: vec!["--duplicate-every".to_owned(), "7".to_owned()],
-        // Every stream of an engine that dies needs a retry: that is what is proved here, not the
-        // budget's limit.
+        // Each stream of a failed engine needs a retry, so the retry budget must not limit them.
         settings: "[scheduler]\nretry_burst = 1000.0\ntoken_timeout = \"1s\"\n".to_owned(),
         ..FleetOptions::new(name)
     }
 }
 
 #[derive(Clone, Copy)]
-enum Mishap {
+enum EngineFailure {
     Kill,
     Pause,
     Link(Fault),
 }
 
-#[test_case(Mishap::Kill; "engine killed")]
-#[test_case(Mishap::Pause; "engine frozen")]
-#[test_case(Mishap::Link(Fault::Cut); "link cut")]
-#[test_case(Mishap::Link(Fault::DropAnswers); "answers lost")]
-#[test_case(Mishap::Link(Fault::Delay(Duration::from_millis(40))); "answers late")]
+#[test_case(EngineFailure::Kill; "engine killed")]
+#[test_case(EngineFailure::Pause; "engine paused")]
+#[test_case(EngineFailure::Link(Fault::Cut); "link cut")]
+#[test_case(EngineFailure::Link(Fault::DropAnswers); "answers dropped")]
+#[test_case(EngineFailure::Link(Fault::Delay(Duration::from_millis(40))); "answers delayed")]
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_fails_in_the_middle_of_its_streams(mishap: Mishap) {
+async fn streams_are_complete_although_their_engine_fails(failure: EngineFailure) {
     let mut fleet = start_fleet(options("whole_answers")).await;
     let direct = fleet.engines[0].direct;
     let operator = fleet.operator.clone();
@@ -70,17 +69,17 @@
     };
     {
         let fleet = &*fleet;
-        let cause = async {
+        let cause_failure = async {
             eventually("streams run on the engine", streams_run).await;
-            match mishap {
-                Mishap::Kill | Mishap::Pause => fleet.engines[0].process.pause(),
-                Mishap::Link(fault) => fleet.engines[0].link.set_fault(fault),
+            match failure {
+                EngineFailure::Kill | EngineFailure::Pause => fleet.engines[0].process.pause(),
+                EngineFailure::Link(fault) => fleet.engines[0].link.set_fault(fault),
             }
-            if matches!(mishap, Mishap::Kill) {
+            if matches!(failure, EngineFailure::Kill) {
                 fleet.engines[0].process.signal_kill();
             }
         };
-        tokio::join!(ask_all(fleet, "mishap"), cause);
+        tokio::join!(ask_all(fleet, "mishap"), cause_failure);
     }
     fleet.engines[0].process.kill();
     ask_all(&fleet, "after").await;
--- a/crates/swiftshunt/tests/whole_path.rs
+++ b/crates/swiftshunt/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path as separate processes: three nodes, three engines, two submission workers, log
-//! and machine list.
+//! End-to-end tests with separate processes: three nodes, three engines, two submission workers, the log and
+//! the machine list.
 
 mod common;
 
@@ -14,15 +14,15 @@
     FleetOptions, MODEL, POOL_ENGINES, POOL_SUBMISSIONS, TENANT_TOKEN, eventually,
 };
 
-/// Callers that ask at once.
+/// Number of simultaneous callers.
 const CALLERS: usize = 200;
-/// Most tokens of each answer; some prompts end before.
+/// Maximum number of tokens of an answer; some answers are shorter.
 const MAX_TOKENS: u32 = 40;
-/// Items of the job.
+/// Number of items of the job.
 const ITEMS: usize = 60;
 
 #[tokio::test(flavor = "multi_thread")]
-async fn every_kind_of_request_is_served_whole() {
+async fn requests_of_every_kind_are_served_completely() {
     let fleet = start_fleet(FleetOptions::new("whole_path")).await;
     let nodes: Vec<_> = fleet.nodes.iter().map(|node| node.api).collect();
 
@@ -35,7 +35,10 @@
                 let streamed = tenant.chat_stream(node, MODEL, &content, MAX_TOKENS).await;
                 let streamed = streamed.expect("a streamed answer");
                 assert_eq!(streamed.text, expected);
-                assert!(streamed.done, "caller {index} saw no end: {streamed:?}");
+                assert!(
+                    streamed.done,
+                    "the stream of caller {index} has no end: {streamed:?}"
+                );
             } else {
                 let answer = tenant.chat(node, MODEL, &content, MAX_TOKENS).await;
                 let answer = answer.expect("an answer").json();
@@ -105,7 +108,7 @@
     assert_output(&output, &contents);
 }
 
-/// Every item's line is there once, whole.
+/// Asserts that the output contains the complete result of each item once.
 fn assert_output(output: &str, contents: &[String]) {
     let mut seen = HashSet::new();
     for line in output.lines() {
@@ -118,12 +121,12 @@
         let (expected, _) = expected_answer(&prompt_of(&contents[index]), MAX_TOKENS);
         let body = &line["response"]["body"];
         assert_eq!(body["choices"][0]["message"]["content"], json!(expected));
-        assert!(seen.insert(custom_id), "an item stands twice");
+        assert!(seen.insert(custom_id), "an item is listed twice");
     }
     assert_eq!(seen.len(), contents.len());
 }
 
-/// What is sent, and the status and code that must come back.
+/// An invalid request with the expected status and error code.
 struct BadRequest {
     name: &'static str,
     path: &'static str,
@@ -208,7 +211,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_is_refused_and_leaves_nothing() {
+async fn invalid_requests_are_refused_and_leave_no_submission() {
     let fleet = start_fleet(FleetOptions::new("bad_input")).await;
     let node = fleet.nodes[0].api;
     for request in bad_requests() {
@@ -235,13 +238,20 @@
             request.name
         );
     }
-    assert!(fleet.journal.executions().is_empty(), "something ran");
+    assert!(
+        fleet.journal.executions().is_empty(),
+        "an invalid request ran"
+    );
     let left = fleet
         .operator
         .statement(node, "show submissions")
         .await
         .expect("an answer");
-    assert_eq!(left.json()["rows"], json!([]), "something was left behind");
+    assert_eq!(
+        left.json()["rows"],
+        json!([]),
+        "an invalid request left a submission"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
