--- a/crates/swiftshunt/tests/at_most_once.rs
+++ b/crates/swiftshunt/tests/at_most_once.rs
@@ -51,7 +51,7 @@
         .map(|(index, key)| submit(&fleet, index % 3, key, false));
     let answers = join_all(answers).await;
     for (key, answer) in keys.iter().zip(answers) {
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         let runs = runs_of(&fleet, key);
         match answer.status {
             200 => assert_eq!(runs, 1, "{key}: {answer:?}"),
@@ -60,7 +60,7 @@
             }
             _ => assert!(runs <= 1, "{key} ran {runs} times: {answer:?}"),
         }
-        let again = submit(&fleet, 1, key, false).await.expect("an answer");
+        let again = submit(&fleet, 1, key, false).await.expect("no response");
         assert_eq!(
             again.body, answer.body,
             "{key}: a resend changed the result"
@@ -102,7 +102,7 @@
     for node in 0..3 {
         let again = submit(&fleet, node, &key, repeatable)
             .await
-            .expect("an answer");
+            .expect("no response");
         assert_eq!(again.body, answer.body, "{key} through node {node}");
     }
     assert!(runs <= 1, "{key} ran {runs} times");
--- a/crates/swiftshunt/tests/batch_jobs.rs
+++ b/crates/swiftshunt/tests/batch_jobs.rs
@@ -32,14 +32,14 @@
         .tenant
         .upload(node, &lines)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let file = file["id"].as_str().expect("a file").to_owned();
     let job = fleet
         .tenant
         .create_batch(node, &file, Some(name))
         .await
-        .expect("an answer");
+        .expect("no response");
     job.json()["id"].as_str().expect("a job").to_owned()
 }
 
@@ -93,7 +93,7 @@
         .operator
         .statement(api, &format!("cancel job {id}"))
         .await;
-    assert_eq!(answer.expect("an answer").status, 200);
+    assert_eq!(answer.expect("no response").status, 200);
     let started = started_items(&mut fleet, &id).await;
     fleet.nodes[leader].process.kill();
     let new_leader = eventually("another node leads", || async {
@@ -167,7 +167,7 @@
     let answers: Vec<_> = join_all(sent)
         .await
         .into_iter()
-        .map(|answer| answer.expect("an answer"))
+        .map(|answer| answer.expect("no response"))
         .collect();
     assert_eq!(answers[1].status, 200, "the majority decides: {answers:?}");
     assert_eq!(answers[0].status, 503, "the minority cannot: {answers:?}");
@@ -189,7 +189,7 @@
         .operator
         .statement(*api, &statements[1].1)
         .await
-        .expect("an answer");
+        .expect("no response");
     assert!(
         cancel_again
             .body
@@ -260,7 +260,12 @@
             "/v1/files/{}/content",
             done["output_file_id"].as_str().expect("a file")
         );
-        let output = fleet.tenant.get(node, &path).await.expect("an answer").body;
+        let output = fleet
+            .tenant
+            .get(node, &path)
+            .await
+            .expect("no response")
+            .body;
         assert_complete(&output, &format!("heap-{heap}"), 60);
     }
 }
@@ -312,7 +317,12 @@
         "/v1/files/{}/content",
         done["output_file_id"].as_str().expect("a file")
     );
-    let output = fleet.tenant.get(api, &path).await.expect("an answer").body;
+    let output = fleet
+        .tenant
+        .get(api, &path)
+        .await
+        .expect("no response")
+        .body;
     assert_complete(&output, "sturdy", 400);
 }
 
@@ -348,7 +358,7 @@
         .tenant
         .upload(node, &lines)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let file = file["id"].as_str().expect("a file").to_owned();
     let sent = fleet
@@ -359,7 +369,7 @@
         .await
         .into_iter()
         .map(|answer| {
-            answer.expect("an answer").json()["id"]
+            answer.expect("no response").json()["id"]
                 .as_str()
                 .expect("a job")
                 .to_owned()
--- a/crates/swiftshunt/tests/configuration.rs
+++ b/crates/swiftshunt/tests/configuration.rs
@@ -87,7 +87,7 @@
     let fleet = start_fleet(FleetOptions::new("config_race")).await;
     let (stop, watchers) = watch(&fleet);
     for round in 0..10 {
-        let base = version(&fleet, 0).await.expect("a version");
+        let base = version(&fleet, 0).await.expect("no version");
         wait_for_version(&fleet, base, &[0, 1, 2]).await;
         let (one, other) = (
             configuration(&format!("one-{round}")),
@@ -97,7 +97,7 @@
             fleet.operator.publish(fleet.nodes[0].api, base, &one),
             fleet.operator.publish(fleet.nodes[1].api, base, &other),
         );
-        let answers = [one.expect("an answer"), other.expect("an answer")];
+        let answers = [one.expect("no response"), other.expect("no response")];
         let winners: Vec<_> = answers
             .iter()
             .filter(|answer| answer.status == 200)
@@ -107,7 +107,7 @@
             .filter(|answer| answer.status == 409)
             .collect();
         assert_eq!((winners.len(), losers.len()), (1, 1), "{answers:?}");
-        let won = winners[0].json()["version"].as_u64().expect("a version");
+        let won = winners[0].json()["version"].as_u64().expect("no version");
         assert!(
             losers[0].body.contains(&format!("version {won}")),
             "{:?}",
@@ -124,14 +124,14 @@
     let fleet = start_fleet(FleetOptions::new("config_peers")).await;
     let (stop, watchers) = watch(&fleet);
     fleet.log.set_fault_from(fleet.nodes[2].source, Fault::Cut);
-    let base = version(&fleet, 0).await.expect("a version");
+    let base = version(&fleet, 0).await.expect("no version");
     let published = fleet
         .operator
         .publish(fleet.nodes[0].api, base, &configuration("new"))
         .await;
-    let won = published.expect("an answer").json()["version"]
+    let won = published.expect("no response").json()["version"]
         .as_u64()
-        .expect("a version");
+        .expect("no version");
     wait_for_version(&fleet, won, &[0, 1, 2]).await;
     stop_watching(stop, watchers).await;
 }
@@ -142,21 +142,21 @@
     let (stop, watchers) = watch(&fleet);
     fleet.set_isolated(2, Fault::Cut);
     fleet.log.set_fault_from(fleet.nodes[2].source, Fault::Cut);
-    let base = version(&fleet, 0).await.expect("a version");
+    let base = version(&fleet, 0).await.expect("no version");
     let published = fleet
         .operator
         .publish(fleet.nodes[0].api, base, &configuration("new"))
         .await;
-    let won = published.expect("an answer").json()["version"]
+    let won = published.expect("no response").json()["version"]
         .as_u64()
-        .expect("a version");
+        .expect("no version");
     wait_for_version(&fleet, won, &[0, 1]).await;
     let stale = fleet
         .operator
         .publish(fleet.nodes[2].api, base, &configuration("late"))
         .await;
     assert_ne!(
-        stale.expect("an answer").status,
+        stale.expect("no response").status,
         200,
         "the isolated zone accepted a configuration"
     );
@@ -168,14 +168,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_started_while_the_log_is_down_serves_only_the_newest_version() {
     let mut fleet = start_fleet(FleetOptions::new("config_restart")).await;
-    let base = version(&fleet, 0).await.expect("a version");
+    let base = version(&fleet, 0).await.expect("no version");
     let published = fleet
         .operator
         .publish(fleet.nodes[0].api, base, &configuration("new"))
         .await;
-    let won = published.expect("an answer").json()["version"]
+    let won = published.expect("no response").json()["version"]
         .as_u64()
-        .expect("a version");
+        .expect("no version");
     wait_for_version(&fleet, won, &[0, 1, 2]).await;
     let down = LogFaults {
         down: true,
@@ -183,7 +183,7 @@
     };
     fleet.set_log_faults(&down).await;
     fleet.nodes[2].process.kill();
-    let restarted = fleet.start_node(2).await.expect("a node");
+    let restarted = fleet.start_node(2).await.expect("the node did not start");
     let api = fleet.nodes[restarted].api;
     // A node serves only once it has the version of its peers.
     eventually_within(APPLIED_WITHIN, "the new node serves", || async {
@@ -198,16 +198,16 @@
 async fn a_log_that_answers_from_an_old_offset_reverts_no_version() {
     let fleet = start_fleet(FleetOptions::new("config_old_offset")).await;
     let (stop, watchers) = watch(&fleet);
-    let mut base = version(&fleet, 0).await.expect("a version");
+    let mut base = version(&fleet, 0).await.expect("no version");
     for round in 0..4 {
         let toml = configuration(&format!("pool-{round}"));
         let published = fleet
             .operator
             .publish(fleet.nodes[0].api, base, &toml)
             .await;
-        base = published.expect("an answer").json()["version"]
+        base = published.expect("no response").json()["version"]
             .as_u64()
-            .expect("a version");
+            .expect("no version");
     }
     wait_for_version(&fleet, base, &[0, 1, 2]).await;
     let old = LogFaults {
@@ -226,23 +226,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_revoked_token_is_refused_everywhere() {
     let fleet = start_fleet(FleetOptions::new("config_revoke")).await;
-    let base = version(&fleet, 0).await.expect("a version");
+    let base = version(&fleet, 0).await.expect("no version");
     let digest = token_digest(TENANT_TOKEN).to_string();
     let revoked = fleet_configuration().replace(&digest, token_digest("another").as_str());
     let published = fleet
         .operator
         .publish(fleet.nodes[0].api, base, &revoked)
         .await;
-    let won = published.expect("an answer").json()["version"]
+    let won = published.expect("no response").json()["version"]
         .as_u64()
-        .expect("a version");
+        .expect("no version");
     wait_for_version(&fleet, won, &[0, 1, 2]).await;
     for node in &fleet.nodes {
         let answer = fleet
             .tenant
             .get(node.api, "/v1/models")
             .await
-            .expect("an answer");
+            .expect("no response");
         assert_eq!(answer.status, 401);
     }
 }
--- a/crates/swiftshunt/tests/exactly_once.rs
+++ b/crates/swiftshunt/tests/exactly_once.rs
@@ -112,7 +112,7 @@
     join_all(callers).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
     assert_eq!(extra_executions(&fleet), HashMap::new());
-    let replacement = fleet.start_node(0).await.expect("a node");
+    let replacement = fleet.start_node(0).await.expect("the node did not start");
     fleet.wait_until_node_ready(replacement).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
 }
@@ -216,7 +216,10 @@
     }
     fleet.nodes.clear();
     for zone in 0..3 {
-        fleet.start_node(zone).await.expect("a node");
+        fleet
+            .start_node(zone)
+            .await
+            .expect("the node did not start");
     }
     fleet.wait_until_ready().await;
     assert_readable_everywhere(&mut fleet, &answers).await;
--- a/crates/swiftshunt/tests/gateway/mod.rs
+++ b/crates/swiftshunt/tests/gateway/mod.rs
@@ -116,5 +116,5 @@
 /// Submits a job and asserts that it is accepted.
 pub async fn submit(fleet: &ExclusiveFleet, gateway: SocketAddr, job: &str, items: usize) {
     let status = fleet.caller.submit(gateway, BATCH, job, items).await;
-    assert_eq!(status.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(status.expect("no response"), StatusCode::ACCEPTED);
 }
--- a/crates/swiftshunt/tests/gateway_batch.rs
+++ b/crates/swiftshunt/tests/gateway_batch.rs
@@ -28,7 +28,7 @@
         assert_eq!(fleet.runs_of(&item_id("job-1", item)).len(), 1);
     }
     let body = fleet.caller.item(two, "job-1", &item_id("job-1", 3)).await;
-    let (status, body) = body.expect("an answer");
+    let (status, body) = body.expect("no response");
     assert_eq!(status, StatusCode::OK);
     assert_eq!(body, item_body("job-1", 3));
 }
@@ -56,10 +56,10 @@
     fleet.configure(empty);
     let shared = &fleet;
     eventually("the routes are gone", || async move {
-        let asked = shared
+        let request = shared
             .caller
             .ask(gateway, BATCH, "r1", Duration::from_secs(2));
-        let answer = asked.await;
+        let answer = request.await;
         answer.is_ok_and(|answer| answer.status == StatusCode::NOT_FOUND)
     })
     .await;
@@ -75,7 +75,7 @@
     let whole = listed(&fleet, gateway, "job-1").await;
     for from in 0..=5 {
         let answer = fleet.caller.results(gateway, "job-1", from, NO_WAIT).await;
-        let (status, page) = answer.expect("an answer");
+        let (status, page) = answer.expect("no response");
         assert_eq!(status, StatusCode::OK);
         assert_eq!(page.total, 5);
         assert_eq!(page.next_token, 5);
@@ -91,9 +91,9 @@
         .caller
         .results(gateway.callers, "none", 0, NO_WAIT)
         .await;
-    assert_eq!(answer.expect("an answer").0, StatusCode::NOT_FOUND);
-    // Every gateway loses the log: the other one may own the job's partition, and could still tell that
-    // the job is unknown while it reaches the log.
+    assert_eq!(answer.expect("no response").0, StatusCode::NOT_FOUND);
+    // Both gateways are cut off: the other one may own the job's partition, and would still answer 404 if
+    // it reached the log.
     for gateway in &fleet.gateways {
         gateway.door.set(gateway::down());
     }
@@ -101,7 +101,7 @@
         .caller
         .results(gateway.callers, "none", 0, NO_WAIT)
         .await;
-    let status = answer.expect("an answer").0;
+    let status = answer.expect("no response").0;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
 }
 
@@ -120,7 +120,7 @@
     fleet.gateways[1].door.set(gateway::down());
     whole_job(&fleet, one, "job-1", 3).await;
     let answer = fleet.caller.results(two, "job-1", 0, NO_WAIT).await;
-    let (status, page) = answer.expect("an answer");
+    let (status, page) = answer.expect("no response");
     let is_empty = page.results.is_empty();
     assert!(
         status == StatusCode::SERVICE_UNAVAILABLE || !is_empty,
@@ -137,7 +137,7 @@
     .await;
     submit(&fleet, fleet.gateways[0].callers, "job-1", 12).await;
     for index in 0..fleet.gateways.len() {
-        fleet.restart(index).expect("a gateway");
+        fleet.restart(index).expect("the gateway did not start");
     }
     let gateway = fleet.gateways[1].callers;
     whole_job(&fleet, gateway, "job-1", 12).await;
@@ -153,7 +153,7 @@
     whole_job(&fleet, gateway, "job-1", 6).await;
     let before = listed(&fleet, gateway, "job-1").await;
     fleet.store.drop_history();
-    fleet.restart(1).expect("a gateway");
+    fleet.restart(1).expect("the gateway did not start");
     let restarted = fleet.gateways[1].callers;
     whole_job(&fleet, restarted, "job-1", 6).await;
     assert_eq!(before, listed(&fleet, restarted, "job-1").await);
@@ -182,7 +182,7 @@
         let job = format!("job-{number}");
         eventually("the job is accepted", || async {
             let status = fleet.caller.submit(one, BATCH, &job, 4).await;
-            let status = status.expect("an answer");
+            let status = status.expect("no response");
             // 503 means that the job is not stored, but the append whose answer was lost may be.
             assert_ne!(status, StatusCode::SERVICE_UNAVAILABLE);
             status == StatusCode::ACCEPTED
@@ -235,7 +235,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn no_job_is_accepted_while_the_log_is_down_and_a_rejected_job_never_runs(down: Down) {
     let fleet = start(PlatformOptions::default()).await;
-    // All gateways lose the log: a single one would submit the job through another gateway.
+    // Both gateways are cut off, since a gateway without the log submits jobs through another one.
     for gateway in &fleet.gateways {
         let faults = StoreFaults {
             down: Some(down),
@@ -245,7 +245,7 @@
     }
     let gateway = fleet.gateways[0].callers;
     let status = fleet.caller.submit(gateway, BATCH, "job-1", 3).await;
-    let status = status.expect("an answer");
+    let status = status.expect("no response");
     for gateway in &fleet.gateways {
         gateway.door.set(StoreFaults::default());
     }
@@ -352,7 +352,7 @@
     .await;
     for gateway in [two, one, two] {
         let status = fleet.caller.end(gateway, "job-1").await;
-        assert_eq!(status.expect("an answer"), StatusCode::OK);
+        assert_eq!(status.expect("no response"), StatusCode::OK);
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     let count = || -> usize {
--- a/crates/swiftshunt/tests/gateway_changes.rs
+++ b/crates/swiftshunt/tests/gateway_changes.rs
@@ -26,17 +26,17 @@
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
         let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::NOT_FOUND);
+        assert_eq!(answer.expect("no response").status, StatusCode::NOT_FOUND);
     }
     // An older version that is written later changes nothing, also after the log was compacted.
-    let body = serde_json::to_vec(&old).expect("a document");
+    let body = serde_json::to_vec(&old).expect("the document cannot be encoded");
     let topic = swiftshunt_platform::words::topics::OPERATOR;
     fleet.store.put(topic, "config", body);
     fleet.store.drop_history();
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
         let answer = fleet.caller.ask(gateway.callers, ASK, "r2", DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::NOT_FOUND);
+        assert_eq!(answer.expect("no response").status, StatusCode::NOT_FOUND);
     }
 }
 
@@ -73,7 +73,7 @@
         for (number, gateway) in fleet.gateways.iter().enumerate() {
             let id = format!("r{round}-{number}");
             let answer = fleet.caller.ask(gateway.callers, ASK, &id, DEADLINE).await;
-            let status = answer.expect("an answer").status;
+            let status = answer.expect("no response").status;
             assert_eq!(status, expected, "round {round}, gateway {number}");
         }
     }
@@ -89,7 +89,7 @@
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway.callers, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
         assert!(fleet.caller.is_ready(gateway.ready).await);
     }
 }
@@ -103,13 +103,13 @@
         .caller
         .ask(fleet.gateways[0].callers, ASK, "r1", DEADLINE)
         .await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
     fleet.gateways[0].door.set(StoreFaults::default());
     let answer = fleet
         .caller
         .ask(fleet.gateways[1].callers, ASK, "r2", DEADLINE)
         .await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -133,7 +133,7 @@
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     assert_eq!(fleet.whole[0].runs().len(), before);
 }
@@ -152,7 +152,7 @@
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
     assert_eq!(fleet.whole[0].runs().len(), before);
@@ -177,7 +177,7 @@
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("gone-{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     assert_eq!(fleet.whole[0].runs().len(), before);
     fleet.list(&fleet.whole[0], "whole", values::READY);
@@ -186,7 +186,7 @@
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("back-{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     assert!(fleet.whole[0].runs().len() > before);
 }
@@ -214,7 +214,7 @@
         let gateway = fleet.gateways[asked % 2].callers;
         let id = format!("lapsed-{asked}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("no response").status;
         refused += usize::from(status != StatusCode::OK);
         asked += 1;
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -244,7 +244,7 @@
         async move { caller.ask(gateway, ASK, &id, DEADLINE).await }
     });
     for answer in futures_util::future::join_all(asked).await {
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     let at_new = fleet.whole[2].runs().len() - before;
     assert!(at_new < 45, "{at_new} of 60 went to the new worker");
@@ -319,7 +319,7 @@
     fleet.gateways[0].process.terminate();
     tokio::time::sleep(Duration::from_millis(3_500)).await;
     let late = fleet.caller.ask(gateway, STREAM_ONCE, "s2", DEADLINE).await;
-    let late = late.expect("an answer");
+    let late = late.expect("no response");
     assert_eq!(late.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(late.headers.contains_key("retry-after"));
     assert!(fleet.runs_of("s2").is_empty());
--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -51,7 +51,7 @@
 fn mark_cold(fleet: &ExclusiveFleet, worker: &Worker, service: &str) {
     let mut entry = json!(PlatformFleet::entry_of(worker, service, values::READY));
     entry["coldLeftMs"] = json!(COLD.as_millis() as u64);
-    let body = serde_json::to_vec(&entry).expect("an entry");
+    let body = serde_json::to_vec(&entry).expect("the entry cannot be encoded");
     fleet.store.put(topics::WORKERS, worker.incarnation(), body);
 }
 
@@ -136,7 +136,7 @@
 async fn restarted_gateways_do_not_exceed_the_bound_of_a_cold_worker() {
     let mut fleet = fleet().await;
     for gateway in 0..4 {
-        fleet.restart(gateway).expect("a gateway");
+        fleet.restart(gateway).expect("the gateway did not start");
     }
     for gateway in &fleet.gateways {
         let (caller, ready) = (fleet.caller.clone(), gateway.ready);
--- a/crates/swiftshunt/tests/gateway_connections.rs
+++ b/crates/swiftshunt/tests/gateway_connections.rs
@@ -93,7 +93,7 @@
         left.expect("a connection");
     }
     let answer = fleet.caller.ask(gateway, ASK, "whole", DEADLINE).await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
     tokio::time::sleep(FREE_WITHIN).await;
     for number in 0..5 {
         let id = format!("begun-{number}");
@@ -108,18 +108,18 @@
     const STARTS: usize = 4;
     let mut fleet = start(PlatformOptions::default()).await;
     for round in 0..STARTS {
-        fleet.restart(0).expect("a gateway");
+        fleet.restart(0).expect("the gateway did not start");
         let gateway = &fleet.gateways[0];
         while !fleet.caller.is_ready(gateway.ready).await {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        let asked = (0..20).map(|number| {
+        let request = (0..20).map(|number| {
             let caller = fleet.caller.clone();
             let id = format!("r{round}-{number}");
             async move { caller.ask(gateway.callers, ASK, &id, DEADLINE).await }
         });
-        for answer in join_all(asked).await {
-            assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        for answer in join_all(request).await {
+            assert_eq!(answer.expect("no response").status, StatusCode::OK);
         }
     }
 }
--- a/crates/swiftshunt/tests/gateway_directory.rs
+++ b/crates/swiftshunt/tests/gateway_directory.rs
@@ -28,7 +28,7 @@
 async fn ask(fleet: &ExclusiveFleet, id: &str) -> StatusCode {
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, ASK, id, DEADLINE).await;
-    answer.expect("an answer").status
+    answer.expect("no response").status
 }
 
 /// The only worker was draining, failing or silent before it restarted under its identifier. Nothing known of
@@ -84,7 +84,7 @@
     .await;
     for _ in 0..10 {
         late.call_seq += 1;
-        let body = serde_json::to_vec(&late).expect("a document");
+        let body = serde_json::to_vec(&late).expect("the document cannot be encoded");
         let id = fleet.whole[0].incarnation();
         fleet.store.put(topics::WORKERS, id, body);
         tokio::time::sleep(APPLIED_WITHIN / 10).await;
@@ -98,7 +98,7 @@
     change: (&str, Option<Value>),
 ) -> Vec<u8> {
     let entry = PlatformFleet::entry_of(worker, "whole", values::READY);
-    let mut entry = serde_json::to_value(entry).expect("an entry");
+    let mut entry = serde_json::to_value(entry).expect("the entry cannot be encoded");
     let fields = entry.as_object_mut().expect("fields");
     match change {
         (field, Some(value)) => drop(fields.insert(field.to_owned(), value)),
@@ -156,7 +156,8 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(unlisted.runs().len(), before, "a malformed entry was used");
-    let logs = std::fs::read_to_string(fleet.logs().join("gateway-0.log")).expect("a log");
+    let logs = std::fs::read_to_string(fleet.logs().join("gateway-0.log"))
+        .expect("the log file is unreadable");
     let lines = logs
         .lines()
         .filter(|line| line.contains("a record cannot be read"));
--- a/crates/swiftshunt/tests/gateway_evacuation.rs
+++ b/crates/swiftshunt/tests/gateway_evacuation.rs
@@ -51,7 +51,7 @@
             for path in [ASK, "/once/", STREAM] {
                 let id = format!("{name}-{number}-{request}-{}", path.trim_matches('/'));
                 let answer = fleet.caller.ask(gateway, path, &id, DEADLINE).await;
-                assert_eq!(answer.expect("an answer").status, StatusCode::OK, "{id}");
+                assert_eq!(answer.expect("no response").status, StatusCode::OK, "{id}");
             }
         }
         let job = format!("{name}-job-{number}");
@@ -110,7 +110,10 @@
     })
     .await;
     fleet.evacuate(A);
-    let answer = stream.await.expect("a task").expect("an answer");
+    let answer = stream
+        .await
+        .expect("the task panicked")
+        .expect("no response");
     assert_eq!(answer.status, StatusCode::OK);
     assert_all_events(&answer.body, "stream", EVENTS);
     assert_eq!(
@@ -130,15 +133,15 @@
         fleet.store.drop_history();
     }
     for index in 0..fleet.gateways.len() {
-        fleet.restart(index).expect("a gateway");
+        fleet.restart(index).expect("the gateway did not start");
     }
     let before = runs_in_a(&fleet);
     // A restarted gateway must not serve before it has read the evacuation.
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let serves = || async {
             let id = format!("first-{number}-{:x}", rand::random::<u64>());
-            let asked = fleet.caller.ask(gateway.callers, ASK, &id, DEADLINE).await;
-            asked.is_ok_and(|answer| answer.status == StatusCode::OK)
+            let request = fleet.caller.ask(gateway.callers, ASK, &id, DEADLINE).await;
+            request.is_ok_and(|answer| answer.status == StatusCode::OK)
         };
         eventually("the gateway serves", serves).await;
     }
@@ -211,7 +214,7 @@
             .caller
             .ask(gateway.callers, path, "none", DEADLINE)
             .await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
         assert!(
             sent_at.elapsed() < REFUSED_WITHIN,
@@ -252,7 +255,7 @@
     for number in 0..6 {
         let id = format!("part-{number}");
         let answer = fleet.caller.ask(gateway, "/parts/", &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK, "{id}");
+        assert_eq!(answer.expect("no response").status, StatusCode::OK, "{id}");
     }
 }
 
@@ -353,6 +356,6 @@
     tokio::time::sleep(APPLIED_WITHIN).await;
     let gateway = fleet.gateways[0].callers;
     let status = fleet.caller.submit(gateway, BATCH, "job", 4).await;
-    assert_eq!(status.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(status.expect("no response"), StatusCode::ACCEPTED);
     whole_job(&fleet, gateway, "job", 4).await;
 }
--- a/crates/swiftshunt/tests/gateway_foreign.rs
+++ b/crates/swiftshunt/tests/gateway_foreign.rs
@@ -165,7 +165,7 @@
 fn assert_logs_are_short(fleet: &ExclusiveFleet) {
     for index in 0..fleet.gateways.len() {
         let log = fleet.logs().join(format!("gateway-{index}.log"));
-        let log = std::fs::read_to_string(log).expect("a log");
+        let log = std::fs::read_to_string(log).expect("the log file is unreadable");
         let panics: Vec<&str> = log
             .lines()
             .filter(|line| line.contains("panicked"))
@@ -219,7 +219,7 @@
     let mut fleet = fleet().await;
     // No worker has this state, so a gateway that uses the damaged entry is detected.
     let entry = PlatformFleet::entry_of(&fleet.engines[0], "whole", "asleep");
-    let entry = serde_json::to_vec(&entry).expect("an entry");
+    let entry = serde_json::to_vec(&entry).expect("the entry cannot be encoded");
     for number in 0..MALFORMED {
         let body = match random.random_range(0..4) {
             0 => encode(&any_value(&mut random, 4)),
--- a/crates/swiftshunt/tests/gateway_limits.rs
+++ b/crates/swiftshunt/tests/gateway_limits.rs
@@ -46,7 +46,7 @@
 async fn submit_status(fleet: &ExclusiveFleet, gateway: usize, job: &str) -> StatusCode {
     let address = fleet.gateways[gateway].callers;
     let answer = fleet.caller.submit(address, BATCH, job, ITEMS).await;
-    answer.expect("an answer")
+    answer.expect("no response")
 }
 
 fn has_run(fleet: &ExclusiveFleet, job: &str) -> bool {
@@ -83,7 +83,7 @@
     }
     assert!(!has_run(&fleet, "late"));
     let ended = fleet.caller.end(fleet.gateways[2].callers, "job-0").await;
-    assert_eq!(ended.expect("an answer"), StatusCode::OK);
+    assert_eq!(ended.expect("no response"), StatusCode::OK);
     eventually("a job is accepted after another one has ended", || async {
         submit_status(&fleet, 1, "late").await == StatusCode::ACCEPTED
     })
@@ -98,7 +98,7 @@
     fill(&fleet).await;
     tokio::time::sleep(SETTLED).await;
     for paused in 0..3 {
-        // A refused job tells each gateway the current total.
+        // After this submission each gateway knows the current total.
         for gateway in 0..3 {
             submit_status(&fleet, gateway, "late").await;
         }
--- a/crates/swiftshunt/tests/gateway_metrics.rs
+++ b/crates/swiftshunt/tests/gateway_metrics.rs
@@ -32,7 +32,7 @@
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
     let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
-    let status = answer.expect("an answer").status;
+    let status = answer.expect("no response").status;
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused("NoWorker").await, 1.0);
     assert_eq!(refused("LogAway").await, 0.0);
@@ -45,7 +45,7 @@
         .caller
         .submit(gateway.callers, BATCH, "job-1", 3)
         .await;
-    let status = answer.expect("an answer");
+    let status = answer.expect("no response");
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(refused("LogAway").await, 1.0);
     assert_eq!(refused("NoWorker").await, 1.0);
@@ -67,7 +67,7 @@
         .caller
         .ask(gateway.callers, STREAM, "s1", DEADLINE)
         .await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
     let name = "swiftshunt_streams_paused_total";
     eventually("the pause is counted", || async {
         fleet.caller.figure(gateway.metrics, name).await == 1.0
@@ -90,7 +90,7 @@
     .await;
     let gateway = &fleet.gateways[0];
     let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
     let line = line_of(&fleet, "r1", "answered").await;
     let field = |name: &str| line[name].as_u64().expect("a number");
     assert!(field("waited_ms") >= 500, "{line}");
--- a/crates/swiftshunt/tests/gateway_peaks.rs
+++ b/crates/swiftshunt/tests/gateway_peaks.rs
@@ -35,7 +35,7 @@
         sent.push(tokio::spawn(async move {
             let sent_at = Instant::now();
             let answer = caller.ask(gateway, STREAM, &id, DEADLINE).await;
-            assert_eq!(answer.expect("an answer").status, StatusCode::OK, "{id}");
+            assert_eq!(answer.expect("no response").status, StatusCode::OK, "{id}");
             sent_at.elapsed()
         }));
     }
--- a/crates/swiftshunt/tests/gateway_peers.rs
+++ b/crates/swiftshunt/tests/gateway_peers.rs
@@ -29,7 +29,7 @@
     for job in &jobs {
         whole_job(&fleet, one, job, 3).await;
         let answer = fleet.caller.results(two, job, 0, NO_WAIT).await;
-        let (status, page) = answer.expect("an answer");
+        let (status, page) = answer.expect("no response");
         if status == StatusCode::OK {
             assert_completed(&page.results, job, 3);
             read_count += 1;
@@ -104,7 +104,7 @@
         });
     }
     let status = fleet.caller.end(two, "job-1").await;
-    assert_eq!(status.expect("an answer"), StatusCode::OK);
+    assert_eq!(status.expect("no response"), StatusCode::OK);
     fleet.store.deal_anew();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let count_before = runs();
--- a/crates/swiftshunt/tests/gateway_quarantine.rs
+++ b/crates/swiftshunt/tests/gateway_quarantine.rs
@@ -125,7 +125,7 @@
         for (id, answer) in try_in_turn(&fleet, path).await {
             let status = status_of(&answer);
             if status == Some(StatusCode::SERVICE_UNAVAILABLE) {
-                let headers = &answer.expect("an answer").headers;
+                let headers = &answer.expect("no response").headers;
                 assert!(headers.contains_key("retry-after"), "{path} {id}");
                 assert!(fleet.runs_of(&id).is_empty(), "{path} {id}");
             }
@@ -140,7 +140,7 @@
                 .caller
                 .ask_with_body(gateway.callers, path, "other", "another");
             assert_eq!(
-                answer.await.expect("an answer").status,
+                answer.await.expect("no response").status,
                 StatusCode::OK,
                 "{path}"
             );
@@ -182,7 +182,7 @@
         fleet.gateways[index].process.kill();
     }
     for index in 0..GATEWAYS {
-        fleet.restart(index).expect("a gateway");
+        fleet.restart(index).expect("the gateway did not start");
     }
     for gateway in &fleet.gateways {
         eventually("the gateway is ready", || {
@@ -256,7 +256,7 @@
 /// must not be quarantined.
 #[test_case(ASK, false; "whole answers")]
 #[test_case(STREAM, false; "streams")]
-#[test_case(ASK, true; "whole answers while the log is away")]
+#[test_case(ASK, true; "whole answers while the log is unreachable")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_succeeds_elsewhere_is_not_quarantined(path: &str, is_log_away: bool) {
     let fleet = start(PlatformOptions {
@@ -279,20 +279,23 @@
         let caller = fleet.caller.clone();
         let id = format!("popular-{crash}");
         let path = path.to_owned();
-        let asked =
+        let request =
             tokio::spawn(async move { caller.ask_with_body(gateway, &path, &id, "popular").await });
         let workers = || fleet.whole.iter().chain(&fleet.engines);
         let runs_at = || workers().find(|worker| worker.running() > 0 && !worker.has_ended());
         eventually("the request runs", || async { runs_at().is_some() }).await;
         runs_at().expect("a worker").crash();
-        let answer = asked.await.expect("a task").expect("an answer");
+        let answer = request
+            .await
+            .expect("the task panicked")
+            .expect("no response");
         assert_eq!(answer.status, StatusCode::OK, "crash {crash}");
     }
     for gateway in &fleet.gateways {
         let answer = fleet
             .caller
             .ask_with_body(gateway.callers, path, "last", "popular");
-        assert_eq!(answer.await.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.await.expect("no response").status, StatusCode::OK);
     }
 }
 
@@ -388,7 +391,7 @@
         let gateway = fleet.gateways[cut % GATEWAYS].callers;
         let caller = fleet.caller.clone();
         let id = format!("innocent-{cut}");
-        let asked =
+        let request =
             tokio::spawn(async move { caller.ask_with_body(gateway, ONCE, &id, "innocent").await });
         let running = || fleet.whole.iter().position(|worker| worker.running() > 0);
         eventually("the request runs", || async { running().is_some() }).await;
@@ -396,7 +399,7 @@
         let link = links[index].take().expect("a link is cut twice");
         link.set_fault(Fault::Cut);
         drop(link);
-        let answer = asked.await.expect("a task");
+        let answer = request.await.expect("the task panicked");
         assert_ne!(status_of(&answer), Some(StatusCode::OK), "cut {cut}");
     }
     for (index, link) in links.iter_mut().enumerate() {
--- a/crates/swiftshunt/tests/gateway_rates.rs
+++ b/crates/swiftshunt/tests/gateway_rates.rs
@@ -20,7 +20,7 @@
 const FREE: &str = "key-of-the-free";
 /// Requests per second of the limited tenant.
 const RATE: f64 = 10.0;
-/// Requests that it may send in addition at once.
+/// Number of requests that it may send in a burst in addition.
 const BURST: f64 = 10.0;
 /// Length of the window over which served requests are counted.
 const WINDOW: Duration = Duration::from_secs(5);
@@ -70,13 +70,13 @@
 ) -> Vec<SentRequest> {
     let began = Instant::now();
     let pause = Duration::from_secs(1) / per_second;
-    let mut asked = Vec::new();
+    let mut sent = Vec::new();
     for number in 0..(lasts.as_secs_f64() * f64::from(per_second)) as u32 {
         tokio::time::sleep_until(began + pause * number).await;
         let caller = fleet.caller.with_key(key);
         let gateway = fleet.gateways[number as usize % fleet.gateways.len()].callers;
         let id = format!("{name}-{number}");
-        asked.push(tokio::spawn(async move {
+        sent.push(tokio::spawn(async move {
             let sent_at = Instant::now();
             let answer = caller.ask(gateway, ASK, &id, DEADLINE).await.ok();
             SentRequest {
@@ -87,7 +87,7 @@
         }));
     }
     let mut all = Vec::new();
-    for one in asked {
+    for one in sent {
         all.push(one.await.expect("a request"));
     }
     all
@@ -132,8 +132,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_tenant_within_its_limit_is_never_refused() {
     let fleet = limited_fleet().await;
-    let asked = send_all(&fleet, LIMITED, 8, Duration::from_secs(6), "usual").await;
-    assert!(asked.iter().all(|one| one.status == Some(StatusCode::OK)));
+    let sent = send_all(&fleet, LIMITED, 8, Duration::from_secs(6), "usual").await;
+    assert!(sent.iter().all(|one| one.status == Some(StatusCode::OK)));
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -156,7 +156,7 @@
     match failure {
         Failure::AllRestart => {
             for index in 0..3 {
-                fleet.restart(index).expect("a gateway");
+                fleet.restart(index).expect("the gateway did not start");
             }
             all.extend(send_all(&fleet, LIMITED, 60, Duration::from_secs(5), "after").await);
         }
@@ -169,16 +169,16 @@
                     tokio::time::sleep(Duration::from_secs(1)).await;
                     fleet.gateways[index].process.resume();
                 };
-                let (asked, ()) = tokio::join!(asking, resume_later);
-                all.extend(asked);
+                let (sent, ()) = tokio::join!(asking, resume_later);
+                all.extend(sent);
             }
         }
         Failure::EachRestarts => {
             for index in 0..3 {
-                fleet.restart(index).expect("a gateway");
+                fleet.restart(index).expect("the gateway did not start");
                 let name = format!("restart-{index}");
-                let asked = send_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
-                all.extend(asked.await);
+                let sent = send_all(&fleet, LIMITED, 60, Duration::from_millis(1_500), &name);
+                all.extend(sent.await);
             }
         }
     }
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -79,7 +79,7 @@
         for path in [ASK, "/added/"] {
             let id = format!("r{number}{path}");
             let answer = fleet.caller.ask(gateway.callers, path, &id, DEADLINE).await;
-            let status = answer.expect("an answer").status;
+            let status = answer.expect("no response").status;
             assert_eq!(status, StatusCode::OK, "{path} at {}", gateway.callers);
         }
     }
@@ -175,7 +175,10 @@
     .await;
     // In nine of ten cases, the readers among five gateways are not the same two.
     for _ in 2..GATEWAYS {
-        fleet.add_gateway("").await.expect("a gateway");
+        fleet
+            .add_gateway("")
+            .await
+            .expect("the gateway did not start");
     }
     for gateway in &fleet.gateways {
         let caller = fleet.caller.clone();
@@ -196,7 +199,10 @@
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         fleet.list_all(values::READY);
         let request = HttpRequest::post(gateway.peers, "/peer/tail", CBOR, body.clone());
-        let answer = client.exchange(request, DEADLINE).await.expect("an answer");
+        let answer = client
+            .exchange(request, DEADLINE)
+            .await
+            .expect("no response");
         let expected = if readers.contains(&index) {
             StatusCode::OK
         } else {
--- a/crates/swiftshunt/tests/gateway_refused.rs
+++ b/crates/swiftshunt/tests/gateway_refused.rs
@@ -52,7 +52,7 @@
             state: values::READY.to_owned(),
             ..Default::default()
         };
-        let body = serde_json::to_vec(&other).expect("a document");
+        let body = serde_json::to_vec(&other).expect("the document cannot be encoded");
         // Half of the keys sort before those of the serving workers, and half after them.
         let key = format!("{}-{number}", if number % 2 == 0 { "a" } else { "z" });
         fleet.store.put(topics::WORKERS, &key, body);
@@ -61,7 +61,7 @@
         half_of_listings: true,
         ..StoreFaults::default()
     });
-    fleet.restart(0).expect("a gateway");
+    fleet.restart(0).expect("the gateway did not start");
     let gateway = fleet.gateways[0].callers;
     eventually("the gateway knows the workers", || async {
         let answer = fleet.caller.ask(gateway, ASK, "r", DEADLINE).await;
@@ -84,11 +84,11 @@
     let before = fleet.whole[0].runs().len();
     let gateway = fleet.gateways[0].callers;
     let removed = fleet.caller.ask(gateway, "/once/", "r", DEADLINE).await;
-    assert_eq!(removed.expect("an answer").status, StatusCode::NOT_FOUND);
+    assert_eq!(removed.expect("no response").status, StatusCode::NOT_FOUND);
     for number in 0..12 {
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     assert_eq!(fleet.whole[0].runs().len(), before);
 }
@@ -129,7 +129,7 @@
         let sent_at = Instant::now();
         let job = format!("job-{number}");
         let status = fleet.caller.submit(gateway.callers, BATCH, &job, 2).await;
-        let status = status.expect("an answer");
+        let status = status.expect("no response");
         assert!(
             [StatusCode::SERVICE_UNAVAILABLE, StatusCode::GATEWAY_TIMEOUT].contains(&status),
             "{status}"
@@ -156,12 +156,12 @@
     let seed = fleet.gateways[1].peers;
     let lines = format!("[gateways]\nseeds = [\"{seed}\"]");
     fleet.add_settings(0, &lines).expect("a settings file");
-    fleet.restart(0).expect("a gateway");
+    fleet.restart(0).expect("the gateway did not start");
     let (gateway, ready) = (fleet.gateways[0].callers, fleet.gateways[0].ready);
     let caller = fleet.caller.clone();
     eventually("the gateway is ready", || caller.is_ready(ready)).await;
     let answer = fleet.caller.ask(gateway, ASK, "r1", DEADLINE).await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.expect("no response").status, StatusCode::OK);
     submit(&fleet, gateway, "job-1", 2).await;
     whole_job(&fleet, gateway, "job-1", 2).await;
 }
@@ -171,8 +171,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_gateway_announces_itself_to_a_refused_one() {
     let mut fleet = with_one_refused(Down::Busy).await;
-    fleet.restart(0).expect("a gateway");
-    fleet.restart(1).expect("a gateway");
+    fleet.restart(0).expect("the gateway did not start");
+    fleet.restart(1).expect("the gateway did not start");
     let ready = fleet.gateways[0].ready;
     let caller = fleet.caller.clone();
     eventually("the gateway is ready", || caller.is_ready(ready)).await;
--- a/crates/swiftshunt/tests/gateway_requests.rs
+++ b/crates/swiftshunt/tests/gateway_requests.rs
@@ -20,7 +20,7 @@
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, "/ask/x", "r1", DEADLINE).await;
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("no response");
     assert_eq!(answer.status, StatusCode::OK);
     assert_eq!(answer.body, "answer to r1");
     assert!(answer.headers.contains_key(headers::SIGNATURE));
@@ -37,7 +37,7 @@
     for path in [STREAM, STREAM_ONCE] {
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, path, "s1", DEADLINE).await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         assert_eq!(answer.status, StatusCode::OK);
         assert_all_events(&answer.body, "s1", 8);
     }
@@ -48,7 +48,7 @@
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, "/nothing/", "r1", DEADLINE).await;
-    assert_eq!(answer.expect("an answer").status, StatusCode::NOT_FOUND);
+    assert_eq!(answer.expect("no response").status, StatusCode::NOT_FOUND);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -56,10 +56,10 @@
     let mut fleet = start(PlatformOptions::default()).await;
     let door = fleet.gateways[0].door.clone();
     door.set(gateway::down());
-    fleet.restart(0).expect("a gateway");
+    fleet.restart(0).expect("the gateway did not start");
     let gateway = &fleet.gateways[0];
     let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("no response");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
     assert!(!fleet.caller.is_ready(gateway.ready).await);
@@ -80,7 +80,7 @@
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         assert_eq!(answer.status, StatusCode::OK, "{id}");
         assert_eq!(answer.body, format!("answer to {id}"));
     }
@@ -101,7 +101,7 @@
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, path, &id, DEADLINE).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("no response").status;
         assert_eq!(status, StatusCode::BAD_GATEWAY, "{id}");
         assert_eq!(fleet.runs_of(&id).len(), 1, "{id}");
     }
@@ -116,7 +116,7 @@
     let sent_at = std::time::Instant::now();
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, ONCE, "r1", DEADLINE).await;
-    let answer = answer.expect("an answer");
+    let answer = answer.expect("no response");
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(answer.headers.contains_key("retry-after"));
     assert!(fleet.runs_of("r1").is_empty());
@@ -131,7 +131,7 @@
         let id = format!("s{number}");
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, STREAM, &id, DEADLINE).await;
-        let answer = answer.expect("a whole answer");
+        let answer = answer.expect("no complete response");
         assert_eq!(answer.status, StatusCode::OK);
         assert_all_events(&answer.body, &id, 8);
     }
@@ -171,7 +171,7 @@
         // last attempt: only streams that end at the late worker are complete.
         if is_resumed(&id) {
             resumed += 1;
-            assert_all_events(&answer.expect("a whole answer").body, &id, 8);
+            assert_all_events(&answer.expect("no complete response").body, &id, 8);
         }
     }
     assert!(resumed > 0, "no stream was resumed at the late worker");
@@ -193,12 +193,12 @@
         engine.set(Manner::Late(reading));
     }
     let gateway = fleet.gateways[0].callers;
-    let asked = fleet.caller.ask_with_prompt(gateway, STREAM, "s1", TOKENS);
-    let answer = asked.await.expect("a whole answer");
+    let request = fleet.caller.ask_with_prompt(gateway, STREAM, "s1", TOKENS);
+    let answer = request.await.expect("no complete response");
     assert_all_events(&answer.body, "s1", 8);
     assert_eq!(fleet.runs_of("s1").len(), 1);
     let answer = fleet.caller.ask(gateway, STREAM, "s2", DEADLINE).await;
-    assert_all_events(&answer.expect("a whole answer").body, "s2", 8);
+    assert_all_events(&answer.expect("no complete response").body, "s2", 8);
     assert!(fleet.runs_of("s2").len() > 1);
 }
 
@@ -225,7 +225,7 @@
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         assert_eq!(answer.status, StatusCode::OK, "{id}");
     }
 }
@@ -237,7 +237,7 @@
     let fleet = start(PlatformOptions::default()).await;
     fleet.whole[0].set(Manner::HangSometimes);
     let gateway = fleet.gateways[0].callers;
-    let asked = (0..60_u64).map(|number| {
+    let request = (0..60_u64).map(|number| {
         let caller = fleet.caller.clone();
         async move {
             tokio::time::sleep(Duration::from_millis(50 * number)).await;
@@ -245,8 +245,8 @@
             caller.ask(gateway, ASK, &id, DEADLINE).await
         }
     });
-    for answer in futures_util::future::join_all(asked).await {
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+    for answer in futures_util::future::join_all(request).await {
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
 }
 
@@ -261,7 +261,7 @@
     for number in 0..60 {
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ONCE, &id, DEADLINE).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("no response").status;
         failed += usize::from(status != StatusCode::OK);
         assert_eq!(fleet.runs_of(&id).len(), 1);
     }
@@ -285,7 +285,7 @@
     eventually("the time-out of the route is in force", || async move {
         let sent_at = std::time::Instant::now();
         let answer = fleet.caller.ask(gateway, ONCE, "r1", DEADLINE).await;
-        let status = answer.expect("an answer").status;
+        let status = answer.expect("no response").status;
         assert_eq!(status, StatusCode::GATEWAY_TIMEOUT);
         sent_at.elapsed() < Duration::from_millis(1_200)
     })
@@ -331,7 +331,7 @@
     for number in 0..80 {
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        let body = answer.expect("an answer").body;
+        let body = answer.expect("no response").body;
         at_engines += usize::from(body.starts_with(b"id:"));
     }
     assert!((19..=21).contains(&at_engines), "{at_engines} of 80");
@@ -350,14 +350,14 @@
         state: "ready".to_owned(),
         ..Default::default()
     };
-    let body = serde_json::to_vec(&old).expect("a document");
+    let body = serde_json::to_vec(&old).expect("the document cannot be encoded");
     let topic = swiftshunt_platform::words::topics::WORKERS;
     fleet.store.put(topic, "gone-1", body);
     for number in 0..10 {
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     assert!(fleet.engines[0].runs().is_empty());
 }
@@ -395,7 +395,7 @@
             tokio::time::sleep(Duration::from_millis(1_200)).await;
             let number = attempts.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
             let long = format!("long-{number}");
-            let asked = fleet
+            let request = fleet
                 .caller
                 .ask_with_prompt(one, STREAM, &long, LONG_TOKENS);
             let ids: Vec<String> = (0..SHORT)
@@ -406,15 +406,15 @@
                     !fleet.runs_of(&long).is_empty()
                 })
                 .await;
-                let asked = ids
+                let request = ids
                     .iter()
                     .map(|id| fleet.caller.ask_with_prompt(two, STREAM, id, 10));
-                futures_util::future::join_all(asked).await
+                futures_util::future::join_all(request).await
             };
-            let (answer, answers) = tokio::join!(asked, shorts);
-            assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+            let (answer, answers) = tokio::join!(request, shorts);
+            assert_eq!(answer.expect("no response").status, StatusCode::OK);
             for answer in answers {
-                assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+                assert_eq!(answer.expect("no response").status, StatusCode::OK);
             }
             ids.iter().all(|id| worker_of(id) != worker_of(&long))
         },
--- a/crates/swiftshunt/tests/gateway_residency.rs
+++ b/crates/swiftshunt/tests/gateway_residency.rs
@@ -62,7 +62,7 @@
             for path in [ASK, STREAM] {
                 let id = format!("r-{number}-{request}-{}", path.trim_matches('/'));
                 let answer = fleet.caller.ask(gateway, path, &id, DEADLINE).await;
-                assert_eq!(answer.expect("an answer").status, StatusCode::OK, "{id}");
+                assert_eq!(answer.expect("no response").status, StatusCode::OK, "{id}");
             }
         }
         for job in 0..4 {
@@ -93,7 +93,7 @@
     let answer = fleet.caller.results(north, "job", 0, Duration::ZERO).await;
     assert!(answer.is_err() || answer.is_ok_and(|(status, _)| status != StatusCode::OK));
     assert_eq!(fleet.gateways[0].door.reads(topics::JOBS), read_before);
-    fleet.restart(3).expect("a gateway");
+    fleet.restart(3).expect("the gateway did not start");
     whole_job(&fleet, north, "job", ITEMS).await;
     assert_eq!(runs_in_the_north(&fleet), 0);
 }
@@ -106,7 +106,7 @@
     for gateway in &fleet.gateways {
         let sent_at = Instant::now();
         let answer = fleet.caller.ask(gateway.callers, ASK, "r", DEADLINE).await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(answer.headers.contains_key("retry-after"));
         assert!(
@@ -136,7 +136,7 @@
     for number in 0..6 {
         let id = format!("r-{number}");
         let answer = fleet.caller.ask(north, ASK, &id, DEADLINE).await;
-        assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+        assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
     submit(&fleet, north, "after", ITEMS).await;
     whole_job(&fleet, north, "after", ITEMS).await;
@@ -155,7 +155,7 @@
         .caller
         .submit(south.callers, BATCH, "refused", ITEMS)
         .await;
-    assert_ne!(status.expect("an answer"), StatusCode::ACCEPTED);
+    assert_ne!(status.expect("no response"), StatusCode::ACCEPTED);
     assert_eq!(
         fleet
             .caller
@@ -199,7 +199,10 @@
             .caller
             .submit(gateway, "/batch-north/", "n", ITEMS)
             .await;
-        assert_eq!(status.expect("an answer"), StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(
+            status.expect("no response"),
+            StatusCode::SERVICE_UNAVAILABLE
+        );
         assert!(
             sent_at.elapsed() < REFUSED_WITHIN,
             "{:?}",
--- a/crates/swiftshunt/tests/gateway_slots.rs
+++ b/crates/swiftshunt/tests/gateway_slots.rs
@@ -82,7 +82,7 @@
     let logs = fleet.logs().to_owned();
     let count_lines = |number| {
         let log = std::fs::read_to_string(logs.join(format!("gateway-{number}.log")));
-        let log = log.expect("a log");
+        let log = log.expect("the log file is unreadable");
         log.lines().filter(|line| line.contains(text)).count()
     };
     (0..fleet.gateways.len()).map(count_lines).collect()
@@ -278,10 +278,10 @@
     for number in 0..REQUESTS {
         let gateway = fleet.gateways[number % GATEWAYS].callers;
         let id = format!("s{number}");
-        let asked = fleet
+        let request = fleet
             .caller
             .ask(gateway, STREAM_ONCE, &id, Duration::from_secs(5));
-        let status = asked.await.expect("an answer").status;
+        let status = request.await.expect("no response").status;
         lost += usize::from(status != StatusCode::OK);
     }
     println!("{lost} requests lost in {:?}", began.elapsed());
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -60,7 +60,7 @@
     id: &str,
 ) -> StatusCode {
     let answer = caller.ask(gateway, path, id, DEADLINE).await;
-    answer.expect("an answer").status
+    answer.expect("no response").status
 }
 
 /// Returns the values of the tenant header of each run of a request; asserts that no run received a key.
@@ -87,14 +87,14 @@
             let caller = fleet.caller.with_key(key);
             let spoofed = [(headers::TENANT, "another")];
             let answer = caller.ask_with_headers(gateway, path, &id, &spoofed).await;
-            assert_eq!(answer.expect("an answer").status, StatusCode::OK);
+            assert_eq!(answer.expect("no response").status, StatusCode::OK);
             assert_eq!(forwarded_tenants(&fleet, &id), [[tenant]]);
         }
     }
     // A public route needs no key, and a tenant header from a caller is removed.
     let spoofed = [(headers::TENANT, "a")];
     let answer = fleet.caller.ask_with_headers(gateway, ONCE, "p1", &spoofed);
-    assert_eq!(answer.await.expect("an answer").status, StatusCode::OK);
+    assert_eq!(answer.await.expect("no response").status, StatusCode::OK);
     assert_eq!(forwarded_tenants(&fleet, "p1"), [Vec::<String>::new()]);
 }
 
@@ -125,7 +125,7 @@
             .caller
             .ask_with_headers(gateway, path, id, credentials)
             .await;
-        let answer = answer.expect("an answer");
+        let answer = answer.expect("no response");
         let expected = if path.starts_with("/v1/") && id == "r4" {
             // Job resources do not support this method.
             StatusCode::BAD_REQUEST
@@ -136,13 +136,13 @@
         assert!(fleet.runs_of(id).is_empty(), "{path}");
     }
     let asked = fleet.caller.results(gateway, "job", 0, NO_WAIT).await;
-    assert_eq!(asked.expect("an answer").0, StatusCode::UNAUTHORIZED);
+    assert_eq!(asked.expect("no response").0, StatusCode::UNAUTHORIZED);
     // The route is looked up before the key.
     let nowhere = fleet
         .caller
         .ask_with_headers(gateway, "/nowhere/", "r5", credentials);
     assert_eq!(
-        nowhere.await.expect("an answer").status,
+        nowhere.await.expect("no response").status,
         StatusCode::NOT_FOUND
     );
 }
@@ -174,7 +174,7 @@
     }
     fleet.gateways[1].door.set(StoreFaults::default());
     for index in 0..3 {
-        fleet.restart(index).expect("a gateway");
+        fleet.restart(index).expect("the gateway did not start");
     }
     for gateway in &fleet.gateways {
         eventually("the gateway serves again", || async {
@@ -210,7 +210,7 @@
     let [owner, other] = [KEY_A, KEY_B].map(|key| fleet.caller.with_key(key));
     let first = fleet.gateways[0].callers;
     let submitted = owner.submit(first, BATCH, "job", ITEMS).await;
-    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
     for gateway in &fleet.gateways {
         let gateway = gateway.callers;
         let item = item_id("job", 0);
@@ -220,18 +220,18 @@
         })
         .await;
         let read = other.results(gateway, "job", 0, NO_WAIT).await;
-        assert_eq!(read.expect("an answer").0, StatusCode::NOT_FOUND);
+        assert_eq!(read.expect("no response").0, StatusCode::NOT_FOUND);
         let body = other.item(gateway, "job", &item).await;
-        assert_eq!(body.expect("an answer").0, StatusCode::NOT_FOUND);
+        assert_eq!(body.expect("no response").0, StatusCode::NOT_FOUND);
         let ended = other.end(gateway, "job").await;
-        assert_eq!(ended.expect("an answer"), StatusCode::NOT_FOUND);
+        assert_eq!(ended.expect("no response"), StatusCode::NOT_FOUND);
         let stranger = fleet.caller.results(gateway, "job", 0, NO_WAIT).await;
-        assert_eq!(stranger.expect("an answer").0, StatusCode::UNAUTHORIZED);
+        assert_eq!(stranger.expect("no response").0, StatusCode::UNAUTHORIZED);
     }
     let again = other
         .submit(fleet.gateways[1].callers, BATCH, "job", 1)
         .await;
-    assert_eq!(again.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(again.expect("no response"), StatusCode::ACCEPTED);
     eventually("both jobs are completed", || async {
         let of_owner = owner.results(first, "job", 0, NO_WAIT).await;
         let of_other = other.results(first, "job", 0, NO_WAIT).await;
@@ -258,11 +258,11 @@
     let owner = fleet.caller.with_key(KEY_A);
     let gateway = fleet.gateways[0].callers;
     let submitted = owner.submit(gateway, BATCH, "job", ITEMS).await;
-    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
     configure(&mut fleet, &tenants()[1..]);
     tokio::time::sleep(APPLIED_WITHIN).await;
     let read = owner.results(gateway, "job", 0, NO_WAIT).await;
-    assert_eq!(read.expect("an answer").0, StatusCode::UNAUTHORIZED);
+    assert_eq!(read.expect("no response").0, StatusCode::UNAUTHORIZED);
     eventually("all items have run", || async {
         let whole = |item| {
             let runs = fleet.runs_of(&item_id("job", item));
@@ -304,7 +304,7 @@
     let caller = fleet.caller.with_key(KEY_A);
     let gateway = fleet.gateways[0].callers;
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
-    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
     fleet.gateways[1].door.set(gateway::down());
     configure(&mut fleet, &tenants());
     for (index, gateway) in fleet.gateways.iter().enumerate() {
@@ -323,7 +323,9 @@
     for file in logs {
         let path = file.expect("a file").path();
         if path.extension().is_some_and(|extension| extension == "log") {
-            let text = String::from_utf8_lossy(&std::fs::read(&path).expect("a log")).into_owned();
+            let text =
+                String::from_utf8_lossy(&std::fs::read(&path).expect("the log file is unreadable"))
+                    .into_owned();
             assert!(
                 text.contains("a caller's key is not taken"),
                 "{}",
@@ -395,6 +397,6 @@
     let run = &fleet.runs_of("r1")[0];
     assert!(run.has_credentials && run.tenants.is_empty());
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
-    assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
+    assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
     whole_job(&fleet, fleet.gateways[1].callers, "job", 2).await;
 }
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -32,7 +32,7 @@
     format!("job-{number}")
 }
 
-/// Starts a fleet and completes all jobs, so that the journal is large for the bandwidth of the link.
+/// Starts a fleet and completes all jobs, so that the journal takes seconds to transfer over the limited link.
 async fn start_with_jobs(line: &Arc<Width>) -> ExclusiveFleet {
     let places = [("near", "here"), ("far-a", "there"), ("far-b", "there")];
     let options = PlatformOptions {
@@ -64,7 +64,7 @@
             .caller
             .submit_bodies(gateway, BATCH, &job, bodies)
             .await;
-        assert_eq!(submitted.expect("an answer"), StatusCode::ACCEPTED);
+        assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
     }
     for number in 0..JOBS {
         whole_job(&fleet, gateway, &job(number), ITEMS).await;
@@ -117,7 +117,7 @@
     }
     let before = line.passed();
     for index in 0..GATEWAYS {
-        fleet.restart(index).expect("a gateway");
+        fleet.restart(index).expect("the gateway did not start");
     }
     let gateways: Vec<SocketAddr> = fleet.gateways.iter().map(|it| it.callers).collect();
     let took = read_all_jobs(&fleet, &gateways).await;
--- a/crates/swiftshunt/tests/gateway_upgrade.rs
+++ b/crates/swiftshunt/tests/gateway_upgrade.rs
@@ -45,7 +45,7 @@
     gateways: Mutex<Vec<SocketAddr>>,
     is_over: AtomicBool,
     /// Number of requests that were answered or failed.
-    asked: AtomicUsize,
+    sent: AtomicUsize,
     /// Identifiers of the requests that may run at most once.
     once: Mutex<Vec<String>>,
     /// Descriptions of the requests that were not served.
@@ -90,7 +90,7 @@
                 Ok(answer) => self.failed(format!("{id} at {gateway}: {}", answer.status)),
                 Err(error) => self.failed(format!("{id} at {gateway}: {error}")),
             }
-            self.asked.fetch_add(1, Ordering::Relaxed);
+            self.sent.fetch_add(1, Ordering::Relaxed);
             tokio::time::sleep(PAUSE).await;
         }
     }
@@ -111,7 +111,10 @@
             .expect("a caller panicked")
             .retain(|gateway| *gateway != leaving);
         tokio::time::sleep(DRAIN_TIME).await;
-        fleet.replace(index, program).await.expect("a gateway");
+        fleet
+            .replace(index, program)
+            .await
+            .expect("the gateway did not start");
         let new = fleet.gateways[index].callers;
         load.gateways.lock().expect("a caller panicked").push(new);
         let job = format!("job-{index}-new");
@@ -165,7 +168,7 @@
     while let Some(ended) = callers.join_next().await {
         ended.expect("a caller panicked");
     }
-    println!("{} requests", load.asked.load(Ordering::Relaxed));
+    println!("{} requests", load.sent.load(Ordering::Relaxed));
     assert_eq!(
         *load.failures.lock().expect("a caller panicked"),
         Vec::<String>::new()
--- a/crates/swiftshunt/tests/leaving.rs
+++ b/crates/swiftshunt/tests/leaving.rs
@@ -31,8 +31,8 @@
                     .tenant
                     .submit(node, POOL_SUBMISSIONS, &key, &input, true);
                 let (chat, submission) = tokio::join!(chat, submission);
-                assert_eq!(chat.expect("an answer").status, 200);
-                assert_eq!(submission.expect("an answer").status, 200);
+                assert_eq!(chat.expect("no response").status, 200);
+                assert_eq!(submission.expect("no response").status, 200);
             }
         });
         join_all(requests).await;
--- a/crates/swiftshunt/tests/planned_stop.rs
+++ b/crates/swiftshunt/tests/planned_stop.rs
@@ -131,14 +131,14 @@
         .tenant
         .upload(api, &lines)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let file = file["id"].as_str().expect("a file").to_owned();
     let job = fleet
         .tenant
         .create_batch(api, &file, None)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let job_path = format!("/v1/batches/{}", job["id"].as_str().expect("a job"));
 
@@ -175,7 +175,10 @@
             async move { stopped.map(|status| assert!(status.success(), "{status}")) }
         })
         .await;
-        let replacement = fleet.start_node(index).await.expect("a node");
+        let replacement = fleet
+            .start_node(index)
+            .await
+            .expect("the node did not start");
         fleet.wait_until_node_ready(replacement).await;
         nodes.write().await[index] = fleet.nodes[replacement].api;
     }
--- a/crates/swiftshunt/tests/targets.rs
+++ b/crates/swiftshunt/tests/targets.rs
@@ -46,7 +46,7 @@
         .chat(fleet.nodes[0].api, EXTRA_MODEL, "x", 4)
         .await;
     assert_eq!(
-        refused.expect("an answer").execution().as_deref(),
+        refused.expect("no response").execution().as_deref(),
         Some("not_run")
     );
     let statement = format!(
@@ -56,7 +56,7 @@
         .operator
         .statement(fleet.nodes[0].api, &statement)
         .await;
-    assert_eq!(answer.expect("an answer").status, 200);
+    assert_eq!(answer.expect("no response").status, 200);
     let pool = partition_of(&format!("pool:{POOL_ENGINES}"), PARTITIONS);
     let leader = eventually("the pool's partition has a leader", || {
         fleet.leader_of(0, pool.0)
@@ -104,7 +104,7 @@
         .operator
         .statement(api, &statement)
         .await
-        .expect("an answer");
+        .expect("no response");
     assert_eq!(answer.status, 200, "{answer:?}");
     for node in 0..3 {
         let shown = rows(&fleet, node, "show events where name = billing").await;
@@ -114,17 +114,17 @@
         .operator
         .statement(fleet.nodes[1].api, "drop event billing")
         .await;
-    assert_eq!(dropped.expect("an answer").status, 200);
+    assert_eq!(dropped.expect("no response").status, 200);
     let again = fleet
         .operator
         .statement(fleet.nodes[2].api, "drop event billing")
         .await;
-    assert_eq!(again.expect("an answer").status, 404);
+    assert_eq!(again.expect("no response").status, 404);
     let wrong = "create event x pool nowhere start soon lasting 1m requests_per_second 1";
     let wrong = fleet
         .operator
         .statement(api, wrong)
         .await
-        .expect("an answer");
+        .expect("no response");
     assert_eq!(wrong.execution().as_deref(), Some("not_run"));
 }
--- a/crates/swiftshunt/tests/whole_path.rs
+++ b/crates/swiftshunt/tests/whole_path.rs
@@ -41,7 +41,7 @@
                 );
             } else {
                 let answer = tenant.chat(node, MODEL, &content, MAX_TOKENS).await;
-                let answer = answer.expect("an answer").json();
+                let answer = answer.expect("no response").json();
                 assert_eq!(answer["choices"][0]["message"]["content"], json!(expected));
             }
         }
@@ -57,12 +57,12 @@
             let first = tenant
                 .submit(node, POOL_SUBMISSIONS, &key, &input, true)
                 .await;
-            let first = first.expect("an answer");
+            let first = first.expect("no response");
             assert_eq!(first.status, 200, "{first:?}");
             let id = first.json()["id"].as_str().expect("an id").to_owned();
             for node in nodes {
                 let path = format!("/v1/submissions/{id}");
-                let read = tenant.get(node, &path).await.expect("an answer");
+                let read = tenant.get(node, &path).await.expect("no response");
                 assert_eq!(read.body, first.body);
             }
         }
@@ -80,14 +80,14 @@
         .tenant
         .upload(nodes[0], &lines)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let file = file["id"].as_str().expect("a file").to_owned();
     let job = fleet
         .tenant
         .create_batch(nodes[1], &file, None)
         .await
-        .expect("an answer")
+        .expect("no response")
         .json();
     let path = format!("/v1/batches/{}", job["id"].as_str().expect("a job"));
     let done = eventually("the job completes", || async {
@@ -103,7 +103,7 @@
         .tenant
         .get(nodes[0], &path)
         .await
-        .expect("an answer")
+        .expect("no response")
         .body;
     assert_output(&output, &contents);
 }
@@ -246,7 +246,7 @@
         .operator
         .statement(node, "show submissions")
         .await
-        .expect("an answer");
+        .expect("no response");
     assert_eq!(
         left.json()["rows"],
         json!([]),
@@ -261,13 +261,13 @@
     let input = json!({ "desk": 1 });
     let pool = POOL_SUBMISSIONS;
     let accepted = fleet.tenant.submit(first, pool, "desk", &input, true).await;
-    assert_eq!(accepted.expect("an answer").status, 200);
+    assert_eq!(accepted.expect("no response").status, 200);
     let other = json!({ "desk": 2 });
     let refused = fleet
         .tenant
         .submit(second, pool, "desk", &other, true)
         .await;
-    let refused = refused.expect("an answer");
+    let refused = refused.expect("no response");
     assert_eq!(refused.status, 422);
     assert_eq!(refused.execution().as_deref(), Some("not_run"));
     assert_eq!(fleet.journal.executions().len(), 1);
