--- a/crates/swiftshunt/tests/gateway_upgrade.rs
+++ b/crates/swiftshunt/tests/gateway_upgrade.rs
@@ -198,7 +198,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn gateways_of_an_earlier_build_are_replace_under_load() {
+async fn gateways_of_an_earlier_build_are_replaced_under_load() {
     if let Some(earlier) = earlier_build() {
         replace_under_load(earlier, this_build()).await;
     }
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -55,7 +55,7 @@
 
 /// Replays the plans that once broke a promise; `lab/seeds/README.md` lists the reasons.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_for_recorded_plans_that_broke_one() {
+async fn promises_hold_where_they_once_broke() {
     let folder: PathBuf = [env!("CARGO_MANIFEST_DIR"), "../../lab/seeds"]
         .iter()
         .collect();
