--- a/crates/swiftshunt/tests/leaving.rs
+++ b/crates/swiftshunt/tests/leaving.rs
@@ -58,14 +58,14 @@
     ListInOneZone,
     /// The back ends report it with their load.
     Worker,
-    /// The back ends report it, and only the node of one zone learns of it from them.
+    /// The back ends report it with their load, and the test waits until the first node knows of it.
     WorkerInOneZone,
 }
 
 #[test_case(Announcement::List; "machine list")]
 #[test_case(Announcement::ListInOneZone; "machine list in one zone")]
 #[test_case(Announcement::Worker; "load report")]
-#[test_case(Announcement::WorkerInOneZone; "load report in one zone")]
+#[test_case(Announcement::WorkerInOneZone; "load report known to one node")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_back_end_receives_no_new_requests(announcement: Announcement) {
     let options = FleetOptions {
@@ -97,7 +97,7 @@
         }
     }
     if matches!(announcement, Announcement::WorkerInOneZone) {
-        // After one node has received the report, no node polls the workers any more, but all may send requests.
+        // The time until no new request may start counts from here, when the first node knows both reports.
         eventually("one node has received the reports", || async {
             let api = fleet.nodes[0].api;
             let statement = "show workers where accepting = false";
