--- a/crates/swiftshunt-scheduler/src/cells.rs
+++ b/crates/swiftshunt-scheduler/src/cells.rs
@@ -1,4 +1,5 @@
-//! What a gateway reports of its view to the owners of cells, and how it uses their assignments.
+//! The view of the workers that a gateway reports to the owners of cells, and its use of the workers
+//! that they assign.
 
 use std::time::Duration;
 
--- a/crates/swiftshunt-scheduler/src/cold/permit_issuer.rs
+++ b/crates/swiftshunt-scheduler/src/cold/permit_issuer.rs
@@ -12,7 +12,8 @@
 pub const MAX_ISSUERS: usize = 2;
 /// Share of the bound that belongs to the first issuer.
 const FIRST_ISSUER_SHARE: f64 = 0.6;
-/// Fewest permits in any one second in the second issuer's part for which the bound is split.
+/// Smallest part of the second issuer, in permits in any one second, for which the bound is split;
+/// otherwise the first issuer has the whole bound.
 const MIN_SECOND_ISSUER_PERMITS: u32 = 2;
 /// Time after its start in which an issuer issues no permits. An earlier life of the node may have
 /// issued some just before, and other nodes have to learn first that this node is listed, from a
--- a/crates/swiftshunt-scheduler/src/cold/worker_state.rs
+++ b/crates/swiftshunt-scheduler/src/cold/worker_state.rs
@@ -138,7 +138,7 @@
     }
 
     /// Returns whether the owner of a worker's slots may assign a request to it: the worker is
-    /// warm, or a start permit is likely to be available.
+    /// warm or not known, or a start permit is likely to be available.
     pub fn is_assignable(&self, worker: WorkerKey, service: &str, now: Duration) -> bool {
         let Some(bound) = self.cold.get(service) else {
             return true;
--- a/crates/swiftshunt-scheduler/src/cost.rs
+++ b/crates/swiftshunt-scheduler/src/cost.rs
@@ -6,9 +6,9 @@
 
 /// Time without activity while requests are in progress that is still normal.
 pub(crate) const USUAL_SILENCE: Duration = Duration::from_millis(120);
-/// Cost of each second without activity, in milliseconds, once the normal time is exceeded.
+/// Cost per second without activity, in milliseconds; there is no cost up to [`USUAL_SILENCE`].
 const SILENCE_COST: f64 = 2_000.0;
-/// Cost of a cold worker, in milliseconds.
+/// Cost of a worker whose latest entry says that it is cold, in milliseconds.
 const COLD_COST: f64 = 50.0;
 /// Additional cost of a worker with full slots over an idle one, in milliseconds.
 const OCCUPANCY_COST: f64 = 8.0;
@@ -86,8 +86,8 @@
 }
 
 /// Returns how much longer this node's oldest pending request has waited than the prefill of this
-/// node's pending prompts takes, in milliseconds: other nodes' requests wait there, or the worker
-/// has stalled.
+/// node's pending prompts takes, in milliseconds. A positive value means that other nodes' requests
+/// are queued there or that the worker has stalled.
 pub(crate) fn unexplained_wait(
     candidate: &Candidate,
     times: Option<&ServiceTimes>,
--- a/crates/swiftshunt-scheduler/src/eligibility.rs
+++ b/crates/swiftshunt-scheduler/src/eligibility.rs
@@ -153,9 +153,9 @@
         zones
     }
 
-    /// Returns the workers whose long-running batch items are to be moved: their zones have been
-    /// evacuated for at least `after`, and another worker of the same service and region is
-    /// eligible.
+    /// Returns the incarnations of the workers whose long-running batch items are to be moved: their
+    /// zones have been evacuated for at least `after`, and another worker of the same service and
+    /// region is eligible.
     pub fn workers_to_vacate(&self, after: Duration, now: Duration) -> BTreeSet<String> {
         let due = self.candidates.values().filter(|candidate| {
             let since = self.evacuations.since(&candidate.entry.zone);
--- a/crates/swiftshunt-scheduler/src/selection.rs
+++ b/crates/swiftshunt-scheduler/src/selection.rs
@@ -69,7 +69,7 @@
     /// Prompt tokens that the worker is expected not to have in its prefix cache.
     pub missing_tokens: u64,
     /// Expected prefill time until the first event: the prompts that are pending at the worker and
-    /// the missing tokens of this one.
+    /// the missing tokens of this request.
     pub expected_prefill: Duration,
     /// Whether the request has a prompt. The duration of a stream depends on its length and is no
     /// measure of the worker's speed.
@@ -107,7 +107,7 @@
 /// worker.
 const AFFINITY_MISS_FACTOR: f64 = 0.1;
 
-/// The workers that a node knows, with the choice among them.
+/// The workers that a node knows and the observations by which it chooses among them.
 #[derive(Debug)]
 pub struct Selector {
     pub(crate) topology: Topology,
@@ -320,7 +320,7 @@
     }
 
     /// Returns the incarnation of the worker that every node of a region prefers for the prompt's
-    /// shared prefix; without coordination between nodes, few workers cache the prefix.
+    /// shared prefix, so that few workers cache the prefix although the nodes do not coordinate.
     pub(crate) fn affinity_target(&self, service: &str, demand: &Demand) -> Option<&str> {
         let affinity_target = self.affinity_target_among(service, demand, |_| true);
         affinity_target.map(|candidate| candidate.entry.incarnation.as_str())
@@ -368,8 +368,8 @@
     demand.prompt_tokens.saturating_sub(cached)
 }
 
-/// Returns the number of tokens in the prompt's shared prefix: all parts but the last one, which
-/// other requests may share.
+/// Returns the number of tokens in the prompt's shared prefix: the parts before the last one, which
+/// is assumed to differ between requests.
 pub(crate) fn shared_tokens(demand: &Demand) -> u64 {
     let shared = demand.prompt.split_last();
     let shared = shared.map_or(&[][..], |(_, shared)| shared);
--- a/crates/swiftshunt-scheduler/src/targets.rs
+++ b/crates/swiftshunt-scheduler/src/targets.rs
@@ -13,7 +13,7 @@
     pub zone: ZoneName,
     /// Whether the model is loaded.
     pub has_model: bool,
-    /// Whether an order to load it is outstanding.
+    /// Whether an order to load the model is outstanding.
     pub is_ordered: bool,
     /// Number of requests at the engine.
     pub load: u32,
--- a/crates/swiftshunt-scheduler/src/workers.rs
+++ b/crates/swiftshunt-scheduler/src/workers.rs
@@ -39,7 +39,7 @@
     pub own_online: u32,
     /// This node's batch requests in progress at the worker.
     pub own_batch: u32,
-    /// When this node last failed to connect to the worker.
+    /// When this node last failed to connect to the worker; `None` after a later load report.
     pub failed_at: Option<Monotonic>,
 }
 
@@ -137,8 +137,8 @@
         self.leaving.insert((id, address));
     }
 
-    /// Returns the workers that declared that they accept no new requests, so that other nodes can
-    /// be informed.
+    /// Returns the workers that accept no new requests, according to their own reports or to other
+    /// nodes, so that further nodes can be informed.
     pub fn self_declared_leaving(&self) -> impl Iterator<Item = &(WorkerId, SocketAddr)> {
         self.leaving.iter()
     }
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Returns whether the worker accepts new requests, according to the machine list and to its
-    /// own reports.
+    /// Returns whether the worker accepts new requests, according to the machine list, its own
+    /// reports and other nodes.
     pub fn is_accepting(&self, worker: &Worker) -> bool {
         let key = (worker.machine.id.clone(), worker.machine.address);
         worker.machine.state == MachineState::Live && !self.leaving.contains(&key)
--- a/crates/swiftshunt-scheduler/tests/listed.rs
+++ b/crates/swiftshunt-scheduler/tests/listed.rs
@@ -249,8 +249,8 @@
     assert!(selector.apply_entry(entry_with_start("s", 0, Some(1_000)), START));
 }
 
-/// An entry without a start time keeps the known start time: the next entry that has it is no
-/// restart, and an entry of an earlier life is recognized as such.
+/// An entry without a start time keeps the known start time: a later entry with that start time
+/// does not count as a restart, and an entry of an earlier life is recognized as such.
 #[test]
 fn an_entry_without_a_start_time_keeps_the_known_start_time() {
     let mut selector = Selector::new("z");
--- a/crates/swiftshunt-scheduler/tests/offers.rs
+++ b/crates/swiftshunt-scheduler/tests/offers.rs
@@ -185,7 +185,7 @@
     let evacuated = Some(Obstacle::Evacuated { lasted });
     assert_eq!(selector.service_obstacle("s", &south(), later), evacuated);
     assert_eq!(selector.slots("s"), 8);
-    // The obstacle lasts since the evacuation of the last zone.
+    // The obstacle began when the last zone was evacuated.
     let last = START + Duration::from_secs(4);
     selector.evacuate("a", last);
     selector.evacuate("b", last);
