--- a/crates/swiftshunt-scheduler/src/cells.rs
+++ b/crates/swiftshunt-scheduler/src/cells.rs
@@ -19,8 +19,8 @@
 
 /// Age up to which a load report counts as the present load of a worker: a few steps of an engine.
 const LOAD_REPORT_MAX_AGE: Duration = Duration::from_millis(100);
-/// Prefill time of a shared prefix from which requests with that prefix are sent to one cell:
-/// several times the cost of a worse worker within another cell.
+/// Prefill time of a shared prefix from which requests with that prefix are sent to one cell. Reuse
+/// of the cached prefix then saves several times the extra cost of a worse worker in that cell.
 const MIN_AFFINITY_PREFILL: Duration = Duration::from_millis(25);
 
 impl Selector {
--- a/crates/swiftshunt-scheduler/src/cold/mod.rs
+++ b/crates/swiftshunt-scheduler/src/cold/mod.rs
@@ -5,7 +5,8 @@
 //! issued by a few nodes ([`permit_issuer`]): the first ones in an order that depends only on the
 //! worker and on the listed nodes. Each issuer has its own part of the bound. If an issuer has
 //! ended, is unreachable or is believed dead, its part is lost and the parts of the others do not
-//! grow. Another node replaces it only after [`permit_issuer::UNLISTED_NODE_TTL`] without a listing. The module is pure: callers pass the time.
+//! grow. Another node replaces it only after it has been unlisted for
+//! [`permit_issuer::UNLISTED_NODE_TTL`]. The module is pure: callers pass the time.
 
 pub mod permit_issuer;
 pub mod permit_rate;
--- a/crates/swiftshunt-scheduler/tests/cold_simulation.rs
+++ b/crates/swiftshunt-scheduler/tests/cold_simulation.rs
@@ -13,6 +13,7 @@
 use swiftshunt_scheduler::cold::{ColdBound, START_PERMIT_TTL};
 
 const SEEDS: u64 = 3_000;
+/// Simulated time of each run, in microseconds.
 const RUN_TIME: u64 = 20_000_000;
 const SECOND: u64 = 1_000_000;
 /// Time within which nodes learn that another node has joined, in microseconds.
@@ -212,15 +213,15 @@
         if issued.is_err() {
             return;
         }
-        let back = if issuer == node { 0 } else { self.delay() };
+        let response_delay = if issuer == node { 0 } else { self.delay() };
         // The permit is used at any moment of its lifetime: at once, after a delay, or at its end.
         let lifetime = START_PERMIT_TTL.as_micros() as u64;
         let wait = match self.random.random_range(0..3) {
             0 => 0,
             1 => self.random.random_range(0..lifetime),
-            _ => (requested_at + lifetime - 1).saturating_sub(now + back),
+            _ => (requested_at + lifetime - 1).saturating_sub(now + response_delay),
         };
-        self.add(now + back + wait, Event::Send { requested_at });
+        self.add(now + response_delay + wait, Event::Send { requested_at });
     }
 
     fn send(&mut self, requested_at: u64, now: u64) {
@@ -325,17 +326,17 @@
         PermitIssuer::new(Duration::ZERO),
     ];
     let from = Duration::from_secs(10);
-    let mut sent = 0_u32;
+    let mut issued = 0_u32;
     for step in 0..3_000 {
         let now = from + Duration::from_millis(step);
         for (rank, issuer) in issuers.iter_mut().enumerate() {
-            sent += u32::from(issuer.issue_permit(WORKER, &bound, rank, now).is_ok());
+            issued += u32::from(issuer.issue_permit(WORKER, &bound, rank, now).is_ok());
         }
     }
     let sustained = 5.5 * 3.0;
     assert!(
-        f64::from(sent) >= sustained,
-        "{sent} permits in three seconds, the worker sustains {sustained}"
+        f64::from(issued) >= sustained,
+        "{issued} permits in three seconds, the worker sustains {sustained}"
     );
 }
 
