--- a/crates/swiftshunt-scheduler/src/quarantine/evidence.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/evidence.rs
@@ -18,7 +18,7 @@
 }
 
 impl Evidence {
-    /// Returns whether it is only a suspicion.
+    /// Returns whether the evidence is only a suspicion.
     pub fn is_suspicion(&self) -> bool {
         *self == Self::Suspected
     }
--- a/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/renewal_tracker.rs
@@ -4,9 +4,10 @@
 
 use crate::slots::WorkerKey;
 
-/// Number of readings after the first one at whose end the worker was known as ended. That reading
-/// may have been answered before the end was recorded, and the next one was requested after it;
-/// entries that a later reading returns were therefore written after it.
+/// A renewal counts from this many readings after the first one at whose end the worker was
+/// recorded as ended. That first reading may have been answered before the end was recorded. The
+/// next one was requested after it, so entries that a later reading returns were written after the
+/// end was recorded.
 const READINGS_UNTIL_CERTAIN: u64 = 2;
 
 /// Renewals since workers were recorded as ended, counted in readings of the directory's tail.
--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -8,8 +8,8 @@
 };
 use crate::slots::WorkerKey;
 
-/// Most requests that are remembered: those of a rack of 40 workers, 30 times over. Each takes some
-/// 300 bytes.
+/// Most requests that are remembered: enough for those that a rack of 40 workers runs, 30 times
+/// over. Each needs some 300 bytes.
 const MAX_REQUESTS: usize = 8_192;
 /// Most workers that end at one moment by chance. More have a common cause: a rack, or copies of
 /// one request that arrived together.
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -20,7 +20,7 @@
 const GATEWAY_TTL: Duration = Duration::from_secs(600);
 /// Gateways that asked within this time are expected to share the next credits.
 const ACTIVE_WINDOW: Duration = Duration::from_secs(1);
-/// Shortest and longest delay after which a refused gateway is told to ask again.
+/// Shortest and longest delay before a refused gateway may ask again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(10);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
@@ -95,11 +95,11 @@
     held: u32,
     held_until: Duration,
     recent: u32,
-    /// Highest count of all gateways' requests that the gateway knows, this response included. Its
-    /// share follows from this count and its own.
+    /// Highest count of all gateways' requests that the gateway knows, including the count in the
+    /// response to this request. The gateway computes its share from this count and its own.
     by_all: u32,
-    /// Share that it reported with its first request here, set by another counter's reports or at
-    /// its start.
+    /// Share that the gateway reported with its first request here. It results from another
+    /// counter's reports, or is the initial share of a gateway without any.
     first_share: Option<f64>,
 }
 
--- a/crates/swiftshunt-scheduler/src/rates/limiter.rs
+++ b/crates/swiftshunt-scheduler/src/rates/limiter.rs
@@ -17,10 +17,9 @@
 const PREFETCH_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Age up to which the counter's report of all gateways' requests is used.
 const COUNTER_REPORT_TTL: Duration = Duration::from_secs(30);
-
 /// Time for which the highest of these reports is remembered.
 const PEAK_TTL: Duration = Duration::from_secs(15);
-/// Time for which a gateway decides by its own share after the counter told it to.
+/// Time for which a gateway decides by its own share after a `DecideAlone` response.
 const OWN_SHARE_PERIOD: Duration = Duration::from_millis(500);
 
 /// Credits granted by one response.
@@ -271,8 +270,8 @@
         let first_response_at = *self.first_response_at.get_or_insert(now);
         let share = gateway_share(here, by_all, gateways);
         if let Some(own) = &mut self.own {
-            // Until a whole usage window has passed, the shares of all gateways may add up to more
-            // than 1.
+            // Until a whole usage window has passed since the first response, the shares of all
+            // gateways may add up to more than 1.
             own.share = if now < first_response_at + USAGE_WINDOW {
                 share.min(gateway_share(0, 0, gateways))
             } else {
--- a/crates/swiftshunt-scheduler/src/slots/allocator.rs
+++ b/crates/swiftshunt-scheduler/src/slots/allocator.rs
@@ -112,17 +112,18 @@
     pub(super) prompts: PromptCaches,
     pub(super) failure_tracker: FailureTracker,
     last_number: u64,
-    opened_at: Option<Duration>,
-    heard_at: Duration,
+    first_report_at: Option<Duration>,
+    last_report_at: Duration,
     /// When a request last found no slot in time.
     rejected_at: Option<Duration>,
 }
 
 impl SlotAllocator {
-    /// Replaces the gateway's previous report, unless that one is newer.
+    /// Replaces the gateway's previous report, unless that one is of the same life and at least as
+    /// new.
     pub fn apply_report(&mut self, from: SocketAddr, report: SlotReport, now: Duration) {
-        self.opened_at.get_or_insert(now);
-        self.heard_at = now;
+        self.first_report_at.get_or_insert(now);
+        self.last_report_at = now;
         let state = self.gateways.entry(from).or_default();
         if report.life != state.life || report.number > state.report {
             state.apply_report(report, now);
@@ -132,7 +133,7 @@
     /// Removes reports, assignments, preemption orders and failures that are too old to count.
     pub fn expire(&mut self, now: Duration) {
         self.gateways
-            .retain(|_, state| now < state.heard_at + REPORT_TTL);
+            .retain(|_, state| now < state.last_report_at + REPORT_TTL);
         self.failure_tracker.expire(now);
         for state in self.gateways.values_mut() {
             state.unconfirmed.retain(|it| now < it.at + ASSIGNMENT_TTL);
@@ -159,13 +160,13 @@
 
     /// Returns whether no gateway has reported within the lifetime of a report.
     pub fn has_no_recent_reports(&self, now: Duration) -> bool {
-        now >= self.heard_at + REPORT_TTL
+        now >= self.last_report_at + REPORT_TTL
     }
 
     /// Returns whether every gateway has had time to report since the first report arrived.
     pub fn is_warmed_up(&self, now: Duration) -> bool {
-        self.opened_at
-            .is_some_and(|opened_at| now >= opened_at + REPORT_TTL / 3)
+        self.first_report_at
+            .is_some_and(|first_report_at| now >= first_report_at + REPORT_TTL / 3)
     }
 
     /// Returns the slots in use at a worker, by the gateways' reports and the assignments since.
@@ -321,8 +322,8 @@
     pub fn grant(&mut self, workers: &[CellWorker], reserved: f64, now: Duration) -> Vec<Grant> {
         self.expire(now);
         let mut grants = Vec::new();
-        let is_kept = |at: Duration| now < at + ONLINE_RESERVATION_TIME;
-        if self.rejected_at.is_some_and(is_kept) {
+        let is_reserved = |at: Duration| now < at + ONLINE_RESERVATION_TIME;
+        if self.rejected_at.is_some_and(is_reserved) {
             return grants;
         }
         if !self.is_warmed_up(now) || self.gateways.values().all(|it| it.waiting.items == 0) {
@@ -361,7 +362,7 @@
         let waiting = self.gateways.iter_mut();
         let waiting = waiting.filter(|(_, state)| state.waiting.items > 0);
         let (gateway, state) = waiting.min_by_key(|(_, state)| {
-            let age = now.saturating_sub(state.heard_at).as_millis() as i64;
+            let age = now.saturating_sub(state.last_report_at).as_millis() as i64;
             let first = state.waiting.first;
             (first.is_late, first.due_in_ms - age)
         })?;
@@ -371,8 +372,8 @@
 
     /// Removes the prompt caches of workers that are no longer in the cell.
     pub fn forget_gone(&mut self, workers: &[CellWorker]) {
-        let is_there = |key| workers.iter().any(|worker| worker.key == key);
-        self.prompts.retain(is_there);
+        let is_in_cell = |key| workers.iter().any(|worker| worker.key == key);
+        self.prompts.retain(is_in_cell);
     }
 
     /// Returns how the slots of the cell are used.
--- a/crates/swiftshunt-scheduler/src/slots/cell.rs
+++ b/crates/swiftshunt-scheduler/src/slots/cell.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Returns the owner of a cell: the gateway with the highest weight for it, so that only the cells
-/// of a gateway that leaves change owner.
+/// Returns the owner of a cell: the gateway with the highest hash for it (rendezvous hashing), so
+/// that only the cells of a gateway that leaves change owner. `None` without gateways.
 pub fn owner(cell: &Cell, gateways: impl IntoIterator<Item = SocketAddr>) -> Option<SocketAddr> {
     gateways
         .into_iter()
--- a/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
+++ b/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
@@ -25,7 +25,7 @@
 pub(super) struct GatewayState {
     pub(super) life: u64,
     pub(super) report: u64,
-    pub(super) heard_at: Duration,
+    pub(super) last_report_at: Duration,
     pub(super) held: HashMap<WorkerKey, HeldSlots>,
     pub(super) waiting: WaitingItems,
     /// Assignments that no report shows yet.
@@ -63,8 +63,8 @@
         held.saturating_sub(self.preempting_items(worker))
     }
 
-    /// Replaces the previous report. Each item that a worker lost since then completes one
-    /// preemption order there.
+    /// Replaces the previous report. Each batch item that is no longer held at a worker completes
+    /// one preemption order there.
     pub(super) fn apply_report(&mut self, report: SlotReport, now: Duration) {
         for (worker, before) in &self.held {
             let after = report.held.iter().find(|(key, _)| key == worker);
@@ -76,7 +76,7 @@
         }
         self.life = report.life;
         self.report = report.number;
-        self.heard_at = now;
+        self.last_report_at = now;
         self.unconfirmed.retain(|it| it.number > report.seen);
         self.held = report.held.into_iter().collect();
         self.waiting = report.waiting;
--- a/crates/swiftshunt-scheduler/src/slots/mod.rs
+++ b/crates/swiftshunt-scheduler/src/slots/mod.rs
@@ -3,7 +3,7 @@
 //! The workers of a service are divided into cells of a few workers each. Every cell has one owner
 //! among the gateways ([`cell`]). Gateways report to the owner the slots that they hold at the
 //! cell's workers, and ask the owner for a worker when a request arrives. The owner tracks the
-//! exact load in a [`allocator`]: it assigns workers, grants slots to batch items, and preempts
+//! exact load in an [`allocator`]: it assigns workers, grants slots to batch items, and preempts
 //! exactly one batch item for each request that would otherwise wait. It estimates which prompt
 //! prefixes its workers cache from its own assignments ([`prompts`]), and detects failing workers
 //! from the failures that all gateways report ([`worker_health`]).
--- a/crates/swiftshunt-scheduler/src/slots/placement_options.rs
+++ b/crates/swiftshunt-scheduler/src/slots/placement_options.rs
@@ -13,7 +13,7 @@
 /// order takes, and the repeated prefill of the item's prompt elsewhere.
 const PREEMPTION_COST: f64 = 30.0;
 /// Prefill time of a prompt above which it disturbs streams that run beside it: an engine prefills
-/// a piece of the prompt before each of their tokens, and their pauses grow with what is left.
+/// a piece of the prompt before each of their tokens, and their pauses grow with the rest.
 const DISTURBING_PREFILL_TIME: Duration = Duration::from_millis(150);
 /// Cost of a disturbed stream per time by which the prefill exceeds `DISTURBING_PREFILL_TIME`: a
 /// stream that pauses for too long loses about as much as the prompt's own request would.
@@ -47,8 +47,8 @@
             return true;
         }
         let wait = wait_behind(self.load, self.worker.slots, rates.slot_ms);
-        let in_time = request.max_wait.map(milliseconds);
-        request.may_wait && in_time.is_none_or(|in_time| wait <= in_time)
+        let max_wait_ms = request.max_wait.map(milliseconds);
+        request.may_wait && max_wait_ms.is_none_or(|max_wait_ms| wait <= max_wait_ms)
     }
 }
 
@@ -92,8 +92,8 @@
     'w: 'o,
 {
     options.min_by(|one, other| {
-        let by_need = one.is_last_resort.cmp(&other.is_last_resort);
-        by_need.then(one.cost_ms.total_cmp(&other.cost_ms))
+        let by_last_resort = one.is_last_resort.cmp(&other.is_last_resort);
+        by_last_resort.then(one.cost_ms.total_cmp(&other.cost_ms))
     })
 }
 
--- a/crates/swiftshunt-scheduler/src/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/src/slots/prompts.rs
@@ -110,8 +110,8 @@
         cache.resident.record_prompt(prompt.parts);
     }
 
-    /// Removes workers for which `is_there` returns false.
-    pub(super) fn retain(&mut self, is_there: impl Fn(WorkerKey) -> bool) {
-        self.workers.retain(|worker, _| is_there(*worker));
+    /// Removes workers for which `is_in_cell` returns false.
+    pub(super) fn retain(&mut self, is_in_cell: impl Fn(WorkerKey) -> bool) {
+        self.workers.retain(|worker, _| is_in_cell(*worker));
     }
 }
--- a/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
+++ b/crates/swiftshunt-scheduler/src/slots/remote_capacity.rs
@@ -35,8 +35,8 @@
         self.free_slots.insert(cell, FreeSlots { free, at: now });
     }
 
-    /// Reserves a slot, in the other region with the most free slots, for one request that finds
-    /// none in `full`.
+    /// Returns the cell of another region with the most free slots, for one request that finds no
+    /// slot in `full`, and subtracts one slot there; `None` if no announced slot is left.
     pub fn reserve_slot(&mut self, full: &Cell, now: Duration) -> Option<Cell> {
         self.free_slots
             .retain(|_, slots| now < slots.at + CAPACITY_TTL);
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/counter.rs
@@ -135,12 +135,12 @@
         (is_resolved && self.has_no_shares_elsewhere()).then(|| self.register.stopped())
     }
 
-    /// Returns whether it knows all outstanding tokens and no shares are set aside.
+    /// Returns whether this counter knows all outstanding tokens and no shares are set aside.
     pub fn has_no_shares_elsewhere(&self) -> bool {
         self.is_settled() && self.register.shares() == 0
     }
 
-    /// Returns the register that it counts by.
+    /// Returns the register by which this counter decides.
     pub fn register(&self) -> &Register {
         &self.register
     }
@@ -150,8 +150,8 @@
         &self.outstanding
     }
 
-    /// Returns whether it decides by the outstanding tokens: it knows them, and the register says
-    /// so. At most one gateway does.
+    /// Returns whether this counter decides by the outstanding tokens: it knows them, and the
+    /// register records that it does. At most one gateway decides so.
     pub fn is_settled(&self) -> bool {
         self.has_full_reports && self.is_registered_as_settled()
     }
@@ -165,7 +165,7 @@
         self.limit
     }
 
-    /// Returns when the read of the register began that it counts by.
+    /// Returns when the last read of the register began that confirmed this counter.
     pub fn verified_at(&self) -> Duration {
         self.verified_at
     }
--- a/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
+++ b/crates/swiftshunt-scheduler/src/waiting_tokens/register.rs
@@ -2,8 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Divisor of the limit that gives the tokens that a counter admits while no more is needed: half
-/// of the limit. The rest is left for gateways that take over.
+/// Divisor of the limit that gives the tokens that a counter may use unless it needs more: half of
+/// the limit. The rest is left for gateways that take over; half of that is the first counter's
+/// share.
 const DEFAULT_DIVISOR: u64 = 2;
 /// Divisor of the free tokens that gives the share of a gateway that takes over: a quarter, so that
 /// several can take over in a row.
@@ -67,8 +68,8 @@
 
     /// Returns the tokens of the limit that are assigned to no counter.
     pub fn free(&self, limit: u64) -> u64 {
-        let taken = self.counted.saturating_add(self.shares());
-        limit.saturating_sub(taken)
+        let assigned = self.counted.saturating_add(self.shares());
+        limit.saturating_sub(assigned)
     }
 
     /// Returns the tokens of all shares.
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Returns the register after the counter has taken all free tokens.
+    /// Returns the register after all free tokens are assigned to the counter.
     pub fn raised(&self, limit: u64) -> Self {
         Self {
             version: self.version + 1,
@@ -134,11 +135,11 @@
         }
     }
 
-    /// Returns the register after the counter has given back tokens that it does not need; `None`
-    /// if it has none to give back.
-    pub fn lowered(&self, waiting: u64, limit: u64) -> Option<Self> {
+    /// Returns the register after the counter has given back the tokens beyond half of the limit;
+    /// `None` if it has none beyond that, or needs more than an eighth of the limit.
+    pub fn lowered(&self, needed: u64, limit: u64) -> Option<Self> {
         let usual = limit / DEFAULT_DIVISOR;
-        if self.counted <= usual || waiting > limit / GIVE_BACK_DIVISOR {
+        if self.counted <= usual || needed > limit / GIVE_BACK_DIVISOR {
             return None;
         }
         Some(Self {
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -216,7 +216,7 @@
     assert_eq!(limiter.admit(LIMIT, 4, START), AdmitDecision::AskCounter);
 }
 
-/// The bucket of a counter that was away fills while another counter grants credits. The next
+/// The bucket of a counter that was unreachable fills while another counter grants credits. The next
 /// request must tell it how many credits that counter had left.
 #[test]
 fn successive_counters_grant_no_more_than_one_counter() {
--- a/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
+++ b/crates/swiftshunt-scheduler/tests/waiting_tokens.rs
@@ -168,10 +168,10 @@
     report_nothing(&mut counter, NOW + settles_in);
     // The predecessor may count again until the register says that it no longer does.
     assert!(!counter.is_settled());
-    let settled_counter = make_change(&mut counter, NOW + settles_in);
+    let settled = make_change(&mut counter, NOW + settles_in);
     assert!(counter.is_settled());
-    assert_eq!(settled_counter.register().shares(), 0);
-    assert_eq!(settled_counter.register().known_to.as_deref(), Some(OWN));
+    assert_eq!(settled.register().shares(), 0);
+    assert_eq!(settled.register().known_to.as_deref(), Some(OWN));
     assert_eq!(
         ask(&mut counter, "two", 1, NOW + settles_in),
         Decision::Admitted
@@ -282,11 +282,11 @@
 
 #[test]
 fn a_successor_of_a_stopped_counter_waits_only_for_reports() {
-    let follower = settled_counter()
+    let register = settled_counter()
         .register()
         .stopped()
         .taken_over(OTHER, LIMIT);
-    let mut counter = Counter::new(follower.clone(), LIMIT, NOW, NOW, PARTITIONS);
+    let mut counter = Counter::new(register.clone(), LIMIT, NOW, NOW, PARTITIONS);
     assert_eq!(
         ask(&mut counter, "early", 100, NOW),
         Decision::Settling(Duration::ZERO)
@@ -295,6 +295,6 @@
     assert!(matches!(make_change(&mut counter, NOW), Change::Settle(_)));
     assert_eq!(ask(&mut counter, "early", 100, NOW), Decision::Admitted);
     // The gateway that takes over next does not follow a stopped counter.
-    let next = follower.taken_over(OWN, LIMIT);
+    let next = register.taken_over(OWN, LIMIT);
     assert!(!next.follows_stopped && !next.is_stopped);
 }
