--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -92,10 +92,10 @@
         };
         let known = one_end_per_life(known);
         let ends = known.len();
-        let own = known.into_iter().filter(|one| {
+        let unexplained = known.into_iter().filter(|one| {
             one.expires_at > now && !self.is_explained(request, &one.end.worker, ends)
         });
-        let mut expiries = self.counted_expiries(request, own);
+        let mut expiries = self.counted_expiries(request, unexplained);
         expiries.sort_unstable();
         // Quarantined until fewer ends than the threshold remain.
         let deciding_index = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
--- a/crates/swiftshunt-scheduler/src/rates/bucket.rs
+++ b/crates/swiftshunt-scheduler/src/rates/bucket.rs
@@ -91,7 +91,7 @@
 /// Last request of a gateway, and what the counter knows of it.
 #[derive(Clone, Copy, Debug)]
 struct GatewayRecord {
-    heard_at: Duration,
+    last_request_at: Duration,
     held: u32,
     held_until: Duration,
     recent: u32,
@@ -139,7 +139,7 @@
 
     /// Returns when a gateway last requested credits.
     pub fn last_request_at(&self) -> Duration {
-        let asked = self.records.values().map(|record| record.heard_at);
+        let asked = self.records.values().map(|record| record.last_request_at);
         asked.max().unwrap_or(self.refilled_at)
     }
 
@@ -214,7 +214,7 @@
         let before = self.records.get(&from);
         let first_share = before.map_or(request.share, |before| before.first_share);
         let record = GatewayRecord {
-            heard_at: now,
+            last_request_at: now,
             held: request.held,
             held_until: now + CREDIT_TTL,
             recent: request.recent,
@@ -223,7 +223,7 @@
         };
         self.records.insert(from, record);
         self.records
-            .retain(|_, record| now < record.heard_at + GATEWAY_TTL);
+            .retain(|_, record| now < record.last_request_at + GATEWAY_TTL);
     }
 
     /// Returns whether few credits are left, so that requests admitted by gateways out of contact
@@ -339,7 +339,8 @@
     /// Returns the requests that all gateways recently admitted.
     fn recent(&self, now: Duration) -> u32 {
         let recent_records = self.records.values();
-        let recent_records = recent_records.filter(|record| now < record.heard_at + USAGE_WINDOW);
+        let recent_records =
+            recent_records.filter(|record| now < record.last_request_at + USAGE_WINDOW);
         recent_records.map(|record| record.recent).sum()
     }
 
@@ -353,7 +354,7 @@
     /// Returns the time until the bucket holds a credit for each active gateway.
     fn again_after(&self, now: Duration) -> Duration {
         let active = self.records.values();
-        let active = active.filter(|record| now < record.heard_at + ACTIVE_WINDOW);
+        let active = active.filter(|record| now < record.last_request_at + ACTIVE_WINDOW);
         let missing = active.count() as f64 - self.level;
         let seconds = missing / self.limit.per_second;
         Duration::try_from_secs_f64(seconds)
--- a/crates/swiftshunt-scheduler/src/slots/allocator.rs
+++ b/crates/swiftshunt-scheduler/src/slots/allocator.rs
@@ -125,7 +125,7 @@
         self.first_report_at.get_or_insert(now);
         self.last_report_at = now;
         let state = self.gateways.entry(from).or_default();
-        if report.life != state.life || report.number > state.report {
+        if report.life != state.life || report.number > state.report_number {
             state.apply_report(report, now);
         }
     }
--- a/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
+++ b/crates/swiftshunt-scheduler/src/slots/gateway_state.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct GatewayState {
     pub(super) life: u64,
-    pub(super) report: u64,
+    pub(super) report_number: u64,
     pub(super) last_report_at: Duration,
     pub(super) held: HashMap<WorkerKey, HeldSlots>,
     pub(super) waiting: WaitingItems,
@@ -75,7 +75,7 @@
             }
         }
         self.life = report.life;
-        self.report = report.number;
+        self.report_number = report.number;
         self.last_report_at = now;
         self.unconfirmed.retain(|it| it.number > report.seen);
         self.held = report.held.into_iter().collect();
--- a/crates/swiftshunt-scheduler/src/slots/placement_options.rs
+++ b/crates/swiftshunt-scheduler/src/slots/placement_options.rs
@@ -110,7 +110,7 @@
 
 /// Returns the cost, in milliseconds, of the slots in use, of preempting a batch item, and of
 /// waiting for a slot.
-fn queue_cost(load: Load, slots: u32, service_ms: f64) -> f64 {
+fn queue_cost(load: Load, slots: u32, slot_ms: f64) -> f64 {
     let slots = slots.max(1);
     let occupancy = f64::from(load.taken().min(slots)) / f64::from(slots) * OCCUPANCY_COST;
     if load.taken() < slots {
@@ -119,13 +119,13 @@
     if load.batch > 0 {
         return occupancy + PREEMPTION_COST;
     }
-    occupancy + PREEMPTION_COST + wait_behind(load, slots, service_ms)
+    occupancy + PREEMPTION_COST + wait_behind(load, slots, slot_ms)
 }
 
 /// Returns the expected milliseconds until a slot is free at a full worker, behind the requests
 /// that run and wait there.
-fn wait_behind(load: Load, slots: u32, service_ms: f64) -> f64 {
+fn wait_behind(load: Load, slots: u32, slot_ms: f64) -> f64 {
     let slots = slots.max(1);
     let ahead = f64::from((load.taken() + 1).saturating_sub(slots));
-    ahead * service_ms / f64::from(slots)
+    ahead * slot_ms / f64::from(slots)
 }
--- a/crates/swiftshunt-scheduler/src/slots/prompts.rs
+++ b/crates/swiftshunt-scheduler/src/slots/prompts.rs
@@ -50,7 +50,7 @@
 /// Estimated prompt cache and prefill queue of one worker.
 #[derive(Debug)]
 struct WorkerCache {
-    resident: PrefixCacheEstimate,
+    prefixes: PrefixCacheEstimate,
     prefill_until: Duration,
 }
 
@@ -79,11 +79,11 @@
         now: Duration,
     ) -> PrefillEstimate {
         let cache = self.workers.get(&worker);
-        let held = cache.map_or(0, |cache| cache.resident.cached_tokens(prompt.parts));
+        let cached_tokens = cache.map_or(0, |cache| cache.prefixes.cached_tokens(prompt.parts));
         let ahead = cache.map_or(Duration::ZERO, |cache| {
             cache.prefill_until.saturating_sub(now)
         });
-        let missing_tokens = prompt.tokens.saturating_sub(held);
+        let missing_tokens = prompt.tokens.saturating_sub(cached_tokens);
         PrefillEstimate {
             missing_tokens,
             time: ahead + rates.prefill_time(missing_tokens),
@@ -103,11 +103,11 @@
         }
         let prefill = self.estimate_prefill(worker, prompt, rates, now);
         let cache = self.workers.entry(worker).or_insert_with(|| WorkerCache {
-            resident: PrefixCacheEstimate::new(rates.memory_tokens),
+            prefixes: PrefixCacheEstimate::new(rates.memory_tokens),
             prefill_until: Duration::ZERO,
         });
         cache.prefill_until = now + prefill.time;
-        cache.resident.record_prompt(prompt.parts);
+        cache.prefixes.record_prompt(prompt.parts);
     }
 
     /// Removes workers for which `is_in_cell` returns false.
--- a/crates/swiftshunt-scheduler/src/slots/worker_health.rs
+++ b/crates/swiftshunt-scheduler/src/slots/worker_health.rs
@@ -58,8 +58,8 @@
 }
 
 impl FailureStreak {
-    fn ends_at(self, first: Duration) -> Duration {
-        self.at + first * 2_u32.pow((self.times - 1).min(MAX_DOUBLINGS))
+    fn ends_at(self, first_period: Duration) -> Duration {
+        self.at + first_period * 2_u32.pow((self.times - 1).min(MAX_DOUBLINGS))
     }
 }
 
@@ -94,7 +94,7 @@
 /// Failures and recent sends of a cell's workers.
 #[derive(Debug, Default)]
 pub(super) struct FailureTracker {
-    workers: HashMap<WorkerKey, FailureStreak>,
+    streaks: HashMap<WorkerKey, FailureStreak>,
     tallies: HashMap<WorkerKey, Tally>,
 }
 
@@ -117,18 +117,18 @@
         if !is_above_share || self.health(worker, now) == WorkerHealth::Failing {
             return false;
         }
-        let before = self.workers.get(&worker).map_or(0, |it| it.times);
+        let before = self.streaks.get(&worker).map_or(0, |it| it.times);
         let streak = FailureStreak {
             times: before + 1,
             at: now,
         };
-        self.workers.insert(worker, streak);
+        self.streaks.insert(worker, streak);
         true
     }
 
     /// Returns the health of a worker.
     pub(super) fn health(&self, worker: WorkerKey, now: Duration) -> WorkerHealth {
-        match self.workers.get(&worker) {
+        match self.streaks.get(&worker) {
             Some(streak) if now < streak.ends_at(FIRST_FAILING_PERIOD) => WorkerHealth::Failing,
             Some(streak) if now < streak.ends_at(FIRST_DEGRADED_PERIOD) => WorkerHealth::Degraded,
             _ => WorkerHealth::Healthy,
@@ -137,7 +137,7 @@
 
     /// Removes failures and sends older than `FAILURE_TTL`.
     pub(super) fn expire(&mut self, now: Duration) {
-        self.workers
+        self.streaks
             .retain(|_, streak| now < streak.at + FAILURE_TTL);
         self.tallies.retain(|_, tally| now < tally.at + FAILURE_TTL);
     }
--- a/crates/swiftshunt-scheduler/tests/quarantine.rs
+++ b/crates/swiftshunt-scheduler/tests/quarantine.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns the end of a worker `at` milliseconds after the start, 50 ms after the request was sent
+/// Returns the end of a worker `at` milliseconds after `UNIX_MS`, 50 ms after the request was sent
 /// to it.
 fn end(worker: u64, at: u64) -> WorkerEnd {
     WorkerEnd {
--- a/crates/swiftshunt-scheduler/tests/rates.rs
+++ b/crates/swiftshunt-scheduler/tests/rates.rs
@@ -86,12 +86,15 @@
         .map(|_| credits(bucket.grant_credits(1, needs(1), &TOLERANCE, START)))
         .sum();
     assert!(drained > 0);
-    let back = CreditRequest {
+    let request = CreditRequest {
         need: 2,
         unused: 2,
         ..CreditRequest::default()
     };
-    assert_eq!(credits(bucket.grant_credits(1, back, &TOLERANCE, START)), 2);
+    assert_eq!(
+        credits(bucket.grant_credits(1, request, &TOLERANCE, START)),
+        2
+    );
 }
 
 #[test]
@@ -139,11 +142,11 @@
     }
     assert!(bucket.is_near_limit(&TOLERANCE));
     bucket.reserve_for_silent(&[7, 8, 9], 10, &TOLERANCE, at(6_000));
-    let given: u32 = (0..100)
+    let granted: u32 = (0..100)
         .map(|step| credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(10_000 + step * 100))))
         .sum();
     // 14 s at seven tenths of the rate, less the requests that three gateways may have saved up.
-    assert!((70..=98).contains(&given), "{given}");
+    assert!((70..=98).contains(&granted), "{granted}");
 }
 
 #[test]
@@ -277,7 +280,7 @@
     Bucket::new(LIMIT, 1, 0.0, START)
 }
 
-fn given_within(bucket: &mut Bucket<u32>, from: u64, until: u64) -> u32 {
+fn granted_within(bucket: &mut Bucket<u32>, from: u64, until: u64) -> u32 {
     (from / 100..until / 100)
         .map(|step| credits(bucket.grant_credits(1, needs(5), &TOLERANCE, at(step * 100))))
         .sum()
@@ -287,16 +290,19 @@
 fn requests_admitted_from_the_own_share_are_deducted_once() {
     let mut bucket = full_bucket();
     bucket.grant_credits(1, needs(0), &TOLERANCE, at(6_000));
-    let back = CreditRequest {
+    let request = CreditRequest {
         spent_alone: 12,
         ..needs(0)
     };
     // The answer to the first request is lost.
-    bucket.grant_credits(2, back, &TOLERANCE, at(6_000));
-    bucket.grant_credits(2, back, &TOLERANCE, at(6_020));
-    let given = credits(bucket.grant_credits(1, needs(40), &TOLERANCE, at(6_020)));
+    bucket.grant_credits(2, request, &TOLERANCE, at(6_000));
+    bucket.grant_credits(2, request, &TOLERANCE, at(6_020));
+    let granted = credits(bucket.grant_credits(1, needs(40), &TOLERANCE, at(6_020)));
     let capacity = TOLERANCE.capacity(LIMIT) as u32;
-    assert!((capacity - 13..=capacity - 12).contains(&given), "{given}");
+    assert!(
+        (capacity - 13..=capacity - 12).contains(&granted),
+        "{granted}"
+    );
 }
 
 #[test]
@@ -310,9 +316,9 @@
         bucket.grant_credits(gateway, request, &TOLERANCE, START);
     }
     bucket.reserve_for_silent(&[4], 5, &TOLERANCE, START);
-    let given = given_within(&mut bucket, 0, 10_000);
+    let granted = granted_within(&mut bucket, 0, 10_000);
     // Four tenths of the rate: the gateway that never asked here may have the rest.
-    assert!((30..=41).contains(&given), "{given}");
+    assert!((30..=41).contains(&granted), "{granted}");
 }
 
 #[test]
@@ -332,7 +338,7 @@
     assert!(credits(near_limit) >= 15, "{near_limit:?}");
     bucket.reserve_for_silent(&[0], 2, &TOLERANCE, at(9_000));
     // The silent gateway may have saved up half of the burst again.
-    assert_eq!(given_within(&mut bucket, 9_000, 10_000), 0);
+    assert_eq!(granted_within(&mut bucket, 9_000, 10_000), 0);
 }
 
 #[test]
--- a/crates/swiftshunt-scheduler/tests/slots/elsewhere.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/elsewhere.rs
@@ -7,7 +7,7 @@
 use swiftshunt_types::RegionName;
 
 const START: Duration = Duration::from_secs(100);
-const LONG: Duration = Duration::from_secs(10);
+const AFTER_EXPIRY: Duration = Duration::from_secs(10);
 
 fn cell(service: &str, region: &str, index: u32) -> Cell {
     Cell {
@@ -47,7 +47,10 @@
     let mut remote_capacity = RemoteCapacity::default();
     remote_capacity.record_free_slots(cell("s", "south", 0), 9, START);
     let full = cell("s", "north", 0);
-    assert_eq!(remote_capacity.reserve_slot(&full, START + LONG), None);
+    assert_eq!(
+        remote_capacity.reserve_slot(&full, START + AFTER_EXPIRY),
+        None
+    );
 }
 
 /// Limits the traffic between owners: an announcement that changes little is repeated once a
--- a/crates/swiftshunt-scheduler/tests/slots/failing.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/failing.rs
@@ -24,8 +24,8 @@
     placed.expect("the request should get a worker").worker
 }
 
-/// A failure seen by one gateway keeps the requests of all gateways away, and those that may not be
-/// repeated for longer.
+/// After a failure seen by one gateway, the requests of all gateways avoid the worker, those that
+/// may not be repeated for longer.
 #[test]
 fn requests_avoid_a_worker_that_failed_another_gateway() {
     let mut allocator = SlotAllocator::default();
--- a/crates/swiftshunt-scheduler/tests/slots/grants.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/grants.rs
@@ -58,9 +58,9 @@
     };
     assert!(rank(9_000) < late);
     let mut allocator = SlotAllocator::default();
-    let mut of_late = waiting(1, 0);
-    of_late.waiting.first = late;
-    allocator.apply_report(gateway(1), of_late, SETTLED);
+    let mut late_report = waiting(1, 0);
+    late_report.waiting.first = late;
+    allocator.apply_report(gateway(1), late_report, SETTLED);
     allocator.apply_report(gateway(2), waiting(1, 9_000), SETTLED);
     let grants = allocator.grant(&workers(1), 0.0, SETTLED + SETTLED / 2);
     assert_eq!(grants[0].to, gateway(2));
--- a/crates/swiftshunt-scheduler/tests/slots/healing.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/healing.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Removes the ordered items at each gateway.
+/// Removes the items that the preemption orders name from the gateways' held slots.
 fn remove_preempted_items(actual: &mut [ActualGateway; 3], orders: Vec<(SocketAddr, WorkerKey)>) {
     for (holder, worker) in orders {
         let held = &mut actual[usize::from(holder.port() - 1_000)].held[worker.0 as usize];
@@ -48,7 +48,7 @@
         let mut now = SETTLED;
         for (who, at, action, arrives) in steps {
             now += Duration::from_millis(7);
-            let gateway_of = gateway(who);
+            let sender = gateway(who);
             let one = &mut actual[usize::from(who)];
             match action {
                 0 => one.held[at as usize].online += 1,
@@ -65,15 +65,15 @@
                 4 => {
                     let sent = one.report();
                     if arrives {
-                        allocator.apply_report(gateway_of, sent.clone(), now);
-                        allocator.apply_report(gateway_of, sent, now);
+                        allocator.apply_report(sender, sent.clone(), now);
+                        allocator.apply_report(sender, sent, now);
                         remove_preempted_items(&mut actual, allocator.preempt_surplus(&workers(2), now));
                     }
                 }
                 _ => {
-                    let mut wants = one.report();
-                    wants.waiting = WaitingItems { items: 2, first: rank(0) };
-                    allocator.apply_report(gateway_of, wants, now);
+                    let mut report = one.report();
+                    report.waiting = WaitingItems { items: 2, first: rank(0) };
+                    allocator.apply_report(sender, report, now);
                     allocator.expire(now);
                     let free: u32 = (0..2).map(|it| SLOTS.saturating_sub(allocator.load(key(it)).taken())).sum();
                     let grants = allocator.grant(&workers(2), 0.0, now);
--- a/crates/swiftshunt-scheduler/tests/slots/requests.rs
+++ b/crates/swiftshunt-scheduler/tests/slots/requests.rs
@@ -214,9 +214,9 @@
         free.expect("the request should get a worker").worker,
         key(1)
     );
-    let of_item = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
+    let preempting = allocator.place(gateway(2), &request, &workers(2), &RATES, SETTLED);
     assert_eq!(
-        of_item
+        preempting
             .expect("the request should get a worker")
             .preempted_gateway,
         Some(gateway(1))
