--- a/crates/swiftshunt-scheduler/src/quarantine/table.rs
+++ b/crates/swiftshunt-scheduler/src/quarantine/table.rs
@@ -8,8 +8,8 @@
 };
 use crate::slots::WorkerKey;
 
-/// Most requests that are remembered: those of a rack of 40 workers, 30 times over. Each takes some
-/// 300 bytes.
+/// Most requests that are remembered: enough for those that a rack of 40 workers runs, 30 times
+/// over. Each needs some 300 bytes.
 const MAX_REQUESTS: usize = 8_192;
 /// Most workers that end at one moment by chance. More have a common cause: a rack, or copies of
 /// one request that arrived together.
@@ -92,10 +92,10 @@
         };
         let known = one_end_per_life(known);
         let ends = known.len();
-        let own = known.into_iter().filter(|one| {
+        let unexplained = known.into_iter().filter(|one| {
             one.expires_at > now && !self.is_explained(request, &one.end.worker, ends)
         });
-        let mut expiries = self.counted_expiries(request, own);
+        let mut expiries = self.counted_expiries(request, unexplained);
         expiries.sort_unstable();
         // Quarantined until fewer ends than the threshold remain.
         let deciding_index = expiries.len().checked_sub(QUARANTINE_THRESHOLD);
--- a/crates/swiftshunt-scheduler/src/slots/placement_options.rs
+++ b/crates/swiftshunt-scheduler/src/slots/placement_options.rs
@@ -13,7 +13,7 @@
 /// order takes, and the repeated prefill of the item's prompt elsewhere.
 const PREEMPTION_COST: f64 = 30.0;
 /// Prefill time of a prompt above which it disturbs streams that run beside it: an engine prefills
-/// a piece of the prompt before each of their tokens, and their pauses grow with what is left.
+/// a piece of the prompt before each of their tokens, and their pauses grow with the rest.
 const DISTURBING_PREFILL_TIME: Duration = Duration::from_millis(150);
 /// Cost of a disturbed stream per time by which the prefill exceeds `DISTURBING_PREFILL_TIME`: a
 /// stream that pauses for too long loses about as much as the prompt's own request would.
@@ -47,8 +47,8 @@
             return true;
         }
         let wait = wait_behind(self.load, self.worker.slots, rates.slot_ms);
-        let in_time = request.max_wait.map(milliseconds);
-        request.may_wait && in_time.is_none_or(|in_time| wait <= in_time)
+        let max_wait_ms = request.max_wait.map(milliseconds);
+        request.may_wait && max_wait_ms.is_none_or(|max_wait_ms| wait <= max_wait_ms)
     }
 }
 
@@ -92,8 +92,8 @@
     'w: 'o,
 {
     options.min_by(|one, other| {
-        let by_need = one.is_last_resort.cmp(&other.is_last_resort);
-        by_need.then(one.cost_ms.total_cmp(&other.cost_ms))
+        let by_last_resort = one.is_last_resort.cmp(&other.is_last_resort);
+        by_last_resort.then(one.cost_ms.total_cmp(&other.cost_ms))
     })
 }
 
@@ -110,7 +110,7 @@
 
 /// Returns the cost, in milliseconds, of the slots in use, of preempting a batch item, and of
 /// waiting for a slot.
-fn queue_cost(load: Load, slots: u32, service_ms: f64) -> f64 {
+fn queue_cost(load: Load, slots: u32, slot_ms: f64) -> f64 {
     let slots = slots.max(1);
     let occupancy = f64::from(load.taken().min(slots)) / f64::from(slots) * OCCUPANCY_COST;
     if load.taken() < slots {
@@ -119,13 +119,13 @@
     if load.batch > 0 {
         return occupancy + PREEMPTION_COST;
     }
-    occupancy + PREEMPTION_COST + wait_behind(load, slots, service_ms)
+    occupancy + PREEMPTION_COST + wait_behind(load, slots, slot_ms)
 }
 
 /// Returns the expected milliseconds until a slot is free at a full worker, behind the requests
 /// that run and wait there.
-fn wait_behind(load: Load, slots: u32, service_ms: f64) -> f64 {
+fn wait_behind(load: Load, slots: u32, slot_ms: f64) -> f64 {
     let slots = slots.max(1);
     let ahead = f64::from((load.taken() + 1).saturating_sub(slots));
-    ahead * service_ms / f64::from(slots)
+    ahead * slot_ms / f64::from(slots)
 }
