--- a/crates/swiftshunt-gateway/src/batch/leases.rs
+++ b/crates/swiftshunt-gateway/src/batch/leases.rs
@@ -1,4 +1,5 @@
-//! Leases of partitions, assigned by the log's group. A gateway runs the items of the partitions that it leases.
+//! Leases of partitions, which the log assigns to the members of a group. A gateway runs the items of the partitions
+//! that it leases.
 //!
 //! Leases are not exclusive locks: if two gateways run an item for a moment, it costs a repeated run and never a
 //! wrong result. A gateway loses a lease when the log assigns the partition to another one, or when it does not renew
@@ -63,17 +64,17 @@
 }
 
 impl Leases {
-    /// Creates the leases of the gateway whose address for peers is `peers`.
+    /// Creates the leases of the gateway that its peers reach at `own_address`.
     pub(crate) fn new(
         log: Arc<dyn Log>,
         settings: &GatewaySettings,
-        peers: SocketAddr,
+        own_address: SocketAddr,
         clock: Clock,
     ) -> Self {
         Self {
             log,
             clock,
-            member: Member::new(peers).to_string(),
+            member: Member::new(own_address).to_string(),
             duration: settings.batch.lease,
             held: Mutex::default(),
             released: CancellationToken::new(),
@@ -103,7 +104,7 @@
     }
 
     /// Whether the log did not answer the last renewal. While it is unavailable, no other gateway can be assigned
-    /// partitions, and jobs can hardly be ended.
+    /// partitions, and ending a job most likely fails.
     pub(crate) fn is_log_unavailable(&self) -> bool {
         lock(&self.held).unavailable_since.is_some()
     }
@@ -152,7 +153,7 @@
 
     async fn renew(&self) -> Result<(), LogError> {
         let generation = lock(&self.held).generation;
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let renewal = self
             .log
             .renew(Topic::Jobs, &self.member, self.duration, generation);
@@ -184,7 +185,7 @@
         *held = HeldLeases {
             generation,
             partitions,
-            until: asked_at + self.duration,
+            until: requested_at + self.duration,
             ..HeldLeases::default()
         };
         Ok(())
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -84,7 +84,7 @@
     ) -> Self {
         let metrics = Arc::clone(&dispatcher.metrics);
         let clock = dispatcher.clock;
-        let peers = members.own_address();
+        let own_address = members.own_address();
         let region_readers = Arc::new(RegionReaders::new(members, clock));
         let readers = Arc::clone(&region_readers);
         let region_pages = Arc::new(RegionPages::new(Arc::clone(&log), readers, clock));
@@ -92,8 +92,8 @@
         Self {
             replay: Replay::new(Arc::clone(&log), pages, &settings, unreadable, clock),
             appender: Appender::new(Arc::clone(&log), &settings, metrics, clock),
-            leases: Leases::new(Arc::clone(&log), &settings, peers, clock),
-            owners: PartitionOwners::new(log, peers, clock),
+            leases: Leases::new(Arc::clone(&log), &settings, own_address, clock),
+            owners: PartitionOwners::new(log, own_address, clock),
             region_readers,
             region_pages,
             results: PendingResults::default(),
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -31,7 +31,7 @@
 const SUSPICION_DURATION: Duration = Duration::from_secs(3);
 /// Idle connections kept open to one gateway.
 const MAX_IDLE_CONNECTIONS: usize = 2;
-/// Header that asks a gateway to answer from its own read of the partition, even if it does not hold it.
+/// Header that makes a gateway answer from its own read of the partition, even if it does not hold it.
 const READS_HEADER: &str = "swiftshunt-peer-reads";
 /// Header that names the caller's tenant in a forwarded call. It is evaluated only at the address for peers, which
 /// only other gateways reach.
@@ -42,7 +42,7 @@
 struct KnownOwners {
     by_partition: BTreeMap<u32, SocketAddr>,
     read_at: Option<Duration>,
-    asked_at: Option<Duration>,
+    requested_at: Option<Duration>,
     /// Whether the last read failed.
     is_unavailable: bool,
     suspected_until: HashMap<SocketAddr, Duration>,
@@ -162,15 +162,17 @@
     fn is_due(&self, partition: u32) -> bool {
         let now = self.clock.now();
         let known = lock(&self.known);
-        let asked_lately = known.asked_at.is_some_and(|at| now < at + READ_INTERVAL);
+        let is_recently_requested = known
+            .requested_at
+            .is_some_and(|at| now < at + READ_INTERVAL);
         let is_fresh = known.read_at.is_some_and(|at| now < at + OWNERS_TTL);
         let is_known = known.by_partition.contains_key(&partition);
         let is_enough = is_fresh && is_known;
-        !asked_lately && !is_enough
+        !is_recently_requested && !is_enough
     }
 
     async fn read(&self) {
-        lock(&self.known).asked_at = Some(self.clock.now());
+        lock(&self.known).requested_at = Some(self.clock.now());
         let read = tokio::time::timeout(READ_TIMEOUT, self.log.owners(Topic::Jobs)).await;
         match read {
             Ok(Ok(owners)) => self.apply_owners(&owners),
--- a/crates/swiftshunt-gateway/src/batch/replay.rs
+++ b/crates/swiftshunt-gateway/src/batch/replay.rs
@@ -30,7 +30,7 @@
 /// Pause after a read of the tail, so that records appended close together are read together.
 const READ_INTERVAL: Duration = Duration::from_millis(40);
 /// Time within which [`Replay::catch_up`] reads a partition up to its end, or fails.
-const CONFIRM_TIMEOUT: Duration = Duration::from_millis(700);
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long the fold of a partition that is no longer followed is kept for the next call, as a multiple of the time
 /// for which a partition is followed after a call.
 const RETENTION_FACTOR: u32 = 4;
@@ -245,7 +245,8 @@
             let call = PageCall {
                 partition,
                 after,
-                // After a drop, the tail no longer has the records after the known offset, and older pages lack them.
+                // After `ReadOutcome::Dropped`, the tail no longer has the records after the known offset, and pages
+                // read before that offset lack them, too.
                 not_before: not_before.max(known),
             };
             self.pages.page(call)
@@ -279,14 +280,14 @@
     /// Reads new records and returns the partition's end, or `None` if the log no longer has some of them.
     async fn read_tail(&self, partition: u32, wait: Duration) -> Result<Option<u64>, LogError> {
         let from = self.state(partition).view.next_offset();
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         match self.log.read(Topic::Jobs, partition, from, wait).await? {
             ReadOutcome::Records { records, end } => {
                 let mut state = self.state(partition);
                 state.read_at = Some(self.clock.now());
                 let changes = state.view.apply_tail(records);
                 if state.view.next_offset() >= end {
-                    state.known_as_of = state.known_as_of.max(Some(asked_at));
+                    state.known_as_of = state.known_as_of.max(Some(requested_at));
                 }
                 self.apply(partition, &mut state, changes);
                 Ok(Some(end))
@@ -303,7 +304,7 @@
     /// Reads a partition up to the end that it has when this is called.
     pub(crate) async fn catch_up(&self, partition: u32) -> Result<(), CatchUpFailed> {
         self.follow_for_call(partition);
-        let confirmed = async {
+        let caught_up = async {
             self.wait_until_listed(partition).await;
             let mut target_end = None;
             loop {
@@ -318,8 +319,8 @@
                 }
             }
         };
-        let confirmed = tokio::time::timeout(CONFIRM_TIMEOUT, confirmed).await;
-        confirmed.unwrap_or(Err(CatchUpFailed))
+        let caught_up = tokio::time::timeout(CATCH_UP_TIMEOUT, caught_up).await;
+        caught_up.unwrap_or(Err(CatchUpFailed))
     }
 
     fn apply(&self, partition: u32, state: &mut PartitionState, changes: Vec<Change>) {
--- a/crates/swiftshunt-gateway/src/log_relay/availability.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/availability.rs
@@ -12,11 +12,11 @@
 const UNANSWERED_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a gateway is skipped after a call through it failed.
 const SUSPICION_DURATION: Duration = Duration::from_secs(1);
-/// Number of consecutive failed calls through other gateways after which none is tried for [`REFUSAL_PAUSE`], since
+/// Number of consecutive failed calls through other gateways after which none is tried for [`RELAY_PAUSE`], since
 /// the log is then considered unavailable to all gateways.
-const MAX_CONSECUTIVE_REFUSALS: u32 = 3;
-/// Pause of relaying after [`MAX_CONSECUTIVE_REFUSALS`].
-const REFUSAL_PAUSE: Duration = Duration::from_secs(1);
+const MAX_CONSECUTIVE_RELAY_FAILURES: u32 = 3;
+/// Pause of relaying after [`MAX_CONSECUTIVE_RELAY_FAILURES`].
+const RELAY_PAUSE: Duration = Duration::from_secs(1);
 
 /// State of a gateway's access to the log, direct and through other gateways.
 #[derive(Debug, Default)]
@@ -26,7 +26,7 @@
     is_unavailable: bool,
     suspected_until: HashMap<SocketAddr, Duration>,
     last_relay: Option<SocketAddr>,
-    refusals: u32,
+    relay_failures: u32,
     paused_until: Duration,
 }
 
@@ -72,18 +72,18 @@
     /// Records that a call through another gateway succeeded.
     pub(crate) fn record_relayed(&mut self, other: SocketAddr) {
         self.last_relay = Some(other);
-        self.refusals = 0;
+        self.relay_failures = 0;
     }
 
     /// Records that a call through another gateway failed.
-    pub(crate) fn record_refusal(&mut self, other: SocketAddr, now: Duration) {
+    pub(crate) fn record_relay_failure(&mut self, other: SocketAddr, now: Duration) {
         self.suspected_until.retain(|_, until| now < *until);
         self.suspected_until.insert(other, now + SUSPICION_DURATION);
         self.last_relay = None;
-        self.refusals += 1;
-        if self.refusals >= MAX_CONSECUTIVE_REFUSALS {
-            self.refusals = 0;
-            self.paused_until = now + REFUSAL_PAUSE;
+        self.relay_failures += 1;
+        if self.relay_failures >= MAX_CONSECUTIVE_RELAY_FAILURES {
+            self.relay_failures = 0;
+            self.paused_until = now + RELAY_PAUSE;
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/log_relay/mod.rs
+++ b/crates/swiftshunt-gateway/src/log_relay/mod.rs
@@ -73,7 +73,7 @@
 
 impl RelayedLog {
     /// Creates a relayed log. `call_timeout` is the longest time that a call of `direct` takes, without the wait that
-    /// the call itself asks for.
+    /// the call itself requests.
     pub(crate) fn new(
         direct: Arc<dyn Log>,
         peers: Arc<Peers>,
@@ -220,7 +220,7 @@
 
     fn mark_suspected(&self, other: SocketAddr) {
         let now = self.clock.now();
-        lock(&self.availability).record_refusal(other, now);
+        lock(&self.availability).record_relay_failure(other, now);
         log::debug!(other = other.to_string().as_str();
             "a call to the log through another gateway failed; skipping that gateway for now");
     }
--- a/crates/swiftshunt-gateway/src/tails/mod.rs
+++ b/crates/swiftshunt-gateway/src/tails/mod.rs
@@ -77,16 +77,17 @@
         }
     }
 
-    /// Returns the shared tail of a topic. `is_news` selects the records that are relevant to other gateways.
+    /// Returns the shared tail of a topic. `is_relevant` selects the records that readers pass on; see
+    /// [`relevant_records`].
     pub(crate) fn shared_tail(
         self: &Arc<Self>,
         topic: Topic,
-        is_news: impl Fn(&KeyedRecord) -> bool + Send + Sync + 'static,
+        is_relevant: impl Fn(&KeyedRecord) -> bool + Send + Sync + 'static,
     ) -> SharedTail {
         SharedTail {
             tails: Arc::clone(self),
             topic,
-            is_news: Box::new(is_news),
+            is_relevant: Box::new(is_relevant),
         }
     }
 
@@ -116,7 +117,7 @@
 pub(crate) struct SharedTail {
     tails: Arc<SharedTails>,
     topic: Topic,
-    is_news: Box<dyn Fn(&KeyedRecord) -> bool + Send + Sync>,
+    is_relevant: Box<dyn Fn(&KeyedRecord) -> bool + Send + Sync>,
 }
 
 impl SharedTail {
@@ -129,7 +130,7 @@
         };
         let reader = self.tails.readers.assigned_reader()?;
         // Gateways with an older list may still use this one as a reader, so it must stop answering them.
-        self.not_sure();
+        self.invalidate();
         self.tails
             .readers
             .fetch(reader, &call, timing.overdue_after())
@@ -151,20 +152,20 @@
         // Relayed reads arrive late, so it is faster for the other gateways to read the log themselves.
         let is_direct = !*self.tails.log_unavailable.borrow();
         if !is_direct || !self.tails.readers.is_reader() {
-            return published.not_sure();
+            return published.invalidate();
         }
         let next = records.last().map_or(from, |record| record.offset + 1);
         let next_answer = timing.overdue_after().mul_f64(1.0 + PAUSE_SHARE);
-        let sure_until = self.tails.clock.now() + next_answer;
-        let records = relevant_records(records, &self.is_news);
-        published.record_read(from, records, next, sure_until, returned_at);
+        let valid_until = self.tails.clock.now() + next_answer;
+        let records = relevant_records(records, &self.is_relevant);
+        published.record_read(from, records, next, valid_until, returned_at);
     }
 
     /// Stops answering other gateways until the next read is published, since the log does not answer this gateway in
     /// time or this gateway does not read it.
-    pub(crate) fn not_sure(&self) {
+    pub(crate) fn invalidate(&self) {
         if let Some(published) = self.tails.published(self.topic) {
-            published.not_sure();
+            published.invalidate();
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/tails/published.rs
+++ b/crates/swiftshunt-gateway/src/tails/published.rs
@@ -20,16 +20,16 @@
         from: u64,
         records: Vec<KeyedRecord>,
         next: u64,
-        sure_until: Duration,
+        valid_until: Duration,
         returned_at: Option<Duration>,
     ) {
         self.window.send_if_modified(|window| {
-            window.record_read(from, records, next, sure_until, returned_at)
+            window.record_read(from, records, next, valid_until, returned_at)
         });
     }
 
     /// Stops answering until the next read is recorded; see [`TailWindow::invalidate`].
-    pub(super) fn not_sure(&self) {
+    pub(super) fn invalidate(&self) {
         self.window.send_if_modified(TailWindow::invalidate);
     }
 
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -98,8 +98,8 @@
         call: &TailCall,
         limit: Duration,
     ) -> Option<TailPart> {
-        let asked = tokio::time::timeout(limit, self.exchange(reader, call)).await;
-        match asked {
+        let reply = tokio::time::timeout(limit, self.exchange(reader, call)).await;
+        match reply {
             Ok(Ok(part)) => {
                 lock(&self.suspicions).remove(&reader);
                 self.metrics.tails_read_through.inc();
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -182,7 +182,7 @@
         let changes = self.read(log, timing).await;
         self.has_failed = changes.is_err();
         if let (Err(_), Some(shared)) = (&changes, &self.shared) {
-            shared.not_sure();
+            shared.invalidate();
         }
         changes
     }
@@ -211,7 +211,7 @@
         let from = self.view.next_offset();
         let overdue = || {
             if let Some(shared) = &self.shared {
-                shared.not_sure();
+                shared.invalidate();
             }
         };
         let read = read_hedged(log, self.topic, from, timing, overdue).await?;
