--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -269,7 +269,8 @@
         attempt
     }
 
-    /// Returns where the jobs of a tenant on a route may be handled, by the configuration in force.
+    /// Returns where the jobs of a tenant on a route may be handled by the configuration in force; anywhere before one
+    /// is known.
     pub(super) fn residency_of(&self, route: &Route, tenant: Option<&TenantName>) -> Residency {
         let configuration = self.dispatcher.fleet_state.configuration();
         configuration.map_or_else(Residency::anywhere, |configuration| {
--- a/crates/swiftshunt-gateway/src/batch/job_queries.rs
+++ b/crates/swiftshunt-gateway/src/batch/job_queries.rs
@@ -15,7 +15,7 @@
 /// Outcome of reading a job's results from a position on.
 enum ResultsPage {
     /// The job is not known.
-    Gone,
+    UnknownJob,
     /// There are results, or the position is the end of a completed job.
     Page(CallerAnswer),
     /// There is no result at the position yet.
@@ -38,7 +38,7 @@
         loop {
             changes.mark_unchanged();
             match self.results_page(partition, id, from) {
-                ResultsPage::Gone => return plain(StatusCode::NOT_FOUND, "no such job"),
+                ResultsPage::UnknownJob => return plain(StatusCode::NOT_FOUND, "no such job"),
                 ResultsPage::Page(answer) => return answer,
                 ResultsPage::Empty(answer) if Instant::now() >= deadline => {
                     return self.confirm_empty(partition, id, from, answer).await;
@@ -64,7 +64,7 @@
         }
         match self.results_page(partition, id, from) {
             ResultsPage::Page(answer) => answer,
-            ResultsPage::Empty(_) | ResultsPage::Gone => empty,
+            ResultsPage::Empty(_) | ResultsPage::UnknownJob => empty,
         }
     }
 
@@ -72,7 +72,7 @@
     fn results_page(&self, partition: u32, id: &str, from: usize) -> ResultsPage {
         let state = self.replay.state(partition);
         let Some(job) = state.fold.job(id) else {
-            return ResultsPage::Gone;
+            return ResultsPage::UnknownJob;
         };
         let page = job.page(from, PAGE_BYTES);
         let is_empty = page.results.is_empty();
--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -191,10 +191,10 @@
             if !self.region_readers.are_readers_known() {
                 return self.refuse_journal_unavailable(job, ASSUMED_CALLER_TIMEOUT);
             }
-            let read = self
+            let forwarded = self
                 .forward_to_region_reader(partition, head, tenant, wait)
                 .await;
-            if let Some(answer) = read {
+            if let Some(answer) = forwarded {
                 return answer;
             }
             log::info!(job, partition;
@@ -243,9 +243,9 @@
         let held = call
             .job()
             .is_some_and(|(job, _)| self.leases.holds(self.replay.partition_of(job)));
-        let reads = owners::requests_reader_answer(headers)
+        let answers_as_reader = owners::requests_reader_answer(headers)
             && !self.dispatcher.job_regions.excludes_this_gateway();
-        if held || reads {
+        if held || answers_as_reader {
             self.answer_locally(call).await
         } else {
             plain(StatusCode::MISDIRECTED_REQUEST, "it does not run here")
--- a/crates/swiftshunt-gateway/src/batch/out_of_region.rs
+++ b/crates/swiftshunt-gateway/src/batch/out_of_region.rs
@@ -19,7 +19,8 @@
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 impl Batch {
-    /// Forwards a call to a gateway that may answer it; refuses it if none is reached.
+    /// Forwards a call to a gateway that may answer it. If none is reached, refuses a read with a time to retry after,
+    /// and answers 504 to the end of a job.
     pub(super) async fn answer_out_of_region(
         &self,
         partition: u32,
--- a/crates/swiftshunt-gateway/src/batch/owners.rs
+++ b/crates/swiftshunt-gateway/src/batch/owners.rs
@@ -92,7 +92,8 @@
         None
     }
 
-    /// Has a gateway answer a call from its own read of the partition. Returns `None` if it does not.
+    /// Has a gateway answer a call from its own read of the partition. Returns `None` if it does not
+    /// answer in time or answers 421.
     pub(super) async fn forward_to_reader(
         &self,
         reader: SocketAddr,
@@ -101,8 +102,8 @@
         wait: Duration,
     ) -> Option<CallerAnswer> {
         let mut request = request_to(reader, head, tenant)?;
-        let set = HeaderValue::from_static("1");
-        request.headers_mut().insert(READS_HEADER, set);
+        let flag = HeaderValue::from_static("1");
+        request.headers_mut().insert(READS_HEADER, flag);
         let answer = self.exchange(request, wait).await;
         answer.filter(|answer| answer.status() != StatusCode::MISDIRECTED_REQUEST)
     }
--- a/crates/swiftshunt-gateway/src/batch/region_pages.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_pages.rs
@@ -30,7 +30,7 @@
 /// Path at which gateways serve pages to each other.
 pub(crate) const PATH: &str = "/peer/page";
 /// Time for which a page is cached. It covers the time in which leases are assigned, since the gateways that need the
-/// page request it then. The log must still have the tail from the page's end on when the page is used.
+/// page request it then. It is short enough for the log to still have the tail from the page's end on when the page is used.
 const PAGE_TTL: Duration = Duration::from_secs(8);
 /// Time within which a reader answers, with the page or with 202 while the read is in progress.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Requests a page from another gateway until it answers with the page or is unavailable.
+    /// Requests a page from another gateway until it answers with the page or is unavailable. Returns `None` if it is
+    /// unavailable or its page is older than the call requires.
     async fn fetch_from(&self, reader: SocketAddr, call: &PageCall) -> Option<NewestPage> {
         loop {
             let reply = tokio::time::timeout(
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -14,8 +14,8 @@
 use crate::fleet_state::lock;
 use crate::members::Members;
 
-/// Gateways tried for one call. A gateway whose process has ended refuses connections at once and is skipped from
-/// then on.
+/// Gateways tried for one call. A gateway whose process has ended refuses connections at once and is then skipped for
+/// [`SUSPICION_DURATION`].
 const MAX_READERS: usize = 3;
 /// How long a gateway that did not answer is skipped.
 const SUSPICION_DURATION: Duration = Duration::from_secs(3);
--- a/crates/swiftshunt-gateway/src/batch/token_reports.rs
+++ b/crates/swiftshunt-gateway/src/batch/token_reports.rs
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Reads the records of the held partitions that were not read yet.
+    /// Reads the held partitions up to their current ends.
     async fn catch_up_held_partitions(&self) {
         let held = self.leases.partitions();
         let reads = held
             .iter()
             .map(|partition| self.replay.catch_up(*partition));
-        let unread = join_all(reads).await;
-        let unread = unread.iter().filter(|read| read.is_err()).count();
+        let outcomes = join_all(reads).await;
+        let unread = outcomes.iter().filter(|read| read.is_err()).count();
         if unread > 0 {
             log::info!(unread;
                 "some held partitions could not be read up to their end; reporting their last known state");
--- a/crates/swiftshunt-gateway/src/metrics/labels.rs
+++ b/crates/swiftshunt-gateway/src/metrics/labels.rs
@@ -9,7 +9,7 @@
 pub(crate) enum RequestEnd {
     /// The worker's answer was passed on.
     Answered,
-    /// The request did not run, and the caller was told when to retry.
+    /// The request did not run, and its answer states when to retry.
     Refused,
     /// The request may have run.
     Failed,
@@ -41,7 +41,7 @@
     Unknown,
 }
 
-/// Why a request is refused and its caller told when to retry.
+/// Why a request is refused with a time to retry after.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum Refusal {
     /// No configuration is known yet.
@@ -120,10 +120,10 @@
     Granted,
     /// The limit is reached.
     Exhausted,
-    /// The gateway that was asked does not count the tenant's requests, or not yet.
+    /// The gateway that received the call does not count the tenant's requests, or not yet.
     NotCounter,
-    /// This gateway admitted the request within its own share, since no counting gateway answered; or the counting
-    /// gateway told it to decide by its own share.
+    /// No counting gateway answered, and this gateway admitted the request within its own share of the limit; or the
+    /// counting gateway answered that this gateway is to decide by its own share.
     Alone,
     /// The gateway that counts did not answer.
     Silent,
--- a/crates/swiftshunt-gateway/src/metrics/mod.rs
+++ b/crates/swiftshunt-gateway/src/metrics/mod.rs
@@ -216,11 +216,11 @@
         );
         let items_stepped_aside = counter(
             "items_stepped_aside",
-            "Batch items that left a slot for an online request or an evacuated zone",
+            "Batch items interrupted to free their slot or to leave an evacuated zone",
         );
         let workers_relieved = counter(
             "workers_relieved",
-            "Orders to remove a batch item from a worker that holds more than its slots",
+            "Orders to preempt a batch item at a worker that has more requests than slots",
         );
         let workers_failing = counter(
             "workers_failing",
@@ -250,14 +250,14 @@
             "records_unreadable",
             "Records of the log that could not be read and were skipped",
         );
-        let mut seconds = |name, help| {
-            let seconds = Histogram::new(exponential_buckets(0.005, 2.0, 12));
-            registry.register(name, help, Histogram::clone(&seconds));
-            seconds
+        let mut histogram = |name, help| {
+            let histogram = Histogram::new(exponential_buckets(0.005, 2.0, 12));
+            registry.register(name, help, Histogram::clone(&histogram));
+            histogram
         };
         let retry_after_seconds =
-            seconds("come_back", "Seconds after which refused callers may retry");
-        let refused_after_seconds = seconds(
+            histogram("come_back", "Seconds after which refused callers may retry");
+        let refused_after_seconds = histogram(
             "refused_after",
             "Seconds that refused requests waited before the refusal",
         );
