--- a/crates/swiftshunt-gateway/src/batch/mod.rs
+++ b/crates/swiftshunt-gateway/src/batch/mod.rs
@@ -84,7 +84,7 @@
     ) -> Self {
         let metrics = Arc::clone(&dispatcher.metrics);
         let clock = dispatcher.clock;
-        let peers = members.own_address();
+        let own_address = members.own_address();
         let region_readers = Arc::new(RegionReaders::new(members, clock));
         let readers = Arc::clone(&region_readers);
         let region_pages = Arc::new(RegionPages::new(Arc::clone(&log), readers, clock));
@@ -92,8 +92,8 @@
         Self {
             replay: Replay::new(Arc::clone(&log), pages, &settings, unreadable, clock),
             appender: Appender::new(Arc::clone(&log), &settings, metrics, clock),
-            leases: Leases::new(Arc::clone(&log), &settings, peers, clock),
-            owners: PartitionOwners::new(log, peers, clock),
+            leases: Leases::new(Arc::clone(&log), &settings, own_address, clock),
+            owners: PartitionOwners::new(log, own_address, clock),
             region_readers,
             region_pages,
             results: PendingResults::default(),
@@ -191,10 +191,10 @@
             if !self.region_readers.are_readers_known() {
                 return self.refuse_journal_unavailable(job, ASSUMED_CALLER_TIMEOUT);
             }
-            let read = self
+            let forwarded = self
                 .forward_to_region_reader(partition, head, tenant, wait)
                 .await;
-            if let Some(answer) = read {
+            if let Some(answer) = forwarded {
                 return answer;
             }
             log::info!(job, partition;
@@ -243,9 +243,9 @@
         let held = call
             .job()
             .is_some_and(|(job, _)| self.leases.holds(self.replay.partition_of(job)));
-        let reads = owners::requests_reader_answer(headers)
+        let answers_as_reader = owners::requests_reader_answer(headers)
             && !self.dispatcher.job_regions.excludes_this_gateway();
-        if held || reads {
+        if held || answers_as_reader {
             self.answer_locally(call).await
         } else {
             plain(StatusCode::MISDIRECTED_REQUEST, "it does not run here")
