--- a/crates/swiftshunt-gateway/src/messages/slots.rs
+++ b/crates/swiftshunt-gateway/src/messages/slots.rs
@@ -27,7 +27,7 @@
     Ask {
         /// Identifies the question in the answer.
         ask: u64,
-        /// The cell that the report is about.
+        /// The cell from which a worker is requested, and which the report is about.
         cell: Cell,
         /// The slots that the sender holds, and its waiting items.
         report: SlotReport,
@@ -85,7 +85,8 @@
     pub(crate) tokens: u64,
     /// Whether the request may be assigned a worker at which it has to wait for a slot.
     pub(crate) may_wait: bool,
-    /// Time within which the request must get a slot to meet its deadline; `None` if it has none.
+    /// Time within which the request must get a slot: for online requests the time left to the route's objective, zero
+    /// for late ones. `None` allows any slot, however late.
     pub(crate) in_time: Option<Duration>,
     /// Whether the request may be sent to another worker if the first one fails while running it.
     pub(crate) may_repeat: bool,
--- a/crates/swiftshunt-gateway/src/quarantine/probe.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/probe.rs
@@ -27,8 +27,8 @@
 const MAX_WITNESSES: usize = 2;
 
 impl Quarantine {
-    /// Returns what other gateways see of a worker that refuses connections from here. Without other gateways to ask,
-    /// returns [`Sight::Refuses`].
+    /// Asks other gateways to probe a worker that refuses connections from here, and returns the first result. Without
+    /// other gateways to ask, returns [`Sight::Refuses`].
     pub(super) async fn ask_witnesses(&self, chosen: &ChosenWorker) -> Sight {
         let witnesses = self.witnesses(&chosen.zone);
         if witnesses.is_empty() {
@@ -86,7 +86,7 @@
     pub(super) fn deliver_probe_result(&self, ask: u64, sight: Sight) {
         let asked = lock(&self.pending_probes).get(&ask).cloned();
         if asked.is_none_or(|asked| asked.send(sight).is_err()) {
-            log::debug!(ask, sight:? = sight; "a probe's result arrived after the wait for it ended");
+            log::debug!(ask, sight:? = sight; "a probe's result arrived after the wait for it ended; ignoring it");
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -74,7 +74,7 @@
         let mut records = lock(&self.records);
         if records.len() >= MAX_PENDING_RECORDS {
             log::warn!(fingerprint:% = end_key.fingerprint;
-                "too many records wait for the log; not recording an end of a worker");
+                "too many records wait for the log; dropping a new record");
             return;
         }
         records.insert(end_key, end);
--- a/crates/swiftshunt-gateway/src/quarantine/worker_ends.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/worker_ends.rs
@@ -41,13 +41,13 @@
 pub(super) enum Check {
     /// The check is running; the value holds the ends to record if the worker has ended.
     UnderWay(Vec<(Fingerprint, WorkerEnd)>),
-    /// The worker refused connections, as found at this time.
+    /// The worker refused connections; the value is the time at which the check finished.
     Ended(Duration),
 }
 
 impl Quarantine {
     /// Starts a check of a worker at which a request broke off, if none is running and no recent one found it ended. The
-    /// request was sent the time `ago` before. Does nothing if the cause seems to be this gateway.
+    /// request was sent `ago` before this call. Does nothing if the cause seems to be this gateway.
     pub(crate) fn check_after_break(
         self: &Arc<Self>,
         request_content: &RequestContent,
--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -1,7 +1,7 @@
 //! The buckets of the tenants whose counter is this gateway, and the check that it may act as their counter.
 //!
 //! The first gateway in a tenant's order is its counter. If that gateway is gone, the next one takes over, but
-//! only after it has found so by its own probes: two counters together would admit twice the limit.
+//! only after its own probes were not answered: two counters together would admit twice the limit.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -28,8 +28,8 @@
 
 /// Pause before the next credit request to a gateway that does not know yet whether it is the counter.
 const NOT_YET_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Longest time for which a request waits for a counter. It covers the time until the first gateway in order is
-/// found to be gone and the next one has found the same.
+/// Longest time for which a request waits for a counter. It covers the time in which this gateway, and then the
+/// next gateway in order, find that the first gateway in order is gone.
 const MAX_COUNTER_WAIT: Duration = Duration::from_millis(240);
 /// Number of gateways in a tenant's order that may be its counter.
 const MAX_COUNTER_CANDIDATES: usize = 3;
--- a/crates/swiftshunt-gateway/src/rates/reachability.rs
+++ b/crates/swiftshunt-gateway/src/rates/reachability.rs
@@ -30,7 +30,7 @@
     /// The gateways that did not answer.
     pub(super) silent: Vec<SocketAddr>,
     /// Whether at least half of all gateways are silent. With that bound at most one side of a network partition
-    /// counts, even if both are equal.
+    /// grants credits, even if both sides are equally large.
     pub(super) is_cut_off: bool,
 }
 
--- a/crates/swiftshunt-gateway/src/slots/cross_region.rs
+++ b/crates/swiftshunt-gateway/src/slots/cross_region.rs
@@ -117,7 +117,8 @@
         lock(&self.remote_capacity).record_free_slots(cell, free, now);
     }
 
-    /// Returns a cell of another region with room for a request that found the given own cell full.
+    /// Reserves a slot in a cell of another region for a request that the given full cell cannot place, and returns that
+    /// cell. Returns `None` if regions are not configured or no such cell has room.
     pub(super) fn overflow_cell(&self, full: &Cell) -> Option<Cell> {
         full.region.as_ref()?;
         let now = self.clock.now();
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -82,7 +82,7 @@
 
 /// Slot placement for the services that have batch items, both as a client of slot owners and as an owner.
 pub(crate) struct Slots {
-    /// Random number that tells reports of this process from those of earlier ones at its address.
+    /// Random number that distinguishes reports of this process from those of earlier processes at its address.
     life: u64,
     members: Arc<Members>,
     datagrams: Arc<Datagrams>,
@@ -116,7 +116,8 @@
     pub(crate) tried: &'r [String],
     /// Whether the request may be sent to another worker if the first one fails while running it.
     pub(crate) may_repeat: bool,
-    /// Time within which the request must get a slot to meet its deadline; `None` if it has none.
+    /// Time within which the request must get a slot: for online requests the time left to the route's objective, zero
+    /// for late ones. `None` allows any slot, however late.
     pub(crate) in_time: Option<Duration>,
 }
 
@@ -175,8 +176,9 @@
         let mut other_cells_left = MAX_OTHER_CELLS;
         let mut may_retry_next_owner = true;
         let mut crossing = RegionCrossing::default();
-        // With several regions, the owner of a full cell names a cell of another region that has room,
-        // so at least one owner is asked even if all cells were full a moment ago.
+        // With several regions, the owner of a full cell names a cell of another region that has room. That cell
+        // bounds the wait that the last slot request allows, so another slot request precedes the last one even if
+        // all cells were full a moment ago.
         let mut has_asked_an_owner = !self.members.topology().spans_regions();
         loop {
             let Some(offer) = self.offer(service, demand, tried, &full) else {
@@ -234,7 +236,7 @@
                     has_asked_an_owner = true;
                     other_cells_left -= 1;
                 }
-                // After the timeout the owner counts as gone, and the cell has a new owner.
+                // The cell has a new owner, since this gateway suspects the earlier one after the timeout.
                 None if may_retry_next_owner && self.members.owner(&cell) != owner => {
                     may_retry_next_owner = false;
                 }
--- a/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/counting.rs
@@ -306,7 +306,7 @@
         Ok(())
     }
 
-    /// Checks on a gateway that has taken over a limit, if there is one. Takes the limit back if that gateway does
+    /// Asks another gateway that has taken over a limit about an empty job. Takes the limit back if that gateway does
     /// not answer as the counter, since it may be cut off from all others; otherwise drops the own counter.
     async fn reclaim_if_unanswered(&self, due_work: &DueWork) -> Result<(), LogError> {
         let known = self.registers.cached(&due_work.allowance);
--- a/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/mod.rs
@@ -166,7 +166,7 @@
             WaitingMessage::Decided { ask, verdict } => {
                 let asked = lock(&self.pending_asks).remove(&ask);
                 if asked.is_some_and(|asked| asked.send(verdict).is_err()) {
-                    log::debug!(ask; "the counter of a limit answered for a job that no longer waits");
+                    log::debug!(ask; "the counter of a limit answered for a job that no longer waits; ignoring the answer");
                 }
             }
             WaitingMessage::Recorded { allowance, job } => self.apply_recorded(&allowance, &job),
@@ -210,7 +210,7 @@
     }
 
     /// Answers a gateway of an earlier build, which considers this gateway the counter. The answer always reports the
-    /// limit as used up, since an earlier build admits by the reported rest while it gets no answer.
+    /// limit as used up, since an earlier build that gets no answer admits jobs up to the rest that was last reported.
     async fn answer_earlier_build(self: Arc<Self>, ask: u64, job: LimitedJob, from: SocketAddr) {
         let answer = WaitingMessage::Answer {
             ask,
