--- a/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/mod.rs
@@ -42,7 +42,7 @@
 
 fn encoded(value: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("a value that CBOR can encode");
+    ciborium::into_writer(value, &mut bytes).expect("cannot encode the value as CBOR");
     bytes
 }
 
@@ -51,7 +51,10 @@
 }
 
 fn decode_hex(digits: &str) -> Vec<u8> {
-    let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("hexadecimal digits");
+    let byte = |at| {
+        u8::from_str_radix(&digits[at..at + 2], 16)
+            .expect("the entry has a character that is no hexadecimal digit")
+    };
     (0..digits.len()).step_by(2).map(byte).collect()
 }
 
@@ -166,7 +169,7 @@
         let value = entry(&format!("frame-{index}"));
         let logical = assembly
             .add_frame::<JobRecord>(key, &value)
-            .expect("a readable frame");
+            .expect("cannot decode the frame of an earlier build");
         let is_last = index + 1 == count;
         assert_eq!(logical.is_some(), is_last, "frame {index}");
         if let Some(logical) = logical {
@@ -187,7 +190,7 @@
 #[test]
 fn settings_file_of_an_earlier_build_is_read() {
     let settings = crate::GatewaySettings::parse("77ba4fc.toml", SETTINGS)
-        .expect("settings of the earlier build");
+        .expect("cannot parse the settings of the earlier build");
     assert_eq!(settings.name, "gateway-0");
     assert_eq!(settings.zone, "zone-a");
     assert!(settings.zones.is_empty());
@@ -197,15 +200,15 @@
 
 #[test]
 fn unknown_message_kinds_are_rejected_and_unknown_fields_ignored() {
-    let unknown = cbor!({ "Later" => { "what" => 1 } }).expect("a CBOR value");
+    let unknown = cbor!({ "Later" => { "what" => 1 } }).expect("cannot build the CBOR value");
     let unknown = encoded(&unknown);
     assert!(ciborium::from_reader::<Notice, _>(unknown.as_slice()).is_err());
     let more = cbor!({ "Reading" => {
         "worker" => "engine-1", "missing" => 250, "parts" => [], "later" => 1
     } });
-    let more = encoded(&more.expect("a CBOR value"));
-    let read: Notice =
-        ciborium::from_reader(more.as_slice()).expect("a notice with an unknown field");
+    let more = encoded(&more.expect("cannot build the CBOR value"));
+    let read: Notice = ciborium::from_reader(more.as_slice())
+        .expect("cannot decode a notice with an unknown field");
     let expected = Notice::Reading {
         worker: "engine-1".to_owned(),
         missing: 250,
--- a/crates/swiftshunt-gateway/src/earlier_builds/values.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/values.rs
@@ -442,7 +442,8 @@
 }
 
 pub(super) fn framed() -> Vec<(Vec<u8>, Bytes)> {
-    frames("job-1", NONCE, &accepted(Some(tenant())), FRAME_BYTES).expect("frames")
+    frames("job-1", NONCE, &accepted(Some(tenant())), FRAME_BYTES)
+        .expect("cannot split the record into frames")
 }
 
 /// The name of a gateway process as a member of a group that shares partitions.
--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -233,7 +233,8 @@
     #[test]
     fn a_record_of_an_earlier_build_is_read_and_its_key_written_unchanged() {
         let (key, value) = (entry("quarantine-key"), entry("quarantine-value"));
-        let (fingerprint, end) = decode_record(&key, &value).expect("a readable record");
+        let (fingerprint, end) =
+            decode_record(&key, &value).expect("cannot decode the record of an earlier build");
         assert_eq!(end.worker, WorkerKey(9));
         assert_eq!(end.sent_unix_ms, 1_700_000_000_000);
         assert_eq!(end.ended_unix_ms, 1_700_000_000_250);
--- a/crates/swiftshunt-gateway/src/slots/reporting.rs
+++ b/crates/swiftshunt-gateway/src/slots/reporting.rs
@@ -21,7 +21,7 @@
 /// Time without a message from an owner, while something is held or waits in its cell, after which a
 /// report probes the owner.
 const OWNER_PROBE_DELAY: Duration = Duration::from_millis(350);
-/// Time without an answer to a probe after which the owner counts as gone. The report in between
+/// Time without an answer to a probe after which the owner is suspected to be gone. The report in between
 /// repeats the probe once.
 const OWNER_PROBE_TIMEOUT: Duration = Duration::from_millis(650);
 
@@ -29,7 +29,8 @@
 pub(super) struct LastReport {
     owner: SocketAddr,
     at: Duration,
-    /// Time of the first probe since the owner was last heard; `None` if there was none.
+    /// Time of the first of the latest consecutive probes, which are answered if the owner was heard since. `None` if
+    /// the owner was not probed.
     probed_at: Option<Duration>,
     report: SlotReport,
     /// The highest number of an assignment from this owner that is recorded here.
@@ -48,7 +49,7 @@
     Report,
     /// Send a report that the owner must answer.
     ReportAndProbe,
-    /// Send nothing and mark the owner as gone: it did not answer the probes.
+    /// Send nothing and mark the owner as suspected: it did not answer the probes.
     OwnerGone,
 }
 
--- a/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/registers.rs
@@ -296,7 +296,8 @@
     /// Encodes a register as a record, decodes the record and applies it. Returns the record's key.
     fn encode_and_apply(partition: &mut PartitionState, register: &Register) -> Vec<u8> {
         let (key, value) = record(&name(), register);
-        let (name, register) = decode_record(&key, &value).expect("a valid record of a register");
+        let (name, register) =
+            decode_record(&key, &value).expect("cannot decode the record of a register");
         partition.apply_register(name, register, key.clone());
         key
     }
--- a/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
+++ b/crates/swiftshunt-gateway/src/waiting_limits/reservation.rs
@@ -71,7 +71,7 @@
         }
         log::info!(job = job.job.as_str(), route = job.allowance.route.as_str(), tokens = job.tokens,
             limit = job.limit, settles_in_ms = settles_in.as_millis() as u64;
-            "no decision in time whether a job fits into the limit of waiting tokens");
+            "no decision in time whether a job fits into the limit of waiting tokens; reporting it as undecided");
         self.metrics.record_limit_decision(Basis::Nothing, false);
         ReservationOutcome::Undecided(settles_in)
     }
@@ -130,7 +130,9 @@
             Some(JobVerdict::NotCounter) => true,
             Some(verdict) => return Ok(Some(verdict)),
             None => {
-                let before = missed.take().filter(|(life, _)| *life == register.counter);
+                let before = missed
+                    .take()
+                    .filter(|(counter, _)| *counter == register.counter);
                 let misses = before.map_or(0, |(_, misses)| misses) + 1;
                 *missed = Some((register.counter.clone(), misses));
                 misses >= MAX_MISSED_ANSWERS
