--- a/crates/swiftshunt-gateway/src/quarantine/records.rs
+++ b/crates/swiftshunt-gateway/src/quarantine/records.rs
@@ -74,7 +74,7 @@
         let mut records = lock(&self.records);
         if records.len() >= MAX_PENDING_RECORDS {
             log::warn!(fingerprint:% = end_key.fingerprint;
-                "too many records wait for the log; not recording an end of a worker");
+                "too many records wait for the log; dropping a new record");
             return;
         }
         records.insert(end_key, end);
@@ -233,7 +233,8 @@
     #[test]
     fn a_record_of_an_earlier_build_is_read_and_its_key_written_unchanged() {
         let (key, value) = (entry("quarantine-key"), entry("quarantine-value"));
-        let (fingerprint, end) = decode_record(&key, &value).expect("a readable record");
+        let (fingerprint, end) =
+            decode_record(&key, &value).expect("cannot decode the record of an earlier build");
         assert_eq!(end.worker, WorkerKey(9));
         assert_eq!(end.sent_unix_ms, 1_700_000_000_000);
         assert_eq!(end.ended_unix_ms, 1_700_000_000_250);
