--- a/crates/swiftshunt/src/evacuation.rs
+++ b/crates/swiftshunt/src/evacuation.rs
@@ -42,7 +42,9 @@
             }
             ExitCode::SUCCESS
         }
-        WriteOutcome::Refused => fail(EXIT_REFUSED, "the log refused the write: nothing has changed",
+        WriteOutcome::Refused => fail(
+            EXIT_REFUSED,
+            "the log refused the write: nothing has changed",
         ),
         WriteOutcome::Unknown => fail(
             EXIT_UNREACHABLE,
