--- a/crates/swiftshunt-backends/src/submission.rs
+++ b/crates/swiftshunt-backends/src/submission.rs
@@ -63,8 +63,8 @@
 
 /// The protocol of submission workers.
 pub trait SubmissionWorker: Send + Sync {
-    /// Performs the submission `body` under `key`. A worker that has already executed the key repeats its
-    /// response.
+    /// Performs the submission `body` under `key`. A worker that remembers an execution of the key repeats its
+    /// response; one that does not remember it executes the submission again.
     fn perform<'a>(
         &'a self,
         worker: SocketAddr,
--- a/crates/swiftshunt-types/src/digest.rs
+++ b/crates/swiftshunt-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Content digests, which compare request bodies and store bearer tokens.
+//! Content digests: request bodies are compared by them, and bearer tokens are stored as them.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
