--- a/crates/swiftshunt-ledger/src/archive.rs
+++ b/crates/swiftshunt-ledger/src/archive.rs
@@ -48,7 +48,7 @@
 
 /// What one record did at replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Replayed {
+pub enum RecordEffect {
     /// A new generation is in force.
     Claimed,
     /// Entries after the given position are archived.
@@ -77,7 +77,7 @@
 
 impl ArchivePosition {
     /// Judges the next record of the stream.
-    pub fn advance(&mut self, record: &ArchiveRecord) -> Replayed {
+    pub fn advance(&mut self, record: &ArchiveRecord) -> RecordEffect {
         self.next_offset += 1;
         match record {
             ArchiveRecord::Claim {
@@ -91,17 +91,17 @@
         }
     }
 
-    fn claim(&mut self, generation: Generation, members: &[ClaimedMember]) -> Replayed {
+    fn claim(&mut self, generation: Generation, members: &[ClaimedMember]) -> RecordEffect {
         if generation != self.generation + 1 || members.is_empty() {
-            return Replayed::Ignored;
+            return RecordEffect::Ignored;
         }
         self.generation = generation;
         self.members = members.to_vec();
         self.base = self.last;
-        Replayed::Claimed
+        RecordEffect::Claimed
     }
 
-    fn entries(&mut self, generation: Generation, entries: &[Entry<Command>]) -> Replayed {
+    fn entries(&mut self, generation: Generation, entries: &[Entry<Command>]) -> RecordEffect {
         let after = self.last;
         if generation == self.generation {
             for entry in entries {
@@ -111,9 +111,9 @@
             }
         }
         if self.last == after {
-            return Replayed::Ignored;
+            return RecordEffect::Ignored;
         }
-        Replayed::Archived { after }
+        RecordEffect::Archived { after }
     }
 }
 
@@ -134,11 +134,11 @@
     /// Applies the next record of the stream.
     pub fn apply(&mut self, record: &ArchiveRecord) {
         match (self.position.advance(record), record) {
-            (Replayed::Claimed, _) => {
+            (RecordEffect::Claimed, _) => {
                 self.base_state = self.state.clone();
                 self.base_offset = self.position.next_offset;
             }
-            (Replayed::Archived { after }, ArchiveRecord::Entries { entries, .. }) => {
+            (RecordEffect::Archived { after }, ArchiveRecord::Entries { entries, .. }) => {
                 self.apply_entries(after, entries);
             }
             _ => {}
--- a/crates/swiftshunt-ledger/src/config.rs
+++ b/crates/swiftshunt-ledger/src/config.rs
@@ -58,31 +58,31 @@
 }
 
 /// An election must outlast several lost heartbeats.
-const MINIMUM_HEARTBEATS_PER_ELECTION: u32 = 3;
+const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
 /// A rebuild must be far above any election.
-const MINIMUM_ELECTIONS_PER_REBUILD: u32 = 5;
+const MIN_ELECTIONS_PER_REBUILD: u32 = 5;
 
 impl LedgerConfig {
     /// Refuses settings under which the protocol's guarantees or its liveness would be lost.
     pub fn validate(&self) -> Result<(), LedgerConfigError> {
-        let refuse = |field, reason| Err(LedgerConfigError { field, reason });
+        let error = |field, reason| Err(LedgerConfigError { field, reason });
         if self.partitions == 0 {
-            return refuse("partitions", "must be at least 1");
+            return error("partitions", "must be at least 1");
         }
         if self.replicas.is_multiple_of(2) {
-            return refuse("replicas", "must be odd");
+            return error("replicas", "must be odd");
         }
         if self.heartbeat_interval.is_zero() {
-            return refuse("heartbeat_interval", "must be above zero");
+            return error("heartbeat_interval", "must be above zero");
         }
-        if self.election_timeout < self.heartbeat_interval * MINIMUM_HEARTBEATS_PER_ELECTION {
-            return refuse("election_timeout", "must be at least 3 heartbeat intervals");
+        if self.election_timeout < self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION {
+            return error("election_timeout", "must be at least 3 heartbeat intervals");
         }
-        if self.rebuild_delay < self.election_timeout * MINIMUM_ELECTIONS_PER_REBUILD {
-            return refuse("rebuild_delay", "must be at least 5 election timeouts");
+        if self.rebuild_delay < self.election_timeout * MIN_ELECTIONS_PER_REBUILD {
+            return error("rebuild_delay", "must be at least 5 election timeouts");
         }
         if self.archive_wait.is_zero() {
-            return refuse("archive_wait", "must be above zero");
+            return error("archive_wait", "must be above zero");
         }
         Ok(())
     }
--- a/crates/swiftshunt-ledger/src/raft/election.rs
+++ b/crates/swiftshunt-ledger/src/raft/election.rs
@@ -30,7 +30,7 @@
         self.count_pre_votes(now);
     }
 
-    fn start_election(&mut self, handed_over: bool, now: Monotonic) {
+    fn start_election(&mut self, is_leadership_transfer: bool, now: Monotonic) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
@@ -40,7 +40,7 @@
         let message = Message::Vote {
             term: self.term,
             last: self.log.last(),
-            handed_over,
+            is_leadership_transfer,
         };
         self.send_to_other_voters(&message);
         self.count_votes(now);
@@ -63,8 +63,8 @@
         if self.role == Role::Leader {
             return self.lease_end().is_some_and(|end| now < end);
         }
-        self.heard_leader_at
-            .is_some_and(|heard| now < heard + self.settings.election_timeout)
+        self.last_leader_contact
+            .is_some_and(|last_contact| now < last_contact + self.settings.election_timeout)
     }
 
     pub(super) fn on_pre_vote(
@@ -107,10 +107,10 @@
         from: NodeId,
         term: Term,
         last: LogPosition,
-        handed_over: bool,
+        is_leadership_transfer: bool,
         now: Monotonic,
     ) {
-        let refused_by_lease = !handed_over && self.in_leader_lease(now);
+        let refused_by_lease = !is_leadership_transfer && self.in_leader_lease(now);
         if term > self.term && !refused_by_lease {
             self.step_down(term, now);
         }
@@ -153,10 +153,10 @@
     fn become_leader(&mut self, now: Monotonic) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.leading_since = now;
-        self.hand_over = None;
+        self.leader_since = now;
+        self.leadership_transfer = None;
         self.progress.clear();
-        self.append_own(Payload::Noop, now);
+        self.append_as_leader(Payload::Noop, now);
     }
 
     pub(super) fn on_timeout_now(&mut self, term: Term, now: Monotonic) {
@@ -174,7 +174,7 @@
         }
         self.role = Role::Follower;
         self.leader = None;
-        self.hand_over = None;
+        self.leadership_transfer = None;
         self.progress.clear();
         self.reset_election_timer(now);
     }
@@ -205,7 +205,7 @@
             self.step_down(term, now);
         }
         self.leader = Some(from);
-        self.heard_leader_at = Some(now);
+        self.last_leader_contact = Some(now);
         self.reset_election_timer(now);
         true
     }
--- a/crates/swiftshunt-ledger/src/raft/log.rs
+++ b/crates/swiftshunt-ledger/src/raft/log.rs
@@ -157,7 +157,7 @@
         }
     }
 
-    pub(super) fn held(&self) -> usize {
+    pub(super) fn entry_count(&self) -> usize {
         self.entries.len()
     }
 }
--- a/crates/swiftshunt-ledger/src/raft/messages.rs
+++ b/crates/swiftshunt-ledger/src/raft/messages.rs
@@ -56,7 +56,8 @@
         /// The candidate's newest entry.
         last: LogPosition,
         /// Set when the leader handed over: its lease then does not stand in the way.
-        handed_over: bool,
+        #[serde(rename = "handed_over")]
+        is_leadership_transfer: bool,
     },
     /// Answer to [`Message::Vote`].
     VoteReply {
--- a/crates/swiftshunt-ledger/src/raft/node.rs
+++ b/crates/swiftshunt-ledger/src/raft/node.rs
@@ -67,14 +67,14 @@
 
 /// A leader's attempt to hand over.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct HandOver {
+pub(super) struct LeadershipTransfer {
     /// Who is to lead next.
     pub(super) target: NodeId,
     /// When the attempt ends.
-    pub(super) gives_up_at: Monotonic,
+    pub(super) deadline: Monotonic,
     /// Whether the target was told. It is told only once its log is complete: before that it could
     /// not win, and the leader would lose its leadership to nobody.
-    pub(super) offered: bool,
+    pub(super) timeout_now_sent: bool,
 }
 
 /// One replica of a group.
@@ -93,12 +93,12 @@
     pub(super) applied: Index,
     pub(super) archived: ArchiveMark,
     pub(super) state: M,
-    pub(super) heard_leader_at: Option<Monotonic>,
+    pub(super) last_leader_contact: Option<Monotonic>,
     pub(super) election_due: Monotonic,
     pub(super) heartbeat_due: Monotonic,
-    pub(super) leading_since: Monotonic,
+    pub(super) leader_since: Monotonic,
     pub(super) votes: BTreeSet<NodeId>,
-    pub(super) hand_over: Option<HandOver>,
+    pub(super) leadership_transfer: Option<LeadershipTransfer>,
     pub(super) progress: BTreeMap<NodeId, Progress>,
     pub(super) outbox: Vec<Envelope<M>>,
     pub(super) random: Box<dyn RngCore + Send>,
@@ -126,12 +126,12 @@
             applied: base.index,
             archived: start.archived,
             state: start.state,
-            heard_leader_at: None,
+            last_leader_contact: None,
             election_due: now,
             heartbeat_due: now,
-            leading_since: now,
+            leader_since: now,
             votes: BTreeSet::new(),
-            hand_over: None,
+            leadership_transfer: None,
             progress: BTreeMap::new(),
             outbox: Vec::new(),
             random,
@@ -159,8 +159,8 @@
             Message::Vote {
                 term,
                 last,
-                handed_over,
-            } => self.on_vote(from, term, last, handed_over, now),
+                is_leadership_transfer,
+            } => self.on_vote(from, term, last, is_leadership_transfer, now),
             Message::VoteReply { term, granted } => self.on_vote_reply(from, term, granted, now),
             Message::Append {
                 term,
@@ -200,8 +200,8 @@
         command: M::Command,
         now: Monotonic,
     ) -> Result<LogPosition, ProposeError> {
-        self.check_may_propose()?;
-        Ok(self.append_own(Payload::Command(command), now))
+        self.ensure_may_propose()?;
+        Ok(self.append_as_leader(Payload::Command(command), now))
     }
 
     /// Appends a change of members, in force at once.
@@ -210,21 +210,21 @@
         configuration: GroupConfiguration,
         now: Monotonic,
     ) -> Result<LogPosition, ProposeError> {
-        self.check_may_propose()?;
-        let opened = self.log.term_at(self.commit) == Some(self.term);
-        if !opened || self.log.configuration_index() > self.commit {
+        self.ensure_may_propose()?;
+        let has_committed_in_term = self.log.term_at(self.commit) == Some(self.term);
+        if !has_committed_in_term || self.log.configuration_index() > self.commit {
             return Err(ProposeError::ChangeInProgress);
         }
         if !self.configuration().is_single_step_to(&configuration) {
             return Err(ProposeError::NotSingleStep);
         }
-        Ok(self.append_own(Payload::Configuration(configuration), now))
+        Ok(self.append_as_leader(Payload::Configuration(configuration), now))
     }
 
     /// Hands leadership to the voter that is furthest along. Proposals are refused until the hand-over
     /// succeeds or is given up.
-    pub fn hand_over(&mut self, now: Monotonic) {
-        if self.role != Role::Leader || self.hand_over.is_some() {
+    pub fn transfer_leadership(&mut self, now: Monotonic) {
+        if self.role != Role::Leader || self.leadership_transfer.is_some() {
             return;
         }
         let voters = self.configuration().voters.iter();
@@ -233,12 +233,12 @@
             .max_by_key(|id| self.matched(**id))
             .copied();
         if let Some(target) = target {
-            self.hand_over = Some(HandOver {
+            self.leadership_transfer = Some(LeadershipTransfer {
                 target,
-                gives_up_at: now + self.settings.election_timeout * 2,
-                offered: false,
+                deadline: now + self.settings.election_timeout * 2,
+                timeout_now_sent: false,
             });
-            self.advance_hand_over(now);
+            self.advance_leadership_transfer(now);
         }
     }
 
@@ -280,7 +280,7 @@
     /// Drops entries that are applied, archived and further back than the retained window.
     fn compact(&mut self) {
         let window = self.settings.retained_entries;
-        if self.log.held() < window * 2 {
+        if self.log.entry_count() < window * 2 {
             return;
         }
         let kept = self.applied.saturating_sub(window as u64);
@@ -313,8 +313,8 @@
     }
 
     /// When a leader was last heard, on this replica's clock.
-    pub fn heard_leader_at(&self) -> Option<Monotonic> {
-        self.heard_leader_at
+    pub fn last_leader_contact(&self) -> Option<Monotonic> {
+        self.last_leader_contact
     }
 
     /// The highest applied index.
@@ -369,19 +369,21 @@
     /// have been elected before now.
     pub fn holds_lease(&self, now: Monotonic) -> bool {
         self.role == Role::Leader
-            && self.hand_over.is_none_or(|hand_over| !hand_over.offered)
+            && self
+                .leadership_transfer
+                .is_none_or(|leadership_transfer| !leadership_transfer.timeout_now_sent)
             && self.log.term_at(self.commit) == Some(self.term)
             && self.lease_end().is_some_and(|end| now < end)
     }
 
-    fn check_may_propose(&self) -> Result<(), ProposeError> {
-        if self.role != Role::Leader || self.hand_over.is_some() {
+    fn ensure_may_propose(&self) -> Result<(), ProposeError> {
+        if self.role != Role::Leader || self.leadership_transfer.is_some() {
             return Err(ProposeError::NotLeader);
         }
         Ok(())
     }
 
-    pub(super) fn append_own(
+    pub(super) fn append_as_leader(
         &mut self,
         payload: Payload<M::Command>,
         now: Monotonic,
--- a/crates/swiftshunt-ledger/src/raft/progress.rs
+++ b/crates/swiftshunt-ledger/src/raft/progress.rs
@@ -12,7 +12,7 @@
     /// Highest index known to be the same.
     pub(super) matched: Index,
     /// When the message last answered was sent, on the leader's clock.
-    pub(super) acknowledged_send: Option<Monotonic>,
+    pub(super) last_acknowledged_send: Option<Monotonic>,
     /// When an unanswered message was sent; one is outstanding at a time, so entries batch up.
     pub(super) in_flight_since: Option<Monotonic>,
 }
@@ -22,7 +22,7 @@
         Self {
             next,
             matched: 0,
-            acknowledged_send: None,
+            last_acknowledged_send: None,
             in_flight_since: None,
         }
     }
--- a/crates/swiftshunt-ledger/src/raft/replication.rs
+++ b/crates/swiftshunt-ledger/src/raft/replication.rs
@@ -2,7 +2,7 @@
 
 use swiftshunt_types::{Monotonic, NodeId};
 
-use super::node::HandOver;
+use super::node::LeadershipTransfer;
 use super::progress::Progress;
 use super::{
     AppendOutcome, ArchiveMark, Entry, Index, LogPosition, Message, Raft, Role, Snapshot,
@@ -10,9 +10,9 @@
 };
 
 /// Entries in one message.
-const MAXIMUM_ENTRIES_PER_APPEND: usize = 256;
+const MAX_ENTRIES_PER_APPEND: usize = 256;
 /// A message that is not answered within this many heartbeats is sent again.
-const RESEND_AFTER_HEARTBEATS: u32 = 4;
+const RESEND_TIMEOUT_HEARTBEATS: u32 = 4;
 
 impl<M: StateMachine> Raft<M> {
     pub(super) fn tick_leader(&mut self, now: Monotonic) {
@@ -20,7 +20,7 @@
             self.step_down(self.term, now);
             return;
         }
-        self.advance_hand_over(now);
+        self.advance_leadership_transfer(now);
         if self.role != Role::Leader {
             return;
         }
@@ -33,23 +33,28 @@
     }
 
     /// Offers leadership once the target's log is complete, and ends an attempt that took too long.
-    pub(super) fn advance_hand_over(&mut self, now: Monotonic) {
-        let Some(hand_over) = self.hand_over else {
+    pub(super) fn advance_leadership_transfer(&mut self, now: Monotonic) {
+        let Some(leadership_transfer) = self.leadership_transfer else {
             return;
         };
-        if now >= hand_over.gives_up_at {
+        if now >= leadership_transfer.deadline {
             // An offer may still arrive late and override leases, so leadership that was offered is
             // never taken back within the term.
-            if hand_over.offered {
+            if leadership_transfer.timeout_now_sent {
                 self.step_down(self.term, now);
             }
-            self.hand_over = None;
-        } else if !hand_over.offered && self.matched(hand_over.target) == self.log.last().index {
-            self.hand_over = Some(HandOver {
-                offered: true,
-                ..hand_over
+            self.leadership_transfer = None;
+        } else if !leadership_transfer.timeout_now_sent
+            && self.matched(leadership_transfer.target) == self.log.last().index
+        {
+            self.leadership_transfer = Some(LeadershipTransfer {
+                timeout_now_sent: true,
+                ..leadership_transfer
             });
-            self.send(hand_over.target, Message::TimeoutNow { term: self.term });
+            self.send(
+                leadership_transfer.target,
+                Message::TimeoutNow { term: self.term },
+            );
         }
     }
 
@@ -62,8 +67,8 @@
     /// Check-quorum: a leader that a majority has not answered for an election timeout steps down.
     fn has_recent_quorum(&self, now: Monotonic) -> bool {
         let grace = self.settings.election_timeout * 2;
-        let heard = self.quorum_send_time(now).unwrap_or(self.leading_since);
-        now < heard.max(self.leading_since) + grace
+        let last_contact = self.quorum_send_time(now).unwrap_or(self.leader_since);
+        now < last_contact.max(self.leader_since) + grace
     }
 
     /// The latest time such that a majority answered messages sent at or after it.
@@ -72,7 +77,7 @@
             if id == self.id {
                 return Some(now);
             }
-            self.progress.get(&id)?.acknowledged_send
+            self.progress.get(&id)?.last_acknowledged_send
         })
     }
 
@@ -109,14 +114,14 @@
 
     fn send_append(&mut self, to: NodeId, now: Monotonic) {
         let next_index = self.log.last().index + 1;
-        let resend_after = self.settings.heartbeat_interval * RESEND_AFTER_HEARTBEATS;
+        let resend_timeout = self.settings.heartbeat_interval * RESEND_TIMEOUT_HEARTBEATS;
         let progress = self
             .progress
             .entry(to)
             .or_insert_with(|| Progress::starting_at(next_index));
         let outstanding = progress
             .in_flight_since
-            .is_some_and(|since| now < since + resend_after);
+            .is_some_and(|since| now < since + resend_timeout);
         if !outstanding {
             progress.in_flight_since = Some(now);
         }
@@ -138,7 +143,7 @@
         let limit = if heartbeat_only {
             0
         } else {
-            MAXIMUM_ENTRIES_PER_APPEND
+            MAX_ENTRIES_PER_APPEND
         };
         Message::Append {
             term: self.term,
@@ -221,12 +226,12 @@
         let mut matched = previous.index;
         for entry in entries {
             matched = entry.position.index;
-            self.append_one(entry);
+            self.append_entry(entry);
         }
         AppendOutcome::Matched(matched)
     }
 
-    fn append_one(&mut self, entry: Entry<M::Command>) {
+    fn append_entry(&mut self, entry: Entry<M::Command>) {
         let index = entry.position.index;
         if index <= self.log.base_index() {
             return;
@@ -280,8 +285,8 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        let acknowledged = progress.acknowledged_send.unwrap_or_default();
-        progress.acknowledged_send = Some(acknowledged.max(sent_at));
+        let acknowledged = progress.last_acknowledged_send.unwrap_or_default();
+        progress.last_acknowledged_send = Some(acknowledged.max(sent_at));
         if progress.in_flight_since == Some(sent_at) {
             progress.in_flight_since = None;
         }
@@ -296,7 +301,7 @@
         }
         let behind = progress.next <= last && progress.in_flight_since.is_none();
         self.advance_commit(now);
-        self.advance_hand_over(now);
+        self.advance_leadership_transfer(now);
         if behind && self.role == Role::Leader {
             self.send_append(from, now);
         }
@@ -316,12 +321,12 @@
         };
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
             self.commit = index;
-            self.retire_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
     /// A leader that a committed change removed leads no longer.
-    fn retire_if_removed(&mut self, now: Monotonic) {
+    fn step_down_if_removed(&mut self, now: Monotonic) {
         let committed = self.log.configuration_index() <= self.commit;
         if committed && !self.configuration().voters.contains(&self.id) {
             for to in self.followers() {
--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -45,47 +45,51 @@
 
 /// What a leader should do next about the group's members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ReplacementStep {
     /// Propose these members; at most one voter differs.
     Change(GroupConfiguration),
     /// Hand leadership over: this replica itself has been replaced.
-    HandOver,
+    LeadershipTransfer,
 }
 
 /// The next step, if any is needed.
-pub fn next_step(view: &ReplacementView<'_>) -> Option<Step> {
-    drop_lost_learner(view)
+pub fn next_replacement_step(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
+    remove_lost_learner(view)
         .or_else(|| promote_learner(view))
         .or_else(|| remove_replaced_voter(view))
-        .map(Step::Change)
-        .or_else(|| hand_over(view))
-        .or_else(|| add_learner(view).map(Step::Change))
+        .map(ReplacementStep::Change)
+        .or_else(|| transfer_leadership(view))
+        .or_else(|| add_learner(view).map(ReplacementStep::Change))
 }
 
-fn hand_over(view: &ReplacementView<'_>) -> Option<Step> {
+fn transfer_leadership(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
     let replaced = view.removal_rank(view.leader).is_some();
-    replaced.then_some(Step::HandOver)
+    replaced.then_some(ReplacementStep::LeadershipTransfer)
 }
 
-fn drop_lost_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let useless = |id: &NodeId| {
+fn remove_lost_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
+    let is_lost_or_leaving = |id: &NodeId| {
         matches!(
             view.health(*id),
             ReplicaHealth::Lost | ReplicaHealth::Leaving
         )
     };
-    let lost = *view.configuration.learners.iter().find(|id| useless(id))?;
+    let lost = *view
+        .configuration
+        .learners
+        .iter()
+        .find(|id| is_lost_or_leaving(id))?;
     let mut next = view.configuration.clone();
     next.learners.remove(&lost);
     Some(next)
 }
 
 fn promote_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let ready = |id: &NodeId| {
+    let is_ready = |id: &NodeId| {
         let replica = view.replicas.get(id);
         replica.is_some_and(|replica| replica.caught_up && replica.health == ReplicaHealth::Alive)
     };
-    let learner = *view.configuration.learners.iter().find(|id| ready(id))?;
+    let learner = *view.configuration.learners.iter().find(|id| is_ready(id))?;
     let mut next = view.configuration.clone();
     next.learners.remove(&learner);
     next.voters.insert(learner);
@@ -94,18 +98,18 @@
 
 /// Removes a voter whose zone has another voter alive, worst health first.
 fn remove_replaced_voter(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let mut by_need: Vec<(u8, NodeId)> = view
+    let mut removable: Vec<(u8, NodeId)> = view
         .configuration
         .voters
         .iter()
         .filter(|id| **id != view.leader)
         .filter_map(|id| Some((view.removal_rank(*id)?, *id)))
         .collect();
-    by_need.sort_unstable();
-    by_need
+    removable.sort_unstable();
+    removable
         .into_iter()
         .map(|(_, removed)| without_voter(view.configuration, removed))
-        .find(|next| view.has_working_majority(next))
+        .find(|next| view.has_live_quorum(next))
 }
 
 fn without_voter(configuration: &GroupConfiguration, removed: NodeId) -> GroupConfiguration {
@@ -116,7 +120,7 @@
 
 fn add_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
     let candidate = view.candidates.iter().find(|(zone, node)| {
-        !view.configuration.contains(**node) && !view.zone_is_waited_for(zone)
+        !view.configuration.contains(**node) && !view.is_replica_pending_in(zone)
     });
     let (_, node) = candidate?;
     let mut next = view.configuration.clone();
@@ -132,14 +136,14 @@
 
     /// Whether a majority of the voters takes part now. Removing a voter that takes part while
     /// another is down would otherwise leave a group that cannot decide anything.
-    fn has_working_majority(&self, configuration: &GroupConfiguration) -> bool {
-        let working = configuration.voters.iter().filter(|id| {
+    fn has_live_quorum(&self, configuration: &GroupConfiguration) -> bool {
+        let live = configuration.voters.iter().filter(|id| {
             matches!(
                 self.health(**id),
                 ReplicaHealth::Alive | ReplicaHealth::Leaving
             )
         });
-        working.count() >= configuration.quorum()
+        live.count() >= configuration.quorum()
     }
 
     fn zone(&self, id: NodeId) -> Option<&ZoneName> {
@@ -149,11 +153,11 @@
     /// Whether a new replica of the zone would come too early: one may still come back, or one is
     /// being brought up already. A replica that takes part is no reason: the candidate takes its
     /// place, so that partitions spread over nodes that join.
-    fn zone_is_waited_for(&self, zone: &ZoneName) -> bool {
+    fn is_replica_pending_in(&self, zone: &ZoneName) -> bool {
         self.configuration.members().any(|id| {
-            let silent = self.health(id) == ReplicaHealth::Silent;
-            let learns = self.configuration.learners.contains(&id);
-            (silent || learns) && self.zone(id) == Some(zone)
+            let is_silent = self.health(id) == ReplicaHealth::Silent;
+            let is_learner = self.configuration.learners.contains(&id);
+            (is_silent || is_learner) && self.zone(id) == Some(zone)
         })
     }
 
@@ -170,19 +174,20 @@
             .collect();
         let replaced = others_alive.iter().any(|other| self.zone(*other) == zone);
         // A voter of an unknown zone is lost and forgotten: any complete set replaces it.
-        let forgotten = zone.is_none() && others_alive.len() >= self.candidates.len();
+        let is_unknown_and_replaceable =
+            zone.is_none() && others_alive.len() >= self.candidates.len();
         match health {
-            ReplicaHealth::Lost if replaced || forgotten => Some(0),
+            ReplicaHealth::Lost if replaced || is_unknown_and_replaceable => Some(0),
             ReplicaHealth::Leaving if replaced => Some(1),
             // Only by the candidate itself: two others of a zone would hand over to each other for
             // ever.
-            ReplicaHealth::Alive if self.candidate_votes_beside(id, &others_alive) => Some(2),
+            ReplicaHealth::Alive if self.is_candidate_a_live_voter(id, &others_alive) => Some(2),
             _ => None,
         }
     }
 
     /// Whether the node that should hold the replica of this one's zone is a voter beside it.
-    fn candidate_votes_beside(&self, id: NodeId, others_alive: &BTreeSet<NodeId>) -> bool {
+    fn is_candidate_a_live_voter(&self, id: NodeId, others_alive: &BTreeSet<NodeId>) -> bool {
         let candidate = self.zone(id).and_then(|zone| self.candidates.get(zone));
         candidate.is_some_and(|candidate| others_alive.contains(candidate))
     }
--- a/crates/swiftshunt-ledger/src/routes.rs
+++ b/crates/swiftshunt-ledger/src/routes.rs
@@ -35,7 +35,7 @@
 }
 
 impl LeaderHint {
-    fn age(&self) -> (Generation, Term, u64) {
+    fn version(&self) -> (Generation, Term, u64) {
         (self.generation, self.term, self.sequence)
     }
 }
@@ -50,7 +50,7 @@
     /// Takes in news; returns whether it was new.
     pub fn merge(&mut self, hint: LeaderHint) -> bool {
         let known = self.hints.get(&hint.partition);
-        if known.is_some_and(|known| known.age() >= hint.age()) {
+        if known.is_some_and(|known| known.version() >= hint.version()) {
             return false;
         }
         self.hints.insert(hint.partition, hint);
--- a/crates/swiftshunt-ledger/src/state/pool.rs
+++ b/crates/swiftshunt-ledger/src/state/pool.rs
@@ -6,7 +6,7 @@
 use swiftshunt_types::{ModelName, PoolName, WorkerId};
 
 /// Ended orders kept for `show orders` and `explain`.
-const KEPT_ORDERS: usize = 256;
+const MAX_RETAINED_ORDERS: usize = 256;
 
 /// Demand at a fixed moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -130,28 +130,28 @@
                 self.events.insert(event.name.clone(), event.clone());
                 PoolOutcome::Done
             }
-            PoolCommand::DropEvent(name) => done_if(self.events.remove(name).is_some()),
+            PoolCommand::DropEvent(name) => done_or_not_found(self.events.remove(name).is_some()),
             PoolCommand::PutTarget(target) => {
                 self.targets.insert(target.name.clone(), target.clone());
                 PoolOutcome::Done
             }
-            PoolCommand::DropTarget(name) => done_if(self.targets.remove(name).is_some()),
+            PoolCommand::DropTarget(name) => done_or_not_found(self.targets.remove(name).is_some()),
             PoolCommand::GiveOrder {
                 target,
                 worker,
                 model,
                 at,
-            } => self.give_order(target, worker, model, *at),
+            } => self.add_order(target, worker, model, *at),
             PoolCommand::EndOrder { sequence, status } => {
                 let mut orders = self.orders.iter_mut();
                 let order = orders.find(|order| order.sequence == *sequence);
-                done_if(order.map(|order| order.status.clone_from(status)).is_some())
+                done_or_not_found(order.map(|order| order.status.clone_from(status)).is_some())
             }
         }
     }
 
     /// An order is given only while its target stands.
-    fn give_order(
+    fn add_order(
         &mut self,
         target: &str,
         worker: &WorkerId,
@@ -162,7 +162,7 @@
             return PoolOutcome::NotFound;
         }
         self.next_sequence += 1;
-        if self.orders.len() == KEPT_ORDERS {
+        if self.orders.len() == MAX_RETAINED_ORDERS {
             self.orders.pop_front();
         }
         self.orders.push_back(Order {
@@ -177,7 +177,7 @@
     }
 }
 
-fn done_if(found: bool) -> PoolOutcome {
+fn done_or_not_found(found: bool) -> PoolOutcome {
     if found {
         PoolOutcome::Done
     } else {
--- a/crates/swiftshunt-ledger/tests/rules.rs
+++ b/crates/swiftshunt-ledger/tests/rules.rs
@@ -78,7 +78,7 @@
     let vote = Message::Vote {
         term: 2,
         last: LogPosition { term: 1, index: 9 },
-        handed_over: false,
+        is_leadership_transfer: false,
     };
     raft.receive(THIRD, vote, Duration::from_millis(20));
     assert_eq!(
@@ -104,10 +104,10 @@
         sent_at: elected_at,
     };
     raft.receive(SECOND, caught_up, elected_at);
-    raft.hand_over(elected_at);
+    raft.transfer_leadership(elected_at);
     let mut now = elected_at;
-    let attempt_is_over = elected_at + LedgerConfig::default().election_timeout * 3;
-    while now < attempt_is_over {
+    let after_transfer_deadline = elected_at + LedgerConfig::default().election_timeout * 3;
+    while now < after_transfer_deadline {
         now += Duration::from_millis(50);
         // The second voter answers all along, so check-quorum is content.
         let reply = Message::AppendReply {
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -10,7 +10,7 @@
     ArchiveMark, GroupConfiguration, LogPosition, Raft, RaftStart, Role,
 };
 use swiftshunt_ledger::replacement::{
-    ReplacementView, ReplicaHealth, ReplicaView, Step, next_step,
+    ReplacementStep, ReplacementView, ReplicaHealth, ReplicaView, next_replacement_step,
 };
 use swiftshunt_ledger::state::{
     Command, DispatchId, DispatchOutcome, LedgerState, NewSubmission, Outcome, SubmissionResult,
@@ -23,33 +23,33 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SUBMISSIONS: u64 = 12;
 /// One disaster in so many steps.
-const DISASTER_ODDS: u32 = 40;
+const REPLICA_FAULT_ODDS: u32 = 40;
 /// Processes alive at once.
-const MOST_REPLICAS: usize = 7;
+const MAX_REPLICAS: usize = 7;
 /// Steps within which a leaving leader must be followed; stragglers may hold a vote up.
-const SUCCESSION_STEPS: u32 = 600;
+const MAX_SUCCESSION_STEPS: u32 = 600;
 /// Steps within which a healed group must commit.
-const HEALED_STEPS: u32 = 600;
+const RECOVERY_STEPS: u32 = 600;
 /// A replica that is down for this long is replaced.
-const REPLACE_AFTER: Duration = Duration::from_millis(500);
+const REPLACE_DELAY: Duration = Duration::from_millis(500);
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss_percent: u32,
-    pub doubling_percent: u32,
-    pub longest_delay_steps: u32,
+    pub duplication_percent: u32,
+    pub max_delay_steps: u32,
     /// Whether replicas are paused, cut off and crashed.
-    pub disasters: bool,
+    pub replica_faults: bool,
 }
 
 impl Faults {
     pub fn none() -> Self {
         Self {
             loss_percent: 0,
-            doubling_percent: 0,
-            longest_delay_steps: 0,
-            disasters: false,
+            duplication_percent: 0,
+            max_delay_steps: 0,
+            replica_faults: false,
         }
     }
 }
@@ -58,12 +58,12 @@
     raft: Raft<LedgerState>,
     zone: ZoneName,
     paused_until: u32,
-    cut_until: u32,
+    isolated_until: u32,
 }
 
 /// What every replica must agree on.
 #[derive(Default)]
-struct Record {
+struct History {
     leaders: BTreeMap<u64, NodeId>,
     applied: BTreeMap<u64, (LogPosition, String)>,
     granted: BTreeMap<SubmissionId, BTreeSet<DispatchId>>,
@@ -77,10 +77,10 @@
     network: Network,
     replicas: BTreeMap<NodeId, Replica>,
     crashed_at: BTreeMap<NodeId, u32>,
-    record: Record,
+    history: History,
     next_id: u64,
     /// A replica that hands leadership over whenever it has it.
-    leaving: Option<NodeId>,
+    stopping: Option<NodeId>,
 }
 
 fn settings() -> LedgerConfig {
@@ -100,9 +100,9 @@
             network: Network::default(),
             replicas: BTreeMap::new(),
             crashed_at: BTreeMap::new(),
-            record: Record::default(),
+            history: History::default(),
             next_id: 1,
-            leaving: None,
+            stopping: None,
         };
         let voters = (1..=3).map(NodeId);
         for zone in ZONES {
@@ -130,89 +130,89 @@
             raft,
             zone,
             paused_until: 0,
-            cut_until: 0,
+            isolated_until: 0,
         };
         self.replicas.insert(id, replica);
     }
 
     pub fn step(&mut self) {
         self.step += 1;
-        if self.faults.disasters {
-            self.cause_disaster();
+        if self.faults.replica_faults {
+            self.inject_replica_fault();
         }
-        self.propose_something();
+        self.propose_random_command();
         self.deliver();
         self.tick();
-        self.replace_lost();
+        self.replace_replicas();
         self.archive();
         self.collect_messages();
         self.check();
     }
 
-    fn cause_disaster(&mut self) {
+    fn inject_replica_fault(&mut self) {
         for replica in self.replicas.values_mut() {
-            if replica.cut_until == self.step {
-                self.network.cut.remove(&replica.raft.id());
+            if replica.isolated_until == self.step {
+                self.network.isolated.remove(&replica.raft.id());
             }
         }
-        if self.random.random_range(0..DISASTER_ODDS) != 0 {
+        if self.random.random_range(0..REPLICA_FAULT_ODDS) != 0 {
             return;
         }
         let ids: Vec<NodeId> = self.replicas.keys().copied().collect();
-        let victim = ids[self.random.random_range(0..ids.len())];
+        let target = ids[self.random.random_range(0..ids.len())];
         let duration = self.random.random_range(5..150);
         match self.random.random_range(0..5) {
-            0 => self.pause(victim, duration),
-            1 => self.cut(victim, duration),
-            2 => self.hand_over(),
+            0 => self.pause(target, duration),
+            1 => self.isolated(target, duration),
+            2 => self.transfer_leadership(),
             3 => self.join(),
-            _ => self.crash(victim),
+            _ => self.crash(target),
         }
     }
 
-    fn pause(&mut self, victim: NodeId, duration: u32) {
-        if let Some(replica) = self.replicas.get_mut(&victim) {
+    fn pause(&mut self, target: NodeId, duration: u32) {
+        if let Some(replica) = self.replicas.get_mut(&target) {
             replica.paused_until = self.step + duration;
         }
     }
 
-    fn cut(&mut self, victim: NodeId, duration: u32) {
-        if let Some(replica) = self.replicas.get_mut(&victim) {
-            replica.cut_until = self.step + duration;
-            self.network.cut.insert(victim);
+    fn isolated(&mut self, target: NodeId, duration: u32) {
+        if let Some(replica) = self.replicas.get_mut(&target) {
+            replica.isolated_until = self.step + duration;
+            self.network.isolated.insert(target);
         }
     }
 
     /// A further node of some zone comes up, and is to hold the zone's replica.
     fn join(&mut self) {
-        if self.replicas.len() < MOST_REPLICAS {
+        if self.replicas.len() < MAX_REPLICAS {
             let zone = ZONES[self.random.random_range(0..ZONES.len())];
             self.add_replica(zone.into(), GroupConfiguration::default());
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let now = self.now();
         for replica in self.replicas.values_mut() {
-            replica.raft.hand_over(now);
+            replica.raft.transfer_leadership(now);
         }
     }
 
     /// Crashes a replica for good, if every configuration that may be in force keeps a majority of
     /// replicas that have forgotten nothing. A process in the same zone comes up under a new name.
-    fn crash(&mut self, victim: NodeId) {
-        let survives = self.replicas.values().all(|replica| {
+    fn crash(&mut self, target: NodeId) {
+        let keeps_quorum = self.replicas.values().all(|replica| {
             let voters = &replica.raft.configuration().voters;
-            let left = voters.iter().filter(|id| **id != victim);
+            let left = voters.iter().filter(|id| **id != target);
             let left = left.filter(|id| self.replicas.contains_key(id)).count();
             voters.is_empty() || left >= replica.raft.configuration().quorum()
         });
-        if !survives {
+        if !keeps_quorum {
             return;
         }
-        if let Some(replica) = self.replicas.remove(&victim) {
-            self.network.cut.remove(&victim);
-            self.crashed_at.insert(victim, self.step);
+        if let Some(replica) = self.replicas.remove(&target) {
+            self.network.isolated.remove(&target);
+            self.crashed_at.insert(target, self.step);
             self.add_replica(replica.zone, GroupConfiguration::default());
         }
     }
@@ -226,7 +226,7 @@
             .map(|replica| replica.raft.id())
     }
 
-    fn propose_something(&mut self) {
+    fn propose_random_command(&mut self) {
         if self.random.random_range(0..3) != 0 {
             return;
         }
@@ -279,7 +279,7 @@
     }
 
     fn latest_grant(&self, submission: &SubmissionId) -> Option<DispatchId> {
-        self.record.granted.get(submission)?.last().copied()
+        self.history.granted.get(submission)?.last().copied()
     }
 
     fn deliver(&mut self) {
@@ -300,26 +300,26 @@
             if replica.paused_until <= self.step {
                 replica.raft.tick(now);
             }
-            if self.leaving == Some(replica.raft.id()) {
-                replica.raft.hand_over(now);
+            if self.stopping == Some(replica.raft.id()) {
+                replica.raft.transfer_leadership(now);
             }
         }
     }
 
     /// The leader's process begins a planned stop.
-    pub fn leave_with_leader(&mut self) {
+    pub fn start_leader_shutdown(&mut self) {
         while self.leader().is_none() {
             self.step();
         }
-        self.leaving = self.leader();
+        self.stopping = self.leader();
     }
 
     /// Another replica comes to lead in place of the leaving one.
     pub fn check_successor(&mut self) {
-        for _ in 0..SUCCESSION_STEPS {
+        for _ in 0..MAX_SUCCESSION_STEPS {
             if self
                 .leader()
-                .is_some_and(|leader| Some(leader) != self.leaving)
+                .is_some_and(|leader| Some(leader) != self.stopping)
             {
                 return;
             }
@@ -329,16 +329,18 @@
     }
 
     /// What a leader's driver does: plans and proposes changes of members.
-    fn replace_lost(&mut self) {
+    fn replace_replicas(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
         let raft = &self.replicas[&leader].raft;
         let members = raft.configuration().members();
-        let replicas = members.map(|id| (id, self.view_of(raft, id))).collect();
+        let replicas = members
+            .map(|id| (id, self.replica_view(raft, id)))
+            .collect();
         let candidates = self.candidates().into_iter();
         let candidates = candidates.map(|(zone, id)| (zone.clone(), id)).collect();
-        let step = next_step(&ReplacementView {
+        let step = next_replacement_step(&ReplacementView {
             leader,
             configuration: raft.configuration(),
             replicas,
@@ -350,18 +352,18 @@
         };
         match step {
             // Refused while another change is under way; planned again at the next step.
-            Some(Step::Change(change)) => {
+            Some(ReplacementStep::Change(change)) => {
                 replica.raft.propose_configuration(change, now).ok();
             }
-            Some(Step::HandOver) => replica.raft.hand_over(now),
+            Some(ReplacementStep::LeadershipTransfer) => replica.raft.transfer_leadership(now),
             None => {}
         }
     }
 
     /// The archive follows now and then, which lets replicas compact and learners need snapshots.
     fn archive(&mut self) {
-        let follows = self.random.random_range(0..10) == 0;
-        let Some(leader) = self.leader().filter(|_| follows) else {
+        let archive_advances = self.random.random_range(0..10) == 0;
+        let Some(leader) = self.leader().filter(|_| archive_advances) else {
             return;
         };
         if let Some(replica) = self.replicas.get_mut(&leader) {
@@ -381,13 +383,14 @@
             .collect()
     }
 
-    fn view_of(&self, raft: &Raft<LedgerState>, id: NodeId) -> ReplicaView {
+    fn replica_view(&self, raft: &Raft<LedgerState>, id: NodeId) -> ReplicaView {
         let replica = self.replicas.get(&id);
         let down_since = self.crashed_at.get(&id);
-        let long = down_since.is_some_and(|at| STEP * (self.step - at) >= REPLACE_AFTER);
+        let replace_delay_passed =
+            down_since.is_some_and(|at| STEP * (self.step - at) >= REPLACE_DELAY);
         let health = match replica {
             Some(_) => ReplicaHealth::Alive,
-            None if long => ReplicaHealth::Lost,
+            None if replace_delay_passed => ReplicaHealth::Lost,
             None => ReplicaHealth::Silent,
         };
         ReplicaView {
@@ -414,8 +417,8 @@
             self.network.send(
                 message,
                 self.faults.loss_percent,
-                self.faults.doubling_percent,
-                self.faults.longest_delay_steps,
+                self.faults.duplication_percent,
+                self.faults.max_delay_steps,
                 &mut self.random,
             );
         }
@@ -427,18 +430,18 @@
         for replica in self.replicas.values_mut() {
             let raft = &mut replica.raft;
             if raft.role() == Role::Leader {
-                let first = self.record.leaders.entry(raft.term()).or_insert(raft.id());
+                let first = self.history.leaders.entry(raft.term()).or_insert(raft.id());
                 assert_eq!(*first, raft.id(), "two leaders in a term, seed {seed}");
             }
             if raft.holds_lease(now) {
                 leases.push(raft.id());
             }
             for entry in raft.apply_committed() {
-                let what = format!("{:?}", entry.command);
-                let applied = (entry.position, what);
+                let command = format!("{:?}", entry.command);
+                let applied = (entry.position, command);
                 let index = entry.position.index;
                 let first = self
-                    .record
+                    .history
                     .applied
                     .entry(index)
                     .or_insert_with(|| applied.clone());
@@ -449,7 +452,7 @@
                 if let Some(Outcome::Dispatch(DispatchOutcome::Granted(granted))) = &entry.outcome
                     && let Some(Command::DispatchSubmission { submission, .. }) = &entry.command
                 {
-                    let grants = self.record.granted.entry(submission.clone()).or_default();
+                    let grants = self.history.granted.entry(submission.clone()).or_default();
                     grants.insert(granted.id);
                 }
             }
@@ -458,11 +461,11 @@
             leases.len() <= 1,
             "two leases at once: {leases:?}, seed {seed}"
         );
-        self.check_grants();
+        self.check_dispatches();
     }
 
-    fn check_grants(&self) {
-        for (submission, grants) in &self.record.granted {
+    fn check_dispatches(&self) {
+        for (submission, grants) in &self.history.granted {
             let number: u64 = submission.as_str()[4..].parse().expect("a number");
             if !number.is_multiple_of(2) {
                 assert!(
@@ -475,9 +478,9 @@
     }
 
     /// Ends every fault.
-    pub fn heal(&mut self) {
+    pub fn clear_faults(&mut self) {
         self.faults = Faults::none();
-        self.network.cut.clear();
+        self.network.isolated.clear();
         for replica in self.replicas.values_mut() {
             replica.paused_until = 0;
         }
@@ -485,8 +488,8 @@
 
     /// After the faults: a leader holds everything ever applied, and commits something new.
     pub fn check_progress(&mut self) {
-        let known = self.record.applied.len();
-        for _ in 0..HEALED_STEPS {
+        let applied_before = self.history.applied.len();
+        for _ in 0..RECOVERY_STEPS {
             self.step();
         }
         let leader = self.leader();
@@ -499,7 +502,7 @@
         });
         let applied = self.replicas[&leader].raft.applied_index();
         let highest = self
-            .record
+            .history
             .applied
             .keys()
             .last()
@@ -511,7 +514,7 @@
             self.seed
         );
         assert!(
-            self.record.applied.len() > known,
+            self.history.applied.len() > applied_before,
             "no progress, seed {}",
             self.seed
         );
@@ -548,6 +551,6 @@
 
     /// How many terms had a leader.
     pub fn terms_led(&self) -> usize {
-        self.record.leaders.len()
+        self.history.leaders.len()
     }
 }
--- a/crates/swiftshunt-ledger/tests/simulation/main.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/main.rs
@@ -20,7 +20,7 @@
     for _ in 0..FAULTY_STEPS {
         cluster.step();
     }
-    cluster.heal();
+    cluster.clear_faults();
     cluster.check_progress();
 }
 
@@ -30,9 +30,9 @@
 fn a_working_voter_is_not_removed_while_another_is_down() {
     let faults = Faults {
         loss_percent: 3,
-        doubling_percent: 17,
-        longest_delay_steps: 11,
-        disasters: true,
+        duplication_percent: 17,
+        max_delay_steps: 11,
+        replica_faults: true,
     };
     run(10_864_679_861_337_264_830, faults);
 }
@@ -43,9 +43,9 @@
 fn leadership_is_not_handed_to_and_fro() {
     let faults = Faults {
         loss_percent: 17,
-        doubling_percent: 6,
-        longest_delay_steps: 7,
-        disasters: true,
+        duplication_percent: 6,
+        max_delay_steps: 7,
+        replica_faults: true,
     };
     run(14_908_898_343_401_277_168, faults);
 }
@@ -54,18 +54,18 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_schedule_keeps_the_invariants(seed in any::<u64>(), loss in 0_u32..30, doubling in 0_u32..20, delay in 0_u32..12) {
-        run(seed, Faults { loss_percent: loss, doubling_percent: doubling, longest_delay_steps: delay, disasters: true });
+    fn every_schedule_keeps_the_invariants(seed in any::<u64>(), loss in 0_u32..30, duplication in 0_u32..20, delay in 0_u32..12) {
+        run(seed, Faults { loss_percent: loss, duplication_percent: duplication, max_delay_steps: delay, replica_faults: true });
     }
 
     #[test]
     fn a_leader_that_is_leaving_is_followed_by_another(seed in any::<u64>(), delay in 0_u32..6) {
-        let faults = Faults { longest_delay_steps: delay, disasters: false, ..Faults::none() };
+        let faults = Faults { max_delay_steps: delay, replica_faults: false, ..Faults::none() };
         let mut cluster = Cluster::new(seed, faults);
         for _ in 0..FAULTY_STEPS / 8 {
             cluster.step();
         }
-        cluster.leave_with_leader();
+        cluster.start_leader_shutdown();
         for _ in 0..FAULTY_STEPS / 4 {
             cluster.step();
         }
--- a/crates/swiftshunt-ledger/tests/simulation/network.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/network.rs
@@ -11,7 +11,7 @@
 /// One in so many messages is delayed far beyond the others.
 const STRAGGLER_ODDS: u32 = 40;
 /// Longest delay of such a message.
-const STRAGGLER_STEPS: u32 = 250;
+const MAX_STRAGGLER_DELAY_STEPS: u32 = 250;
 
 /// A message under way.
 pub struct InFlight {
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct Network {
     in_flight: Vec<InFlight>,
-    pub cut: BTreeSet<NodeId>,
+    pub isolated: BTreeSet<NodeId>,
 }
 
 impl Network {
@@ -34,20 +34,20 @@
         &mut self,
         message: InFlight,
         loss_percent: u32,
-        doubling_percent: u32,
-        longest_delay: u32,
+        duplication_percent: u32,
+        max_delay: u32,
         random: &mut SmallRng,
     ) {
         let delay = |random: &mut SmallRng| {
-            let straggles = longest_delay > 0 && random.random_range(0..STRAGGLER_ODDS) == 0;
-            let longest = if straggles {
-                STRAGGLER_STEPS
+            let is_straggler = max_delay > 0 && random.random_range(0..STRAGGLER_ODDS) == 0;
+            let limit = if is_straggler {
+                MAX_STRAGGLER_DELAY_STEPS
             } else {
-                longest_delay
+                max_delay
             };
-            1 + random.random_range(0..=longest)
+            1 + random.random_range(0..=limit)
         };
-        if random.random_range(0..100) < doubling_percent {
+        if random.random_range(0..100) < duplication_percent {
             self.in_flight.push(InFlight {
                 due: message.due + delay(random),
                 message: message.message.clone(),
@@ -62,9 +62,9 @@
 
     /// Messages that arrive at `step`, in random order.
     pub fn arrivals(&mut self, step: u32, random: &mut SmallRng) -> Vec<InFlight> {
-        let cut = &self.cut;
+        let isolated = &self.isolated;
         self.in_flight
-            .retain(|message| !cut.contains(&message.from) && !cut.contains(&message.to));
+            .retain(|message| !isolated.contains(&message.from) && !isolated.contains(&message.to));
         let mut arrived = Vec::new();
         let mut index = 0;
         while index < self.in_flight.len() {
--- a/crates/swiftshunt-node/src/api/batches.rs
+++ b/crates/swiftshunt-node/src/api/batches.rs
@@ -147,7 +147,7 @@
 ) -> Result<Outcome, Failure> {
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let outcome = ledger::propose(context, partition(context, id), command, deadline).await;
-    outcome.map_err(ledger::failure)
+    outcome.map_err(ledger::to_failure)
 }
 
 /// Reads a job from its leader.
@@ -155,7 +155,7 @@
     let operation = LedgerOperation::Query(LedgerQuery::Job(id.clone()));
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let answer = ledger::call(context, partition(context, id), operation, deadline).await;
-    match answer.map_err(ledger::failure)? {
+    match answer.map_err(ledger::to_failure)? {
         LedgerAnswer::Job(Some(job)) => Ok(job),
         _ => Err(no_such_job(id)),
     }
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -197,7 +197,12 @@
             change,
         };
         let operation = LedgerOperation::Propose(command);
-        match self.context.ledger.local(self.partition, operation).await {
+        match self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await
+        {
             Ok(LedgerAnswer::Outcome(Outcome::Pool(outcome))) => Some(outcome),
             _ => None,
         }
@@ -207,7 +212,7 @@
         let operation = LedgerOperation::Query(query);
         self.context
             .ledger
-            .local(self.partition, operation)
+            .execute_local(self.partition, operation)
             .await
             .ok()
     }
--- a/crates/swiftshunt-node/src/ledger/acknowledgements.rs
+++ b/crates/swiftshunt-node/src/ledger/acknowledgements.rs
@@ -19,40 +19,45 @@
 
 impl Acknowledgements {
     /// Answers when the entry at `position` is applied.
-    pub(super) fn on_applied(&mut self, position: LogPosition, reply: Reply) {
+    pub(super) fn reply_on_applied(&mut self, position: LogPosition, reply: Reply) {
         self.proposed.insert(position.index, (position, reply));
     }
 
     /// Answers when the submission ends.
-    pub(super) fn on_result(&mut self, id: SubmissionId, reply: Reply) {
+    pub(super) fn reply_on_completion(&mut self, id: SubmissionId, reply: Reply) {
         let waiting = self.awaited.entry(id).or_default();
         waiting.retain(|reply| !reply.is_closed());
         waiting.push(reply);
     }
 
     /// Answers when the archive has reached `index`.
-    pub(super) fn on_archived(&mut self, index: Index, reply: Reply, answer: LedgerAnswer) {
+    pub(super) fn reply_on_archived(&mut self, index: Index, reply: Reply, answer: LedgerAnswer) {
         self.committed.push_back((index, reply, answer));
     }
 
     /// An entry was applied.
-    pub(super) fn applied(&mut self, position: LogPosition, outcome: Option<&Outcome>) {
+    pub(super) fn on_entry_applied(&mut self, position: LogPosition, outcome: Option<&Outcome>) {
         let Some((proposed, reply)) = self.proposed.remove(&position.index) else {
             return;
         };
         match outcome {
             Some(outcome) if proposed == position => {
                 let answer = LedgerAnswer::Outcome(outcome.clone());
-                self.on_archived(position.index, reply, answer);
+                self.reply_on_archived(position.index, reply, answer);
             }
             _ => drop(reply.send(Err(LedgerRefusal::Lost))),
         }
     }
 
     /// A submission ended with the entry at `index`.
-    pub(super) fn ended(&mut self, index: Index, id: &SubmissionId, result: &SubmissionResult) {
+    pub(super) fn on_submission_completed(
+        &mut self,
+        index: Index,
+        id: &SubmissionId,
+        result: &SubmissionResult,
+    ) {
         for reply in self.awaited.remove(id).unwrap_or_default() {
-            self.on_archived(index, reply, LedgerAnswer::Result(Some(result.clone())));
+            self.reply_on_archived(index, reply, LedgerAnswer::Result(Some(result.clone())));
         }
     }
 
@@ -69,7 +74,7 @@
     }
 
     /// Leadership is lost: nobody here can tell what becomes of these.
-    pub(super) fn lose_all(&mut self) {
+    pub(super) fn fail_all(&mut self) {
         let proposed = std::mem::take(&mut self.proposed).into_values();
         let awaited = std::mem::take(&mut self.awaited).into_values().flatten();
         let committed = std::mem::take(&mut self.committed).into_iter();
--- a/crates/swiftshunt-node/src/ledger/archive_io.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_io.rs
@@ -15,11 +15,11 @@
 use super::input::{ArchiveEvent, DriverInput};
 
 /// Records read at a time.
-const READ_LIMIT: usize = 1024;
+const MAX_RECORDS_PER_READ: usize = 1024;
 /// How long a read waits at the end of the stream.
-const TAIL_WAIT: Duration = Duration::from_millis(500);
+const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed read.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// One partition's archive stream.
 #[derive(Clone)]
@@ -72,7 +72,9 @@
         let archive = self.clone();
         tokio::spawn(async move {
             loop {
-                let read = archive.read_some(&mut position, TAIL_WAIT, |_| {}).await;
+                let read = archive
+                    .read_batch(&mut position, TAIL_READ_TIMEOUT, |_| {})
+                    .await;
                 match read {
                     Ok(0) => {}
                     Ok(_) => {
@@ -80,7 +82,7 @@
                             return;
                         }
                     }
-                    Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
+                    Err(_) => tokio::time::sleep(RETRY_DELAY).await,
                 }
             }
         })
@@ -116,19 +118,26 @@
         position: &mut ArchivePosition,
         mut apply: impl FnMut(&ArchiveRecord),
     ) -> Result<(), LogError> {
-        while self.read_some(position, Duration::ZERO, &mut apply).await? > 0 {}
+        while self
+            .read_batch(position, Duration::ZERO, &mut apply)
+            .await?
+            > 0
+        {}
         Ok(())
     }
 
     /// Reads the next records and returns how many there were.
-    async fn read_some(
+    async fn read_batch(
         &self,
         position: &mut ArchivePosition,
         wait: Duration,
         mut apply: impl FnMut(&ArchiveRecord),
     ) -> Result<usize, LogError> {
         let from = position.next_offset;
-        let read = self.log.read(&self.stream, from, READ_LIMIT, wait).await?;
+        let read = self
+            .log
+            .read(&self.stream, from, MAX_RECORDS_PER_READ, wait)
+            .await?;
         if read.first != from && !read.records.is_empty() {
             return Err(self.bad_record(from, "the log answered from another offset".to_owned()));
         }
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -6,7 +6,7 @@
 use swiftshunt_types::Monotonic;
 
 /// An append whose answer is missing is repeated after this long, unless the tail shows it.
-const REPEAT_AFTER: Duration = Duration::from_millis(250);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The leader's side of the archive.
 #[derive(Debug, Default)]
@@ -28,7 +28,7 @@
     }
 
     /// The tail advanced: what is left counts as new.
-    pub(super) fn advanced(&mut self) {
+    pub(super) fn on_tail_advanced(&mut self) {
         self.behind_since = None;
     }
 
@@ -48,26 +48,26 @@
             return None;
         }
         let unconfirmed = self.sent_up_to > archived;
-        if unconfirmed && now >= self.sent_at + REPEAT_AFTER {
+        if unconfirmed && now >= self.sent_at + APPEND_RETRY_DELAY {
             self.sent_up_to = archived;
         }
         let after = self.sent_up_to.max(archived);
         (committed > after).then_some(after)
     }
 
-    pub(super) fn started(&mut self, now: Monotonic) {
+    pub(super) fn on_append_started(&mut self, now: Monotonic) {
         self.in_flight = true;
         self.sent_at = now;
     }
 
-    pub(super) fn answered(&mut self, up_to: Index, now: Monotonic) {
+    pub(super) fn on_append_succeeded(&mut self, up_to: Index, now: Monotonic) {
         self.in_flight = false;
         self.sent_up_to = self.sent_up_to.max(up_to);
         self.sent_at = now;
     }
 
     /// The append may have taken effect: the tail is given time to show it.
-    pub(super) fn failed(&mut self, up_to_archived: Index, now: Monotonic) {
+    pub(super) fn on_append_failed(&mut self, up_to_archived: Index, now: Monotonic) {
         self.in_flight = false;
         self.sent_up_to = up_to_archived;
         self.sent_at = now;
--- a/crates/swiftshunt-node/src/ledger/client.rs
+++ b/crates/swiftshunt-node/src/ledger/client.rs
@@ -12,9 +12,9 @@
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerRefusal, LedgerRequest};
 
 /// First pause between tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// One try at a leader, beyond what the operation itself waits.
-const TRY_TIMEOUT: Duration = Duration::from_secs(1);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 /// When a caller should come back while a partition has no leader.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallFailure {
     /// Whether some leader may have carried it out.
-    pub(crate) may_have_happened: bool,
+    pub(crate) may_have_executed: bool,
 }
 
-enum Try {
+enum Attempt {
     Answered(Box<LedgerAnswer>),
     Refused,
     Uncertain,
@@ -40,21 +40,21 @@
     operation: LedgerOperation,
     deadline: Monotonic,
 ) -> Result<LedgerAnswer, CallFailure> {
-    let mut may_have_happened = false;
+    let mut may_have_executed = false;
     let mut attempt = 0;
     loop {
-        match try_once(context, partition, &operation, deadline).await {
-            Try::Answered(answer) => return Ok(*answer),
-            Try::Refused => {}
-            Try::Uncertain => may_have_happened = true,
+        match attempt_call(context, partition, &operation, deadline).await {
+            Attempt::Answered(answer) => return Ok(*answer),
+            Attempt::Refused => {}
+            Attempt::Uncertain => may_have_executed = true,
         }
-        let pause = backoff(RETRY_PAUSE, attempt, &mut rand::rng());
+        let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
         attempt += 1;
-        let out_of_time = context.clock.now() + pause >= deadline;
-        if out_of_time || !may_find_leader(context, partition) {
-            return Err(CallFailure { may_have_happened });
+        let is_deadline_near = context.clock.now() + delay >= deadline;
+        if is_deadline_near || !may_find_leader(context, partition) {
+            return Err(CallFailure { may_have_executed });
         }
-        tokio::time::sleep(pause).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
@@ -68,27 +68,31 @@
     in_reach > zones.len() / 2 || known
 }
 
-async fn try_once(
+async fn attempt_call(
     context: &Context,
     partition: PartitionId,
     operation: &LedgerOperation,
     deadline: Monotonic,
-) -> Try {
-    match context.ledger.local(partition, operation.clone()).await {
-        Ok(answer) => return Try::Answered(Box::new(answer)),
-        Err(LedgerRefusal::Lost) => return Try::Uncertain,
+) -> Attempt {
+    match context
+        .ledger
+        .execute_local(partition, operation.clone())
+        .await
+    {
+        Ok(answer) => return Attempt::Answered(Box::new(answer)),
+        Err(LedgerRefusal::Lost) => return Attempt::Uncertain,
         Err(LedgerRefusal::NotLeader { .. }) => {}
     }
     let leader = lock(&context.routes).table.leader(partition);
     let Some(leader) = leader.filter(|leader| leader.node != context.own.id) else {
-        return Try::Refused;
+        return Attempt::Refused;
     };
-    let own_wait = match operation {
+    let await_time = match operation {
         LedgerOperation::AwaitSubmission { wait, .. } => *wait,
         _ => Duration::ZERO,
     };
-    let left = deadline.saturating_sub(context.clock.now());
-    let timeout = (TRY_TIMEOUT + own_wait).min(left.max(RETRY_PAUSE) + own_wait);
+    let remaining = deadline.saturating_sub(context.clock.now());
+    let timeout = (ATTEMPT_TIMEOUT + await_time).min(remaining.max(RETRY_DELAY) + await_time);
     let request = LedgerRequest {
         partition,
         operation: operation.clone(),
@@ -98,11 +102,11 @@
         .ledger(leader.address, &request, timeout)
         .await
     {
-        Ok(Ok(answer)) => Try::Answered(Box::new(answer)),
-        Ok(Err(LedgerRefusal::NotLeader { .. })) => Try::Refused,
-        Ok(Err(LedgerRefusal::Lost)) => Try::Uncertain,
-        Err(error) if error.was_not_sent() => Try::Refused,
-        Err(_) => Try::Uncertain,
+        Ok(Ok(answer)) => Attempt::Answered(Box::new(answer)),
+        Ok(Err(LedgerRefusal::NotLeader { .. })) => Attempt::Refused,
+        Ok(Err(LedgerRefusal::Lost)) => Attempt::Uncertain,
+        Err(error) if error.was_not_sent() => Attempt::Refused,
+        Err(_) => Attempt::Uncertain,
     }
 }
 
@@ -117,15 +121,15 @@
     match call(context, partition, operation, deadline).await? {
         LedgerAnswer::Outcome(outcome) => Ok(outcome),
         _ => Err(CallFailure {
-            may_have_happened: true,
+            may_have_executed: true,
         }),
     }
 }
 
 /// The answer to a caller whose operation failed.
-pub(crate) fn failure(failed: CallFailure) -> Failure {
+pub(crate) fn to_failure(failed: CallFailure) -> Failure {
     let message = "the ledger has no leader for this key at the moment";
-    let failure = if failed.may_have_happened {
+    let failure = if failed.may_have_executed {
         Failure::unknown(ErrorKind::Unavailable, message)
     } else {
         Failure::not_run(ErrorKind::Unavailable, message)
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -10,7 +10,7 @@
 use swiftshunt_backends::log_service::StreamName;
 use swiftshunt_ledger::archive::Generation;
 use swiftshunt_ledger::raft::{Message, Role};
-use swiftshunt_ledger::replacement::Step;
+use swiftshunt_ledger::replacement::ReplacementStep;
 use swiftshunt_ledger::routes::LeaderAddress;
 use swiftshunt_ledger::state::LedgerState;
 use swiftshunt_types::{Monotonic, NodeId, PartitionId};
@@ -19,7 +19,7 @@
 use super::archive_io::ArchiveIo;
 use super::effects;
 use super::hints::LeaderHints;
-use super::input::{DriverInput, Reply, Standing};
+use super::input::{DriverInput, ReplicaStatus, Reply};
 use super::leadership::{Leadership, replacement};
 use super::queries;
 use super::recovery::Recovery;
@@ -30,7 +30,7 @@
 use crate::peer::{LedgerOperation, LedgerRefusal, RaftBatch};
 
 /// Inputs taken before time is looked at again.
-const INPUTS_PER_ROUND: usize = 256;
+const MAX_INPUTS_PER_CYCLE: usize = 256;
 
 /// Drives one partition's replica.
 pub(super) struct Driver {
@@ -41,8 +41,8 @@
     recovery: Recovery,
     /// Replicas of generations up to this one are gone for good: starting one again would forget
     /// its vote.
-    retired: Generation,
-    verifying: bool,
+    retired_generation: Generation,
+    is_verifying: bool,
     hints: LeaderHints,
 }
 
@@ -65,8 +65,8 @@
             archive,
             replica: None,
             recovery,
-            retired: 0,
-            verifying: false,
+            retired_generation: 0,
+            is_verifying: false,
             hints: LeaderHints::new(partition),
         };
         tokio::spawn(driver.run(receiver));
@@ -82,7 +82,7 @@
         loop {
             tokio::select! {
                 () = aborted.cancelled() => return,
-                received = inbox.recv_many(&mut inputs, INPUTS_PER_ROUND) => {
+                received = inbox.recv_many(&mut inputs, MAX_INPUTS_PER_CYCLE) => {
                     if received == 0 {
                         return;
                     }
@@ -91,13 +91,13 @@
             }
             let now = self.context.clock.now();
             for input in inputs.drain(..) {
-                self.take(input, now);
+                self.handle_input(input, now);
             }
-            self.advance(now);
+            self.run_cycle(now);
         }
     }
 
-    fn take(&mut self, input: DriverInput, now: Monotonic) {
+    fn handle_input(&mut self, input: DriverInput, now: Monotonic) {
         match input {
             DriverInput::Raft {
                 from,
@@ -105,32 +105,32 @@
                 messages,
             } => self.on_messages(from, generation, messages, now),
             DriverInput::Operation { operation, reply } => self.on_operation(operation, reply, now),
-            DriverInput::Standing { reply } => drop(reply.send(self.standing())),
+            DriverInput::Status { reply } => drop(reply.send(self.status())),
             DriverInput::Archive(event) => self.on_archive(event, now),
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn status(&self) -> ReplicaStatus {
         let own = self.context.own.id;
-        let leads = |replica: &Replica| replica.raft.role() == Role::Leader;
+        let is_leader = |replica: &Replica| replica.raft.role() == Role::Leader;
         let votes = |replica: &Replica| replica.raft.configuration().voters.contains(&own);
         let candidates = self
             .context
             .placement
             .candidates(&self.context, self.partition);
         let needed = candidates.get(&self.context.own.zone) == Some(&own);
-        Standing {
-            leads: self.replica.as_ref().is_some_and(leads),
-            settled: !needed || self.replica.as_ref().is_some_and(votes),
+        ReplicaStatus {
+            is_leader: self.replica.as_ref().is_some_and(is_leader),
+            is_settled: !needed || self.replica.as_ref().is_some_and(votes),
         }
     }
 
     /// Everything that follows from new input or the passing of time.
-    fn advance(&mut self, now: Monotonic) {
+    fn run_cycle(&mut self, now: Monotonic) {
         self.tick_replica(now);
-        self.apply();
+        self.apply_committed();
         self.update_leadership(now);
-        self.maintain_group(now);
+        self.propose_member_change(now);
         self.write_archive(now);
         self.acknowledge(now);
         self.send_messages();
@@ -150,7 +150,7 @@
             .replica
             .as_ref()
             .map_or(0, |replica| replica.generation);
-        if generation < current || generation <= self.retired {
+        if generation < current || generation <= self.retired_generation {
             return;
         }
         if generation > current {
@@ -160,7 +160,7 @@
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
-        if !replica.may_act(config, now) {
+        if !replica.may_participate(config, now) {
             return;
         }
         for message in messages {
@@ -179,7 +179,7 @@
     /// Gives the replica up for good; its generation is over.
     fn retire(&mut self) {
         if let Some(replica) = self.replica.take() {
-            self.retired = self.retired.max(replica.generation);
+            self.retired_generation = self.retired_generation.max(replica.generation);
             if let Some(leadership) = &replica.leadership {
                 let term = leadership.term;
                 self.hints.withdraw(&self.context, replica.generation, term);
@@ -193,14 +193,14 @@
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
-        if replica.may_act(config, now) {
+        if replica.may_participate(config, now) {
             replica.raft.tick(now);
             if draining {
-                replica.raft.hand_over(now);
+                replica.raft.transfer_leadership(now);
             }
-            replica.note_contact(now);
-        } else if !self.verifying {
-            self.verifying = true;
+            replica.update_group_contact(now);
+        } else if !self.is_verifying {
+            self.is_verifying = true;
             self.archive.verify(replica.archive_position(), now);
         }
     }
@@ -235,14 +235,16 @@
 
     // The state machine.
 
-    fn apply(&mut self) {
+    fn apply_committed(&mut self) {
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
         for entry in replica.raft.apply_committed() {
             let outcome = entry.outcome.as_ref();
-            replica.acknowledgements.applied(entry.position, outcome);
-            effects::apply(replica, &entry);
+            replica
+                .acknowledgements
+                .on_entry_applied(entry.position, outcome);
+            effects::on_entry_applied(replica, &entry);
         }
     }
 
@@ -251,13 +253,13 @@
             hint: self.known_leader(),
         };
         let partition = self.partition;
-        let Some(replica) = self.leading(now) else {
+        let Some(replica) = self.lease_holder(now) else {
             drop(reply.send(Err(refusal)));
             return;
         };
         match operation {
             LedgerOperation::Propose(command) => match replica.raft.propose(command, now) {
-                Ok(position) => replica.acknowledgements.on_applied(position, reply),
+                Ok(position) => replica.acknowledgements.reply_on_applied(position, reply),
                 Err(_) => drop(reply.send(Err(refusal))),
             },
             LedgerOperation::AwaitSubmission { id, .. } => {
@@ -271,10 +273,10 @@
     }
 
     /// The replica, if it leads and its lease stands.
-    fn leading(&mut self, now: Monotonic) -> Option<&mut Replica> {
+    fn lease_holder(&mut self, now: Monotonic) -> Option<&mut Replica> {
         let config = &self.context.settings.ledger;
         self.replica.as_mut().filter(|replica| {
-            replica.may_act(config, now)
+            replica.may_participate(config, now)
                 && replica.leadership.is_some()
                 && replica.raft.holds_lease(now)
         })
@@ -291,14 +293,14 @@
             return;
         };
         let term = replica.raft.term();
-        let leads = replica.raft.role() == Role::Leader;
+        let is_leader = replica.raft.role() == Role::Leader;
         let led = replica
             .leadership
             .as_ref()
             .map(|leadership| leadership.term);
-        if let Some(ended) = led.filter(|led| !leads || *led != term) {
+        if let Some(ended) = led.filter(|led| !is_leader || *led != term) {
             replica.leadership = None;
-            replica.acknowledgements.lose_all();
+            replica.acknowledgements.fail_all();
             self.hints
                 .withdraw(&self.context, replica.generation, ended);
             log::info!(partition = self.partition.0, term = ended; "leadership ended");
@@ -320,7 +322,7 @@
         }
     }
 
-    fn maintain_group(&mut self, now: Monotonic) {
+    fn propose_member_change(&mut self, now: Monotonic) {
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
@@ -328,9 +330,9 @@
             return;
         }
         let change = match replacement(&self.context, self.partition, &replica.raft, now) {
-            Some(Step::Change(change)) => change,
-            Some(Step::HandOver) => {
-                replica.raft.hand_over(now);
+            Some(ReplacementStep::Change(change)) => change,
+            Some(ReplacementStep::LeadershipTransfer) => {
+                replica.raft.transfer_leadership(now);
                 return;
             }
             None => return,
--- a/crates/swiftshunt-node/src/ledger/driver/archive.rs
+++ b/crates/swiftshunt-node/src/ledger/driver/archive.rs
@@ -12,7 +12,7 @@
 use crate::lock;
 
 /// Entries in one archive record.
-const ENTRIES_PER_RECORD: usize = 256;
+const MAX_ENTRIES_PER_RECORD: usize = 256;
 
 impl Driver {
     pub(super) fn write_archive(&mut self, now: Monotonic) {
@@ -28,12 +28,12 @@
         let Some(after) = replica.writer.next_append(committed, archived, now) else {
             return;
         };
-        let entries = replica.raft.committed_after(after, ENTRIES_PER_RECORD);
+        let entries = replica.raft.committed_after(after, MAX_ENTRIES_PER_RECORD);
         let Some(last) = entries.last() else {
             return;
         };
         let up_to = last.position.index;
-        replica.writer.started(now);
+        replica.writer.on_append_started(now);
         let record = ArchiveRecord::Entries {
             generation: replica.generation,
             entries,
@@ -58,14 +58,14 @@
         match event {
             ArchiveEvent::Appended { up_to } => {
                 if let Some(replica) = self.replica.as_mut() {
-                    replica.writer.answered(up_to, now);
+                    replica.writer.on_append_succeeded(up_to, now);
                 }
             }
             ArchiveEvent::AppendFailed { reason } => {
                 log::warn!(partition = self.partition.0; "archive append failed: {reason}");
                 if let Some(replica) = self.replica.as_mut() {
                     let archived = replica.raft.archived().index;
-                    replica.writer.failed(archived, now);
+                    replica.writer.on_append_failed(archived, now);
                 }
             }
             ArchiveEvent::Tail(position) => self.on_tail(&position),
@@ -74,7 +74,7 @@
                 outcome,
             } => self.on_verified(started_at, outcome, now),
             ArchiveEvent::Replayed(outcome) => self.on_replayed(outcome, now),
-            ArchiveEvent::ClaimAppended => self.recovery.hasten(now),
+            ArchiveEvent::ClaimAppended => self.recovery.schedule_replay_now(now),
         }
     }
 
@@ -86,7 +86,7 @@
             self.recovery.known_generation = position.generation;
             self.retire();
         } else if position.generation == replica.generation {
-            replica.writer.advanced();
+            replica.writer.on_tail_advanced();
             replica.raft.set_archived(ArchiveMark {
                 index: position.last.index,
                 next_offset: position.next_offset,
@@ -100,7 +100,7 @@
         outcome: Result<ArchivePosition, LogError>,
         now: Monotonic,
     ) {
-        self.verifying = false;
+        self.is_verifying = false;
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
@@ -114,29 +114,29 @@
         log::warn!(partition = self.partition.0, generation = position.generation; "generation was superseded");
         self.recovery.known_generation = position.generation;
         self.retire();
-        self.recovery.hasten(now);
+        self.recovery.schedule_replay_now(now);
     }
 
     // Recovery.
 
     pub(super) fn recover(&mut self, now: Monotonic) {
-        if self.leader_works(now) {
-            self.recovery.leader_seen(now);
+        if self.has_working_leader(now) {
+            self.recovery.record_working_leader(now);
             return;
         }
         let delay = self.context.settings.ledger.rebuild_delay;
         let has_replica = self.replica.is_some();
-        if self.recovery.begin_replay(has_replica, delay, now) {
+        if self.recovery.try_begin_replay(has_replica, delay, now) {
             self.archive.replay();
         }
     }
 
     /// Whether a leader is known to work: followed here, or led by a node that is reachable.
-    pub(super) fn leader_works(&self, now: Monotonic) -> bool {
+    pub(super) fn has_working_leader(&self, now: Monotonic) -> bool {
         let timeout = self.context.settings.ledger.election_timeout * 2;
         let follows = self.replica.as_ref().is_some_and(|replica| {
-            let heard = replica.raft.heard_leader_at();
-            let recently = heard.is_some_and(|heard| now < heard + timeout);
+            let last_contact = replica.raft.last_leader_contact();
+            let recently = last_contact.is_some_and(|last_contact| now < last_contact + timeout);
             replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && recently)
         });
         if follows {
@@ -157,7 +157,7 @@
             Ok(replay) => replay,
             Err(error) => {
                 log::warn!(partition = self.partition.0; "archive cannot be replayed: {error}");
-                self.recovery.ended(now);
+                self.recovery.finish_replay(now);
                 return;
             }
         };
@@ -167,16 +167,16 @@
             .as_ref()
             .map_or(0, |replica| replica.generation);
         self.recovery.known_generation = self.recovery.known_generation.max(generation);
-        let names_me = replay.position.members.iter();
-        let names_me = names_me
+        let is_member = replay.position.members.iter();
+        let is_member = is_member
             .clone()
             .any(|member| member.node == self.context.own.id);
-        if generation > current && names_me && generation > self.retired {
+        if generation > current && is_member && generation > self.retired_generation {
             self.start_claimed(&replay, now);
         } else if generation > current {
             self.retire();
         }
-        self.recovery.ended(now);
+        self.recovery.finish_replay(now);
         self.claim_if_due(generation, now);
     }
 
@@ -186,13 +186,13 @@
         let replica = Replica::from_claim(self.context.own.id, config, replay, now);
         log::info!(partition = self.partition.0, generation = replica.generation; "replica started");
         self.replica = Some(replica);
-        self.recovery.leader_seen(now);
+        self.recovery.record_working_leader(now);
     }
 
     pub(super) fn claim_if_due(&mut self, generation: Generation, now: Monotonic) {
         let delay = self.context.settings.ledger.rebuild_delay;
         let lost = self.recovery.is_lost(delay, now);
-        if self.leader_works(now) || generation < self.recovery.known_generation {
+        if self.has_working_leader(now) || generation < self.recovery.known_generation {
             return;
         }
         let Some(claim) = claim_after(&self.context, self.partition, generation, lost) else {
--- a/crates/swiftshunt-node/src/ledger/effects.rs
+++ b/crates/swiftshunt-node/src/ledger/effects.rs
@@ -8,7 +8,7 @@
 use super::replica::Replica;
 
 /// What a leader does when an entry is applied.
-pub(super) fn apply(replica: &mut Replica, entry: &AppliedEntry<LedgerState>) {
+pub(super) fn on_entry_applied(replica: &mut Replica, entry: &AppliedEntry<LedgerState>) {
     let (Some(command), Some(outcome)) = (&entry.command, &entry.outcome) else {
         return;
     };
@@ -16,7 +16,9 @@
         (command, outcome)
     {
         let index = entry.position.index;
-        replica.acknowledgements.ended(index, submission, result);
+        replica
+            .acknowledgements
+            .on_submission_completed(index, submission, result);
     }
     let state = replica.raft.state();
     let Some(leadership) = replica.leadership.as_mut() else {
--- a/crates/swiftshunt-node/src/ledger/hints.rs
+++ b/crates/swiftshunt-node/src/ledger/hints.rs
@@ -29,16 +29,16 @@
             node: context.own.id,
             address: context.own.peer,
         };
-        self.spread(context, generation, term, Some(leader));
+        self.merge_hint(context, generation, term, Some(leader));
     }
 
     /// This node no longer leads in `term`: the term that it led, not the one that ended it. News of
     /// a later term would hide the next leader's.
     pub(super) fn withdraw(&mut self, context: &Context, generation: Generation, term: Term) {
-        self.spread(context, generation, term, None);
+        self.merge_hint(context, generation, term, None);
     }
 
-    fn spread(
+    fn merge_hint(
         &mut self,
         context: &Context,
         generation: Generation,
--- a/crates/swiftshunt-node/src/ledger/input.rs
+++ b/crates/swiftshunt-node/src/ledger/input.rs
@@ -26,7 +26,9 @@
         reply: Reply,
     },
     /// Where this replica stands in its group.
-    Standing { reply: oneshot::Sender<Standing> },
+    Status {
+        reply: oneshot::Sender<ReplicaStatus>,
+    },
     /// News from the archive.
     Archive(ArchiveEvent),
 }
@@ -52,9 +54,9 @@
 
 /// Where a replica stands in its group.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Standing {
+pub(super) struct ReplicaStatus {
     /// It leads.
-    pub(super) leads: bool,
+    pub(super) is_leader: bool,
     /// It votes, or is not needed here: another node of the zone holds the replica.
-    pub(super) settled: bool,
+    pub(super) is_settled: bool,
 }
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -7,7 +7,7 @@
 
 use swiftshunt_ledger::raft::{Raft, Term};
 use swiftshunt_ledger::replacement::{
-    ReplacementView, ReplicaHealth, ReplicaView, Step, next_step,
+    ReplacementStep, ReplacementView, ReplicaHealth, ReplicaView, next_replacement_step,
 };
 use swiftshunt_ledger::state::{Job, JobStatus, LedgerState, Submission};
 use swiftshunt_membership::MemberState;
@@ -67,7 +67,7 @@
             jobs: BTreeMap::new(),
             stopped: CancellationToken::new(),
         };
-        leadership.run_plans();
+        leadership.spawn_planner();
         let state = raft.state();
         for submission in state
             .submissions()
@@ -82,7 +82,7 @@
     }
 
     /// Plans for the partition's pools until leadership ends.
-    fn run_plans(&self) {
+    fn spawn_planner(&self) {
         let planner = Planner {
             context: Arc::clone(&self.context),
             partition: self.partition,
@@ -132,14 +132,14 @@
     partition: PartitionId,
     raft: &Raft<LedgerState>,
     now: Monotonic,
-) -> Option<Step> {
+) -> Option<ReplacementStep> {
     let configuration = raft.configuration();
     let candidates: BTreeMap<ZoneName, NodeId> = context.placement.candidates(context, partition);
     let replicas = configuration.members();
     let replicas = replicas
-        .map(|id| (id, view_of(context, raft, id, now)))
+        .map(|id| (id, replica_view(context, raft, id, now)))
         .collect();
-    next_step(&ReplacementView {
+    next_replacement_step(&ReplacementView {
         leader: raft.id(),
         configuration,
         replicas,
@@ -147,7 +147,12 @@
     })
 }
 
-fn view_of(context: &Context, raft: &Raft<LedgerState>, id: NodeId, now: Monotonic) -> ReplicaView {
+fn replica_view(
+    context: &Context,
+    raft: &Raft<LedgerState>,
+    id: NodeId,
+    now: Monotonic,
+) -> ReplicaView {
     let membership = lock(&context.membership);
     let record = membership.record(id);
     let age = membership.age(id, now).unwrap_or_default();
--- a/crates/swiftshunt-node/src/ledger/mod.rs
+++ b/crates/swiftshunt-node/src/ledger/mod.rs
@@ -21,7 +21,7 @@
 use swiftshunt_types::PartitionId;
 use tokio::sync::{mpsc, oneshot};
 
-pub(crate) use client::{call, failure, propose};
+pub(crate) use client::{call, propose, to_failure};
 pub(crate) use leadership::LeaseClock;
 pub(crate) use supervisor::supervise;
 
@@ -29,7 +29,7 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerRefusal, RaftBatch};
 use driver::Driver;
-use input::{DriverInput, Standing};
+use input::{DriverInput, ReplicaStatus};
 
 /// The drivers of this node.
 #[derive(Default)]
@@ -39,7 +39,7 @@
 
 impl Ledger {
     /// The driver of a partition, started if it does not run.
-    pub(crate) fn ensure(&self, context: &Arc<Context>, partition: PartitionId) {
+    pub(crate) fn ensure_driver(&self, context: &Arc<Context>, partition: PartitionId) {
         let mut drivers = lock(&self.drivers);
         drivers
             .entry(partition)
@@ -51,7 +51,7 @@
         if batch.to != context.own.id || batch.partition.0 >= context.settings.ledger.partitions {
             return;
         }
-        self.ensure(context, batch.partition);
+        self.ensure_driver(context, batch.partition);
         let input = DriverInput::Raft {
             from: batch.from,
             generation: batch.generation,
@@ -63,14 +63,14 @@
     }
 
     /// Carries out an operation if this node leads the partition.
-    pub(crate) async fn local(
+    pub(crate) async fn execute_local(
         &self,
         partition: PartitionId,
         operation: LedgerOperation,
     ) -> Result<LedgerAnswer, LedgerRefusal> {
-        let not_here = LedgerRefusal::NotLeader { hint: None };
+        let not_leader = LedgerRefusal::NotLeader { hint: None };
         let Some(driver) = self.driver(partition) else {
-            return Err(not_here);
+            return Err(not_leader);
         };
         let wait = match &operation {
             LedgerOperation::AwaitSubmission { wait, .. } => Some(*wait),
@@ -79,7 +79,7 @@
         let (reply, answer) = oneshot::channel();
         let input = DriverInput::Operation { operation, reply };
         if driver.send(input).is_err() {
-            return Err(not_here);
+            return Err(not_leader);
         }
         let Some(wait) = wait else {
             return answer.await.unwrap_or(Err(LedgerRefusal::Lost));
@@ -92,26 +92,26 @@
 
     /// Whether any partition is led here.
     pub(crate) async fn leads_any(&self) -> bool {
-        let standings = self.standings().await;
-        standings.iter().any(|standing| standing.leads)
+        let statuses = self.statuses().await;
+        statuses.iter().any(|status| status.is_leader)
     }
 
     /// Whether every replica that this node should hold votes and has caught up.
     pub(crate) async fn is_settled(&self) -> bool {
-        let standings = self.standings().await;
-        standings.iter().all(|standing| standing.settled)
+        let statuses = self.statuses().await;
+        statuses.iter().all(|status| status.is_settled)
     }
 
-    async fn standings(&self) -> Vec<Standing> {
+    async fn statuses(&self) -> Vec<ReplicaStatus> {
         let drivers: Vec<_> = lock(&self.drivers).values().cloned().collect();
-        let mut standings = Vec::new();
+        let mut statuses = Vec::new();
         for driver in drivers {
             let (reply, answer) = oneshot::channel();
-            if driver.send(DriverInput::Standing { reply }).is_ok() {
-                standings.extend(answer.await);
+            if driver.send(DriverInput::Status { reply }).is_ok() {
+                statuses.extend(answer.await);
             }
         }
-        standings
+        statuses
     }
 
     fn driver(&self, partition: PartitionId) -> Option<mpsc::UnboundedSender<DriverInput>> {
--- a/crates/swiftshunt-node/src/ledger/queries.rs
+++ b/crates/swiftshunt-node/src/ledger/queries.rs
@@ -14,9 +14,11 @@
         Some(SubmissionStatus::Completed(result)) => {
             let answer = LedgerAnswer::Result(Some(result.clone()));
             let index = replica.raft.applied_index();
-            replica.acknowledgements.on_archived(index, reply, answer);
+            replica
+                .acknowledgements
+                .reply_on_archived(index, reply, answer);
         }
-        Some(_) => replica.acknowledgements.on_result(id, reply),
+        Some(_) => replica.acknowledgements.reply_on_completion(id, reply),
         None => drop(reply.send(Ok(LedgerAnswer::Result(None)))),
     }
 }
--- a/crates/swiftshunt-node/src/ledger/recovery.rs
+++ b/crates/swiftshunt-node/src/ledger/recovery.rs
@@ -9,16 +9,16 @@
 use crate::lock;
 
 /// Pause between replays while no group exists yet.
-const FIRST_REPLAY_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_REPLAY_DELAY: Duration = Duration::from_millis(100);
 /// Pause between replays while a group is lost.
-const REPLAY_PAUSE: Duration = Duration::from_millis(500);
+const REPLAY_DELAY: Duration = Duration::from_millis(500);
 
 /// What a driver keeps about the archive while it has no working group.
 #[derive(Debug)]
 pub(super) struct Recovery {
     /// The newest generation that the archive or another replica has shown.
     pub(super) known_generation: Generation,
-    busy: bool,
+    is_replaying: bool,
     next_replay: Monotonic,
     leaderless_since: Monotonic,
 }
@@ -27,47 +27,47 @@
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
             known_generation: 0,
-            busy: false,
+            is_replaying: false,
             next_replay: now,
             leaderless_since: now,
         }
     }
 
     /// Notes that some leader works.
-    pub(super) fn leader_seen(&mut self, now: Monotonic) {
+    pub(super) fn record_working_leader(&mut self, now: Monotonic) {
         self.leaderless_since = now;
     }
 
     /// Whether the archive should be replayed now; marks it as under way.
-    pub(super) fn begin_replay(
+    pub(super) fn try_begin_replay(
         &mut self,
         has_replica: bool,
         rebuild_delay: Duration,
         now: Monotonic,
     ) -> bool {
-        let unborn = !has_replica && self.known_generation == 0;
+        let never_claimed = !has_replica && self.known_generation == 0;
         let lost = now >= self.leaderless_since + rebuild_delay;
-        if self.busy || now < self.next_replay || !(unborn || lost) {
+        if self.is_replaying || now < self.next_replay || !(never_claimed || lost) {
             return false;
         }
-        self.busy = true;
+        self.is_replaying = true;
         true
     }
 
     /// A replay or a claim ended.
-    pub(super) fn ended(&mut self, now: Monotonic) {
-        self.busy = false;
-        let pause = if self.known_generation == 0 {
-            FIRST_REPLAY_PAUSE
+    pub(super) fn finish_replay(&mut self, now: Monotonic) {
+        self.is_replaying = false;
+        let delay = if self.known_generation == 0 {
+            INITIAL_REPLAY_DELAY
         } else {
-            REPLAY_PAUSE
+            REPLAY_DELAY
         };
-        self.next_replay = now + pause;
+        self.next_replay = now + delay;
     }
 
     /// The next replay is due at once.
-    pub(super) fn hasten(&mut self, now: Monotonic) {
-        self.busy = false;
+    pub(super) fn schedule_replay_now(&mut self, now: Monotonic) {
+        self.is_replaying = false;
         self.next_replay = now;
     }
 
@@ -85,7 +85,7 @@
     context: &Context,
     partition: PartitionId,
     last: Generation,
-    leaderless_long_enough: bool,
+    is_lost: bool,
 ) -> Option<ArchiveRecord> {
     let candidates = context.placement.candidates(context, partition);
     let replicas = context.settings.ledger.replicas;
@@ -95,8 +95,8 @@
     }
     let complete = candidates.len() == replicas;
     let majority = candidates.len() > replicas / 2;
-    let timely = leaderless_long_enough || (last == 0 && complete);
-    if !majority || !timely {
+    let is_due = is_lost || (last == 0 && complete);
+    if !majority || !is_due {
         return None;
     }
     let membership = lock(&context.membership);
--- a/crates/swiftshunt-node/src/ledger/replica.rs
+++ b/crates/swiftshunt-node/src/ledger/replica.rs
@@ -28,7 +28,7 @@
     /// When the log last showed that the generation stands.
     pub(super) verified_at: Monotonic,
     /// When the group last worked, as seen from here.
-    pub(super) contact_at: Monotonic,
+    pub(super) last_group_contact: Monotonic,
 }
 
 impl Replica {
@@ -90,7 +90,7 @@
             writer: ArchiveWriter::default(),
             leadership: None,
             verified_at: now,
-            contact_at: now,
+            last_group_contact: now,
         }
     }
 
@@ -98,18 +98,21 @@
     ///
     /// After half the rebuild delay without its group or the log's word, a new generation may have
     /// been claimed elsewhere; then it acts again only once the log shows that its own still stands.
-    pub(super) fn may_act(&self, config: &LedgerConfig, now: Monotonic) -> bool {
-        let known_good = self.contact_at.max(self.verified_at);
-        now < known_good + config.rebuild_delay / 2
+    pub(super) fn may_participate(&self, config: &LedgerConfig, now: Monotonic) -> bool {
+        let last_confirmed = self.last_group_contact.max(self.verified_at);
+        now < last_confirmed + config.rebuild_delay / 2
     }
 
     /// Notes whether the group works, as seen from here.
-    pub(super) fn note_contact(&mut self, now: Monotonic) {
+    pub(super) fn update_group_contact(&mut self, now: Monotonic) {
         let follows = self.raft.role() == Role::Follower && self.raft.leader().is_some();
         if follows {
-            self.contact_at = self.raft.heard_leader_at().unwrap_or(self.contact_at);
+            self.last_group_contact = self
+                .raft
+                .last_leader_contact()
+                .unwrap_or(self.last_group_contact);
         } else if self.raft.holds_lease(now) {
-            self.contact_at = now;
+            self.last_group_contact = now;
         }
     }
 
@@ -130,6 +133,6 @@
 
 impl Drop for Replica {
     fn drop(&mut self) {
-        self.acknowledgements.lose_all();
+        self.acknowledgements.fail_all();
     }
 }
--- a/crates/swiftshunt-node/src/ledger/supervisor.rs
+++ b/crates/swiftshunt-node/src/ledger/supervisor.rs
@@ -24,7 +24,7 @@
             let partition = PartitionId(index);
             let candidates = context.placement.candidates(&context, partition);
             if candidates.get(&context.own.zone) == Some(&context.own.id) {
-                context.ledger.ensure(&context, partition);
+                context.ledger.ensure_driver(&context, partition);
             }
         }
     }
--- a/crates/swiftshunt-node/src/operator/declarations.rs
+++ b/crates/swiftshunt-node/src/operator/declarations.rs
@@ -118,7 +118,7 @@
     };
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let outcome = ledger::propose(context, partition, command, deadline).await;
-    match outcome.map_err(ledger::failure)? {
+    match outcome.map_err(ledger::to_failure)? {
         Outcome::Pool(outcome) => Ok(outcome),
         _ => Ok(PoolOutcome::NotFound),
     }
--- a/crates/swiftshunt-node/src/peer/server.rs
+++ b/crates/swiftshunt-node/src/peer/server.rs
@@ -70,7 +70,7 @@
     let request: LedgerRequest = read(&mut call).await?;
     let outcome = context
         .ledger
-        .local(request.partition, request.operation)
+        .execute_local(request.partition, request.operation)
         .await;
     answer(&outcome)
 }
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -98,7 +98,12 @@
     async fn current(&self) -> Option<Submission> {
         let query = LedgerQuery::Submission(self.id.clone());
         let operation = LedgerOperation::Query(query);
-        match self.context.ledger.local(self.partition, operation).await {
+        match self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await
+        {
             Ok(LedgerAnswer::Submission(found)) => found,
             _ => None,
         }
@@ -128,7 +133,11 @@
             supersedes,
         };
         let operation = LedgerOperation::Propose(command);
-        let answer = self.context.ledger.local(self.partition, operation).await;
+        let answer = self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await;
         let granted = match answer {
             Ok(LedgerAnswer::Outcome(Outcome::Dispatch(DispatchOutcome::Granted(granted)))) => {
                 granted
@@ -189,7 +198,12 @@
             dispatch: dispatch.id,
         };
         let operation = LedgerOperation::Propose(command);
-        drop(self.context.ledger.local(self.partition, operation).await);
+        drop(
+            self.context
+                .ledger
+                .execute_local(self.partition, operation)
+                .await,
+        );
     }
 
     /// Finds out what became of a decision whose answer is missing.
--- a/crates/swiftshunt-node/src/submissions/intake.rs
+++ b/crates/swiftshunt-node/src/submissions/intake.rs
@@ -56,7 +56,7 @@
     });
     let deadline = started + context.settings.limits.leader_wait;
     let outcome = ledger::propose(context, partition, command, deadline).await;
-    match outcome.map_err(ledger::failure)? {
+    match outcome.map_err(ledger::to_failure)? {
         Outcome::Accept(AcceptOutcome::New | AcceptOutcome::Existing) => Ok(()),
         _ => {
             let message = "the idempotency key was used with another body";
@@ -106,7 +106,7 @@
     let operation = LedgerOperation::Query(LedgerQuery::Submission(id.clone()));
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let answer = ledger::call(context, partition, operation, deadline).await;
-    let found = match answer.map_err(ledger::failure)? {
+    let found = match answer.map_err(ledger::to_failure)? {
         LedgerAnswer::Submission(found) => found,
         _ => None,
     };
