--- a/crates/swiftshunt-ledger/src/config.rs
+++ b/crates/swiftshunt-ledger/src/config.rs
@@ -65,24 +65,24 @@
 impl LedgerConfig {
     /// Refuses settings under which the protocol's guarantees or its liveness would be lost.
     pub fn validate(&self) -> Result<(), LedgerConfigError> {
-        let error = |field, reason| Err(LedgerConfigError { field, reason });
+        let invalid = |field, reason| Err(LedgerConfigError { field, reason });
         if self.partitions == 0 {
-            return error("partitions", "must be at least 1");
+            return invalid("partitions", "must be at least 1");
         }
         if self.replicas.is_multiple_of(2) {
-            return error("replicas", "must be odd");
+            return invalid("replicas", "must be odd");
         }
         if self.heartbeat_interval.is_zero() {
-            return error("heartbeat_interval", "must be above zero");
+            return invalid("heartbeat_interval", "must be above zero");
         }
         if self.election_timeout < self.heartbeat_interval * MIN_HEARTBEATS_PER_ELECTION {
-            return error("election_timeout", "must be at least 3 heartbeat intervals");
+            return invalid("election_timeout", "must be at least 3 heartbeat intervals");
         }
         if self.rebuild_delay < self.election_timeout * MIN_ELECTIONS_PER_REBUILD {
-            return error("rebuild_delay", "must be at least 5 election timeouts");
+            return invalid("rebuild_delay", "must be at least 5 election timeouts");
         }
         if self.archive_wait.is_zero() {
-            return error("archive_wait", "must be above zero");
+            return invalid("archive_wait", "must be above zero");
         }
         Ok(())
     }
--- a/crates/swiftshunt-ledger/src/raft/election.rs
+++ b/crates/swiftshunt-ledger/src/raft/election.rs
@@ -30,7 +30,7 @@
         self.count_pre_votes(now);
     }
 
-    fn start_election(&mut self, is_leadership_transfer: bool, now: Monotonic) {
+    fn start_election(&mut self, handed_over: bool, now: Monotonic) {
         self.role = Role::Candidate;
         self.term += 1;
         self.voted_for = Some(self.id);
@@ -40,7 +40,7 @@
         let message = Message::Vote {
             term: self.term,
             last: self.log.last(),
-            is_leadership_transfer,
+            handed_over,
         };
         self.send_to_other_voters(&message);
         self.count_votes(now);
@@ -107,15 +107,18 @@
         from: NodeId,
         term: Term,
         last: LogPosition,
-        is_leadership_transfer: bool,
+        handed_over: bool,
         now: Monotonic,
     ) {
-        let refused_by_lease = !is_leadership_transfer && self.in_leader_lease(now);
+        let refused_by_lease = !handed_over && self.in_leader_lease(now);
         if term > self.term && !refused_by_lease {
             self.step_down(term, now);
         }
-        let free = self.voted_for.is_none_or(|voted| voted == from);
-        let granted = !refused_by_lease && term == self.term && free && last >= self.log.last();
+        let may_vote_for_sender = self.voted_for.is_none_or(|voted| voted == from);
+        let granted = !refused_by_lease
+            && term == self.term
+            && may_vote_for_sender
+            && last >= self.log.last();
         if granted {
             self.voted_for = Some(from);
             self.reset_election_timer(now);
--- a/crates/swiftshunt-ledger/src/raft/messages.rs
+++ b/crates/swiftshunt-ledger/src/raft/messages.rs
@@ -56,8 +56,7 @@
         /// The candidate's newest entry.
         last: LogPosition,
         /// Set when the leader handed over: its lease then does not stand in the way.
-        #[serde(rename = "handed_over")]
-        is_leadership_transfer: bool,
+        handed_over: bool,
     },
     /// Answer to [`Message::Vote`].
     VoteReply {
--- a/crates/swiftshunt-ledger/src/raft/node.rs
+++ b/crates/swiftshunt-ledger/src/raft/node.rs
@@ -159,8 +159,8 @@
             Message::Vote {
                 term,
                 last,
-                is_leadership_transfer,
-            } => self.on_vote(from, term, last, is_leadership_transfer, now),
+                handed_over,
+            } => self.on_vote(from, term, last, handed_over, now),
             Message::VoteReply { term, granted } => self.on_vote_reply(from, term, granted, now),
             Message::Append {
                 term,
--- a/crates/swiftshunt-ledger/src/raft/replication.rs
+++ b/crates/swiftshunt-ledger/src/raft/replication.rs
@@ -102,11 +102,11 @@
     /// Sends what is new to every follower that has no message outstanding.
     pub(super) fn replicate(&mut self, now: Monotonic) {
         for to in self.followers() {
-            let waiting = self
+            let is_in_flight = self
                 .progress
                 .get(&to)
                 .is_some_and(|progress| progress.in_flight_since.is_some());
-            if !waiting {
+            if !is_in_flight {
                 self.send_append(to, now);
             }
         }
@@ -119,14 +119,14 @@
             .progress
             .entry(to)
             .or_insert_with(|| Progress::starting_at(next_index));
-        let outstanding = progress
+        let is_in_flight = progress
             .in_flight_since
             .is_some_and(|since| now < since + resend_timeout);
-        if !outstanding {
+        if !is_in_flight {
             progress.in_flight_since = Some(now);
         }
         let next = progress.next;
-        let message = self.append_message(next, outstanding, now);
+        let message = self.append_message(next, is_in_flight, now);
         self.send(to, message);
     }
 
@@ -215,9 +215,9 @@
         entries: Vec<Entry<M::Command>>,
     ) -> AppendOutcome {
         let base = self.log.base_index();
-        let known =
+        let previous_matches =
             previous.index < base || self.log.term_at(previous.index) == Some(previous.term);
-        if !known {
+        if !previous_matches {
             let hint = self.log.last().index.min(previous.index.saturating_sub(1));
             return AppendOutcome::Mismatch {
                 hint: hint.max(self.commit),
@@ -299,10 +299,10 @@
                 progress.next = (hint + 1).max(progress.matched + 1).min(progress.next);
             }
         }
-        let behind = progress.next <= last && progress.in_flight_since.is_none();
+        let is_behind = progress.next <= last && progress.in_flight_since.is_none();
         self.advance_commit(now);
         self.advance_leadership_transfer(now);
-        if behind && self.role == Role::Leader {
+        if is_behind && self.role == Role::Leader {
             self.send_append(from, now);
         }
     }
@@ -310,13 +310,13 @@
     /// Commits the newest entry of this term that a majority holds.
     pub(super) fn advance_commit(&mut self, now: Monotonic) {
         let last = self.log.last().index;
-        let reached = self.configuration().quorum_value(|id| {
+        let majority_matched = self.configuration().quorum_value(|id| {
             if id == self.id {
                 return Some(last);
             }
             Some(self.progress.get(&id)?.matched)
         });
-        let Some(index) = reached else {
+        let Some(index) = majority_matched else {
             return;
         };
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
--- a/crates/swiftshunt-ledger/tests/rules.rs
+++ b/crates/swiftshunt-ledger/tests/rules.rs
@@ -71,14 +71,14 @@
 }
 
 #[test]
-fn a_vote_is_refused_while_the_leaders_lease_may_stand() {
+fn a_vote_is_refused_while_the_leader_lease_may_be_valid() {
     let mut raft = replica();
     raft.receive(SECOND, heartbeat(1), Duration::from_millis(10));
     raft.take_messages();
     let vote = Message::Vote {
         term: 2,
         last: LogPosition { term: 1, index: 9 },
-        is_leadership_transfer: false,
+        handed_over: false,
     };
     raft.receive(THIRD, vote, Duration::from_millis(20));
     assert_eq!(
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn leadership_that_was_offered_is_not_taken_back() {
+fn a_leader_does_not_regain_its_lease_after_sending_timeout_now() {
     let mut raft = replica();
     let elected_at = Duration::from_secs(2);
     elect(&mut raft, elected_at);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_entry_of_an_earlier_term_is_not_committed_by_counting() {
+fn an_entry_of_an_earlier_term_is_not_committed_by_counting_replicas() {
     let mut raft = replica();
     let position = LogPosition { term: 1, index: 1 };
     let entries = vec![Entry {
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -163,7 +163,7 @@
         let duration = self.random.random_range(5..150);
         match self.random.random_range(0..5) {
             0 => self.pause(target, duration),
-            1 => self.isolated(target, duration),
+            1 => self.isolate(target, duration),
             2 => self.transfer_leadership(),
             3 => self.join(),
             _ => self.crash(target),
@@ -176,7 +176,7 @@
         }
     }
 
-    fn isolated(&mut self, target: NodeId, duration: u32) {
+    fn isolate(&mut self, target: NodeId, duration: u32) {
         if let Some(replica) = self.replicas.get_mut(&target) {
             replica.isolated_until = self.step + duration;
             self.network.isolated.insert(target);
@@ -426,7 +426,7 @@
 
     fn check(&mut self) {
         let (seed, now) = (self.seed, self.now());
-        let mut leases = Vec::new();
+        let mut lease_holders = Vec::new();
         for replica in self.replicas.values_mut() {
             let raft = &mut replica.raft;
             if raft.role() == Role::Leader {
@@ -434,7 +434,7 @@
                 assert_eq!(*first, raft.id(), "two leaders in a term, seed {seed}");
             }
             if raft.holds_lease(now) {
-                leases.push(raft.id());
+                lease_holders.push(raft.id());
             }
             for entry in raft.apply_committed() {
                 let command = format!("{:?}", entry.command);
@@ -458,8 +458,8 @@
             }
         }
         assert!(
-            leases.len() <= 1,
-            "two leases at once: {leases:?}, seed {seed}"
+            lease_holders.len() <= 1,
+            "two leases at once: {lease_holders:?}, seed {seed}"
         );
         self.check_dispatches();
     }
--- a/crates/swiftshunt-ledger/tests/simulation/main.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/main.rs
@@ -27,7 +27,7 @@
 /// Found by the schedules below: a leader removed a replaced voter that took part while another was
 /// down, and left a group of two with one of them dead.
 #[test]
-fn a_working_voter_is_not_removed_while_another_is_down() {
+fn a_live_voter_is_not_removed_while_another_is_down() {
     let faults = Faults {
         loss_percent: 3,
         duplication_percent: 17,
@@ -40,7 +40,7 @@
 /// Found by the schedules below: two voters of one zone, neither of which was to stay, handed
 /// leadership to each other for ever.
 #[test]
-fn leadership_is_not_handed_to_and_fro() {
+fn leadership_does_not_alternate_between_replaced_voters() {
     let faults = Faults {
         loss_percent: 17,
         duplication_percent: 6,
@@ -54,12 +54,12 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_schedule_keeps_the_invariants(seed in any::<u64>(), loss in 0_u32..30, duplication in 0_u32..20, delay in 0_u32..12) {
+    fn invariants_hold_under_random_faults(seed in any::<u64>(), loss in 0_u32..30, duplication in 0_u32..20, delay in 0_u32..12) {
         run(seed, Faults { loss_percent: loss, duplication_percent: duplication, max_delay_steps: delay, replica_faults: true });
     }
 
     #[test]
-    fn a_leader_that_is_leaving_is_followed_by_another(seed in any::<u64>(), delay in 0_u32..6) {
+    fn a_leader_that_shuts_down_has_a_successor(seed in any::<u64>(), delay in 0_u32..6) {
         let faults = Faults { max_delay_steps: delay, replica_faults: false, ..Faults::none() };
         let mut cluster = Cluster::new(seed, faults);
         for _ in 0..FAULTY_STEPS / 8 {
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn a_quiet_group_keeps_its_leader(seed in any::<u64>()) {
+    fn a_group_without_faults_keeps_its_leader(seed in any::<u64>()) {
         let mut cluster = Cluster::new(seed, Faults::none());
         for _ in 0..FAULTY_STEPS {
             cluster.step();
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -38,7 +38,7 @@
     }
 
     /// After which index to append now, if at all.
-    pub(super) fn next_append(
+    pub(super) fn next_append_after(
         &mut self,
         committed: Index,
         archived: Index,
@@ -47,8 +47,8 @@
         if self.in_flight || committed <= archived {
             return None;
         }
-        let unconfirmed = self.sent_up_to > archived;
-        if unconfirmed && now >= self.sent_at + APPEND_RETRY_DELAY {
+        let is_unconfirmed = self.sent_up_to > archived;
+        if is_unconfirmed && now >= self.sent_at + APPEND_RETRY_DELAY {
             self.sent_up_to = archived;
         }
         let after = self.sent_up_to.max(archived);
@@ -67,9 +67,9 @@
     }
 
     /// The append may have taken effect: the tail is given time to show it.
-    pub(super) fn on_append_failed(&mut self, up_to_archived: Index, now: Monotonic) {
+    pub(super) fn on_append_failed(&mut self, archived: Index, now: Monotonic) {
         self.in_flight = false;
-        self.sent_up_to = up_to_archived;
+        self.sent_up_to = archived;
         self.sent_at = now;
     }
 }
--- a/crates/swiftshunt-node/src/ledger/client.rs
+++ b/crates/swiftshunt-node/src/ledger/client.rs
@@ -50,8 +50,8 @@
         }
         let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
         attempt += 1;
-        let is_deadline_near = context.clock.now() + delay >= deadline;
-        if is_deadline_near || !may_find_leader(context, partition) {
+        let exceeds_deadline = context.clock.now() + delay >= deadline;
+        if exceeds_deadline || !may_find_leader(context, partition) {
             return Err(CallFailure { may_have_executed });
         }
         tokio::time::sleep(delay).await;
@@ -63,9 +63,9 @@
     let membership = lock(&context.membership);
     let reachable = membership.reachable_zones();
     let zones = replica_zones_of(context, partition);
-    let in_reach = zones.iter().filter(|zone| reachable.contains(zone)).count();
-    let known = lock(&context.routes).table.leader(partition).is_some();
-    in_reach > zones.len() / 2 || known
+    let reachable_count = zones.iter().filter(|zone| reachable.contains(zone)).count();
+    let has_known_leader = lock(&context.routes).table.leader(partition).is_some();
+    reachable_count > zones.len() / 2 || has_known_leader
 }
 
 async fn attempt_call(
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -18,7 +18,7 @@
 
 use super::archive_io::ArchiveIo;
 use super::effects;
-use super::hints::LeaderHints;
+use super::hints::LeaderHintPublisher;
 use super::input::{DriverInput, ReplicaStatus, Reply};
 use super::leadership::{Leadership, replacement};
 use super::queries;
@@ -43,7 +43,7 @@
     /// its vote.
     retired_generation: Generation,
     is_verifying: bool,
-    hints: LeaderHints,
+    hints: LeaderHintPublisher,
 }
 
 impl Driver {
@@ -67,7 +67,7 @@
             recovery,
             retired_generation: 0,
             is_verifying: false,
-            hints: LeaderHints::new(partition),
+            hints: LeaderHintPublisher::new(partition),
         };
         tokio::spawn(driver.run(receiver));
         sender
@@ -294,22 +294,22 @@
         };
         let term = replica.raft.term();
         let is_leader = replica.raft.role() == Role::Leader;
-        let led = replica
+        let led_term = replica
             .leadership
             .as_ref()
             .map(|leadership| leadership.term);
-        if let Some(ended) = led.filter(|led| !is_leader || *led != term) {
+        if let Some(ended_term) = led_term.filter(|led_term| !is_leader || *led_term != term) {
             replica.leadership = None;
             replica.acknowledgements.fail_all();
             self.hints
-                .withdraw(&self.context, replica.generation, ended);
-            log::info!(partition = self.partition.0, term = ended; "leadership ended");
+                .withdraw(&self.context, replica.generation, ended_term);
+            log::info!(partition = self.partition.0, term = ended_term; "leadership ended");
         }
         if replica.leadership.is_none() && replica.raft.holds_lease(now) {
-            let tail = self.archive.follow(replica.archive_position());
+            let tail_task = self.archive.follow(replica.archive_position());
             let context = Arc::clone(&self.context);
             replica.writer = Default::default();
-            let leadership = Leadership::start(context, self.partition, &replica.raft, tail);
+            let leadership = Leadership::start(context, self.partition, &replica.raft, tail_task);
             replica.leadership = Some(leadership);
             log::info!(partition = self.partition.0, term = term; "leadership began");
             self.hints.publish(&self.context, replica.generation, term);
--- a/crates/swiftshunt-node/src/ledger/driver/archive.rs
+++ b/crates/swiftshunt-node/src/ledger/driver/archive.rs
@@ -25,7 +25,7 @@
         let committed = replica.raft.commit_index();
         let archived = replica.raft.archived().index;
         replica.writer.observe(committed, archived, now);
-        let Some(after) = replica.writer.next_append(committed, archived, now) else {
+        let Some(after) = replica.writer.next_append_after(committed, archived, now) else {
             return;
         };
         let entries = replica.raft.committed_after(after, MAX_ENTRIES_PER_RECORD);
@@ -136,8 +136,8 @@
         let timeout = self.context.settings.ledger.election_timeout * 2;
         let follows = self.replica.as_ref().is_some_and(|replica| {
             let last_contact = replica.raft.last_leader_contact();
-            let recently = last_contact.is_some_and(|last_contact| now < last_contact + timeout);
-            replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && recently)
+            let is_recent = last_contact.is_some_and(|last_contact| now < last_contact + timeout);
+            replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && is_recent)
         });
         if follows {
             return true;
@@ -167,8 +167,8 @@
             .as_ref()
             .map_or(0, |replica| replica.generation);
         self.recovery.known_generation = self.recovery.known_generation.max(generation);
-        let is_member = replay.position.members.iter();
-        let is_member = is_member
+        let members = replay.position.members.iter();
+        let is_member = members
             .clone()
             .any(|member| member.node == self.context.own.id);
         if generation > current && is_member && generation > self.retired_generation {
--- a/crates/swiftshunt-node/src/ledger/hints.rs
+++ b/crates/swiftshunt-node/src/ledger/hints.rs
@@ -10,12 +10,12 @@
 
 /// Publishes news of one partition.
 #[derive(Debug)]
-pub(super) struct LeaderHints {
+pub(super) struct LeaderHintPublisher {
     partition: PartitionId,
     sequence: u64,
 }
 
-impl LeaderHints {
+impl LeaderHintPublisher {
     pub(super) fn new(partition: PartitionId) -> Self {
         Self {
             partition,
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -44,7 +44,7 @@
     pub(super) lease: LeaseClock,
     context: Arc<Context>,
     partition: PartitionId,
-    tail: JoinHandle<()>,
+    tail_task: JoinHandle<()>,
     jobs: BTreeMap<JobId, CancellationToken>,
     stopped: CancellationToken,
 }
@@ -55,7 +55,7 @@
         context: Arc<Context>,
         partition: PartitionId,
         raft: &Raft<LedgerState>,
-        tail: JoinHandle<()>,
+        tail_task: JoinHandle<()>,
     ) -> Self {
         context.metrics.led_partitions.inc();
         let mut leadership = Self {
@@ -63,7 +63,7 @@
             lease: LeaseClock::default(),
             context,
             partition,
-            tail,
+            tail_task,
             jobs: BTreeMap::new(),
             stopped: CancellationToken::new(),
         };
@@ -121,7 +121,7 @@
     fn drop(&mut self) {
         self.lease.set(None);
         self.stopped.cancel();
-        self.tail.abort();
+        self.tail_task.abort();
         self.context.metrics.led_partitions.dec();
     }
 }
--- a/crates/swiftshunt-node/src/ledger/recovery.rs
+++ b/crates/swiftshunt-node/src/ledger/recovery.rs
@@ -46,8 +46,8 @@
         now: Monotonic,
     ) -> bool {
         let never_claimed = !has_replica && self.known_generation == 0;
-        let lost = now >= self.leaderless_since + rebuild_delay;
-        if self.is_replaying || now < self.next_replay || !(never_claimed || lost) {
+        let is_lost = now >= self.leaderless_since + rebuild_delay;
+        if self.is_replaying || now < self.next_replay || !(never_claimed || is_lost) {
             return false;
         }
         self.is_replaying = true;
@@ -93,10 +93,10 @@
     if candidates.get(own_zone) != Some(&context.own.id) {
         return None;
     }
-    let complete = candidates.len() == replicas;
-    let majority = candidates.len() > replicas / 2;
-    let is_due = is_lost || (last == 0 && complete);
-    if !majority || !is_due {
+    let has_all_zones = candidates.len() == replicas;
+    let has_majority = candidates.len() > replicas / 2;
+    let is_due = is_lost || (last == 0 && has_all_zones);
+    if !has_majority || !is_due {
         return None;
     }
     let membership = lock(&context.membership);
