--- a/crates/swiftshunt-ledger/src/archive.rs
+++ b/crates/swiftshunt-ledger/src/archive.rs
@@ -1,9 +1,10 @@
 //! The archive of one partition: a log stream of committed entries and generation claims, and the
-//! rules of its replay.
+//! rules for replaying it.
 //!
-//! The stream gives only append, read and offsets, so every rule is settled by replay, the same for
-//! every reader: the first valid claim of a generation wins; a record of any other generation than
-//! the one in force is void; an entry at an index already replayed is a repeated append and dropped.
+//! The stream offers only append, read and offsets, so conflicts are resolved at replay, in the same
+//! way by every reader: the first valid claim of a generation wins; entries of a generation other
+//! than the current one are ignored; an entry whose index is already replayed comes from a repeated
+//! append and is dropped.
 
 use std::net::SocketAddr;
 
@@ -13,70 +14,71 @@
 use crate::raft::{Entry, LogPosition, Payload, StateMachine};
 use crate::state::{Command, LedgerState};
 
-/// The number of rebuilds of a partition's group; the first group is generation 1.
+/// Number of a partition's replica group. The first group has generation 1; each rebuild from the
+/// archive adds 1.
 pub type Generation = u64;
 
-/// A member named by a claim.
+/// A voter listed in a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimedMember {
-    /// The replica's identity.
+    /// The node that holds the replica.
     pub node: NodeId,
-    /// Where it can be reached.
+    /// Peer address of the node.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
 }
 
-/// A record of the archive stream.
+/// One record of the archive stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ArchiveRecord {
-    /// Opens a generation over everything archived before it.
+    /// Starts a new generation on top of everything archived before it.
     Claim {
-        /// The generation claimed; valid only if it follows the one in force.
+        /// The claimed generation. The claim is valid only if this is the current generation plus 1.
         generation: Generation,
-        /// The voters of the new group.
+        /// The voters of the new group; a claim without voters is invalid.
         members: Vec<ClaimedMember>,
     },
-    /// Committed entries of a generation, contiguous.
+    /// Contiguous committed entries of one generation.
     Entries {
         /// The generation that committed them.
         generation: Generation,
-        /// The entries.
+        /// The entries in log order.
         entries: Vec<Entry<Command>>,
     },
 }
 
-/// What one record did at replay.
+/// The effect of one record at replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordEffect {
-    /// A new generation is in force.
+    /// The record started a new generation.
     Claimed,
-    /// Entries after the given position are archived.
+    /// The record added entries after the given position.
     Archived {
-        /// The last entry replayed before.
+        /// The last entry replayed before this record.
         after: LogPosition,
     },
-    /// The record is void or repeats earlier ones.
+    /// The record is invalid, belongs to another generation or repeats earlier records.
     Ignored,
 }
 
-/// How far a reader of the stream is: enough to judge each next record, without the state.
+/// A reader's position in the stream. Holds enough to evaluate the next record, but no state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ArchivePosition {
-    /// The generation in force; 0 before the first claim.
+    /// The current generation; 0 before the first claim.
     pub generation: Generation,
-    /// The voters with which the generation started.
+    /// The voters with which the current generation started.
     pub members: Vec<ClaimedMember>,
     /// The last entry replayed.
     pub last: LogPosition,
-    /// The last entry that earlier generations left: the base of the one in force.
+    /// The last entry of earlier generations, on which the current one is based.
     pub base: LogPosition,
-    /// The next offset to read.
+    /// The next stream offset to read.
     pub next_offset: u64,
 }
 
 impl ArchivePosition {
-    /// Judges the next record of the stream.
+    /// Evaluates the next record of the stream and moves past it.
     pub fn advance(&mut self, record: &ArchiveRecord) -> RecordEffect {
         self.next_offset += 1;
         match record {
@@ -117,21 +119,21 @@
     }
 }
 
-/// The state that a prefix of the stream stands for.
+/// The state rebuilt from a prefix of the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Replay {
-    /// How far the stream is replayed.
+    /// The position up to which the stream is replayed.
     pub position: ArchivePosition,
     /// The state as of the last entry replayed.
     pub state: LedgerState,
-    /// The state as of the base of the generation in force.
+    /// The state as of the base of the current generation.
     pub base_state: LedgerState,
-    /// The offset after the claim of the generation in force.
+    /// The stream offset after the claim of the current generation.
     pub base_offset: u64,
 }
 
 impl Replay {
-    /// Applies the next record of the stream.
+    /// Evaluates the next record of the stream and applies its new entries to the state.
     pub fn apply(&mut self, record: &ArchiveRecord) {
         match (self.position.advance(record), record) {
             (RecordEffect::Claimed, _) => {
--- a/crates/swiftshunt-ledger/src/config.rs
+++ b/crates/swiftshunt-ledger/src/config.rs
@@ -1,34 +1,38 @@
-//! Settings of the ledger.
+//! Configuration of the ledger and its validation.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Settings of consensus, archive and recovery. All durations are on the monotonic clock.
+/// Configuration of consensus, archive and recovery. Durations are measured on the monotonic clock.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LedgerConfig {
-    /// Shards of the key space. Must be the same on every node and never changes in a fleet's life.
+    /// Number of partitions of the key space. Must be the same on every node and must never change in
+    /// the lifetime of a fleet.
     pub partitions: u16,
-    /// Replicas of each partition, each in a zone of its own; odd, and the same on every node.
+    /// Number of replicas of each partition, each in a different zone. Must be odd and the same on
+    /// every node.
     pub replicas: usize,
-    /// How often a leader sends to followers that owe it nothing.
+    /// Interval at which a leader sends heartbeats to its followers.
     #[serde(with = "humantime_serde")]
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which a follower may call an election; the longest is twice this.
+    /// Minimum time without contact to a leader after which a follower starts an election; the actual
+    /// time is drawn at random between this value and twice this value.
     #[serde(with = "humantime_serde")]
     pub election_timeout: Duration,
-    /// How long a replica must be dead before it is replaced.
+    /// Time for which a replica's node must be dead before the replica is replaced.
     #[serde(with = "humantime_serde")]
     pub replace_delay: Duration,
-    /// How long a partition must be without a leader before a new generation is claimed.
+    /// Time for which a partition must have no leader before a new generation is claimed.
     #[serde(with = "humantime_serde")]
     pub rebuild_delay: Duration,
-    /// How long an acknowledgement waits for the archive before the archive counts as unavailable.
+    /// Maximum time that an acknowledgement waits for the archive. After it, the archive counts as
+    /// unavailable and committed entries are acknowledged without it.
     #[serde(with = "humantime_serde")]
     pub archive_wait: Duration,
-    /// Entries kept in memory behind the applied index, for followers that lag.
+    /// Number of applied entries kept in memory for followers that lag.
     pub retained_entries: usize,
 }
 
@@ -47,23 +51,25 @@
     }
 }
 
-/// A ledger setting that cannot work.
+/// An invalid ledger setting.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{field}: {reason}")]
 pub struct LedgerConfigError {
-    /// The field at fault.
+    /// Name of the invalid field.
     pub field: &'static str,
-    /// Why it cannot work.
+    /// The condition that the field violates.
     pub reason: &'static str,
 }
 
-/// An election must outlast several lost heartbeats.
+/// Minimum election timeout in heartbeat intervals: a few lost heartbeats must not start an election.
 const MIN_HEARTBEATS_PER_ELECTION: u32 = 3;
-/// A rebuild must be far above any election.
+/// Minimum rebuild delay in election timeouts: an election must be able to finish long before a
+/// rebuild starts.
 const MIN_ELECTIONS_PER_REBUILD: u32 = 5;
 
 impl LedgerConfig {
-    /// Refuses settings under which the protocol's guarantees or its liveness would be lost.
+    /// Checks the settings. Returns an error for values under which the protocol would lose its safety
+    /// or its liveness.
     pub fn validate(&self) -> Result<(), LedgerConfigError> {
         let invalid = |field, reason| Err(LedgerConfigError { field, reason });
         if self.partitions == 0 {
--- a/crates/swiftshunt-ledger/src/lib.rs
+++ b/crates/swiftshunt-ledger/src/lib.rs
@@ -1,8 +1,8 @@
-//! The replicated ledger, without I/O: consensus among a partition's replicas, the state machine of
-//! submissions and jobs on top of it, and the rules by which the archive is replayed.
+//! The replicated ledger without I/O: Raft consensus among a partition's replicas, the replicated
+//! state machine of submissions, batch jobs and pools, and the replay rules of the archive.
 //!
-//! Nothing here reads a clock, opens a socket or spawns a task. Callers pass the time of their
-//! monotonic clock and a random source, and carry the returned messages.
+//! Nothing here reads a clock, opens a socket or spawns a task. Callers pass the current time of
+//! their monotonic clock and a random source, and deliver the returned messages.
 
 pub mod archive;
 mod config;
--- a/crates/swiftshunt-ledger/src/placement.rs
+++ b/crates/swiftshunt-ledger/src/placement.rs
@@ -1,9 +1,9 @@
-//! Which node of a zone holds a partition's replica: rendezvous hashing, so that a node that comes
-//! or goes moves only its own share of partitions.
+//! Placement of replicas on zones and nodes by rendezvous hashing: a node that joins or leaves moves
+//! only its own share of the partitions.
 
 use swiftshunt_types::{NodeId, PartitionId, ZoneName, partition_of};
 
-/// The node among `nodes` that holds the partition's replica.
+/// The node among `nodes` that should hold the partition's replica; `None` if `nodes` is empty.
 pub fn replica_candidate(
     partition: PartitionId,
     nodes: impl IntoIterator<Item = NodeId>,
@@ -11,8 +11,8 @@
     rendezvous(u64::from(partition.0), nodes)
 }
 
-/// The zones that hold a replica of the partition: `replicas` of `zones`, the same ones wherever they
-/// are computed.
+/// The zones that should hold a replica of the partition: at most `replicas` of `zones`, the same on
+/// every node that computes them.
 pub fn replica_zones(partition: PartitionId, zones: &[ZoneName], replicas: usize) -> Vec<ZoneName> {
     let key = u64::from(partition.0);
     let hash = |zone: &ZoneName| u64::from(partition_of(zone.as_str(), u16::MAX).0);
@@ -25,14 +25,16 @@
     weighted.into_iter().map(|(_, zone)| zone.clone()).collect()
 }
 
-/// The node among `nodes` that a key falls to, the same wherever it is computed.
+/// The node among `nodes` with the highest weight for `key`, the same on every node that computes
+/// it; `None` if `nodes` is empty.
 pub fn rendezvous(key: u64, nodes: impl IntoIterator<Item = NodeId>) -> Option<NodeId> {
     nodes
         .into_iter()
         .max_by_key(|node| (weight(key, *node), *node))
 }
 
-/// SplitMix64's finalizer over both: cheap, well mixed, the same on every machine.
+/// Weight of a node for a key, by SplitMix64's finalizer over both: it is cheap, mixes well and gives
+/// the same value on every machine.
 fn weight(key: u64, node: NodeId) -> u64 {
     let mut value = node.0 ^ (key + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     value = (value ^ (value >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -1,4 +1,5 @@
-//! The next change to a group's members: replacing lost replicas one at a time, through learners.
+//! Chooses the next change to a group's members. Replicas are replaced one at a time: the new replica
+//! joins as a learner, becomes a voter once it has caught up, and then the old voter is removed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,53 +7,53 @@
 
 use crate::raft::GroupConfiguration;
 
-/// What a leader believes of a node, for replacement.
+/// A leader's view of a replica's node, for replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// Takes part.
+    /// The node is reachable and stays.
     Alive,
-    /// Takes part, but will go.
+    /// The node is reachable but is shutting down.
     Leaving,
-    /// Silent, but not for long enough to be replaced.
+    /// The node is unreachable, but for less than the replace delay.
     Silent,
-    /// Lost for good, or silent for longer than the replace delay.
+    /// The node has left, is unknown, or has been unreachable for at least the replace delay.
     Lost,
 }
 
-/// What a leader knows of one replica.
+/// A leader's view of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// What is believed of its node.
+    /// Health of the replica's node.
     pub health: ReplicaHealth,
-    /// Its zone, if its node is still remembered.
+    /// Zone of the replica's node; `None` if membership has no record of the node.
     pub zone: Option<ZoneName>,
-    /// Whether it holds the committed log.
+    /// Whether the replica holds every committed entry.
     pub caught_up: bool,
 }
 
-/// What a leader knows when it looks for a change.
+/// A leader's view of its group, the input of [`next_replacement_step`].
 #[derive(Clone, Debug)]
 pub struct ReplacementView<'a> {
-    /// The leader itself; never removed by its own decision.
+    /// The leader itself. It is never removed by its own proposal.
     pub leader: NodeId,
-    /// The members in force.
+    /// The configuration in force.
     pub configuration: &'a GroupConfiguration,
-    /// Every member of the group, the leader included.
+    /// Every member of the group, including the leader.
     pub replicas: BTreeMap<NodeId, ReplicaView>,
-    /// For each zone, the node that should hold a replica.
+    /// The node that should hold the replica, for each zone.
     pub candidates: BTreeMap<ZoneName, NodeId>,
 }
 
-/// What a leader should do next about the group's members.
+/// The next action of a leader on its group's members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReplacementStep {
-    /// Propose these members; at most one voter differs.
+    /// Propose this configuration, which differs by at most one voter.
     Change(GroupConfiguration),
-    /// Hand leadership over: this replica itself has been replaced.
+    /// Transfer leadership, since the leader's own replica has been replaced.
     LeadershipTransfer,
 }
 
-/// The next step, if any is needed.
+/// The next step; `None` if no change is needed or possible at present.
 pub fn next_replacement_step(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
     remove_lost_learner(view)
         .or_else(|| promote_learner(view))
@@ -96,7 +97,8 @@
     Some(next)
 }
 
-/// Removes a voter whose zone has another voter alive, worst health first.
+/// Removes a voter that has been replaced, in the order of [`ReplacementView::removal_rank`], provided
+/// that the remaining voters have a live quorum.
 fn remove_replaced_voter(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
     let mut removable: Vec<(u8, NodeId)> = view
         .configuration
@@ -134,8 +136,8 @@
         replica.map_or(ReplicaHealth::Lost, |replica| replica.health)
     }
 
-    /// Whether a majority of the voters takes part now. Removing a voter that takes part while
-    /// another is down would otherwise leave a group that cannot decide anything.
+    /// Whether a majority of the voters is reachable. Removing a reachable voter while another is
+    /// down could otherwise leave a group that cannot commit anything.
     fn has_live_quorum(&self, configuration: &GroupConfiguration) -> bool {
         let live = configuration.voters.iter().filter(|id| {
             matches!(
@@ -150,9 +152,9 @@
         self.replicas.get(&id)?.zone.as_ref()
     }
 
-    /// Whether a new replica of the zone would come too early: one may still come back, or one is
-    /// being brought up already. A replica that takes part is no reason: the candidate takes its
-    /// place, so that partitions spread over nodes that join.
+    /// Whether the zone must not get a new replica yet, because an unreachable one may still return
+    /// or a learner is catching up. A live replica does not count: the candidate replaces it, so that
+    /// partitions spread to nodes that join.
     fn is_replica_pending_in(&self, zone: &ZoneName) -> bool {
         self.configuration.members().any(|id| {
             let is_silent = self.health(id) == ReplicaHealth::Silent;
@@ -161,7 +163,7 @@
         })
     }
 
-    /// Lower goes first; none if the voter is still needed.
+    /// Order in which a replaced voter is removed, lowest first; `None` if the voter is still needed.
     fn removal_rank(&self, id: NodeId) -> Option<u8> {
         let health = self.health(id);
         let zone = self.zone(id);
@@ -173,20 +175,21 @@
             .filter(|other| *other != id && self.health(*other) == ReplicaHealth::Alive)
             .collect();
         let replaced = others_alive.iter().any(|other| self.zone(*other) == zone);
-        // A voter of an unknown zone is lost and forgotten: any complete set replaces it.
+        // A voter without a known zone has left the membership records: it counts as replaced once
+        // at least as many other voters are alive as there are candidates.
         let is_unknown_and_replaceable =
             zone.is_none() && others_alive.len() >= self.candidates.len();
         match health {
             ReplicaHealth::Lost if replaced || is_unknown_and_replaceable => Some(0),
             ReplicaHealth::Leaving if replaced => Some(1),
-            // Only by the candidate itself: two others of a zone would hand over to each other for
-            // ever.
+            // A live voter is replaced only by its zone's candidate. Otherwise two voters of a zone,
+            // neither of them the candidate, would transfer leadership to each other endlessly.
             ReplicaHealth::Alive if self.is_candidate_a_live_voter(id, &others_alive) => Some(2),
             _ => None,
         }
     }
 
-    /// Whether the node that should hold the replica of this one's zone is a voter beside it.
+    /// Whether the candidate of this voter's zone is another voter that is alive.
     fn is_candidate_a_live_voter(&self, id: NodeId, others_alive: &BTreeSet<NodeId>) -> bool {
         let candidate = self.zone(id).and_then(|zone| self.candidates.get(zone));
         candidate.is_some_and(|candidate| others_alive.contains(candidate))
--- a/crates/swiftshunt-ledger/src/routes.rs
+++ b/crates/swiftshunt-ledger/src/routes.rs
@@ -1,4 +1,4 @@
-//! Who leads which partition, as far as a node has heard. Hints only: a wrong one costs a retry.
+//! Known leaders of the partitions. These are only hints: a wrong one costs a retry.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,28 +9,28 @@
 use crate::archive::Generation;
 use crate::raft::Term;
 
-/// A leader and where it is reached.
+/// A partition's leader and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderAddress {
-    /// The leader.
+    /// The node that leads.
     pub node: NodeId,
-    /// Its peer address.
+    /// Peer address of the node.
     pub address: SocketAddr,
 }
 
-/// News of a partition's leader. Of two, the one with the higher (generation, term, sequence) is
-/// newer.
+/// An announcement of a partition's leader. Of two announcements, the one with the higher
+/// (generation, term, sequence) is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// The partition.
+    /// The partition that the announcement is about.
     pub partition: PartitionId,
-    /// The generation of its group.
+    /// The generation of the partition's group.
     pub generation: Generation,
-    /// The term.
+    /// The term that the leader leads or led.
     pub term: Term,
-    /// Number of the news within the term.
+    /// Counter of the announcing node; it orders announcements of the same term.
     pub sequence: u64,
-    /// The leader; none if it withdrew.
+    /// The leader; `None` if it has ended its leadership.
     pub leader: Option<LeaderAddress>,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// The newest news of each partition.
+/// The newest leader hint of each partition.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     hints: BTreeMap<PartitionId, LeaderHint>,
 }
 
 impl RouteTable {
-    /// Takes in news; returns whether it was new.
+    /// Stores the hint if it is newer than the known one; returns whether it was.
     pub fn merge(&mut self, hint: LeaderHint) -> bool {
         let known = self.hints.get(&hint.partition);
         if known.is_some_and(|known| known.version() >= hint.version()) {
@@ -57,17 +57,17 @@
         true
     }
 
-    /// The newest news of a partition.
+    /// The newest hint of a partition; `None` if none was received.
     pub fn hint(&self, partition: PartitionId) -> Option<&LeaderHint> {
         self.hints.get(&partition)
     }
 
-    /// The partition's leader, as far as known.
+    /// The partition's last known leader; `None` if it is unknown or has ended its leadership.
     pub fn leader(&self, partition: PartitionId) -> Option<LeaderAddress> {
         self.hint(partition)?.leader
     }
 
-    /// Everything known.
+    /// The newest hint of each partition, ordered by partition.
     pub fn hints(&self) -> impl Iterator<Item = &LeaderHint> {
         self.hints.values()
     }
--- a/crates/swiftshunt-ledger/src/state/bitmap.rs
+++ b/crates/swiftshunt-ledger/src/state/bitmap.rs
@@ -1,10 +1,10 @@
-//! A fixed-size set of item indices: 62,000 items take 8 KB.
+//! A fixed-size bitmap of item indices: 62,000 items take 8 KB.
 
 use serde::{Deserialize, Serialize};
 
 const BITS_PER_WORD: u32 = u64::BITS;
 
-/// Which items of a job are complete.
+/// The set of a job's completed items, by item index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemBitmap {
     words: Vec<u64>,
@@ -13,7 +13,7 @@
 }
 
 impl ItemBitmap {
-    /// An empty set over the indices below `length`.
+    /// An empty set that accepts the indices below `length`.
     pub fn new(length: u32) -> Self {
         let words = length.div_ceil(BITS_PER_WORD) as usize;
         Self {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Adds `index`; whether it was new and in range.
+    /// Adds `index`. Returns `false` if it was already in the set or is out of range.
     pub fn insert(&mut self, index: u32) -> bool {
         if index >= self.length || self.contains(index) {
             return false;
@@ -33,19 +33,19 @@
         true
     }
 
-    /// Whether `index` is in the set.
+    /// Whether `index` is in the set; `false` for an index out of range.
     pub fn contains(&self, index: u32) -> bool {
         self.words
             .get((index / BITS_PER_WORD) as usize)
             .is_some_and(|word| word >> (index % BITS_PER_WORD) & 1 == 1)
     }
 
-    /// How many indices are in the set.
+    /// Number of indices in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Indices not in the set, in order.
+    /// Indices below `length` that are not in the set, in ascending order.
     pub fn missing(&self) -> impl Iterator<Item = u32> + '_ {
         (0..self.length).filter(|index| !self.contains(*index))
     }
--- a/crates/swiftshunt-ledger/src/state/command.rs
+++ b/crates/swiftshunt-ledger/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Commands on the ledger and what comes of them.
+//! Commands of the state machine and their outcomes.
 
 use derive_more::From;
 use serde::{Deserialize, Serialize};
@@ -9,86 +9,88 @@
     PoolCommand, PoolOutcome, SubmissionResult,
 };
 
-/// A change that a leader proposes.
+/// A command that a leader proposes for the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Take in a submission.
+    /// Accept a submission.
     AcceptSubmission(NewSubmission),
-    /// Decide to send a submission; committed before a byte is sent.
+    /// Dispatch a submission to a worker. Committed before any byte is sent to the worker.
     DispatchSubmission {
-        /// Which.
+        /// The submission to dispatch.
         submission: SubmissionId,
-        /// This decision.
+        /// Identifier of this dispatch.
         dispatch: DispatchId,
-        /// To whom.
+        /// The worker that receives the submission.
         worker: WorkerId,
-        /// The earlier decision that this one replaces.
+        /// The dispatch in force that this one replaces; `None` for the first dispatch.
         supersedes: Option<DispatchId>,
     },
-    /// Take back a decision to send. Only its decider may say so, and only if it wrote no byte to the
-    /// worker or the worker confirmed that it never started.
+    /// Revoke a dispatch. Only the node that proposed the dispatch may revoke it, and only if it
+    /// wrote no byte to the worker or the worker confirmed that the submission never started.
     ReleaseSubmission {
-        /// Which.
+        /// The dispatched submission.
         submission: SubmissionId,
-        /// The decision taken back.
+        /// The dispatch to revoke.
         dispatch: DispatchId,
     },
-    /// Record a result; the first one stands.
+    /// Record the result of a submission. The first recorded result is final.
     CompleteSubmission {
-        /// Which.
+        /// The submission that ended.
         submission: SubmissionId,
-        /// The result.
+        /// The result to record unless one is recorded already.
         result: SubmissionResult,
     },
-    /// Take in a job.
+    /// Create a batch job.
     CreateJob(NewJob),
-    /// Record items whose results are in the output stream.
+    /// Record items whose results have been written to the job's output stream.
     CompleteItems {
-        /// Which job.
+        /// The job that the items belong to.
         job: JobId,
-        /// Which items.
+        /// Indices of the completed items.
         items: Vec<u32>,
     },
-    /// Stop a job.
+    /// Cancel a job.
     CancelJob {
-        /// Which.
+        /// The job to cancel.
         job: JobId,
-        /// Who asks.
+        /// Who requested the cancellation.
         by: String,
     },
-    /// Change what is declared of a pool.
+    /// Change the declarations or load orders of a pool.
     Pool {
-        /// Which pool.
+        /// The pool to change.
         pool: PoolName,
-        /// The change.
+        /// The change to apply to the pool's state.
         change: PoolCommand,
     },
-    /// Move a job's deadline.
+    /// Change the deadline of a running job.
     SetJobDeadline {
-        /// Which.
+        /// The job to change.
         job: JobId,
         /// The new deadline, in seconds of Unix time.
         deadline: u64,
-        /// Who asks.
+        /// Who requested the change.
         by: String,
     },
 }
 
-/// What came of a command.
+/// The outcome of a command, the same on every replica.
 #[derive(Clone, Debug, From, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Of [`Command::AcceptSubmission`].
+    /// Outcome of [`Command::AcceptSubmission`].
     Accept(AcceptOutcome),
-    /// Of [`Command::DispatchSubmission`].
+    /// Outcome of [`Command::DispatchSubmission`].
     Dispatch(DispatchOutcome),
-    /// Of [`Command::ReleaseSubmission`]: whether the decision was still in force.
+    /// Outcome of [`Command::ReleaseSubmission`]: whether the dispatch was in force and is revoked.
     Release(bool),
-    /// Of [`Command::CompleteSubmission`]: what is recorded, if the submission exists.
+    /// Outcome of [`Command::CompleteSubmission`]: the recorded result, which may be an earlier one;
+    /// `None` if the submission does not exist.
     Complete(Option<SubmissionResult>),
-    /// Of commands that create or change a job.
+    /// Outcome of [`Command::CreateJob`], [`Command::CompleteItems`] and
+    /// [`Command::SetJobDeadline`].
     Job(JobOutcome),
-    /// Of [`Command::CancelJob`].
+    /// Outcome of [`Command::CancelJob`].
     Cancel(CancelOutcome),
-    /// Of [`Command::Pool`].
+    /// Outcome of [`Command::Pool`].
     Pool(PoolOutcome),
 }
--- a/crates/swiftshunt-ledger/src/state/job.rs
+++ b/crates/swiftshunt-ledger/src/state/job.rs
@@ -1,88 +1,90 @@
-//! Batch jobs. Items and results lie in log streams; the ledger holds what is decided about them.
+//! Batch jobs. Items and results are stored in log streams; the ledger holds each job's status,
+//! completed items and deadline.
 
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{FileId, JobId, ModelName, TenantName};
 
 use super::ItemBitmap;
 
-/// A job as a caller creates it.
+/// The parameters of a job at its creation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewJob {
-    /// Derived from the idempotency key, or drawn.
+    /// Identifier, derived from the idempotency key or drawn at random if there is none.
     pub id: JobId,
-    /// Whose it is.
+    /// The tenant that owns the job.
     pub tenant: TenantName,
-    /// The file of items.
+    /// The input file, which holds the items.
     pub input: FileId,
-    /// The file of results.
+    /// The output file, which receives the results.
     pub output: FileId,
-    /// Which interface each item calls.
+    /// The API endpoint that each item calls.
     pub endpoint: String,
-    /// How many items the input holds.
+    /// Number of items in the input file.
     pub items: u32,
-    /// The model that most items name; for planning only.
+    /// The model that most items name; used only for planning.
     pub model: Option<ModelName>,
-    /// When it should be done, in seconds of Unix time; orders jobs, never decides an outcome.
+    /// Deadline in seconds of Unix time. Orders jobs by urgency; missing it does not change an
+    /// outcome.
     pub deadline: u64,
-    /// When it was created, in seconds of Unix time; for display.
+    /// Time of creation in seconds of Unix time; used only for display.
     pub created: u64,
 }
 
-/// Where a job stands.
+/// The status of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobStatus {
     /// Items may start.
     Running,
-    /// Every item is recorded.
+    /// Every item is recorded as completed.
     Completed,
-    /// Stopped by somebody; no item starts.
+    /// Cancelled on request; no further item starts.
     Cancelled {
-        /// Who stopped it.
+        /// Who requested the cancellation.
         by: String,
     },
 }
 
-/// A job in the ledger.
+/// A job as recorded in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// What was created.
+    /// The parameters given at creation; only the deadline may change later.
     pub request: NewJob,
-    /// Where it stands.
+    /// The current status.
     pub status: JobStatus,
-    /// Items whose results are in the output.
+    /// Items whose results are in the output file.
     pub done: ItemBitmap,
-    /// Rises with each accepted command on the job; a command may name the one it is based on.
+    /// Increases when the job is cancelled or its deadline changes; starts at 1.
     pub revision: u64,
 }
 
-/// What came of a cancellation.
+/// The outcome of [`Command::CancelJob`](super::Command::CancelJob).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CancelOutcome {
-    /// This command stopped the job.
+    /// This command cancelled the job.
     Cancelled,
-    /// Another stopped it before.
+    /// The job had been cancelled before.
     AlreadyCancelled {
-        /// Who did.
+        /// Who requested the earlier cancellation.
         by: String,
     },
-    /// It was done before.
+    /// The job had completed before.
     AlreadyCompleted,
-    /// No such job.
+    /// The job does not exist.
     NotFound,
 }
 
-/// What came of creating or changing a job.
+/// The outcome of a command that creates or changes a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// Done now.
+    /// The command took effect.
     Done,
-    /// The same job existed.
+    /// A job with the same identifier, input file and endpoint exists; nothing changed.
     Existing,
-    /// The identifier was used for another job.
+    /// The identifier belongs to a job with another input file or endpoint.
     KeyReused,
-    /// The job has ended, with the status given.
+    /// The job had ended before, with this status; nothing changed.
     Ended(JobStatus),
-    /// No such job.
+    /// The job does not exist.
     NotFound,
 }
 
--- a/crates/swiftshunt-ledger/src/state/machine.rs
+++ b/crates/swiftshunt-ledger/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine.
+//! The state machine that a partition's replicas apply committed commands to.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 };
 use crate::raft::StateMachine;
 
-/// Every submission and job of one partition.
+/// Every submission, job and pool of one partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerState {
     submissions: BTreeMap<SubmissionId, Submission>,
@@ -20,27 +20,27 @@
 }
 
 impl LedgerState {
-    /// A submission.
+    /// The submission with this identifier, ended or not.
     pub fn submission(&self, id: &SubmissionId) -> Option<&Submission> {
         self.submissions.get(id)
     }
 
-    /// Every submission.
+    /// Every submission of the partition, ordered by identifier.
     pub fn submissions(&self) -> impl Iterator<Item = &Submission> {
         self.submissions.values()
     }
 
-    /// A job.
+    /// The job with this identifier, ended or not.
     pub fn job(&self, id: &JobId) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// Every job.
+    /// Every job of the partition, ordered by identifier.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values()
     }
 
-    /// What is declared of each pool.
+    /// The state of each pool that has received a command.
     pub fn pools(&self) -> &BTreeMap<PoolName, PoolState> {
         &self.pools
     }
--- a/crates/swiftshunt-ledger/src/state/mod.rs
+++ b/crates/swiftshunt-ledger/src/state/mod.rs
@@ -1,10 +1,12 @@
-//! The state that a partition replicates: submissions and batch jobs, and the commands on them.
+//! The state that a partition replicates: submissions, batch jobs and pools, and the commands on
+//! them.
 //!
 //! Invariants, which hold on every replica because `apply` is deterministic:
-//! - a submission has at most one recorded result, and it never changes;
-//! - a submission that is not repeatable is dispatched at most once;
-//! - a repeatable one is dispatched again only by naming the dispatch that it supersedes;
-//! - a job's item is recorded complete at most once, and none after the job's cancellation.
+//! - a submission has at most one recorded result, which never changes;
+//! - a submission that is not repeatable has no second dispatch, except after a release revoked the
+//!   first one;
+//! - a repeatable submission is dispatched again only by naming the dispatch that is superseded;
+//! - an item of a job is recorded as completed at most once, and never after the job's cancellation.
 
 mod bitmap;
 mod command;
--- a/crates/swiftshunt-ledger/src/state/pool.rs
+++ b/crates/swiftshunt-ledger/src/state/pool.rs
@@ -1,125 +1,125 @@
-//! What operators declared of a pool, and the load orders that followed from it.
+//! Events and targets that operators declared for a pool, and the load orders issued for them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{ModelName, PoolName, WorkerId};
 
-/// Ended orders kept for `show orders` and `explain`.
+/// Most load orders kept per pool for `show orders` and `explain`; a new one evicts the oldest.
 const MAX_RETAINED_ORDERS: usize = 256;
 
-/// Demand at a fixed moment.
+/// Expected demand during a fixed period.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Event {
-    /// Its name within the pool.
+    /// Name, unique among the pool's events.
     pub name: String,
-    /// When it starts, in seconds of Unix time.
+    /// Start in seconds of Unix time.
     pub start: u64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     pub lasting: u64,
-    /// Expected requests a second.
+    /// Expected request rate during the event.
     pub requests_per_second: u64,
-    /// Who declared it.
+    /// Who declared the event.
     pub by: String,
 }
 
-/// What must be ready by when.
+/// A number of engines that must have a model loaded by a given time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Its name within the pool.
+    /// Name, unique among the pool's targets.
     pub name: String,
-    /// The model.
+    /// The model to load.
     pub model: ModelName,
-    /// Engines in each zone.
+    /// Number of engines in each zone that must have loaded the model.
     pub replicas: u32,
-    /// By when, in seconds of Unix time.
+    /// Time by which the engines must be ready, in seconds of Unix time.
     pub ready_by: u64,
-    /// Who declared it.
+    /// Who declared the target.
     pub by: String,
 }
 
-/// What became of a load order.
+/// The status of a load order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OrderStatus {
-    /// Decided; the engine may or may not have heard of it.
+    /// Committed; the engine may or may not have received the order.
     Given,
-    /// The engine took it.
+    /// The engine accepted the order.
     Taken,
-    /// The engine refused it, or could not be reached.
+    /// The engine refused the order or could not be reached.
     Failed {
-        /// Why.
+        /// Description of the refusal or of the failed call.
         reason: String,
     },
 }
 
-/// An order to an engine to load a model. Committed before it is sent.
+/// An order to an engine to load a model. Committed before it is sent to the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Rises with each order of the pool; part of the order's fence.
+    /// Increases with each order of the pool; part of the order's fencing token.
     pub sequence: u64,
-    /// For which target.
+    /// Name of the target that the order serves.
     pub target: String,
-    /// To which engine.
+    /// The engine that is to load the model.
     pub worker: WorkerId,
-    /// Which model.
+    /// The model to load.
     pub model: ModelName,
-    /// When it was decided, in seconds of Unix time.
+    /// Time of the order in seconds of Unix time, as given by the proposer.
     pub given_at: u64,
-    /// What became of it.
+    /// The last recorded status.
     pub status: OrderStatus,
 }
 
-/// Everything declared of a pool.
+/// The declarations and recent load orders of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolState {
-    /// By name.
+    /// Declared events by name.
     pub events: BTreeMap<String, Event>,
-    /// By name.
+    /// Declared targets by name.
     pub targets: BTreeMap<String, Target>,
-    /// Oldest first.
+    /// The newest load orders, oldest first; their number is limited.
     pub orders: VecDeque<Order>,
     next_sequence: u64,
 }
 
-/// A change to a pool.
+/// A command on a pool.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PoolCommand {
-    /// Declare an event, or replace the one of the same name.
+    /// Declare an event, replacing an event of the same name.
     PutEvent(Event),
-    /// Forget an event.
+    /// Remove the event with this name.
     DropEvent(String),
-    /// Declare a target, or replace the one of the same name.
+    /// Declare a target, replacing a target of the same name.
     PutTarget(Target),
-    /// Forget a target.
+    /// Remove the target with this name.
     DropTarget(String),
-    /// Decide to order an engine to load a model.
+    /// Add an order for an engine to load a model.
     GiveOrder {
-        /// For which target.
+        /// Name of the target that the order serves.
         target: String,
-        /// To which engine.
+        /// The engine that is to load the model.
         worker: WorkerId,
-        /// Which model.
+        /// The model to load.
         model: ModelName,
-        /// When, in seconds of Unix time.
+        /// Time of the order in seconds of Unix time.
         at: u64,
     },
-    /// Record what became of an order.
+    /// Record the status of an order.
     EndOrder {
-        /// Which.
+        /// Sequence number of the order.
         sequence: u64,
-        /// What became of it.
+        /// The status to record.
         status: OrderStatus,
     },
 }
 
-/// What came of a change to a pool.
+/// The outcome of a [`PoolCommand`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PoolOutcome {
-    /// Done.
+    /// The command took effect.
     Done,
-    /// The order with this sequence may be sent.
+    /// The order was added with this sequence number and may be sent.
     Ordered(u64),
-    /// No such event, target or order.
+    /// The event, target or order does not exist.
     NotFound,
 }
 
@@ -150,7 +150,7 @@
         }
     }
 
-    /// An order is given only while its target stands.
+    /// Adds an order, provided that its target is still declared.
     fn add_order(
         &mut self,
         target: &str,
@@ -185,7 +185,7 @@
     }
 }
 
-/// The identifier whose partition keeps a pool.
+/// The key whose partition stores the pool's state.
 pub fn pool_key(pool: &PoolName) -> String {
     format!("pool:{pool}")
 }
--- a/crates/swiftshunt-ledger/src/state/submission.rs
+++ b/crates/swiftshunt-ledger/src/state/submission.rs
@@ -1,102 +1,103 @@
-//! Submissions: each accepted once, completed once.
+//! Submissions: each is accepted once and completed once.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{Digest, PoolName, SubmissionId, TenantName, WorkerId};
 
-/// One decision to send a submission to a worker, drawn at random by the node that decides.
+/// Identifier of one dispatch of a submission to a worker, drawn at random by the proposing node.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct DispatchId(pub u64);
 
-/// A submission as a caller hands it in.
+/// The parameters of a submission when it is accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewSubmission {
-    /// Derived from tenant and idempotency key.
+    /// Identifier, derived from the tenant and the idempotency key.
     pub id: SubmissionId,
-    /// Whose it is.
+    /// The tenant that owns the submission.
     pub tenant: TenantName,
-    /// The pool whose workers perform it.
+    /// The pool whose workers run the submission.
     pub pool: PoolName,
-    /// Digest of everything that makes two requests the same.
+    /// Digest of the request; two requests with the same identifier are the same if it is equal.
     pub digest: Digest,
-    /// What the worker receives.
+    /// The request body that the worker receives.
     pub body: String,
-    /// Whether a worker may be sent it more than once, always under the same key.
+    /// Whether the submission may be sent more than once, always under the same key.
     pub repeatable: bool,
 }
 
-/// A committed decision to send.
+/// A committed dispatch of a submission to a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
-    /// This decision.
+    /// Identifier of the dispatch.
     pub id: DispatchId,
-    /// To whom.
+    /// The worker that receives the submission.
     pub worker: WorkerId,
-    /// How many were decided before.
+    /// Number of dispatches that this one supersedes, directly or through others; 0 for the first.
     pub attempt: u32,
 }
 
-/// How a submission ended.
+/// The final result of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmissionResult {
     /// The worker answered.
     Answered {
-        /// The worker's HTTP status.
+        /// HTTP status of the worker's response.
         status: u16,
-        /// The worker's body.
+        /// Body of the worker's response.
         body: String,
     },
-    /// It was sent, may have run, and may not be sent again.
+    /// The submission was sent, may have run, and must not be sent again.
     OutcomeUnknown,
-    /// It was accepted but certainly never ran.
+    /// The submission was accepted but is known never to have run.
     NotRun {
-        /// Why.
+        /// Description of the cause.
         reason: String,
     },
 }
 
-/// Where a submission stands.
+/// The status of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmissionStatus {
-    /// Accepted, not sent to anyone.
+    /// Accepted; no dispatch is in force.
     Accepted,
-    /// A send is decided; whether it happened is known only to the decider and the worker.
+    /// A dispatch is committed; only its proposer and the worker know whether it was sent.
     Dispatched(Dispatch),
-    /// Ended.
+    /// Ended with the recorded result.
     Completed(SubmissionResult),
 }
 
-/// A submission in the ledger.
+/// A submission as recorded in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submission {
-    /// What was handed in.
+    /// The parameters as accepted.
     pub request: NewSubmission,
-    /// Where it stands.
+    /// The current status.
     pub status: SubmissionStatus,
 }
 
-/// What came of an accept.
+/// The outcome of [`Command::AcceptSubmission`](super::Command::AcceptSubmission).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AcceptOutcome {
-    /// Accepted now.
+    /// The submission was accepted by this command.
     New,
-    /// The same request was accepted before.
+    /// The same request had been accepted before; nothing changed.
     Existing,
-    /// The key was used with another request.
+    /// The idempotency key belongs to another request.
     KeyReused,
 }
 
-/// What came of a dispatch.
+/// The outcome of [`Command::DispatchSubmission`](super::Command::DispatchSubmission).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchOutcome {
-    /// The proposer, and nobody else, may send.
+    /// The proposer, and no other node, may send the submission.
     Granted(Dispatch),
-    /// The submission is elsewhere or done; nothing may be sent.
+    /// The submission's current status, given here, does not permit the dispatch; the proposer must
+    /// not send the submission.
     Refused(SubmissionStatus),
-    /// No such submission.
+    /// The submission does not exist.
     NotFound,
 }
 
@@ -130,7 +131,7 @@
         DispatchOutcome::Granted(dispatch)
     }
 
-    /// Takes back a decision that was never carried out; whether it was in force.
+    /// Revokes the dispatch `id`. Returns `false` if it was not in force.
     pub(super) fn release(&mut self, id: DispatchId) -> bool {
         let in_force =
             matches!(&self.status, SubmissionStatus::Dispatched(current) if current.id == id);
@@ -140,7 +141,7 @@
         in_force
     }
 
-    /// Records `result` if none is recorded; returns what is recorded.
+    /// Records `result` unless a result is recorded already; returns the recorded result.
     pub(super) fn complete(&mut self, result: &SubmissionResult) -> SubmissionResult {
         if let SubmissionStatus::Completed(first) = &self.status {
             return first.clone();
