--- a/crates/swiftshunt-ledger/src/raft/configuration.rs
+++ b/crates/swiftshunt-ledger/src/raft/configuration.rs
@@ -1,21 +1,22 @@
-//! Which replicas vote and which only follow.
+//! The members of a replica group: voters and learners.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::NodeId;
 
-/// The members of a replica group.
+/// The voters and learners of a replica group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupConfiguration {
-    /// Replicas whose majority decides.
+    /// Replicas that elect the leader and whose majority commits entries.
     pub voters: BTreeSet<NodeId>,
-    /// Replicas that receive entries without a vote, before they become voters.
+    /// Replicas that receive entries but do not vote; they can become voters once they have caught
+    /// up.
     pub learners: BTreeSet<NodeId>,
 }
 
 impl GroupConfiguration {
-    /// A group of voters alone.
+    /// A group of voters without learners.
     pub fn of_voters(voters: impl IntoIterator<Item = NodeId>) -> Self {
         Self {
             voters: voters.into_iter().collect(),
@@ -23,17 +24,17 @@
         }
     }
 
-    /// How many voters make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether `granted` holds a majority of the voters.
+    /// Whether `granted` contains a majority of the voters.
     pub fn is_quorum(&self, granted: &BTreeSet<NodeId>) -> bool {
         self.voters.intersection(granted).count() >= self.quorum()
     }
 
-    /// Every member, voters first.
+    /// Every member: the voters, then the learners, each in ascending order.
     pub fn members(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(self.learners.iter()).copied()
     }
@@ -49,7 +50,8 @@
         self.voters.symmetric_difference(&next.voters).count() <= 1
     }
 
-    /// The `quorum`-th largest of the voters' values: what a majority has reached.
+    /// The highest value that a majority of the voters has reached, which is the `quorum`-th largest
+    /// of their values; `None` if fewer voters than a majority have a value.
     pub(super) fn quorum_value<T: Ord + Copy>(
         &self,
         value_of: impl Fn(NodeId) -> Option<T>,
--- a/crates/swiftshunt-ledger/src/raft/election.rs
+++ b/crates/swiftshunt-ledger/src/raft/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, votes, and stepping up or down.
+//! Elections: pre-vote, votes, becoming the leader and stepping down.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::{LogPosition, Message, Payload, Raft, Role, StateMachine, Term};
 
 impl<M: StateMachine> Raft<M> {
-    /// Draws the next election time from one to two election timeouts.
+    /// Restarts the election timer with a random time between one and two election timeouts.
     pub(super) fn reset_election_timer(&mut self, now: Monotonic) {
         let timeout = self.settings.election_timeout;
         let span = u64::try_from(timeout.as_micros())
@@ -58,7 +58,8 @@
         voters.iter().copied().filter(|id| *id != self.id).collect()
     }
 
-    /// Whether a leader was heard so recently that its lease may still stand.
+    /// Whether a leader lease may still be valid: this leader's own one, or that of a leader whose
+    /// last message arrived less than one election timeout ago.
     fn in_leader_lease(&self, now: Monotonic) -> bool {
         if self.role == Role::Leader {
             return self.lease_end().is_some_and(|end| now < end);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Becomes a follower of `term`, forgetting the vote only if the term is new.
+    /// Becomes a follower in `term`; clears the recorded vote only if the term is newer.
     pub(super) fn step_down(&mut self, term: Term, now: Monotonic) {
         if term > self.term {
             self.term = term;
@@ -182,8 +183,8 @@
         self.reset_election_timer(now);
     }
 
-    /// Whether the sender leads the current term; adopts its term if newer. A stale leader is told
-    /// the current term.
+    /// Returns whether the sender is the leader of the current term, after adopting its term if that
+    /// is newer. A stale leader receives a reply with the current term.
     pub(super) fn accept_leader(
         &mut self,
         from: NodeId,
--- a/crates/swiftshunt-ledger/src/raft/log.rs
+++ b/crates/swiftshunt-ledger/src/raft/log.rs
@@ -1,4 +1,4 @@
-//! The replicated log: a compacted prefix and the entries after it.
+//! The replicated log: the position of a compacted prefix and the entries after it.
 
 use std::collections::VecDeque;
 
@@ -6,52 +6,53 @@
 
 use super::GroupConfiguration;
 
-/// An election epoch of a group.
+/// An election term of a group; it has at most one leader.
 pub type Term = u64;
-/// A position in the log; the first entry has index 1.
+/// Index of a log entry. The first entry has index 1; 0 stands for an empty log.
 pub type Index = u64;
 
 /// Index and term of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// Term first, so that the derived order is Raft's "more up to date".
+    /// Term of the entry. This is the first field, so that the derived order is Raft's "more up to
+    /// date".
     pub term: Term,
-    /// The entry's index.
+    /// Index of the entry.
     pub index: Index,
 }
 
-/// How far the archive is known to hold the log.
+/// The part of the log that is known to be in the archive.
 ///
-/// Ordered by index: the offset of the newest mark is the one to read on from.
+/// Marks are ordered by index, so the greatest one has the offset at which to continue reading.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ArchiveMark {
-    /// The last archived index.
+    /// Index of the last archived entry.
     pub index: Index,
-    /// The archive stream's offset after the record that holds it.
+    /// Offset in the archive stream after the record that contains this entry.
     pub next_offset: u64,
 }
 
-/// What an entry carries.
+/// The content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload<C> {
-    /// The entry with which a leader opens its term.
+    /// The empty entry that a leader appends at the start of its term.
     Noop,
-    /// A change of the group's members; in force from the moment it is appended.
+    /// A change of the group's members, in force as soon as it is appended.
     Configuration(GroupConfiguration),
-    /// A change to the state machine.
+    /// A command to the state machine.
     Command(C),
 }
 
-/// One log entry.
+/// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry<C> {
-    /// Where it stands.
+    /// Term and index of the entry.
     pub position: LogPosition,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: Payload<C>,
 }
 
-/// Entries after a compacted prefix.
+/// The entries after a compacted prefix, whose last position is `base`.
 ///
 /// Invariant: entry indices are contiguous from `base.index + 1`.
 #[derive(Clone, Debug)]
@@ -80,7 +81,7 @@
         self.base.index
     }
 
-    /// The term at `index`, if it is the base or a held entry.
+    /// The term at `index`; `None` unless `index` is the base or the index of a kept entry.
     pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -98,14 +99,14 @@
         self.entries.push_back(entry);
     }
 
-    /// Drops every entry from `index` on.
+    /// Removes every entry at `index` and after it.
     pub(super) fn truncate_from(&mut self, index: Index) {
         let kept = index.saturating_sub(self.base.index + 1);
         self.entries
             .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
     }
 
-    /// Up to `limit` entries from `from` on.
+    /// At most `limit` entries, starting at index `from`.
     pub(super) fn slice(&self, from: Index, limit: usize) -> Vec<Entry<C>> {
         let skipped = from.saturating_sub(self.base.index + 1);
         self.entries
@@ -116,7 +117,7 @@
             .collect()
     }
 
-    /// The configuration in force: the newest in the log, committed or not.
+    /// The configuration in force: the newest one in the log, whether committed or not.
     pub(super) fn configuration(&self) -> &GroupConfiguration {
         self.configuration_as_of(Index::MAX)
     }
@@ -127,7 +128,7 @@
             .map_or(&self.base_configuration, |(_, configuration)| configuration)
     }
 
-    /// Index of the newest configuration entry; the base index if none is held.
+    /// Index of the newest configuration entry; the base index if the log has none.
     pub(super) fn configuration_index(&self) -> Index {
         self.newest_configuration(Index::MAX)
             .map_or(self.base.index, |(index, _)| index)
@@ -143,7 +144,7 @@
             })
     }
 
-    /// Forgets entries up to `index`.
+    /// Removes entries up to and including `index` and makes the last removed one the base.
     pub(super) fn compact(&mut self, index: Index) {
         while let Some(entry) = self.entries.front() {
             if entry.position.index > index {
--- a/crates/swiftshunt-ledger/src/raft/messages.rs
+++ b/crates/swiftshunt-ledger/src/raft/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between the replicas of a group.
+//! Messages that the replicas of a group exchange.
 
 use serde::{Deserialize, Serialize};
 use swiftshunt_types::{Monotonic, NodeId};
@@ -8,111 +8,113 @@
 /// A message and its receiver.
 #[derive(Clone, Debug)]
 pub struct Envelope<M: StateMachine> {
-    /// Who receives it.
+    /// The replica that receives the message.
     pub to: NodeId,
-    /// What is sent.
+    /// The message to send.
     pub message: Message<M>,
 }
 
-/// The state machine as of one position, for replicas too far behind for entries.
+/// The state machine as of one log position, for replicas that need entries which the leader has
+/// compacted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Snapshot<M> {
-    /// The last entry that the state contains.
+    /// The last entry that is applied to the state.
     pub position: LogPosition,
-    /// The members as of that entry.
+    /// The configuration as of that entry.
     pub configuration: GroupConfiguration,
-    /// The state.
+    /// The state as of that entry.
     pub state: M,
 }
 
 /// A message of the consensus protocol.
 ///
-/// `sent_at` is the leader's own monotonic clock, echoed by the follower: a lease is counted from
-/// when the leader sent, never from a follower's clock.
+/// `sent_at` is a reading of the leader's monotonic clock, which the follower echoes: a lease is
+/// counted from the time of sending on the leader's clock, never from a follower's clock.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(bound(
     serialize = "M: Serialize, M::Command: Serialize",
     deserialize = "M: Deserialize<'de>, M::Command: Deserialize<'de>"
 ))]
 pub enum Message<M: StateMachine> {
-    /// Would you vote for me? Changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. Does not change the receiver's state.
     PreVote {
-        /// The term that the candidate would open.
+        /// The term in which the candidate would run.
         term: Term,
-        /// The candidate's newest entry.
+        /// Position of the candidate's last entry.
         last: LogPosition,
     },
-    /// Answer to [`Message::PreVote`].
+    /// Reply to [`Message::PreVote`].
     PreVoteReply {
-        /// The term asked for if granted, else the receiver's term.
+        /// The requested term if the pre-vote is granted, otherwise the receiver's term.
         term: Term,
-        /// Whether the receiver would vote.
+        /// Whether the receiver would vote for the candidate.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote for the sender.
     Vote {
         /// The candidate's term.
         term: Term,
-        /// The candidate's newest entry.
+        /// Position of the candidate's last entry.
         last: LogPosition,
-        /// Set when the leader handed over: its lease then does not stand in the way.
+        /// Whether the candidate runs at the leader's request, by [`Message::TimeoutNow`]; the
+        /// receiver then ignores the leader's lease.
         handed_over: bool,
     },
-    /// Answer to [`Message::Vote`].
+    /// Reply to [`Message::Vote`].
     VoteReply {
         /// The receiver's term.
         term: Term,
-        /// Whether the vote was given.
+        /// Whether the receiver voted for the candidate.
         granted: bool,
     },
-    /// Entries, or none as a heartbeat.
+    /// Replicates entries; without entries it is a heartbeat.
     Append {
         /// The leader's term.
         term: Term,
-        /// The entry before the first one sent.
+        /// Position of the entry before the first one sent.
         previous: LogPosition,
-        /// The entries.
+        /// The entries to append, in log order.
         entries: Vec<Entry<M::Command>>,
         /// The leader's commit index.
         commit: Index,
-        /// Up to where the archive is known to hold the log.
+        /// The part of the log that the leader knows to be in the archive.
         archived: ArchiveMark,
-        /// The leader's clock at sending.
+        /// Time of sending on the leader's clock.
         sent_at: Monotonic,
     },
-    /// The whole state, for a follower whose next entry the leader no longer holds.
+    /// Transfers the whole state to a follower whose next entry the leader has compacted.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The state.
+        /// The leader's state as of its applied index.
         snapshot: Snapshot<M>,
-        /// The leader's clock at sending.
+        /// Time of sending on the leader's clock.
         sent_at: Monotonic,
     },
-    /// Answer to [`Message::Append`] and [`Message::InstallSnapshot`].
+    /// Reply to [`Message::Append`] and [`Message::InstallSnapshot`].
     AppendReply {
         /// The receiver's term.
         term: Term,
-        /// What came of it.
+        /// Whether the receiver's log matches the leader's.
         outcome: AppendOutcome,
-        /// The leader's clock, echoed.
+        /// The `sent_at` of the message that this replies to.
         sent_at: Monotonic,
     },
-    /// The leader hands over: call an election at once.
+    /// Leadership transfer: tells the receiver to start an election at once.
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
 }
 
-/// What a follower did with entries.
+/// The result of an append or of a snapshot at the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The log equals the leader's up to this index.
+    /// The follower's log matches the leader's up to this index.
     Matched(Index),
-    /// The entry before the first one sent is missing or differs; try again from here.
+    /// The entry before the first one sent is missing or has another term.
     Mismatch {
-        /// The follower's best guess of the last index that could match.
+        /// The last index that may match, as estimated by the follower; the leader retries after it.
         hint: Index,
     },
 }
--- a/crates/swiftshunt-ledger/src/raft/mod.rs
+++ b/crates/swiftshunt-ledger/src/raft/mod.rs
@@ -1,8 +1,8 @@
-//! Consensus within one generation of one partition's replica group.
+//! Consensus among the replicas of one partition within one generation.
 //!
-//! Standard Raft with pre-vote, check-quorum, leader leases and membership changes of one voter at
-//! a time. Replicas keep nothing on disk: a restarted process has a new [`NodeId`], enters as a
-//! learner and never votes under its old identity.
+//! Raft with pre-vote, check-quorum, leader leases and membership changes of one voter at a time.
+//! Replicas keep nothing on disk: a restarted process has a new [`NodeId`], joins as a learner and
+//! never votes under its old identity.
 //!
 //! [`NodeId`]: swiftshunt_types::NodeId
 
@@ -21,11 +21,12 @@
 
 /// The deterministic state that a group replicates.
 pub trait StateMachine: Clone + std::fmt::Debug {
-    /// A change to the state.
+    /// A change to the state, replicated through the log.
     type Command: Clone + std::fmt::Debug;
-    /// What came of a change; the same on every replica.
+    /// The result of applying a command, the same on every replica.
     type Outcome: Clone + std::fmt::Debug;
 
-    /// Applies one committed command. Must depend on nothing but the state and the command.
+    /// Applies one committed command. Must be deterministic: the new state and the outcome may
+    /// depend only on the state and the command.
     fn apply(&mut self, command: &Self::Command) -> Self::Outcome;
 }
--- a/crates/swiftshunt-ledger/src/raft/node.rs
+++ b/crates/swiftshunt-ledger/src/raft/node.rs
@@ -1,4 +1,4 @@
-//! One replica: its state and the entry points that the driver calls.
+//! A Raft replica: its state and the methods that a driver calls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,73 +14,75 @@
 };
 use crate::LedgerConfig;
 
-/// What a replica is in its term.
+/// The role of a replica in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows a leader or waits for one.
+    /// Follows a leader or waits for an election.
     Follower,
-    /// Asks whether an election could be won.
+    /// Asks the other voters whether it could win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes in a new term.
     Candidate,
-    /// Leads.
+    /// Leads the group in the current term.
     Leader,
 }
 
-/// Why a proposal was not taken. Nothing was appended.
+/// The reason why a proposal was rejected; nothing was appended to the log.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This replica does not lead, or is handing over.
+    /// This replica is not the leader or is transferring its leadership.
     #[display("not the leader")]
     NotLeader,
-    /// Another change of members is under way.
+    /// Another configuration change is uncommitted, or the leader has committed no entry of its term
+    /// yet.
     #[display("a configuration change is in progress")]
     ChangeInProgress,
-    /// The change moves more than one voter.
+    /// The change adds or removes more than one voter.
     #[display("only one voter may change at a time")]
     NotSingleStep,
 }
 
-/// An applied command.
+/// A committed entry that has been applied.
 #[derive(Clone, Debug)]
 pub struct AppliedEntry<M: StateMachine> {
-    /// Where the entry stands.
+    /// Term and index of the entry.
     pub position: LogPosition,
-    /// The command; absent for entries that do not touch the state machine.
+    /// The command; `None` for entries without one.
     pub command: Option<M::Command>,
-    /// What came of it.
+    /// The outcome of the command; `None` for entries without a command.
     pub outcome: Option<M::Outcome>,
 }
 
-/// Where a replica starts from.
+/// The initial state of a replica.
 #[derive(Clone, Debug)]
 pub struct RaftStart<M> {
-    /// Position that `state` contains.
+    /// The last entry that is applied to `state`.
     pub base: LogPosition,
-    /// Members as of `base`.
+    /// The configuration as of `base`.
     pub configuration: GroupConfiguration,
-    /// State as of `base`.
+    /// The state as of `base`.
     pub state: M,
-    /// How far the archive holds the log.
+    /// The part of the log that is known to be in the archive.
     pub archived: ArchiveMark,
 }
 
-/// A leader's attempt to hand over.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeadershipTransfer {
-    /// Who is to lead next.
+    /// The voter that should become the leader.
     pub(super) target: NodeId,
-    /// When the attempt ends.
+    /// Time at which the transfer ends if the target has not become the leader.
     pub(super) deadline: Monotonic,
-    /// Whether the target was told. It is told only once its log is complete: before that it could
-    /// not win, and the leader would lose its leadership to nobody.
+    /// Whether [`Message::TimeoutNow`] was sent to the target. It is sent only once the target's log
+    /// is complete: before that the target could not win the election, and the group would be
+    /// without a leader.
     pub(super) timeout_now_sent: bool,
 }
 
 /// One replica of a group.
 ///
-/// Invariants: `applied <= commit <= log.last().index`; a vote is given at most once a term; the
-/// term never falls; a leader commits only entries of its own term by counting.
+/// Invariants: `applied <= commit <= log.last().index`; the replica votes at most once in a term; the
+/// term never decreases; a leader commits only entries of its own term by counting replicas.
 pub struct Raft<M: StateMachine> {
     pub(super) id: NodeId,
     pub(super) settings: LedgerConfig,
@@ -105,7 +107,7 @@
 }
 
 impl<M: StateMachine> Raft<M> {
-    /// A follower that starts from `start` at time `now`.
+    /// Creates a follower with the state `start`, whose election timer starts at `now`.
     pub fn new(
         id: NodeId,
         settings: LedgerConfig,
@@ -140,7 +142,7 @@
         raft
     }
 
-    /// Moves time forward: elections, heartbeats, check-quorum.
+    /// Runs what is due at `now`: elections, heartbeats, check-quorum and leadership transfer.
     pub fn tick(&mut self, now: Monotonic) {
         if self.role == Role::Leader {
             self.tick_leader(now);
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Takes a message from another replica of the same generation.
+    /// Handles a message from another replica of the same generation.
     pub fn receive(&mut self, from: NodeId, message: Message<M>, now: Monotonic) {
         match message {
             Message::PreVote { term, last } => self.on_pre_vote(from, term, last, now),
@@ -193,8 +195,8 @@
         }
     }
 
-    /// Appends a command. Its outcome comes out of [`Raft::apply_committed`] at the returned
-    /// position, or never if another leader's entry takes its place.
+    /// Appends a command to the log. [`Raft::apply_committed`] returns its outcome at the returned
+    /// position, unless another leader's entry replaces it.
     pub fn propose(
         &mut self,
         command: M::Command,
@@ -204,7 +206,7 @@
         Ok(self.append_as_leader(Payload::Command(command), now))
     }
 
-    /// Appends a change of members, in force at once.
+    /// Appends a configuration change, which is in force at once.
     pub fn propose_configuration(
         &mut self,
         configuration: GroupConfiguration,
@@ -221,8 +223,9 @@
         Ok(self.append_as_leader(Payload::Configuration(configuration), now))
     }
 
-    /// Hands leadership to the voter that is furthest along. Proposals are refused until the hand-over
-    /// succeeds or is given up.
+    /// Starts to transfer leadership to the voter with the highest matching index. Does nothing if
+    /// this replica is not the leader or a transfer is in progress. Proposals are rejected until the
+    /// transfer succeeds or its deadline passes.
     pub fn transfer_leadership(&mut self, now: Monotonic) {
         if self.role != Role::Leader || self.leadership_transfer.is_some() {
             return;
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Applies what is committed and returns it in order.
+    /// Applies committed entries to the state and returns them in log order.
     pub fn apply_committed(&mut self) -> Vec<AppliedEntry<M>> {
         let mut applied = Vec::new();
         while self.applied < self.commit {
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Drops entries that are applied, archived and further back than the retained window.
+    /// Removes entries that are applied, archived and older than the retained window.
     fn compact(&mut self) {
         let window = self.settings.retained_entries;
         if self.log.entry_count() < window * 2 {
@@ -287,32 +290,32 @@
         self.log.compact(kept.min(self.archived.index));
     }
 
-    /// Messages to carry, in order.
+    /// Takes the messages to deliver, in the order of sending.
     pub fn take_messages(&mut self) -> Vec<Envelope<M>> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// The replica's identity.
+    /// The node that holds this replica.
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// The current term.
+    /// The replica's current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The current role.
+    /// The replica's role in the current term.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The leader, as far as known.
+    /// The leader of the current term; `None` if it is unknown.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// When a leader was last heard, on this replica's clock.
+    /// Time of the last message from a leader, on this replica's clock; `None` if there was none.
     pub fn last_leader_contact(&self) -> Option<Monotonic> {
         self.last_leader_contact
     }
@@ -322,12 +325,12 @@
         self.applied
     }
 
-    /// When the lease ends, if this replica leads.
+    /// End of the leader lease on this replica's clock; `None` if no quorum has acknowledged a message.
     pub fn lease_until(&self) -> Option<Monotonic> {
         self.lease_end()
     }
 
-    /// The state as of the applied index.
+    /// The state machine as of the applied index.
     pub fn state(&self) -> &M {
         &self.state
     }
@@ -337,36 +340,37 @@
         self.commit
     }
 
-    /// The members in force.
+    /// The configuration in force, whether committed or not.
     pub fn configuration(&self) -> &GroupConfiguration {
         self.log.configuration()
     }
 
-    /// Up to where the archive is known to hold the log.
+    /// The part of the log that is known to be in the archive.
     pub fn archived(&self) -> ArchiveMark {
         self.archived
     }
 
-    /// Records how far the archive holds the log.
+    /// Records the part of the log that is in the archive; an older mark is ignored.
     pub fn set_archived(&mut self, mark: ArchiveMark) {
         self.archived = self.archived.max(mark);
     }
 
-    /// Committed entries after `from`, at most `limit`, for the archive.
+    /// At most `limit` committed entries after index `from`, for the archive.
     pub fn committed_after(&self, from: Index, limit: usize) -> Vec<Entry<M::Command>> {
         let available = usize::try_from(self.commit.saturating_sub(from)).unwrap_or(usize::MAX);
         self.log.slice(from + 1, limit.min(available))
     }
 
-    /// Whether a learner holds the leader's committed log and can become a voter.
+    /// Whether a learner holds every committed entry of the leader and can become a voter.
     pub fn is_caught_up(&self, learner: NodeId) -> bool {
         self.progress
             .get(&learner)
             .is_some_and(|progress| progress.matched >= self.commit)
     }
 
-    /// Whether this replica leads, has committed an entry of its own term, and no other leader can
-    /// have been elected before now.
+    /// Whether this replica is the leader, has committed an entry of its term and holds a valid
+    /// lease, so that no other leader can have been elected before `now`. It is `false` as soon as a
+    /// leadership transfer has sent [`Message::TimeoutNow`].
     pub fn holds_lease(&self, now: Monotonic) -> bool {
         self.role == Role::Leader
             && self
--- a/crates/swiftshunt-ledger/src/raft/progress.rs
+++ b/crates/swiftshunt-ledger/src/raft/progress.rs
@@ -1,19 +1,21 @@
-//! What a leader knows of each follower.
+//! Replication progress of each follower, kept by the leader.
 
 use swiftshunt_types::Monotonic;
 
 use super::Index;
 
-/// A leader's view of one follower.
+/// Replication progress of one follower.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
-    /// Next index to send.
+    /// Index of the next entry to send.
     pub(super) next: Index,
-    /// Highest index known to be the same.
+    /// Highest index up to which the follower's log is known to match the leader's.
     pub(super) matched: Index,
-    /// When the message last answered was sent, on the leader's clock.
+    /// Time at which the newest acknowledged message was sent, on the leader's clock; `None` before
+    /// the first acknowledgement.
     pub(super) last_acknowledged_send: Option<Monotonic>,
-    /// When an unanswered message was sent; one is outstanding at a time, so entries batch up.
+    /// Time at which the unacknowledged message was sent; `None` if there is none. Only one message
+    /// with entries is outstanding at a time, so that further entries are sent in batches.
     pub(super) in_flight_since: Option<Monotonic>,
 }
 
--- a/crates/swiftshunt-ledger/src/raft/replication.rs
+++ b/crates/swiftshunt-ledger/src/raft/replication.rs
@@ -1,4 +1,4 @@
-//! Appending, acknowledging, committing, and the leader's lease.
+//! Log replication, commit, check-quorum, leadership transfer and the leader lease.
 
 use swiftshunt_types::{Monotonic, NodeId};
 
@@ -9,9 +9,9 @@
     StateMachine, Term,
 };
 
-/// Entries in one message.
+/// Most entries in one append message.
 const MAX_ENTRIES_PER_APPEND: usize = 256;
-/// A message that is not answered within this many heartbeats is sent again.
+/// Number of heartbeat intervals after which an unacknowledged message is sent again.
 const RESEND_TIMEOUT_HEARTBEATS: u32 = 4;
 
 impl<M: StateMachine> Raft<M> {
@@ -32,14 +32,15 @@
         }
     }
 
-    /// Offers leadership once the target's log is complete, and ends an attempt that took too long.
+    /// Sends [`Message::TimeoutNow`] once the target's log is complete; ends a transfer whose
+    /// deadline has passed.
     pub(super) fn advance_leadership_transfer(&mut self, now: Monotonic) {
         let Some(leadership_transfer) = self.leadership_transfer else {
             return;
         };
         if now >= leadership_transfer.deadline {
-            // An offer may still arrive late and override leases, so leadership that was offered is
-            // never taken back within the term.
+            // The TimeoutNow message may still arrive late and lead to an election that ignores
+            // leases, so this leader does not resume within the term.
             if leadership_transfer.timeout_now_sent {
                 self.step_down(self.term, now);
             }
@@ -58,20 +59,22 @@
         }
     }
 
-    /// The highest index known to be the same at a follower.
+    /// The highest index up to which a follower's log is known to match; 0 if unknown.
     pub(super) fn matched(&self, follower: NodeId) -> Index {
         let progress = self.progress.get(&follower);
         progress.map_or(0, |progress| progress.matched)
     }
 
-    /// Check-quorum: a leader that a majority has not answered for an election timeout steps down.
+    /// Check-quorum: whether a majority acknowledged a message sent within the last two election
+    /// timeouts, or the leader was elected within them. Otherwise the leader steps down.
     fn has_recent_quorum(&self, now: Monotonic) -> bool {
         let grace = self.settings.election_timeout * 2;
         let last_contact = self.quorum_send_time(now).unwrap_or(self.leader_since);
         now < last_contact.max(self.leader_since) + grace
     }
 
-    /// The latest time such that a majority answered messages sent at or after it.
+    /// The latest time such that a majority acknowledged messages sent at or after it; `None` if
+    /// there is no such time. The leader itself counts with `now`.
     fn quorum_send_time(&self, now: Monotonic) -> Option<Monotonic> {
         self.configuration().quorum_value(|id| {
             if id == self.id {
@@ -81,8 +84,9 @@
         })
     }
 
-    /// When the leader's lease ends. Followers refuse votes for one election timeout after hearing
-    /// the leader, which is later than when the leader sent; a tenth is kept back for clock rates.
+    /// End of the leader lease. Followers refuse votes for one election timeout after a message of
+    /// the leader arrives, which is later than its sending; the lease is a tenth shorter than the
+    /// timeout to allow for differing clock rates.
     pub(super) fn lease_end(&self) -> Option<Monotonic> {
         let sent = self.quorum_send_time(Monotonic::MAX / 2)?;
         Some(sent + self.settings.election_timeout * 9 / 10)
@@ -93,13 +97,14 @@
         members.filter(|id| *id != self.id).collect()
     }
 
-    /// Drops followers that left the configuration; new ones appear at their first send.
+    /// Removes the progress of followers that left the configuration. Progress of new followers is
+    /// created when the first message is sent to them.
     pub(super) fn adopt_configuration(&mut self) {
         let configuration = self.log.configuration().clone();
         self.progress.retain(|id, _| configuration.contains(*id));
     }
 
-    /// Sends what is new to every follower that has no message outstanding.
+    /// Sends new entries to every follower without an unacknowledged message.
     pub(super) fn replicate(&mut self, now: Monotonic) {
         for to in self.followers() {
             let is_in_flight = self
@@ -130,8 +135,8 @@
         self.send(to, message);
     }
 
-    /// An append from `next`, without entries while others are outstanding; a snapshot if the
-    /// entries are gone.
+    /// An append message with entries from `next`, or without entries if `heartbeat_only`; a
+    /// snapshot message if the entries before `next` are compacted.
     fn append_message(&self, next: Index, heartbeat_only: bool, now: Monotonic) -> Message<M> {
         let previous_index = next - 1;
         let Some(term) = self.log.term_at(previous_index) else {
@@ -158,7 +163,7 @@
         }
     }
 
-    /// An append that claims nothing about the follower's log.
+    /// An append message without entries that matches any log.
     fn heartbeat(&self, now: Monotonic) -> Message<M> {
         Message::Append {
             term: self.term,
@@ -307,7 +312,8 @@
         }
     }
 
-    /// Commits the newest entry of this term that a majority holds.
+    /// Advances the commit index to the newest entry that a majority holds, provided that it is of
+    /// the current term.
     pub(super) fn advance_commit(&mut self, now: Monotonic) {
         let last = self.log.last().index;
         let majority_matched = self.configuration().quorum_value(|id| {
@@ -325,7 +331,7 @@
         }
     }
 
-    /// A leader that a committed change removed leads no longer.
+    /// Steps down if a committed configuration change removed this leader from the voters.
     fn step_down_if_removed(&mut self, now: Monotonic) {
         let committed = self.log.configuration_index() <= self.commit;
         if committed && !self.configuration().voters.contains(&self.id) {
