--- a/crates/swiftshunt-node/src/ledger/acknowledgements.rs
+++ b/crates/swiftshunt-node/src/ledger/acknowledgements.rs
@@ -1,4 +1,4 @@
-//! Answers that wait: for their entry to commit, and then for the archive.
+//! Pending replies: each waits until its entry is applied and then until the entry is archived.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,7 +9,7 @@
 use super::input::Reply;
 use crate::peer::{LedgerAnswer, LedgerRefusal};
 
-/// Answers that wait.
+/// Pending replies of one replica.
 #[derive(Default)]
 pub(super) struct Acknowledgements {
     proposed: BTreeMap<Index, (LogPosition, Reply)>,
@@ -18,24 +18,26 @@
 }
 
 impl Acknowledgements {
-    /// Answers when the entry at `position` is applied.
+    /// Replies once the entry at `position` is applied and archived.
     pub(super) fn reply_on_applied(&mut self, position: LogPosition, reply: Reply) {
         self.proposed.insert(position.index, (position, reply));
     }
 
-    /// Answers when the submission ends.
+    /// Replies once the submission has ended and its result is archived. Pending replies for the
+    /// submission whose caller has gone are dropped.
     pub(super) fn reply_on_completion(&mut self, id: SubmissionId, reply: Reply) {
         let waiting = self.awaited.entry(id).or_default();
         waiting.retain(|reply| !reply.is_closed());
         waiting.push(reply);
     }
 
-    /// Answers when the archive has reached `index`.
+    /// Replies once the archive contains the entry at `index`.
     pub(super) fn reply_on_archived(&mut self, index: Index, reply: Reply, answer: LedgerAnswer) {
         self.committed.push_back((index, reply, answer));
     }
 
-    /// An entry was applied.
+    /// Handles an applied entry: its reply then waits for the archive, or fails with
+    /// [`LedgerRefusal::Lost`] if another entry took the proposed entry's place.
     pub(super) fn on_entry_applied(&mut self, position: LogPosition, outcome: Option<&Outcome>) {
         let Some((proposed, reply)) = self.proposed.remove(&position.index) else {
             return;
@@ -49,7 +51,8 @@
         }
     }
 
-    /// A submission ended with the entry at `index`.
+    /// Handles the end of a submission by the entry at `index`: replies that wait for it then wait
+    /// for the archive.
     pub(super) fn on_submission_completed(
         &mut self,
         index: Index,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Gives the answers that the archive, up to `archived`, allows.
+    /// Sends the replies whose entry has an index up to `archived`.
     pub(super) fn flush(&mut self, archived: Index) {
         while let Some((index, _, _)) = self.committed.front() {
             if *index > archived {
@@ -73,7 +76,8 @@
         }
     }
 
-    /// Leadership is lost: nobody here can tell what becomes of these.
+    /// Fails every pending reply with [`LedgerRefusal::Lost`], because leadership has ended and this
+    /// node cannot tell their outcome.
     pub(super) fn fail_all(&mut self) {
         let proposed = std::mem::take(&mut self.proposed).into_values();
         let awaited = std::mem::take(&mut self.awaited).into_values().flatten();
--- a/crates/swiftshunt-node/src/ledger/archive_io.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_io.rs
@@ -1,4 +1,4 @@
-//! Reads and appends of a partition's archive stream, as tasks that report to the driver.
+//! Tasks that read and append to a partition's archive stream and report the results to the driver.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 use super::input::{ArchiveEvent, DriverInput};
 
-/// Records read at a time.
+/// Most records in one read.
 const MAX_RECORDS_PER_READ: usize = 1024;
-/// How long a read waits at the end of the stream.
+/// Time for which a read waits for new records at the end of the stream.
 const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a failed read.
+/// Delay after a failed read of the tail.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// One partition's archive stream.
+/// Access to one partition's archive stream.
 #[derive(Clone)]
 pub(super) struct ArchiveIo {
     pub(super) log: Arc<dyn LogService>,
@@ -34,7 +34,7 @@
         self.events.send(DriverInput::Archive(event)).is_ok()
     }
 
-    /// Appends entries up to `up_to`.
+    /// Appends a record of entries, the last of which has the index `up_to`.
     pub(super) fn append(&self, record: ArchiveRecord, up_to: Index) {
         let archive = self.clone();
         tokio::spawn(async move {
@@ -46,12 +46,14 @@
         });
     }
 
-    /// Appends a claim. Whether it is valid, and the first, only a replay tells.
+    /// Appends a claim. Only a replay shows whether it is the first valid one of its generation.
     pub(super) fn claim(&self, record: ArchiveRecord) {
         let archive = self.clone();
         tokio::spawn(async move {
             if let Err(error) = archive.append_record(&record).await {
-                log::warn!("claim may not have been appended: {error}");
+                log::warn!(
+                    "append of a generation claim failed or was not acknowledged; the next replay will show it: {error}"
+                );
             }
             archive.report(ArchiveEvent::ClaimAppended);
         });
@@ -67,7 +69,8 @@
         self.log.append(&self.stream, records).await.map(|_| ())
     }
 
-    /// Follows the stream from `position` until aborted.
+    /// Reads the stream from `position` and reports each advance, until the task is aborted or the
+    /// driver has ended.
     pub(super) fn follow(&self, mut position: ArchivePosition) -> JoinHandle<()> {
         let archive = self.clone();
         tokio::spawn(async move {
@@ -88,7 +91,8 @@
         })
     }
 
-    /// Reads from `position` to the end of the stream.
+    /// Reads from `position` to the end of the stream and reports the position reached, with
+    /// `started_at`.
     pub(super) fn verify(&self, mut position: ArchivePosition, started_at: Monotonic) {
         let archive = self.clone();
         tokio::spawn(async move {
@@ -100,7 +104,7 @@
         });
     }
 
-    /// Replays the whole stream.
+    /// Replays the stream from its start and reports the result.
     pub(super) fn replay(&self) {
         let archive = self.clone();
         tokio::spawn(async move {
@@ -126,7 +130,7 @@
         Ok(())
     }
 
-    /// Reads the next records and returns how many there were.
+    /// Reads the next records and returns their number; 0 at the end of the stream.
     async fn read_batch(
         &self,
         position: &mut ArchivePosition,
@@ -139,7 +143,10 @@
             .read(&self.stream, from, MAX_RECORDS_PER_READ, wait)
             .await?;
         if read.first != from && !read.records.is_empty() {
-            return Err(self.bad_record(from, "the log answered from another offset".to_owned()));
+            return Err(self.bad_record(
+                from,
+                "the log service returned records from another offset than requested".to_owned(),
+            ));
         }
         for (index, bytes) in read.records.iter().enumerate() {
             let record: ArchiveRecord = decode_cbor(bytes)
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -1,14 +1,14 @@
-//! What a leader still owes the archive, and whether the archive counts as available.
+//! Decides what a leader appends to the archive next and whether the archive counts as available.
 
 use std::time::Duration;
 
 use swiftshunt_ledger::raft::Index;
 use swiftshunt_types::Monotonic;
 
-/// An append whose answer is missing is repeated after this long, unless the tail shows it.
+/// Delay after which acknowledged entries are appended again if the tail does not show them.
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The leader's side of the archive.
+/// State of the leader's appends to the archive.
 #[derive(Debug, Default)]
 pub(super) struct ArchiveWriter {
     in_flight: bool,
@@ -18,7 +18,7 @@
 }
 
 impl ArchiveWriter {
-    /// Notes progress: `archived` is what the tail has shown.
+    /// Records the committed index and the archived index, which is the one that the tail shows.
     pub(super) fn observe(&mut self, committed: Index, archived: Index, now: Monotonic) {
         if archived >= committed {
             self.behind_since = None;
@@ -27,17 +27,19 @@
         }
     }
 
-    /// The tail advanced: what is left counts as new.
+    /// Restarts the wait for the archive, because the tail has advanced.
     pub(super) fn on_tail_advanced(&mut self) {
         self.behind_since = None;
     }
 
-    /// Whether acknowledgements no longer wait for the archive.
+    /// Whether the archive has made no progress on committed entries for `wait`; acknowledgements
+    /// then do not wait for it.
     pub(super) fn is_unavailable(&self, wait: Duration, now: Monotonic) -> bool {
         self.behind_since.is_some_and(|since| now >= since + wait)
     }
 
-    /// After which index to append now, if at all.
+    /// The index after which to append entries at `now`; `None` if an append is in flight or no
+    /// committed entry is missing.
     pub(super) fn next_append_after(
         &mut self,
         committed: Index,
@@ -66,7 +68,8 @@
         self.sent_at = now;
     }
 
-    /// The append may have taken effect: the tail is given time to show it.
+    /// Handles a failed append. Entries after `archived` count as not appended, although the append may
+    /// have taken effect; replay drops the entries of a repeated append.
     pub(super) fn on_append_failed(&mut self, archived: Index, now: Monotonic) {
         self.in_flight = false;
         self.sent_up_to = archived;
--- a/crates/swiftshunt-node/src/ledger/client.rs
+++ b/crates/swiftshunt-node/src/ledger/client.rs
@@ -1,4 +1,4 @@
-//! Finds a partition's leader and carries an operation to it, through elections.
+//! Finds a partition's leader and sends operations to it, retrying during elections.
 
 use std::time::Duration;
 
@@ -11,17 +11,17 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerRefusal, LedgerRequest};
 
-/// First pause between tries.
+/// Base delay of the backoff between attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// One try at a leader, beyond what the operation itself waits.
+/// Timeout of one attempt, in addition to the time for which the operation itself waits.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
-/// When a caller should come back while a partition has no leader.
+/// `Retry-After` for callers while a partition has no leader.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An operation that no leader confirmed in time.
+/// An operation that no leader confirmed before its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CallFailure {
-    /// Whether some leader may have carried it out.
+    /// Whether a leader may have executed the operation.
     pub(crate) may_have_executed: bool,
 }
 
@@ -31,9 +31,10 @@
     Uncertain,
 }
 
-/// Carries out an operation at the partition's leader, looking for one until `deadline`.
+/// Executes an operation at the partition's leader, retrying until `deadline` or until no leader can
+/// be found.
 ///
-/// Every operation may be repeated, so a try whose answer was lost is tried again.
+/// Every operation may be repeated, so an attempt whose answer was lost is retried as well.
 pub(crate) async fn call(
     context: &Context,
     partition: PartitionId,
@@ -58,7 +59,8 @@
     }
 }
 
-/// Whether waiting for a leader makes sense: a majority of zones must be in reach.
+/// Whether a leader can be found by waiting: a majority of the partition's zones is reachable, or a
+/// leader is known.
 fn may_find_leader(context: &Context, partition: PartitionId) -> bool {
     let membership = lock(&context.membership);
     let reachable = membership.reachable_zones();
@@ -110,7 +112,7 @@
     }
 }
 
-/// Commits a command and returns what came of it.
+/// Commits a command and returns its outcome.
 pub(crate) async fn propose(
     context: &Context,
     partition: PartitionId,
@@ -126,7 +128,7 @@
     }
 }
 
-/// The answer to a caller whose operation failed.
+/// Converts a failed call to the failure that the caller receives.
 pub(crate) fn to_failure(failed: CallFailure) -> Failure {
     let message = "the ledger has no leader for this key at the moment";
     let failure = if failed.may_have_executed {
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -1,5 +1,5 @@
-//! The task that drives one partition's replica: carries its messages, applies what is committed,
-//! answers operations, and recovers the group from the archive when it is lost.
+//! The task that drives one partition's replica: it delivers consensus messages, applies committed
+//! entries, executes operations and rebuilds a lost group from the archive.
 
 mod archive;
 
@@ -29,25 +29,25 @@
 use crate::lock;
 use crate::peer::{LedgerOperation, LedgerRefusal, RaftBatch};
 
-/// Inputs taken before time is looked at again.
+/// Most inputs handled before the replica's timers are checked again.
 const MAX_INPUTS_PER_CYCLE: usize = 256;
 
-/// Drives one partition's replica.
+/// The driver of this node's replica of one partition.
 pub(super) struct Driver {
     context: Arc<Context>,
     partition: PartitionId,
     archive: ArchiveIo,
     replica: Option<Replica>,
     recovery: Recovery,
-    /// Replicas of generations up to this one are gone for good: starting one again would forget
-    /// its vote.
+    /// Replicas of generations up to this one are never started again, since a restarted replica
+    /// would not know its vote.
     retired_generation: Generation,
     is_verifying: bool,
     hints: LeaderHintPublisher,
 }
 
 impl Driver {
-    /// Starts the task and returns its inbox.
+    /// Starts the driver task and returns the sender of its inputs.
     pub(super) fn start(
         context: Arc<Context>,
         partition: PartitionId,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Everything that follows from new input or the passing of time.
+    /// Runs everything that can follow from new inputs or elapsed time.
     fn run_cycle(&mut self, now: Monotonic) {
         self.tick_replica(now);
         self.apply_committed();
@@ -176,7 +176,7 @@
         self.replica = Some(Replica::learner(own, config, generation, now));
     }
 
-    /// Gives the replica up for good; its generation is over.
+    /// Drops the replica and ensures that no replica of its generation is started again.
     fn retire(&mut self) {
         if let Some(replica) = self.replica.take() {
             self.retired_generation = self.retired_generation.max(replica.generation);
@@ -272,7 +272,7 @@
         }
     }
 
-    /// The replica, if it leads and its lease stands.
+    /// The replica, if it is the leader and holds a valid lease.
     fn lease_holder(&mut self, now: Monotonic) -> Option<&mut Replica> {
         let config = &self.context.settings.ledger;
         self.replica.as_mut().filter(|replica| {
@@ -303,7 +303,7 @@
             replica.acknowledgements.fail_all();
             self.hints
                 .withdraw(&self.context, replica.generation, ended_term);
-            log::info!(partition = self.partition.0, term = ended_term; "leadership ended");
+            log::info!(partition = self.partition.0, term = ended_term; "leadership ended; stopping its work");
         }
         if replica.leadership.is_none() && replica.raft.holds_lease(now) {
             let tail_task = self.archive.follow(replica.archive_position());
@@ -311,7 +311,7 @@
             replica.writer = Default::default();
             let leadership = Leadership::start(context, self.partition, &replica.raft, tail_task);
             replica.leadership = Some(leadership);
-            log::info!(partition = self.partition.0, term = term; "leadership began");
+            log::info!(partition = self.partition.0, term = term; "leadership began; starting its work");
             self.hints.publish(&self.context, replica.generation, term);
         }
         if let Some(leadership) = &replica.leadership {
@@ -349,8 +349,6 @@
             );
         }
     }
-
-    // The archive.
 }
 
 fn address_of(context: &Context, replica: &Replica, node: NodeId) -> Option<SocketAddr> {
--- a/crates/swiftshunt-node/src/ledger/driver/archive.rs
+++ b/crates/swiftshunt-node/src/ledger/driver/archive.rs
@@ -1,4 +1,5 @@
-//! The archive side of a driver: entries written to it, news of it, recovery of a lost group from it.
+//! A driver's use of the archive: appending committed entries, handling the results of archive tasks
+//! and rebuilding a lost group.
 
 use swiftshunt_backends::log_service::LogError;
 use swiftshunt_ledger::archive::{ArchivePosition, ArchiveRecord, Generation, Replay};
@@ -11,7 +12,7 @@
 use crate::ledger::replica::Replica;
 use crate::lock;
 
-/// Entries in one archive record.
+/// Most entries in one archive record.
 const MAX_ENTRIES_PER_RECORD: usize = 256;
 
 impl Driver {
@@ -62,7 +63,8 @@
                 }
             }
             ArchiveEvent::AppendFailed { reason } => {
-                log::warn!(partition = self.partition.0; "archive append failed: {reason}");
+                log::warn!(partition = self.partition.0;
+                    "append to the archive failed; its entries will be appended again: {reason}");
                 if let Some(replica) = self.replica.as_mut() {
                     let archived = replica.raft.archived().index;
                     replica.writer.on_append_failed(archived, now);
@@ -111,7 +113,8 @@
             replica.verified_at = started_at;
             return;
         }
-        log::warn!(partition = self.partition.0, generation = position.generation; "generation was superseded");
+        log::warn!(partition = self.partition.0, generation = position.generation;
+            "a newer generation has superseded the replica; dropping the replica");
         self.recovery.known_generation = position.generation;
         self.retire();
         self.recovery.schedule_replay_now(now);
@@ -131,7 +134,8 @@
         }
     }
 
-    /// Whether a leader is known to work: followed here, or led by a node that is reachable.
+    /// Whether the partition has a working leader: this replica leads or has recent contact to the
+    /// leader, or the last known leader is another node that is reachable.
     pub(super) fn has_working_leader(&self, now: Monotonic) -> bool {
         let timeout = self.context.settings.ledger.election_timeout * 2;
         let follows = self.replica.as_ref().is_some_and(|replica| {
@@ -156,7 +160,8 @@
         let replay = match outcome {
             Ok(replay) => replay,
             Err(error) => {
-                log::warn!(partition = self.partition.0; "archive cannot be replayed: {error}");
+                log::warn!(partition = self.partition.0;
+                    "replay of the archive failed; it will be retried: {error}");
                 self.recovery.finish_replay(now);
                 return;
             }
@@ -184,7 +189,8 @@
         self.retire();
         let config = self.context.settings.ledger.clone();
         let replica = Replica::from_claim(self.context.own.id, config, replay, now);
-        log::info!(partition = self.partition.0, generation = replica.generation; "replica started");
+        log::info!(partition = self.partition.0, generation = replica.generation;
+            "started a replica as a voter of a claimed generation");
         self.replica = Some(replica);
         self.recovery.record_working_leader(now);
     }
--- a/crates/swiftshunt-node/src/ledger/effects.rs
+++ b/crates/swiftshunt-node/src/ledger/effects.rs
@@ -1,4 +1,5 @@
-//! What a leader does when an entry is applied: answer those who wait, start and stop work.
+//! Reactions to an applied entry: replies to waiting callers and, at the leader, starting and stopping
+//! submissions and jobs.
 
 use swiftshunt_ledger::raft::AppliedEntry;
 use swiftshunt_ledger::state::{
@@ -7,7 +8,8 @@
 
 use super::replica::Replica;
 
-/// What a leader does when an entry is applied.
+/// Replies to callers that wait for the entry's submission; at the leader, starts or stops the work
+/// that the entry accepted or cancelled.
 pub(super) fn on_entry_applied(replica: &mut Replica, entry: &AppliedEntry<LedgerState>) {
     let (Some(command), Some(outcome)) = (&entry.command, &entry.outcome) else {
         return;
--- a/crates/swiftshunt-node/src/ledger/hints.rs
+++ b/crates/swiftshunt-node/src/ledger/hints.rs
@@ -1,4 +1,4 @@
-//! News of a partition's leader, as this node publishes it when it begins and ends to lead.
+//! Publishes leader hints when this node starts or stops leading a partition.
 
 use swiftshunt_ledger::archive::Generation;
 use swiftshunt_ledger::raft::Term;
@@ -8,7 +8,7 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Publishes news of one partition.
+/// Publishes the leader hints of one partition.
 #[derive(Debug)]
 pub(super) struct LeaderHintPublisher {
     partition: PartitionId,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// This node leads in `term`.
+    /// Publishes that this node leads in `term`.
     pub(super) fn publish(&mut self, context: &Context, generation: Generation, term: Term) {
         let leader = LeaderAddress {
             node: context.own.id,
@@ -32,8 +32,8 @@
         self.merge_hint(context, generation, term, Some(leader));
     }
 
-    /// This node no longer leads in `term`: the term that it led, not the one that ended it. News of
-    /// a later term would hide the next leader's.
+    /// Publishes that this node has stopped leading. `term` is the term that it led, not the newer
+    /// one that ended its leadership: a hint of the newer term would hide that of the next leader.
     pub(super) fn withdraw(&mut self, context: &Context, generation: Generation, term: Term) {
         self.merge_hint(context, generation, term, None);
     }
--- a/crates/swiftshunt-node/src/ledger/input.rs
+++ b/crates/swiftshunt-node/src/ledger/input.rs
@@ -1,4 +1,4 @@
-//! What reaches a driver.
+//! Inputs of a driver.
 
 use swiftshunt_backends::log_service::LogError;
 use swiftshunt_ledger::archive::{ArchivePosition, Generation, Replay};
@@ -9,54 +9,55 @@
 
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerRefusal};
 
-/// The answer to an operation.
+/// Channel for the answer to an operation.
 pub(super) type Reply = oneshot::Sender<Result<LedgerAnswer, LedgerRefusal>>;
 
-/// What reaches a driver.
+/// An input of a driver.
 pub(super) enum DriverInput {
-    /// Messages from another replica.
+    /// Consensus messages from another replica.
     Raft {
         from: NodeId,
         generation: Generation,
         messages: Vec<Message<LedgerState>>,
     },
-    /// An operation for the leader.
+    /// An operation that only the partition's leader executes.
     Operation {
         operation: LedgerOperation,
         reply: Reply,
     },
-    /// Where this replica stands in its group.
+    /// A request for the status of this node's replica.
     Status {
         reply: oneshot::Sender<ReplicaStatus>,
     },
-    /// News from the archive.
+    /// The result of an archive task.
     Archive(ArchiveEvent),
 }
 
-/// News from the archive stream.
+/// The result of a task that reads or appends to the archive stream.
 pub(super) enum ArchiveEvent {
-    /// An append was answered.
+    /// An append of entries up to this index was acknowledged.
     Appended { up_to: Index },
-    /// An append failed or its answer was lost; the tail will show which.
+    /// An append failed or its acknowledgement was lost; the reader of the tail shows which.
     AppendFailed { reason: LogError },
-    /// The leader's reader has advanced.
+    /// The leader's reader of the tail reached this position.
     Tail(ArchivePosition),
-    /// The stream was read to its end, to learn whether the generation still stands.
+    /// The stream was read to its end to check whether the replica's generation is still current.
     Verified {
         started_at: Monotonic,
         outcome: Result<ArchivePosition, LogError>,
     },
-    /// The whole stream was replayed.
+    /// The stream was replayed from its start, or the replay failed.
     Replayed(Result<Box<Replay>, LogError>),
-    /// A claim was appended, or not; the next replay shows.
+    /// An append of a claim ended; the next replay shows whether the claim is in the stream.
     ClaimAppended,
 }
 
-/// Where a replica stands in its group.
+/// The status of this node's replica of a partition.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaStatus {
-    /// It leads.
+    /// Whether the replica is the leader.
     pub(super) is_leader: bool,
-    /// It votes, or is not needed here: another node of the zone holds the replica.
+    /// Whether the replica is a voter or is not needed on this node, because the zone's candidate is
+    /// another node or does not exist.
     pub(super) is_settled: bool,
 }
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -1,4 +1,5 @@
-//! What a leader does beside consensus: run what is accepted, follow the archive, replace replicas.
+//! Work of a leader besides consensus: it runs submissions, jobs and the planner, reads the archive's
+//! tail and replaces replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,7 +22,7 @@
 use crate::lock;
 use crate::submissions::run_submission;
 
-/// The end of a leader's lease, readable by the tasks that act under it.
+/// End of a leader's lease, shared with the tasks that may act only while it is valid.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseClock(Arc<AtomicU64>);
 
@@ -32,13 +33,13 @@
         self.0.store(nanoseconds, Ordering::Release);
     }
 
-    /// Whether no other leader can have been elected before `now`.
+    /// Whether the lease is valid at `now`, so that no other leader can have been elected before.
     pub(crate) fn is_valid(&self, now: Monotonic) -> bool {
         now < Duration::from_nanos(self.0.load(Ordering::Acquire))
     }
 }
 
-/// One term of leadership, from the moment its lease stands.
+/// One term of leadership, from the first valid lease on. Dropping it stops its tasks.
 pub(super) struct Leadership {
     pub(super) term: Term,
     pub(super) lease: LeaseClock,
@@ -50,7 +51,7 @@
 }
 
 impl Leadership {
-    /// Starts to run everything that has not ended.
+    /// Starts the planner and every submission and job that has not ended.
     pub(super) fn start(
         context: Arc<Context>,
         partition: PartitionId,
@@ -81,7 +82,7 @@
         leadership
     }
 
-    /// Plans for the partition's pools until leadership ends.
+    /// Starts the planner of the partition's pools, which runs until leadership ends.
     fn spawn_planner(&self) {
         let planner = Planner {
             context: Arc::clone(&self.context),
@@ -91,7 +92,7 @@
         tokio::spawn(planner.run(self.stopped.clone()));
     }
 
-    /// Runs a submission until it ends or leadership does.
+    /// Starts a task that runs a submission until it or the leadership ends.
     pub(super) fn run_submission(&self, submission: &Submission) {
         let id: SubmissionId = submission.request.id.clone();
         let context = Arc::clone(&self.context);
@@ -100,7 +101,7 @@
         tokio::spawn(run_submission(context, partition, id, lease, stopped));
     }
 
-    /// Runs a job until it ends or leadership does.
+    /// Starts a task that runs a job until it or the leadership ends.
     pub(super) fn run_job(&mut self, job: &Job) {
         let id = job.request.id.clone();
         let token = self.stopped.child_token();
@@ -109,7 +110,7 @@
         tokio::spawn(run_job(context, job.clone(), self.lease.clone(), token));
     }
 
-    /// Stops a job's items. Once this returns, none starts.
+    /// Cancels the task of a job. No item of the job starts after this returns.
     pub(super) fn stop_job(&mut self, job: &JobId) {
         if let Some(token) = self.jobs.remove(job) {
             token.cancel();
@@ -126,7 +127,7 @@
     }
 }
 
-/// What the leader should do next about the group's members.
+/// The next change to the group's members that the leader should make; `None` if none is needed.
 pub(super) fn replacement(
     context: &Context,
     partition: PartitionId,
--- a/crates/swiftshunt-node/src/ledger/mod.rs
+++ b/crates/swiftshunt-node/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! The ledger's I/O: one driver task for each partition that this node takes part in, the archive's
-//! reader and writer, and the client that finds a partition's leader.
+//! The ledger's I/O: a driver task for each partition of which this node holds a replica, reads and
+//! appends of the archive, and the client that finds a partition's leader.
 
 mod acknowledgements;
 mod archive_io;
@@ -31,14 +31,14 @@
 use driver::Driver;
 use input::{DriverInput, ReplicaStatus};
 
-/// The drivers of this node.
+/// The driver tasks of this node, by partition.
 #[derive(Default)]
 pub(crate) struct Ledger {
     drivers: Mutex<BTreeMap<PartitionId, mpsc::UnboundedSender<DriverInput>>>,
 }
 
 impl Ledger {
-    /// The driver of a partition, started if it does not run.
+    /// Starts the driver of a partition unless it is running.
     pub(crate) fn ensure_driver(&self, context: &Arc<Context>, partition: PartitionId) {
         let mut drivers = lock(&self.drivers);
         drivers
@@ -46,7 +46,8 @@
             .or_insert_with(|| Driver::start(Arc::clone(context), partition));
     }
 
-    /// Takes consensus messages, if they are meant for this process life.
+    /// Passes consensus messages to the partition's driver. Drops them if they are addressed to
+    /// another node identity, such as that of an earlier process on this address.
     pub(crate) fn receive(&self, context: &Arc<Context>, batch: RaftBatch) {
         if batch.to != context.own.id || batch.partition.0 >= context.settings.ledger.partitions {
             return;
@@ -62,7 +63,11 @@
         }
     }
 
-    /// Carries out an operation if this node leads the partition.
+    /// Executes an operation if this node leads the partition; otherwise fails with
+    /// [`LedgerRefusal::NotLeader`].
+    ///
+    /// [`LedgerRefusal::Lost`] means that leadership ended before the outcome was known. A wait for
+    /// a submission answers `LedgerAnswer::Result(None)` if its time runs out.
     pub(crate) async fn execute_local(
         &self,
         partition: PartitionId,
@@ -90,13 +95,13 @@
         }
     }
 
-    /// Whether any partition is led here.
+    /// Whether this node leads any partition.
     pub(crate) async fn leads_any(&self) -> bool {
         let statuses = self.statuses().await;
         statuses.iter().any(|status| status.is_leader)
     }
 
-    /// Whether every replica that this node should hold votes and has caught up.
+    /// Whether this node is a voter in every partition of which it should hold a replica.
     pub(crate) async fn is_settled(&self) -> bool {
         let statuses = self.statuses().await;
         statuses.iter().all(|status| status.is_settled)
--- a/crates/swiftshunt-node/src/ledger/queries.rs
+++ b/crates/swiftshunt-node/src/ledger/queries.rs
@@ -1,4 +1,4 @@
-//! Reads of a partition's state at its leader.
+//! Queries of a partition's state at its leader.
 
 use swiftshunt_ledger::state::SubmissionStatus;
 use swiftshunt_types::{PartitionId, SubmissionId};
@@ -7,7 +7,8 @@
 use super::replica::Replica;
 use crate::peer::{LedgerAnswer, LedgerQuery, PartitionView};
 
-/// Answers when the submission ends, or at once if it has.
+/// Replies when the submission has ended and its result is archived; replies at once without a result
+/// if the submission does not exist.
 pub(super) fn await_submission(replica: &mut Replica, id: SubmissionId, reply: Reply) {
     let status = replica.raft.state().submission(&id);
     match status.map(|submission| &submission.status) {
@@ -23,7 +24,7 @@
     }
 }
 
-/// Answers a read from the applied state.
+/// Answers a query from the applied state.
 pub(super) fn answer(
     replica: &Replica,
     partition: PartitionId,
--- a/crates/swiftshunt-node/src/ledger/recovery.rs
+++ b/crates/swiftshunt-node/src/ledger/recovery.rs
@@ -1,4 +1,5 @@
-//! When a partition has no group, or has lost it: reading the archive and claiming a generation.
+//! Recovery of a partition without a working group: when to replay the archive and when to claim a
+//! generation.
 
 use std::time::Duration;
 
@@ -8,15 +9,15 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Pause between replays while no group exists yet.
+/// Delay between replays while no generation is known.
 const INITIAL_REPLAY_DELAY: Duration = Duration::from_millis(100);
-/// Pause between replays while a group is lost.
+/// Delay between replays while the group of a known generation has no leader.
 const REPLAY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a driver keeps about the archive while it has no working group.
+/// A driver's state of recovery from the archive.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// The newest generation that the archive or another replica has shown.
+    /// The newest generation seen in the archive or in messages of other replicas.
     pub(super) known_generation: Generation,
     is_replaying: bool,
     next_replay: Monotonic,
@@ -33,12 +34,12 @@
         }
     }
 
-    /// Notes that some leader works.
+    /// Records that the partition has a working leader.
     pub(super) fn record_working_leader(&mut self, now: Monotonic) {
         self.leaderless_since = now;
     }
 
-    /// Whether the archive should be replayed now; marks it as under way.
+    /// Whether a replay of the archive is due; if so, marks a replay as running.
     pub(super) fn try_begin_replay(
         &mut self,
         has_replica: bool,
@@ -54,7 +55,7 @@
         true
     }
 
-    /// A replay or a claim ended.
+    /// Marks the replay as ended and schedules the next one.
     pub(super) fn finish_replay(&mut self, now: Monotonic) {
         self.is_replaying = false;
         let delay = if self.known_generation == 0 {
@@ -65,22 +66,24 @@
         self.next_replay = now + delay;
     }
 
-    /// The next replay is due at once.
+    /// Makes the next replay due at once.
     pub(super) fn schedule_replay_now(&mut self, now: Monotonic) {
         self.is_replaying = false;
         self.next_replay = now;
     }
 
-    /// Whether the partition has been without a leader for the whole rebuild delay.
+    /// Whether the partition has had no leader for the rebuild delay.
     pub(super) fn is_lost(&self, rebuild_delay: Duration, now: Monotonic) -> bool {
         now >= self.leaderless_since + rebuild_delay
     }
 }
 
-/// The claim that this node should make after generation `last`, if it is the one to make it.
+/// The claim that this node should append after generation `last`; `None` if no claim is due or this
+/// node is not its zone's candidate.
 ///
-/// A claim needs members in a majority of zones. The first one of all waits for every zone, or for
-/// the rebuild delay, so that a fleet that starts does not leave a zone out.
+/// A claim needs candidates in a majority of the zones. The first claim of a partition also waits for
+/// candidates in every zone, or for the rebuild delay, so that a starting fleet does not leave out a
+/// zone.
 pub(super) fn claim_after(
     context: &Context,
     partition: PartitionId,
--- a/crates/swiftshunt-node/src/ledger/replica.rs
+++ b/crates/swiftshunt-node/src/ledger/replica.rs
@@ -1,4 +1,4 @@
-//! This node's replica of a partition within one generation.
+//! This node's replica of a partition, within one generation.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,23 +16,23 @@
 use super::archive_writer::ArchiveWriter;
 use super::leadership::Leadership;
 
-/// A replica and what its driver keeps beside it.
+/// A Raft replica and the state that its driver keeps with it.
 pub(super) struct Replica {
     pub(super) generation: Generation,
     pub(super) raft: Raft<LedgerState>,
-    /// Addresses that the claim gave, for members that membership has not told yet.
+    /// Peer addresses from the claim, for members that membership has no record of.
     pub(super) addresses: BTreeMap<NodeId, SocketAddr>,
     pub(super) acknowledgements: Acknowledgements,
     pub(super) writer: ArchiveWriter,
     pub(super) leadership: Option<Leadership>,
-    /// When the log last showed that the generation stands.
+    /// Start of the last archive read that showed this generation to be the current one.
     pub(super) verified_at: Monotonic,
-    /// When the group last worked, as seen from here.
+    /// Time at which this replica last had contact with a leader or held the lease itself.
     pub(super) last_group_contact: Monotonic,
 }
 
 impl Replica {
-    /// A voter that a claim names: starts from the base of the claimed generation.
+    /// A voter that is listed in a claim. It starts from the base of the claimed generation.
     pub(super) fn from_claim(
         own: NodeId,
         config: LedgerConfig,
@@ -57,7 +57,7 @@
         Self::new(own, config, position.generation, start, addresses, now)
     }
 
-    /// An empty replica that a leader will fill.
+    /// An empty replica, which receives its state from the leader.
     pub(super) fn learner(
         own: NodeId,
         config: LedgerConfig,
@@ -96,14 +96,15 @@
 
     /// Whether this replica may vote, follow and lead.
     ///
-    /// After half the rebuild delay without its group or the log's word, a new generation may have
-    /// been claimed elsewhere; then it acts again only once the log shows that its own still stands.
+    /// After half the rebuild delay without contact to its group or confirmation from the archive,
+    /// other nodes may have claimed a new generation. The replica then participates again only once
+    /// the archive shows that its generation is still the current one.
     pub(super) fn may_participate(&self, config: &LedgerConfig, now: Monotonic) -> bool {
         let last_confirmed = self.last_group_contact.max(self.verified_at);
         now < last_confirmed + config.rebuild_delay / 2
     }
 
-    /// Notes whether the group works, as seen from here.
+    /// Updates the time of the last contact to the group.
     pub(super) fn update_group_contact(&mut self, now: Monotonic) {
         let follows = self.raft.role() == Role::Follower && self.raft.leader().is_some();
         if follows {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// From where to read the archive to learn of a newer generation.
+    /// The position from which to read the archive, to continue it or to find a newer generation.
     pub(super) fn archive_position(&self) -> ArchivePosition {
         let mark = self.raft.archived();
         ArchivePosition {
--- a/crates/swiftshunt-node/src/ledger/supervisor.rs
+++ b/crates/swiftshunt-node/src/ledger/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts the drivers of the partitions that this node should hold.
+//! Starts the drivers of the partitions of which this node should hold a replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs until the process ends. Looks again only when the member list has changed.
+/// Runs until the process ends. Evaluates the placement only when its version has changed.
 pub(crate) async fn supervise(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(SUPERVISE_INTERVAL);
     let mut seen = None;
