--- a/crates/swiftshunt-ledger/tests/rules.rs
+++ b/crates/swiftshunt-ledger/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Single rules of consensus that random schedules reach too rarely to guard: each test was seen
-//! failing with its rule taken out.
+//! Tests of single consensus rules that the schedules of the randomised simulation exercise too rarely.
+//! Each test was verified to fail with its rule removed from the implementation.
 
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Lets the replica call an election and win it with the second voter's votes.
+/// Makes the replica start an election and win it with the votes of the second voter.
 fn elect(raft: &mut Raft<LedgerState>, now: Monotonic) {
     raft.tick(now);
     let term = raft.term() + 1;
@@ -84,7 +84,7 @@
     assert_eq!(
         raft.term(),
         1,
-        "the term must not move under the leader's lease"
+        "the replica changed its term while the leader lease may be valid"
     );
     let refused = raft
         .take_messages()
@@ -109,7 +109,7 @@
     let after_transfer_deadline = elected_at + LedgerConfig::default().election_timeout * 3;
     while now < after_transfer_deadline {
         now += Duration::from_millis(50);
-        // The second voter answers all along, so check-quorum is content.
+        // The second voter acknowledges messages throughout, so check-quorum does not end the leadership.
         let reply = Message::AppendReply {
             term: raft.term(),
             outcome: AppendOutcome::Matched(1),
@@ -120,7 +120,7 @@
         raft.take_messages();
         assert!(
             !raft.holds_lease(now),
-            "a late hand-over message may already have made a leader"
+            "the leader regained its lease although a late TimeoutNow may have led to another leader"
         );
     }
     assert_ne!(raft.role(), Role::Leader);
@@ -153,12 +153,12 @@
     assert_eq!(
         raft.commit_index(),
         0,
-        "a majority holds it, but a later leader may replace it"
+        "an entry of an earlier term was committed, although a later leader may replace it"
     );
     raft.receive(SECOND, matched(2), Duration::from_secs(2));
     assert_eq!(
         raft.commit_index(),
         2,
-        "the leader's own entry commits both"
+        "the leader's entry of its own term did not commit both entries"
     );
 }
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! A group of replicas in three zones, driven step by step.
+//! A simulated replica group in three zones, advanced step by step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -22,24 +22,25 @@
 const STEP: Duration = Duration::from_millis(10);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SUBMISSIONS: u64 = 12;
-/// One disaster in so many steps.
+/// One replica fault in this many steps, on average.
 const REPLICA_FAULT_ODDS: u32 = 40;
-/// Processes alive at once.
+/// Number of live replicas above which no further node joins.
 const MAX_REPLICAS: usize = 7;
-/// Steps within which a leaving leader must be followed; stragglers may hold a vote up.
+/// Steps within which a leader that shuts down must have a successor; the limit allows for votes that
+/// are delayed as stragglers.
 const MAX_SUCCESSION_STEPS: u32 = 600;
-/// Steps within which a healed group must commit.
+/// Steps within which the group must make progress after the faults have ended.
 const RECOVERY_STEPS: u32 = 600;
-/// A replica that is down for this long is replaced.
+/// Time after which a crashed replica is replaced.
 const REPLACE_DELAY: Duration = Duration::from_millis(500);
 
-/// What goes wrong.
+/// Faults that the simulation injects.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss_percent: u32,
     pub duplication_percent: u32,
     pub max_delay_steps: u32,
-    /// Whether replicas are paused, cut off and crashed.
+    /// Whether replicas are paused, isolated, crashed and joined, and leadership is transferred.
     pub replica_faults: bool,
 }
 
@@ -61,7 +62,7 @@
     isolated_until: u32,
 }
 
-/// What every replica must agree on.
+/// Events of the whole group, against which every replica is checked.
 #[derive(Default)]
 struct History {
     leaders: BTreeMap<u64, NodeId>,
@@ -79,7 +80,7 @@
     crashed_at: BTreeMap<NodeId, u32>,
     history: History,
     next_id: u64,
-    /// A replica that hands leadership over whenever it has it.
+    /// A replica that transfers leadership whenever it is the leader.
     stopping: Option<NodeId>,
 }
 
@@ -183,7 +184,7 @@
         }
     }
 
-    /// A further node of some zone comes up, and is to hold the zone's replica.
+    /// Starts another node in a random zone, which becomes the zone's candidate.
     fn join(&mut self) {
         if self.replicas.len() < MAX_REPLICAS {
             let zone = ZONES[self.random.random_range(0..ZONES.len())];
@@ -198,8 +199,8 @@
         }
     }
 
-    /// Crashes a replica for good, if every configuration that may be in force keeps a majority of
-    /// replicas that have forgotten nothing. A process in the same zone comes up under a new name.
+    /// Crashes a replica permanently, provided that every configuration that may be in force keeps a
+    /// quorum of replicas with their state. A new node with another identity starts in the same zone.
     fn crash(&mut self, target: NodeId) {
         let keeps_quorum = self.replicas.values().all(|replica| {
             let voters = &replica.raft.configuration().voters;
@@ -238,7 +239,7 @@
         if let Some(replica) = self.replicas.get_mut(&chosen)
             && replica.paused_until <= step
         {
-            // Not every replica leads; a refusal is what is expected of the others.
+            // Replicas that do not lead are expected to reject the proposal.
             replica.raft.propose(command, now).ok();
         }
     }
@@ -306,7 +307,7 @@
         }
     }
 
-    /// The leader's process begins a planned stop.
+    /// Starts a planned shutdown of the leader, which transfers leadership from then on.
     pub fn start_leader_shutdown(&mut self) {
         while self.leader().is_none() {
             self.step();
@@ -314,7 +315,7 @@
         self.stopping = self.leader();
     }
 
-    /// Another replica comes to lead in place of the leaving one.
+    /// Checks that another replica becomes the leader.
     pub fn check_successor(&mut self) {
         for _ in 0..MAX_SUCCESSION_STEPS {
             if self
@@ -325,10 +326,13 @@
             }
             self.step();
         }
-        panic!("nobody followed the leaving leader, seed {}", self.seed);
+        panic!(
+            "no successor of the leader that shuts down, seed {}",
+            self.seed
+        );
     }
 
-    /// What a leader's driver does: plans and proposes changes of members.
+    /// Determines and executes the leader's next replacement step, as its driver does.
     fn replace_replicas(&mut self) {
         let Some(leader) = self.leader() else {
             return;
@@ -351,7 +355,7 @@
             return;
         };
         match step {
-            // Refused while another change is under way; planned again at the next step.
+            // Rejected while another change is uncommitted; retried at the next step.
             Some(ReplacementStep::Change(change)) => {
                 replica.raft.propose_configuration(change, now).ok();
             }
@@ -360,7 +364,8 @@
         }
     }
 
-    /// The archive follows now and then, which lets replicas compact and learners need snapshots.
+    /// Advances the archive in some steps, so that replicas compact their logs and learners need
+    /// snapshots.
     fn archive(&mut self) {
         let archive_advances = self.random.random_range(0..10) == 0;
         let Some(leader) = self.leader().filter(|_| archive_advances) else {
@@ -375,7 +380,7 @@
         }
     }
 
-    /// The youngest process of each zone.
+    /// The candidate of each zone, which is its newest node.
     fn candidates(&self) -> BTreeMap<&ZoneName, NodeId> {
         let alive = self.replicas.values();
         alive
@@ -431,7 +436,7 @@
             let raft = &mut replica.raft;
             if raft.role() == Role::Leader {
                 let first = self.history.leaders.entry(raft.term()).or_insert(raft.id());
-                assert_eq!(*first, raft.id(), "two leaders in a term, seed {seed}");
+                assert_eq!(*first, raft.id(), "two leaders in one term, seed {seed}");
             }
             if raft.holds_lease(now) {
                 lease_holders.push(raft.id());
@@ -447,7 +452,7 @@
                     .or_insert_with(|| applied.clone());
                 assert_eq!(
                     *first, applied,
-                    "replicas applied different entries, seed {seed}"
+                    "replicas applied different entries at one index, seed {seed}"
                 );
                 if let Some(Outcome::Dispatch(DispatchOutcome::Granted(granted))) = &entry.outcome
                     && let Some(Command::DispatchSubmission { submission, .. }) = &entry.command
@@ -459,25 +464,27 @@
         }
         assert!(
             lease_holders.len() <= 1,
-            "two leases at once: {lease_holders:?}, seed {seed}"
+            "several replicas hold a lease: {lease_holders:?}, seed {seed}"
         );
         self.check_dispatches();
     }
 
     fn check_dispatches(&self) {
         for (submission, grants) in &self.history.granted {
-            let number: u64 = submission.as_str()[4..].parse().expect("a number");
+            let number: u64 = submission.as_str()[4..]
+                .parse()
+                .expect("submission identifier does not end with a number");
             if !number.is_multiple_of(2) {
                 assert!(
                     grants.len() <= 1,
-                    "{submission} dispatched twice, seed {}",
+                    "{submission} is not repeatable but was dispatched twice, seed {}",
                     self.seed
                 );
             }
         }
     }
 
-    /// Ends every fault.
+    /// Ends all faults.
     pub fn clear_faults(&mut self) {
         self.faults = Faults::none();
         self.network.isolated.clear();
@@ -486,7 +493,8 @@
         }
     }
 
-    /// After the faults: a leader holds everything ever applied, and commits something new.
+    /// Checks the group after the faults have ended: the leader has applied every entry ever applied, new
+    /// entries are committed, and the voters are exactly the zones' candidates.
     pub fn check_progress(&mut self) {
         let applied_before = self.history.applied.len();
         for _ in 0..RECOVERY_STEPS {
@@ -495,7 +503,7 @@
         let leader = self.leader();
         let leader = leader.unwrap_or_else(|| {
             panic!(
-                "no leader after healing, seed {}: {}",
+                "no leader after the faults ended, seed {}: {}",
                 self.seed,
                 self.describe()
             )
@@ -510,25 +518,25 @@
             .unwrap_or_default();
         assert!(
             applied >= highest,
-            "an applied entry was lost, seed {}",
+            "the leader has not applied every applied entry, seed {}",
             self.seed
         );
         assert!(
             self.history.applied.len() > applied_before,
-            "no progress, seed {}",
+            "no entry was applied after the faults ended, seed {}",
             self.seed
         );
         let voters = &self.replicas[&leader].raft.configuration().voters;
         assert_eq!(
             voters.len(),
             ZONES.len(),
-            "the group was not made whole, seed {}",
+            "the group does not have one voter per zone, seed {}",
             self.seed
         );
         let expected: BTreeSet<NodeId> = self.candidates().into_values().collect();
         assert_eq!(
             *voters, expected,
-            "others vote than should, seed {}",
+            "the voters are not the candidates of the zones, seed {}",
             self.seed
         );
     }
@@ -549,7 +557,7 @@
         lines.collect()
     }
 
-    /// How many terms had a leader.
+    /// Number of terms that had a leader.
     pub fn terms_led(&self) -> usize {
         self.history.leaders.len()
     }
--- a/crates/swiftshunt-ledger/tests/simulation/main.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/main.rs
@@ -1,10 +1,10 @@
-//! Randomised schedules over one replica group: messages lost, doubled, delayed and reordered;
-//! replicas paused, cut off, crashed without memory and replaced.
+//! Randomised simulation of one replica group: messages are lost, duplicated, delayed and reordered;
+//! replicas are paused, isolated, crashed with loss of their state, and replaced.
 //!
-//! Checked at every step: one leader a term; at most one lease at a time; what one replica applied
-//! at an index every replica applies there; a submission that is not repeatable is dispatched at
-//! most once. Checked at the end: after the faults end, everything ever committed is in the state
-//! of the leader, and the group makes progress.
+//! Invariants checked at every step: a term has at most one leader; at most one replica holds a lease;
+//! all replicas apply the same entry at the same index; a submission that is not repeatable is
+//! dispatched at most once. Checked after the faults have ended: the leader has applied every entry
+//! that any replica applied, and the group commits new entries.
 
 mod cluster;
 mod network;
@@ -12,7 +12,7 @@
 use cluster::{Cluster, Faults};
 use proptest::prelude::*;
 
-/// Steps under faults; ten milliseconds each.
+/// Number of steps under faults, of 10 ms each.
 const FAULTY_STEPS: u32 = 800;
 
 fn run(seed: u64, faults: Faults) {
@@ -24,8 +24,8 @@
     cluster.check_progress();
 }
 
-/// Found by the schedules below: a leader removed a replaced voter that took part while another was
-/// down, and left a group of two with one of them dead.
+/// Guards against a leader that removes a replaced but live voter while another voter is down, which
+/// leaves a group of two voters without a quorum. Found by the randomised test below.
 #[test]
 fn a_live_voter_is_not_removed_while_another_is_down() {
     let faults = Faults {
@@ -37,8 +37,8 @@
     run(10_864_679_861_337_264_830, faults);
 }
 
-/// Found by the schedules below: two voters of one zone, neither of which was to stay, handed
-/// leadership to each other for ever.
+/// Guards against two voters of one zone, neither of them the zone's candidate, that transfer
+/// leadership to each other endlessly. Found by the randomised test below.
 #[test]
 fn leadership_does_not_alternate_between_replaced_voters() {
     let faults = Faults {
--- a/crates/swiftshunt-ledger/tests/simulation/network.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, doubles, delays and reorders.
+//! A simulated network that loses, duplicates, delays and reorders messages.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,12 @@
 use swiftshunt_ledger::state::LedgerState;
 use swiftshunt_types::NodeId;
 
-/// One in so many messages is delayed far beyond the others.
+/// One in this many messages, on average, is delayed far longer than the others.
 const STRAGGLER_ODDS: u32 = 40;
-/// Longest delay of such a message.
+/// Maximum delay of such a message, in steps.
 const MAX_STRAGGLER_DELAY_STEPS: u32 = 250;
 
-/// A message under way.
+/// A message in flight.
 pub struct InFlight {
     pub from: NodeId,
     pub to: NodeId,
@@ -21,7 +21,7 @@
     pub message: Message<LedgerState>,
 }
 
-/// Messages under way and nodes that are cut off.
+/// Messages in flight and isolated nodes.
 #[derive(Default)]
 pub struct Network {
     in_flight: Vec<InFlight>,
@@ -29,7 +29,7 @@
 }
 
 impl Network {
-    /// Sends, or loses, or doubles.
+    /// Sends a message with a random delay, and may lose it or send a duplicate.
     pub fn send(
         &mut self,
         message: InFlight,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Messages that arrive at `step`, in random order.
+    /// Takes the messages that are due at `step`, in random order, and loses those from or to an isolated node.
     pub fn arrivals(&mut self, step: u32, random: &mut SmallRng) -> Vec<InFlight> {
         let isolated = &self.isolated;
         self.in_flight
