--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -50,7 +50,7 @@
     /// Propose this configuration, which differs by at most one voter.
     Change(GroupConfiguration),
     /// Transfer leadership, since the leader's own replica has been replaced.
-    LeadershipTransfer,
+    TransferLeadership,
 }
 
 /// The next step; `None` if no change is needed or possible at present.
@@ -65,7 +65,7 @@
 
 fn transfer_leadership(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
     let replaced = view.removal_rank(view.leader).is_some();
-    replaced.then_some(ReplacementStep::LeadershipTransfer)
+    replaced.then_some(ReplacementStep::TransferLeadership)
 }
 
 fn remove_lost_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -359,7 +359,7 @@
             Some(ReplacementStep::Change(change)) => {
                 replica.raft.propose_configuration(change, now).ok();
             }
-            Some(ReplacementStep::LeadershipTransfer) => replica.raft.transfer_leadership(now),
+            Some(ReplacementStep::TransferLeadership) => replica.raft.transfer_leadership(now),
             None => {}
         }
     }
--- a/crates/swiftshunt-node/src/ledger/client.rs
+++ b/crates/swiftshunt-node/src/ledger/client.rs
@@ -25,6 +25,8 @@
     pub(crate) may_have_executed: bool,
 }
 
+/// The result of one attempt. `Refused`: no leader executed the operation; `Uncertain`: a leader may
+/// have executed it.
 enum Attempt {
     Answered(Box<LedgerAnswer>),
     Refused,
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -331,7 +331,7 @@
         }
         let change = match replacement(&self.context, self.partition, &replica.raft, now) {
             Some(ReplacementStep::Change(change)) => change,
-            Some(ReplacementStep::LeadershipTransfer) => {
+            Some(ReplacementStep::TransferLeadership) => {
                 replica.raft.transfer_leadership(now);
                 return;
             }
--- a/crates/swiftshunt-node/src/ledger/mod.rs
+++ b/crates/swiftshunt-node/src/ledger/mod.rs
@@ -101,7 +101,8 @@
         statuses.iter().any(|status| status.is_leader)
     }
 
-    /// Whether this node is a voter in every partition of which it should hold a replica.
+    /// Whether this node is a voter, and so has caught up once, in every partition of which it should
+    /// hold a replica. Only partitions whose driver runs are considered.
     pub(crate) async fn is_settled(&self) -> bool {
         let statuses = self.statuses().await;
         statuses.iter().all(|status| status.is_settled)
