--- a/crates/swiftshunt-node/src/ledger/acknowledgements.rs
+++ b/crates/swiftshunt-node/src/ledger/acknowledgements.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Sends the replies whose entry has an index up to `archived`.
+    /// Sends the replies whose entry has an index up to `archived`. The driver passes the commit index
+    /// instead while the archive counts as unavailable.
     pub(super) fn flush(&mut self, archived: Index) {
         while let Some((index, _, _)) = self.committed.front() {
             if *index > archived {
