--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -15,7 +15,7 @@
     /// The node is reachable but is shutting down.
     Leaving,
     /// The node is unreachable, but for less than the replace delay.
-    Silent,
+    Unreachable,
     /// The node has left, is unknown, or has been unreachable for at least the replace delay.
     Lost,
 }
@@ -157,9 +157,9 @@
     /// partitions spread to nodes that join.
     fn is_replica_pending_in(&self, zone: &ZoneName) -> bool {
         self.configuration.members().any(|id| {
-            let is_silent = self.health(id) == ReplicaHealth::Silent;
+            let is_unreachable = self.health(id) == ReplicaHealth::Unreachable;
             let is_learner = self.configuration.learners.contains(&id);
-            (is_silent || is_learner) && self.zone(id) == Some(zone)
+            (is_unreachable || is_learner) && self.zone(id) == Some(zone)
         })
     }
 
--- a/crates/swiftshunt-ledger/tests/rules.rs
+++ b/crates/swiftshunt-ledger/tests/rules.rs
@@ -109,7 +109,8 @@
     let after_transfer_deadline = elected_at + LedgerConfig::default().election_timeout * 3;
     while now < after_transfer_deadline {
         now += Duration::from_millis(50);
-        // The second voter acknowledges messages throughout, so check-quorum does not end the leadership.
+        // The second voter acknowledges messages throughout, so that check-quorum does not end the
+        // leadership.
         let reply = Message::AppendReply {
             term: raft.term(),
             outcome: AppendOutcome::Matched(1),
@@ -153,7 +154,7 @@
     assert_eq!(
         raft.commit_index(),
         0,
-        "an entry of an earlier term was committed, although a later leader may replace it"
+        "an entry of an earlier term that a majority holds was committed, although a later leader may replace it"
     );
     raft.receive(SECOND, matched(2), Duration::from_secs(2));
     assert_eq!(
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -24,7 +24,7 @@
 const SUBMISSIONS: u64 = 12;
 /// One replica fault in this many steps, on average.
 const REPLICA_FAULT_ODDS: u32 = 40;
-/// Number of live replicas above which no further node joins.
+/// Number of live replicas at which no further node joins.
 const MAX_REPLICAS: usize = 7;
 /// Steps within which a leader that shuts down must have a successor; the limit allows for votes that
 /// are delayed as stragglers.
@@ -315,7 +315,7 @@
         self.stopping = self.leader();
     }
 
-    /// Checks that another replica becomes the leader.
+    /// Checks that another replica becomes the leader within [`MAX_SUCCESSION_STEPS`].
     pub fn check_successor(&mut self) {
         for _ in 0..MAX_SUCCESSION_STEPS {
             if self
@@ -396,7 +396,7 @@
         let health = match replica {
             Some(_) => ReplicaHealth::Alive,
             None if replace_delay_passed => ReplicaHealth::Lost,
-            None => ReplicaHealth::Silent,
+            None => ReplicaHealth::Unreachable,
         };
         ReplicaView {
             health,
@@ -493,8 +493,8 @@
         }
     }
 
-    /// Checks the group after the faults have ended: the leader has applied every entry ever applied, new
-    /// entries are committed, and the voters are exactly the zones' candidates.
+    /// Checks the group after the faults have ended: the leader has applied every entry that any
+    /// replica applied, new entries are committed, and the voters are exactly the zones' candidates.
     pub fn check_progress(&mut self) {
         let applied_before = self.history.applied.len();
         for _ in 0..RECOVERY_STEPS {
--- a/crates/swiftshunt-ledger/tests/simulation/network.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/network.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Takes the messages that are due at `step`, in random order, and loses those from or to an isolated node.
+    /// Takes the messages that are due at `step`, in random order. Loses all messages in flight from
+    /// or to an isolated node.
     pub fn arrivals(&mut self, step: u32, random: &mut SmallRng) -> Vec<InFlight> {
         let isolated = &self.isolated;
         self.in_flight
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -161,7 +161,7 @@
     let health = match record.map(|record| record.state) {
         Some(MemberState::Alive | MemberState::Suspect) => ReplicaHealth::Alive,
         Some(MemberState::Leaving) => ReplicaHealth::Leaving,
-        Some(MemberState::Dead) if age < delay => ReplicaHealth::Silent,
+        Some(MemberState::Dead) if age < delay => ReplicaHealth::Unreachable,
         Some(MemberState::Dead | MemberState::Left) | None => ReplicaHealth::Lost,
     };
     ReplicaView {
