--- a/crates/swiftshunt-ledger/src/archive.rs
+++ b/crates/swiftshunt-ledger/src/archive.rs
@@ -85,15 +85,15 @@
             ArchiveRecord::Claim {
                 generation,
                 members,
-            } => self.claim(*generation, members),
+            } => self.on_claim(*generation, members),
             ArchiveRecord::Entries {
                 generation,
                 entries,
-            } => self.entries(*generation, entries),
+            } => self.on_entries(*generation, entries),
         }
     }
 
-    fn claim(&mut self, generation: Generation, members: &[ClaimedMember]) -> RecordEffect {
+    fn on_claim(&mut self, generation: Generation, members: &[ClaimedMember]) -> RecordEffect {
         if generation != self.generation + 1 || members.is_empty() {
             return RecordEffect::Ignored;
         }
@@ -103,7 +103,7 @@
         RecordEffect::Claimed
     }
 
-    fn entries(&mut self, generation: Generation, entries: &[Entry<Command>]) -> RecordEffect {
+    fn on_entries(&mut self, generation: Generation, entries: &[Entry<Command>]) -> RecordEffect {
         let after = self.last;
         if generation == self.generation {
             for entry in entries {
--- a/crates/swiftshunt-ledger/src/config.rs
+++ b/crates/swiftshunt-ledger/src/config.rs
@@ -25,14 +25,16 @@
     /// Time for which a replica's node must be dead before the replica is replaced.
     #[serde(with = "humantime_serde")]
     pub replace_delay: Duration,
-    /// Time for which a partition must have no leader before a new generation is claimed.
+    /// Time for which a partition must have no leader before a new generation is claimed. A replica
+    /// without contact with its group stops participating after half of this time.
     #[serde(with = "humantime_serde")]
     pub rebuild_delay: Duration,
-    /// Maximum time that an acknowledgement waits for the archive. After it, the archive counts as
-    /// unavailable and committed entries are acknowledged without it.
+    /// Time without progress of the archive on committed entries after which it counts as
+    /// unavailable; until it progresses again, entries are acknowledged once they are committed.
     #[serde(with = "humantime_serde")]
     pub archive_wait: Duration,
-    /// Number of applied entries kept in memory for followers that lag.
+    /// Number of applied entries that stay in memory for followers that lag. Archived entries before
+    /// them are removed once the log holds twice as many.
     pub retained_entries: usize,
 }
 
--- a/crates/swiftshunt-ledger/src/raft/log.rs
+++ b/crates/swiftshunt-ledger/src/raft/log.rs
@@ -81,7 +81,7 @@
         self.base.index
     }
 
-    /// The term at `index`; `None` unless `index` is the base or the index of a kept entry.
+    /// The term at `index`; `None` unless `index` is the base or the index of a retained entry.
     pub(super) fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -101,9 +101,9 @@
 
     /// Removes every entry at `index` and after it.
     pub(super) fn truncate_from(&mut self, index: Index) {
-        let kept = index.saturating_sub(self.base.index + 1);
+        let remaining = index.saturating_sub(self.base.index + 1);
         self.entries
-            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+            .truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
     /// At most `limit` entries, starting at index `from`.
--- a/crates/swiftshunt-ledger/src/raft/node.rs
+++ b/crates/swiftshunt-ledger/src/raft/node.rs
@@ -96,9 +96,11 @@
     pub(super) archived: ArchiveMark,
     pub(super) state: M,
     pub(super) last_leader_contact: Option<Monotonic>,
+    /// Time at which a voter that is not the leader starts a pre-vote.
     pub(super) election_due: Monotonic,
     pub(super) heartbeat_due: Monotonic,
     pub(super) leader_since: Monotonic,
+    /// Voters that granted the current pre-vote or vote, including this replica.
     pub(super) votes: BTreeSet<NodeId>,
     pub(super) leadership_transfer: Option<LeadershipTransfer>,
     pub(super) progress: BTreeMap<NodeId, Progress>,
@@ -280,14 +282,15 @@
         }
     }
 
-    /// Removes entries that are applied, archived and older than the retained window.
+    /// Removes entries that are applied, archived and older than the retained window, once the log
+    /// holds at least twice the window.
     fn compact(&mut self) {
         let window = self.settings.retained_entries;
         if self.log.entry_count() < window * 2 {
             return;
         }
-        let kept = self.applied.saturating_sub(window as u64);
-        self.log.compact(kept.min(self.archived.index));
+        let last_removable = self.applied.saturating_sub(window as u64);
+        self.log.compact(last_removable.min(self.archived.index));
     }
 
     /// Takes the messages to deliver, in the order of sending.
--- a/crates/swiftshunt-ledger/src/raft/replication.rs
+++ b/crates/swiftshunt-ledger/src/raft/replication.rs
@@ -88,6 +88,8 @@
     /// the leader arrives, which is later than its sending; the lease is a tenth shorter than the
     /// timeout to allow for differing clock rates.
     pub(super) fn lease_end(&self) -> Option<Monotonic> {
+        // The leader's own time must not limit the lease, so the leader counts with a time that no
+        // message reaches; half the maximum leaves room to add the timeout.
         let sent = self.quorum_send_time(Monotonic::MAX / 2)?;
         Some(sent + self.settings.election_timeout * 9 / 10)
     }
@@ -135,8 +137,9 @@
         self.send(to, message);
     }
 
-    /// An append message with entries from `next`, or without entries if `heartbeat_only`; a
-    /// snapshot message if the entries before `next` are compacted.
+    /// An append message with entries from `next`, or without entries if `heartbeat_only`. If the
+    /// entry before `next` is compacted, its term is unknown: the message is then a snapshot, or a
+    /// heartbeat that matches any log if `heartbeat_only`.
     fn append_message(&self, next: Index, heartbeat_only: bool, now: Monotonic) -> Message<M> {
         let previous_index = next - 1;
         let Some(term) = self.log.term_at(previous_index) else {
--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -136,8 +136,8 @@
         replica.map_or(ReplicaHealth::Lost, |replica| replica.health)
     }
 
-    /// Whether a majority of the voters is reachable. Removing a reachable voter while another is
-    /// down could otherwise leave a group that cannot commit anything.
+    /// Whether a majority of the voters is reachable. Without this check, removing a reachable voter
+    /// while another is down could leave a group that cannot commit anything.
     fn has_live_quorum(&self, configuration: &GroupConfiguration) -> bool {
         let live = configuration.voters.iter().filter(|id| {
             matches!(
--- a/crates/swiftshunt-ledger/src/routes.rs
+++ b/crates/swiftshunt-ledger/src/routes.rs
@@ -18,17 +18,18 @@
     pub address: SocketAddr,
 }
 
-/// An announcement of a partition's leader. Of two announcements, the one with the higher
-/// (generation, term, sequence) is newer.
+/// A hint about a partition's leader. Of two hints, the one with the higher (generation, term,
+/// sequence) is newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderHint {
-    /// The partition that the announcement is about.
+    /// The partition that the hint is about.
     pub partition: PartitionId,
     /// The generation of the partition's group.
     pub generation: Generation,
     /// The term that the leader leads or led.
     pub term: Term,
-    /// Counter of the announcing node; it orders announcements of the same term.
+    /// Number of hints that the publishing node has published for the partition, including this one;
+    /// it orders the hints of one term.
     pub sequence: u64,
     /// The leader; `None` if it has ended its leadership.
     pub leader: Option<LeaderAddress>,
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -65,8 +65,11 @@
 /// Events of the whole group, against which every replica is checked.
 #[derive(Default)]
 struct History {
+    /// The leader of each term.
     leaders: BTreeMap<u64, NodeId>,
+    /// The first entry that a replica applied at each index: its position and its command as text.
     applied: BTreeMap<u64, (LogPosition, String)>,
+    /// Granted dispatches of each submission.
     granted: BTreeMap<SubmissionId, BTreeSet<DispatchId>>,
 }
 
--- a/crates/swiftshunt-ledger/tests/simulation/main.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/main.rs
@@ -4,7 +4,8 @@
 //! Invariants checked at every step: a term has at most one leader; at most one replica holds a lease;
 //! all replicas apply the same entry at the same index; a submission that is not repeatable is
 //! dispatched at most once. Checked after the faults have ended: the leader has applied every entry
-//! that any replica applied, and the group commits new entries.
+//! that any replica applied, the group commits new entries, and the voters are exactly the zones'
+//! candidates.
 
 mod cluster;
 mod network;
--- a/crates/swiftshunt-ledger/tests/simulation/network.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/network.rs
@@ -8,9 +8,10 @@
 use swiftshunt_ledger::state::LedgerState;
 use swiftshunt_types::NodeId;
 
-/// One in this many messages, on average, is delayed far longer than the others.
+/// One in this many messages, on average, is a straggler, which may be delayed far longer than the
+/// others. Without a delay setting there are none.
 const STRAGGLER_ODDS: u32 = 40;
-/// Maximum delay of such a message, in steps.
+/// Maximum delay of a straggler, in steps.
 const MAX_STRAGGLER_DELAY_STEPS: u32 = 250;
 
 /// A message in flight.
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Takes the messages that are due at `step`, in random order. Loses all messages in flight from
-    /// or to an isolated node.
+    /// Removes and returns the messages that are due at `step`, in random order. Before that, drops
+    /// every message in flight from or to an isolated node.
     pub fn arrivals(&mut self, step: u32, random: &mut SmallRng) -> Vec<InFlight> {
         let isolated = &self.isolated;
         self.in_flight
--- a/crates/swiftshunt-node/src/ledger/acknowledgements.rs
+++ b/crates/swiftshunt-node/src/ledger/acknowledgements.rs
@@ -12,8 +12,13 @@
 /// Pending replies of one replica.
 #[derive(Default)]
 pub(super) struct Acknowledgements {
+    /// Replies to proposals that wait until the entry at this index is applied, with the position of
+    /// the proposed entry.
     proposed: BTreeMap<Index, (LogPosition, Reply)>,
+    /// Replies that wait until the submission has ended.
     awaited: HashMap<SubmissionId, Vec<Reply>>,
+    /// Replies, with their answers, that wait until the entry at this index is archived; ordered by
+    /// index.
     committed: VecDeque<(Index, Reply, LedgerAnswer)>,
 }
 
@@ -64,11 +69,11 @@
         }
     }
 
-    /// Sends the replies whose entry has an index up to `archived`. The driver passes the commit index
-    /// instead while the archive counts as unavailable.
-    pub(super) fn flush(&mut self, archived: Index) {
+    /// Sends the replies whose entry has an index up to `up_to`: the archived index, or the commit
+    /// index while the archive counts as unavailable.
+    pub(super) fn flush(&mut self, up_to: Index) {
         while let Some((index, _, _)) = self.committed.front() {
-            if *index > archived {
+            if *index > up_to {
                 return;
             }
             if let Some((_, reply, answer)) = self.committed.pop_front() {
--- a/crates/swiftshunt-node/src/ledger/archive_io.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_io.rs
@@ -1,4 +1,4 @@
-//! Tasks that read and append to a partition's archive stream and report the results to the driver.
+//! Tasks that read from and append to a partition's archive stream and report the results to the driver.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,6 +30,7 @@
 }
 
 impl ArchiveIo {
+    /// Sends an event to the driver; returns `false` if the driver has ended.
     fn report(&self, event: ArchiveEvent) -> bool {
         self.events.send(DriverInput::Archive(event)).is_ok()
     }
@@ -52,7 +53,7 @@
         tokio::spawn(async move {
             if let Err(error) = archive.append_record(&record).await {
                 log::warn!(
-                    "append of a generation claim failed or was not acknowledged; the next replay will show it: {error}"
+                    "append of a generation claim failed or was not acknowledged; the next replay shows whether the archive contains the claim: {error}"
                 );
             }
             archive.report(ArchiveEvent::ClaimAppended);
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -12,8 +12,13 @@
 #[derive(Debug, Default)]
 pub(super) struct ArchiveWriter {
     in_flight: bool,
+    /// Index of the last entry whose append was acknowledged; set back to the archived index if the
+    /// entries after that must be appended again.
     sent_up_to: Index,
+    /// Time at which the last append was started, acknowledged or reported as failed.
     sent_at: Monotonic,
+    /// Time since which committed entries have been missing in the archive without progress; `None`
+    /// if none are missing or the tail has just advanced.
     behind_since: Option<Monotonic>,
 }
 
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -42,6 +42,8 @@
     /// Replicas of generations up to this one are never started again, since a restarted replica
     /// would not know its vote.
     retired_generation: Generation,
+    /// Whether a read of the archive is running that checks whether the replica's generation is still
+    /// current.
     is_verifying: bool,
     hints: LeaderHintPublisher,
 }
@@ -303,7 +305,7 @@
             replica.acknowledgements.fail_all();
             self.hints
                 .withdraw(&self.context, replica.generation, ended_term);
-            log::info!(partition = self.partition.0, term = ended_term; "leadership ended; stopping its work");
+            log::info!(partition = self.partition.0, term = ended_term; "leadership ended; stopping the partition's submissions, jobs and planner");
         }
         if replica.leadership.is_none() && replica.raft.holds_lease(now) {
             let tail_task = self.archive.follow(replica.archive_position());
@@ -311,7 +313,7 @@
             replica.writer = Default::default();
             let leadership = Leadership::start(context, self.partition, &replica.raft, tail_task);
             replica.leadership = Some(leadership);
-            log::info!(partition = self.partition.0, term = term; "leadership began; starting its work");
+            log::info!(partition = self.partition.0, term = term; "leadership began; running the partition's submissions, jobs and planner");
             self.hints.publish(&self.context, replica.generation, term);
         }
         if let Some(leadership) = &replica.leadership {
@@ -351,6 +353,7 @@
     }
 }
 
+/// Peer address of a node, from membership or else from the claim; `None` if neither has it.
 fn address_of(context: &Context, replica: &Replica, node: NodeId) -> Option<SocketAddr> {
     let membership = lock(&context.membership);
     let known = membership.record(node).map(|record| record.member.peer);
--- a/crates/swiftshunt-node/src/ledger/driver/archive.rs
+++ b/crates/swiftshunt-node/src/ledger/driver/archive.rs
@@ -16,6 +16,7 @@
 const MAX_ENTRIES_PER_RECORD: usize = 256;
 
 impl Driver {
+    /// Starts to append committed entries to the archive, if this replica leads and an append is due.
     pub(super) fn write_archive(&mut self, now: Monotonic) {
         let Some(replica) = self.replica.as_mut() else {
             return;
@@ -42,6 +43,7 @@
         self.archive.append(record, up_to);
     }
 
+    /// Sends the replies whose entries are archived, or committed while the archive is unavailable.
     pub(super) fn acknowledge(&mut self, now: Monotonic) {
         let wait = self.context.settings.ledger.archive_wait;
         let Some(replica) = self.replica.as_mut() else {
@@ -64,7 +66,7 @@
             }
             ArchiveEvent::AppendFailed { reason } => {
                 log::warn!(partition = self.partition.0;
-                    "append to the archive failed; its entries will be appended again: {reason}");
+                    "append to the archive failed or was not acknowledged; appending its entries again unless the archive shows them: {reason}");
                 if let Some(replica) = self.replica.as_mut() {
                     let archived = replica.raft.archived().index;
                     replica.writer.on_append_failed(archived, now);
@@ -124,7 +126,7 @@
 
     pub(super) fn recover(&mut self, now: Monotonic) {
         if self.has_working_leader(now) {
-            self.recovery.record_working_leader(now);
+            self.recovery.restart_leaderless_time(now);
             return;
         }
         let delay = self.context.settings.ledger.rebuild_delay;
@@ -138,12 +140,12 @@
     /// leader, or the last known leader is another node that is reachable.
     pub(super) fn has_working_leader(&self, now: Monotonic) -> bool {
         let timeout = self.context.settings.ledger.election_timeout * 2;
-        let follows = self.replica.as_ref().is_some_and(|replica| {
+        let has_leader_contact = self.replica.as_ref().is_some_and(|replica| {
             let last_contact = replica.raft.last_leader_contact();
             let is_recent = last_contact.is_some_and(|last_contact| now < last_contact + timeout);
             replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && is_recent)
         });
-        if follows {
+        if has_leader_contact {
             return true;
         }
         let Some(leader) = self.known_leader() else {
@@ -192,7 +194,7 @@
         log::info!(partition = self.partition.0, generation = replica.generation;
             "started a replica as a voter of a claimed generation");
         self.replica = Some(replica);
-        self.recovery.record_working_leader(now);
+        self.recovery.restart_leaderless_time(now);
     }
 
     pub(super) fn claim_if_due(&mut self, generation: Generation, now: Monotonic) {
--- a/crates/swiftshunt-node/src/ledger/input.rs
+++ b/crates/swiftshunt-node/src/ledger/input.rs
@@ -43,6 +43,7 @@
     Tail(ArchivePosition),
     /// The stream was read to its end to check whether the replica's generation is still current.
     Verified {
+        /// Time at which the read was started.
         started_at: Monotonic,
         outcome: Result<ArchivePosition, LogError>,
     },
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -27,6 +27,7 @@
 pub(crate) struct LeaseClock(Arc<AtomicU64>);
 
 impl LeaseClock {
+    /// Sets the end of the lease, on this node's clock; `None` makes the lease invalid.
     pub(super) fn set(&self, end: Option<Monotonic>) {
         let nanoseconds = end.map_or(0, |end| end.as_nanos());
         let nanoseconds = u64::try_from(nanoseconds).unwrap_or(u64::MAX);
@@ -46,7 +47,9 @@
     context: Arc<Context>,
     partition: PartitionId,
     tail_task: JoinHandle<()>,
+    /// Tokens that cancel the tasks of jobs.
     jobs: BTreeMap<JobId, CancellationToken>,
+    /// Cancelled when leadership ends.
     stopped: CancellationToken,
 }
 
@@ -127,7 +130,7 @@
     }
 }
 
-/// The next change to the group's members that the leader should make; `None` if none is needed.
+/// The leader's next step of replacing replicas; `None` if none is needed or possible at present.
 pub(super) fn replacement(
     context: &Context,
     partition: PartitionId,
--- a/crates/swiftshunt-node/src/ledger/recovery.rs
+++ b/crates/swiftshunt-node/src/ledger/recovery.rs
@@ -21,6 +21,8 @@
     pub(super) known_generation: Generation,
     is_replaying: bool,
     next_replay: Monotonic,
+    /// Time since which this node has seen no working leader of the partition; at least the start of
+    /// the driver and of the last replica that it started from a claim.
     leaderless_since: Monotonic,
 }
 
@@ -34,8 +36,9 @@
         }
     }
 
-    /// Records that the partition has a working leader.
-    pub(super) fn record_working_leader(&mut self, now: Monotonic) {
+    /// Restarts the time without a leader, because the partition has a working leader or a group that
+    /// has just been claimed.
+    pub(super) fn restart_leaderless_time(&mut self, now: Monotonic) {
         self.leaderless_since = now;
     }
 
@@ -66,7 +69,7 @@
         self.next_replay = now + delay;
     }
 
-    /// Makes the next replay due at once.
+    /// Marks any replay as ended and makes the next one due at once.
     pub(super) fn schedule_replay_now(&mut self, now: Monotonic) {
         self.is_replaying = false;
         self.next_replay = now;
--- a/crates/swiftshunt-node/src/ledger/replica.rs
+++ b/crates/swiftshunt-node/src/ledger/replica.rs
@@ -96,7 +96,7 @@
 
     /// Whether this replica may vote, follow and lead.
     ///
-    /// After half the rebuild delay without contact to its group or confirmation from the archive,
+    /// After half the rebuild delay without contact with its group or confirmation from the archive,
     /// other nodes may have claimed a new generation. The replica then participates again only once
     /// the archive shows that its generation is still the current one.
     pub(super) fn may_participate(&self, config: &LedgerConfig, now: Monotonic) -> bool {
@@ -104,10 +104,10 @@
         now < last_confirmed + config.rebuild_delay / 2
     }
 
-    /// Updates the time of the last contact to the group.
+    /// Updates the time of the last contact with the group.
     pub(super) fn update_group_contact(&mut self, now: Monotonic) {
-        let follows = self.raft.role() == Role::Follower && self.raft.leader().is_some();
-        if follows {
+        let is_following = self.raft.role() == Role::Follower && self.raft.leader().is_some();
+        if is_following {
             self.last_group_contact = self
                 .raft
                 .last_leader_contact()
@@ -117,11 +117,13 @@
         }
     }
 
-    /// The position from which to read the archive, to continue it or to find a newer generation.
+    /// The position after the archived part of the log, from which to follow the archive or to look for
+    /// a newer generation.
     pub(super) fn archive_position(&self) -> ArchivePosition {
         let mark = self.raft.archived();
         ArchivePosition {
             generation: self.generation,
+            // Records are evaluated by the index alone, so the term may be left out.
             last: LogPosition {
                 term: 0,
                 index: mark.index,
--- a/crates/swiftshunt-node/src/ledger/supervisor.rs
+++ b/crates/swiftshunt-node/src/ledger/supervisor.rs
@@ -12,14 +12,14 @@
 /// Runs until the process ends. Evaluates the placement only when its version has changed.
 pub(crate) async fn supervise(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(SUPERVISE_INTERVAL);
-    let mut seen = None;
+    let mut seen_version = None;
     loop {
         ticker.tick().await;
         let version = context.placement.version(&context);
-        if version == seen {
+        if version == seen_version {
             continue;
         }
-        seen = version;
+        seen_version = version;
         for index in 0..context.settings.ledger.partitions {
             let partition = PartitionId(index);
             let candidates = context.placement.candidates(&context, partition);
