--- a/crates/swiftshunt-ledger/src/raft/node.rs
+++ b/crates/swiftshunt-ledger/src/raft/node.rs
@@ -364,7 +364,8 @@
         self.log.slice(from + 1, limit.min(available))
     }
 
-    /// Whether a learner holds every committed entry of the leader and can become a voter.
+    /// Whether a learner is known to hold every committed entry, so that it can become a voter. `false`
+    /// for this replica itself and unless it is the leader.
     pub fn is_caught_up(&self, learner: NodeId) -> bool {
         self.progress
             .get(&learner)
--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -27,7 +27,7 @@
     pub health: ReplicaHealth,
     /// Zone of the replica's node; `None` if membership has no record of the node.
     pub zone: Option<ZoneName>,
-    /// Whether the replica holds every committed entry.
+    /// Whether the replica is known to hold every committed entry. Used only for learners.
     pub caught_up: bool,
 }
 
--- a/crates/swiftshunt-ledger/src/state/submission.rs
+++ b/crates/swiftshunt-ledger/src/state/submission.rs
@@ -24,7 +24,7 @@
     pub digest: Digest,
     /// The request body that the worker receives.
     pub body: String,
-    /// Whether the submission may be sent more than once, always under the same key.
+    /// Whether the submission may be sent more than once, always under the same idempotency key.
     pub repeatable: bool,
 }
 
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -23,7 +23,8 @@
 }
 
 impl ArchiveWriter {
-    /// Records the committed index and the archived index, which is the one that the tail shows.
+    /// Updates the time since which committed entries have been missing in the archive. `archived` is
+    /// the index that the tail shows.
     pub(super) fn observe(&mut self, committed: Index, archived: Index, now: Monotonic) {
         if archived >= committed {
             self.behind_since = None;
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -305,7 +305,8 @@
             replica.acknowledgements.fail_all();
             self.hints
                 .withdraw(&self.context, replica.generation, ended_term);
-            log::info!(partition = self.partition.0, term = ended_term; "leadership ended; stopping the partition's submissions, jobs and planner");
+            log::info!(partition = self.partition.0, term = ended_term;
+                "leadership ended; stopping the partition's submissions, jobs and planner");
         }
         if replica.leadership.is_none() && replica.raft.holds_lease(now) {
             let tail_task = self.archive.follow(replica.archive_position());
@@ -313,7 +314,8 @@
             replica.writer = Default::default();
             let leadership = Leadership::start(context, self.partition, &replica.raft, tail_task);
             replica.leadership = Some(leadership);
-            log::info!(partition = self.partition.0, term = term; "leadership began; running the partition's submissions, jobs and planner");
+            log::info!(partition = self.partition.0, term = term;
+                "leadership began; running the partition's submissions, jobs and planner");
             self.hints.publish(&self.context, replica.generation, term);
         }
         if let Some(leadership) = &replica.leadership {
--- a/crates/swiftshunt-node/src/ledger/mod.rs
+++ b/crates/swiftshunt-node/src/ledger/mod.rs
@@ -46,8 +46,9 @@
             .or_insert_with(|| Driver::start(Arc::clone(context), partition));
     }
 
-    /// Passes consensus messages to the partition's driver. Drops them if they are addressed to
-    /// another node identity, such as that of an earlier process on this address.
+    /// Passes consensus messages to the partition's driver. Drops them if the partition does
+    /// not exist or if they are addressed to another node identity, such as that of an earlier process
+    /// on this address.
     pub(crate) fn receive(&self, context: &Arc<Context>, batch: RaftBatch) {
         if batch.to != context.own.id || batch.partition.0 >= context.settings.ledger.partitions {
             return;
