--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -268,7 +268,7 @@
             },
             2 => Command::DispatchSubmission {
                 dispatch: DispatchId(self.random.random()),
-                supersedes: self.latest_grant(&submission),
+                supersedes: self.highest_granted_dispatch(&submission),
                 submission,
                 worker: "worker".into(),
             },
@@ -282,7 +282,9 @@
         }
     }
 
-    fn latest_grant(&self, submission: &SubmissionId) -> Option<DispatchId> {
+    /// The granted dispatch with the highest identifier. Identifiers are random, so a newer dispatch may
+    /// have superseded it.
+    fn highest_granted_dispatch(&self, submission: &SubmissionId) -> Option<DispatchId> {
         self.history.granted.get(submission)?.last().copied()
     }
 
