--- a/crates/swiftshunt-node/src/api/batches.rs
+++ b/crates/swiftshunt-node/src/api/batches.rs
@@ -14,7 +14,7 @@
 use super::auth::admit;
 use super::files::own_file;
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::ledger;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
@@ -37,7 +37,7 @@
     let tenant = admitted.tenant.name.clone();
     let id = match call.header("idempotency-key") {
         Some(_) => JobId::derive(&tenant, &super::submissions::idempotency_key(&call)?),
-        None => JobId(format!("batch_{:016x}{:016x}", draw(), draw())),
+        None => JobId(format!("batch_{:016x}{:016x}", random_u64(), random_u64())),
     };
     let body: BatchBody = call.json(context.settings.limits.body_bytes).await?;
     if !ENDPOINTS.contains(&body.endpoint.as_str()) {
--- a/crates/swiftshunt-node/src/api/chat.rs
+++ b/crates/swiftshunt-node/src/api/chat.rs
@@ -13,10 +13,10 @@
 
 use super::auth::admit;
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lifecycle::InProgress;
 use crate::online::{
-    Answer, AnswerRequest, ChatRequest, CompletionRequest, chat_chunk, chat_completion,
+    AnswerRequest, AnswerStream, ChatRequest, CompletionRequest, chat_chunk, chat_completion,
     chat_usage_chunk, collect, completion_chunk, start, text_completion,
 };
 
@@ -79,7 +79,7 @@
     let pool = pool_of(context, model)?;
     context.metrics.online_requests.inc();
     Ok(AnswerRequest {
-        id: RequestId(format!("{:016x}", draw())),
+        id: RequestId(format!("{:016x}", random_u64())),
         pool: pool.name,
         model: model.clone(),
         prompt,
@@ -113,7 +113,7 @@
 
 /// An answer as server-sent events, closed by `[DONE]`; a failure becomes a last error event.
 fn events(
-    answer: Answer,
+    answer: AnswerStream,
     render: impl Fn(&TokenEvent) -> Vec<Value> + Send + 'static,
     in_progress: InProgress,
 ) -> Reply {
--- a/crates/swiftshunt-node/src/api/files.rs
+++ b/crates/swiftshunt-node/src/api/files.rs
@@ -11,7 +11,7 @@
 use super::auth::admit;
 use crate::batch::{FileError, FileInfo, FilePurpose, read_content, read_info, store};
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 
 /// When a caller should come back while the log is away.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -36,7 +36,7 @@
 ) -> Result<FileInfo, Failure> {
     let lines = u32::try_from(content.lines().count()).unwrap_or(u32::MAX);
     let info = FileInfo {
-        id: FileId(format!("file-{:016x}{:016x}", draw(), draw())),
+        id: FileId(format!("file-{:016x}{:016x}", random_u64(), random_u64())),
         tenant: tenant.clone(),
         name: name.to_owned(),
         purpose: FilePurpose::Batch,
--- a/crates/swiftshunt-node/src/api/submissions.rs
+++ b/crates/swiftshunt-node/src/api/submissions.rs
@@ -17,7 +17,7 @@
 /// Header with the caller's key.
 const KEY_HEADER: &str = "idempotency-key";
 /// Longest key, in bytes.
-const LONGEST_KEY: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// Body of a submission.
 #[derive(Debug, Deserialize)]
@@ -42,16 +42,16 @@
     let key = idempotency_key(&call)?;
     let body: SubmissionBody = call.json(context.settings.limits.body_bytes).await?;
     check_pool(&context, &body.pool)?;
-    let longest = context.settings.limits.submission_wait;
+    let longest_wait = context.settings.limits.submission_wait;
     let now = context.clock.now();
-    let own = deadline(&context, &call)?.map(|deadline| deadline.saturating_sub(now));
+    let caller_wait = deadline(&context, &call)?.map(|deadline| deadline.saturating_sub(now));
     let request = SubmitRequest {
         tenant: admitted.tenant.name.clone(),
         key,
         pool: body.pool,
         body: body.input.to_string(),
         repeatable: body.repeatable,
-        wait: own.map_or(longest, |own| own.min(longest)),
+        wait: caller_wait.map_or(longest_wait, |caller_wait| caller_wait.min(longest_wait)),
     };
     let (id, result) = submissions::submit(&context, request).await?;
     drop(admitted.in_progress);
@@ -96,7 +96,7 @@
         let message = "the header `Idempotency-Key` is required";
         return Err(invalid_key(message));
     }
-    if key.len() > LONGEST_KEY {
+    if key.len() > MAX_KEY_BYTES {
         return Err(invalid_key("the idempotency key is longer than 255 bytes"));
     }
     Ok(key.to_owned())
--- a/crates/swiftshunt-node/src/batch/files.rs
+++ b/crates/swiftshunt-node/src/batch/files.rs
@@ -78,9 +78,9 @@
 /// Bytes of lines in one record, at most, unless a single line is longer.
 const CHUNK_BYTES: usize = 256 * 1024;
 /// Tries of one append.
-const APPEND_TRIES: u32 = 4;
+const MAX_APPEND_ATTEMPTS: u32 = 4;
 /// First pause between tries.
-const APPEND_PAUSE: Duration = Duration::from_millis(50);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Stores an uploaded file. It exists once this returns.
 pub(crate) async fn store(
@@ -130,10 +130,10 @@
         attempt += 1;
         match appended {
             Ok(_) => return Ok(()),
-            Err(source) if attempt == APPEND_TRIES => return Err(source.into()),
+            Err(source) if attempt == MAX_APPEND_ATTEMPTS => return Err(source.into()),
             Err(_) => {
-                let pause = backoff(APPEND_PAUSE, attempt, &mut rand::rng());
-                tokio::time::sleep(pause).await;
+                let delay = backoff(APPEND_RETRY_DELAY, attempt, &mut rand::rng());
+                tokio::time::sleep(delay).await;
             }
         }
     }
@@ -141,15 +141,15 @@
 
 /// A file's content as replay gives it.
 #[derive(Default)]
-struct Content {
+struct ReplayedFile {
     chunks: BTreeMap<u32, Vec<String>>,
     end: Option<(FileInfo, u32)>,
     results: BTreeMap<u32, String>,
 }
 
-async fn replay(log: &dyn LogService, file: &FileId) -> Result<Content, FileError> {
+async fn replay(log: &dyn LogService, file: &FileId) -> Result<ReplayedFile, FileError> {
     let stream = StreamName::file(file);
-    let mut content = Content::default();
+    let mut content = ReplayedFile::default();
     for bytes in read_all(log, &stream, 0).await? {
         let record = decode_cbor(&bytes).map_err(|reason| FileError::BadRecord { reason })?;
         match record {
@@ -172,7 +172,7 @@
 /// What is known of an uploaded file.
 pub(crate) async fn read_info(log: &dyn LogService, file: &FileId) -> Result<FileInfo, FileError> {
     let content = replay(log, file).await?;
-    content.whole().map(|(info, _)| info.clone())
+    content.complete_end().map(|(info, _)| info.clone())
 }
 
 /// The lines of an uploaded file.
@@ -181,7 +181,7 @@
     file: &FileId,
 ) -> Result<Vec<String>, FileError> {
     let content = replay(log, file).await?;
-    content.whole()?;
+    content.complete_end()?;
     Ok(content.chunks.into_values().flatten().collect())
 }
 
@@ -197,7 +197,7 @@
 pub(crate) async fn read_content(log: &dyn LogService, file: &FileId) -> Result<String, FileError> {
     let content = replay(log, file).await?;
     let lines: Vec<String> = if content.results.is_empty() {
-        content.whole()?;
+        content.complete_end()?;
         content.chunks.into_values().flatten().collect()
     } else {
         content.results.into_values().collect()
@@ -207,9 +207,9 @@
     Ok(text)
 }
 
-impl Content {
+impl ReplayedFile {
     /// The end record, if every chunk is there.
-    fn whole(&self) -> Result<&(FileInfo, u32), FileError> {
+    fn complete_end(&self) -> Result<&(FileInfo, u32), FileError> {
         let end = self.end.as_ref().ok_or(FileError::NotFound)?;
         let complete = self.chunks.len() == end.1 as usize;
         complete.then_some(end).ok_or(FileError::NotFound)
--- a/crates/swiftshunt-node/src/batch/grants.rs
+++ b/crates/swiftshunt-node/src/batch/grants.rs
@@ -18,9 +18,9 @@
 /// Renewals within one grant's lifetime.
 const RENEWALS_PER_LIFETIME: u32 = 4;
 /// Shortest pause between two rounds of asking.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(20);
 /// A granter that does not answer within this is passed over.
-const ASK_TIMEOUT: Duration = Duration::from_millis(150);
+const GRANT_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// A holder asks for slots.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -63,60 +63,65 @@
             && worker.is_reachable(now)
     };
     let engines: Vec<&Worker> = workers.iter().filter(in_zone).collect();
-    let announced = context.expectations.requests_per_second(context, pool);
+    let requests_per_second = context.announced_events.requests_per_second(context, pool);
     let zones = context.settings.zones.len();
-    let expected = expected_slots(announced, engines.len() * zones, scheduler);
+    let expected_online_slots =
+        expected_slots(requests_per_second, engines.len() * zones, scheduler);
     let allowed = engines.iter().map(|worker| {
-        let slots = batch_slots(worker, expected, scheduler);
+        let slots = batch_slots(worker, expected_online_slots, scheduler);
         (worker.machine.id.clone(), slots)
     });
     allowed.collect()
 }
 
 /// Asks the granters for what this node's items need, until the process ends.
-pub(crate) async fn hold_grants(context: Arc<Context>) {
-    let period = context.settings.scheduler.grant_lifetime / RENEWALS_PER_LIFETIME;
+pub(crate) async fn renew_grants(context: Arc<Context>) {
+    let renewal_interval = context.settings.scheduler.grant_lifetime / RENEWALS_PER_LIFETIME;
     loop {
         for (pool, wanted) in context.batch.wanted() {
-            ask_zones(&context, &pool, wanted).await;
+            request_from_zones(&context, &pool, wanted).await;
         }
-        tokio::time::sleep(SHORTEST_PAUSE).await;
+        tokio::time::sleep(MIN_RENEWAL_INTERVAL).await;
         let demand = context.batch.demand.notified();
-        drop(tokio::time::timeout(period, demand).await);
+        drop(tokio::time::timeout(renewal_interval, demand).await);
     }
 }
 
 /// Asks the own zone first and the others for what is still wanted.
-async fn ask_zones(context: &Arc<Context>, pool: &PoolName, wanted: u32) {
+async fn request_from_zones(context: &Arc<Context>, pool: &PoolName, wanted: u32) {
     let granters = context.placement.granters(context, pool);
     let mut zones: Vec<(ZoneName, NodeId)> = granters.into_iter().collect();
     zones.sort_by_key(|(zone, _)| *zone != context.own.zone);
-    let mut left = wanted;
+    let mut unmet = wanted;
     for (zone, granter) in zones {
         let request = GrantRequest {
             holder: context.own.id,
             pool: pool.clone(),
-            wanted: left,
+            wanted: unmet,
         };
-        let asked_at = context.clock.now();
-        let Some(grants) = ask(context, granter, &request).await else {
+        let requested_at = context.clock.now();
+        let Some(grants) = request_grants(context, granter, &request).await else {
             continue;
         };
-        let got: u32 = grants.iter().map(|grant| grant.slots).sum();
-        left = left.saturating_sub(got);
-        let expires_at = asked_at + context.settings.scheduler.grant_lifetime;
+        let granted: u32 = grants.iter().map(|grant| grant.slots).sum();
+        unmet = unmet.saturating_sub(granted);
+        let expires_at = requested_at + context.settings.scheduler.grant_lifetime;
         context.batch.set_granted(pool, &zone, grants, expires_at);
     }
 }
 
-async fn ask(context: &Context, granter: NodeId, request: &GrantRequest) -> Option<Vec<Grant>> {
+async fn request_grants(
+    context: &Context,
+    granter: NodeId,
+    request: &GrantRequest,
+) -> Option<Vec<Grant>> {
     if granter == context.own.id {
         return Some(context.granter.grant(context, request));
     }
     let address: SocketAddr = lock(&context.membership).record(granter)?.member.peer;
     context
         .peers
-        .grants(address, request, ASK_TIMEOUT)
+        .grants(address, request, GRANT_REQUEST_TIMEOUT)
         .await
         .ok()
 }
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -16,17 +16,17 @@
 use super::slots::Slot;
 use crate::context::Context;
 use crate::ledger::LeaseClock;
-use crate::online::WholeAnswer;
+use crate::online::CompleteAnswer;
 use crate::online::{ChatRequest, CompletionRequest, chat_completion, text_completion};
 
 /// Time for an engine to take an item.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for one cancel call.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after an engine failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
+const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Pause until a lease that is over is looked at again.
-const LEASE_PAUSE: Duration = Duration::from_millis(50);
+const LEASE_RECHECK_DELAY: Duration = Duration::from_millis(50);
 /// How long an engine may pause a batch stream; online work may hold it up for long.
 const TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -50,7 +50,7 @@
 }
 
 /// What the job lends to its items.
-pub(super) struct ItemScope {
+pub(super) struct ItemRunner {
     pub(super) context: Arc<Context>,
     pub(super) job: swiftshunt_types::JobId,
     pub(super) endpoint: String,
@@ -61,22 +61,24 @@
 }
 
 /// How one stay in a slot ended.
-enum Stay {
-    Whole(FinishReason),
+enum SlotOutcome {
+    Completed(FinishReason),
     /// The slot was taken back or the engine failed; the tokens so far are kept.
     Interrupted,
     /// The engine refuses the item itself.
     Refused(String),
     /// The job or the leadership is over.
-    Over,
+    Stopped,
 }
 
-impl ItemScope {
+impl ItemRunner {
     /// Runs one line of the input; none if the job or the leadership ended first.
     pub(super) async fn run(&self, index: u32, line: &str, remaining: u32) -> Option<ItemResult> {
         match self.parse(index, line) {
             Ok(item) => self.run_item(item, remaining).await,
-            Err((custom_id, failure)) => Some(refused(&self.job, index, &custom_id, &failure)),
+            Err((custom_id, failure)) => {
+                Some(refused_result(&self.job, index, &custom_id, &failure))
+            }
         }
     }
 
@@ -139,72 +141,82 @@
     }
 
     async fn run_item(&self, item: Item, remaining: u32) -> Option<ItemResult> {
-        let mut so_far = WholeAnswer::empty();
+        let mut partial = CompleteAnswer::empty();
         loop {
             let slot = tokio::select! {
                 slot = self.context.batch.acquire(&self.job, &item.pool, self.deadline, remaining) => slot?,
                 () = self.stopped.cancelled() => return None,
             };
-            match self.stay(&item, &slot, &mut so_far).await {
-                Stay::Whole(finish) => {
-                    so_far.finish = finish;
-                    return Some(self.result(&item, &so_far));
+            match self.run_in_slot(&item, &slot, &mut partial).await {
+                SlotOutcome::Completed(finish) => {
+                    partial.finish = finish;
+                    return Some(self.result(&item, &partial));
                 }
-                Stay::Interrupted => {}
-                Stay::Over => return None,
-                Stay::Refused(reason) => {
+                SlotOutcome::Interrupted => {}
+                SlotOutcome::Stopped => return None,
+                SlotOutcome::Refused(reason) => {
                     let failure = Failure::not_run(ErrorKind::InvalidRequest, reason);
-                    return Some(refused(&self.job, item.index, &item.custom_id, &failure));
+                    return Some(refused_result(
+                        &self.job,
+                        item.index,
+                        &item.custom_id,
+                        &failure,
+                    ));
                 }
             }
         }
     }
 
     /// Generates in one slot until the answer is whole or the slot is lost.
-    async fn stay(&self, item: &Item, slot: &Slot, so_far: &mut WholeAnswer) -> Stay {
+    async fn run_in_slot(
+        &self,
+        item: &Item,
+        slot: &Slot,
+        partial: &mut CompleteAnswer,
+    ) -> SlotOutcome {
         let request = GenerateRequest {
-            resume_from: so_far.tokens,
+            resume_from: partial.tokens,
             ..item.request.clone()
         };
         if self.stopped.is_cancelled() {
-            return Stay::Over;
+            return SlotOutcome::Stopped;
         }
         // A lease that is over may still be renewed; if it is not, the leadership ends.
         if !self.lease.is_valid(self.context.clock.now()) {
-            tokio::time::sleep(LEASE_PAUSE).await;
-            return Stay::Interrupted;
+            tokio::time::sleep(LEASE_RECHECK_DELAY).await;
+            return SlotOutcome::Interrupted;
         }
         let engines = &self.context.engines;
         let opened = engines
-            .generate(slot.address, &request, self.permit(), HEAD_TIMEOUT)
+            .generate(slot.address, &request, self.permit(), RESPONSE_HEAD_TIMEOUT)
             .await;
         let mut stream = match opened {
             Ok(stream) => stream,
-            Err(EngineError::Refused { reason }) => return Stay::Refused(reason),
+            Err(EngineError::Refused { reason }) => return SlotOutcome::Refused(reason),
             Err(_) => {
-                tokio::time::sleep(FAILURE_PAUSE).await;
-                return Stay::Interrupted;
+                tokio::time::sleep(FAILURE_RETRY_DELAY).await;
+                return SlotOutcome::Interrupted;
             }
         };
         loop {
             let received = tokio::select! {
                 received = tokio::time::timeout(TOKEN_TIMEOUT, stream.next()) => received,
-                () = slot.taken_back.cancelled() => {
+                () = slot.preempted.cancelled() => {
                     self.cancel(slot, &request.request).await;
-                    return Stay::Interrupted;
+                    return SlotOutcome::Interrupted;
                 }
                 () = self.stopped.cancelled() => {
                     self.cancel(slot, &request.request).await;
-                    return Stay::Over;
+                    return SlotOutcome::Stopped;
                 }
             };
             let Ok(Some(Ok(event))) = received else {
-                return Stay::Interrupted;
+                return SlotOutcome::Interrupted;
             };
-            match take_event(&event, &request.request, so_far) {
-                Taken::More => {}
-                Taken::End(finish) => return Stay::Whole(finish),
-                Taken::Wrong => return Stay::Interrupted,
+            match apply_event(&event, &request.request, partial) {
+                EventEffect::Continue => {}
+                EventEffect::Finished(finish) => return SlotOutcome::Completed(finish),
+                EventEffect::Unusable => return SlotOutcome::Interrupted,
             }
         }
     }
@@ -223,7 +235,7 @@
         drop(engines.cancel(slot.address, request, CANCEL_TIMEOUT).await);
     }
 
-    fn result(&self, item: &Item, whole: &WholeAnswer) -> ItemResult {
+    fn result(&self, item: &Item, answer: &CompleteAnswer) -> ItemResult {
         let request = &item.request;
         let id = request.request.as_str();
         let render = if item.is_chat {
@@ -231,7 +243,7 @@
         } else {
             text_completion
         };
-        let body = render(id, self.created, &request.model, &request.prompt, whole);
+        let body = render(id, self.created, &request.model, &request.prompt, answer);
         let line = json!({
             "id": format!("batch_req_{id}"),
             "custom_id": item.custom_id,
@@ -246,29 +258,33 @@
 }
 
 /// What an event did to the answer so far.
-enum Taken {
-    More,
-    End(FinishReason),
-    Wrong,
+enum EventEffect {
+    Continue,
+    Finished(FinishReason),
+    Unusable,
 }
 
-fn take_event(event: &TokenEvent, request: &RequestId, so_far: &mut WholeAnswer) -> Taken {
-    if event.request != *request || event.index > so_far.tokens {
-        return Taken::Wrong;
+fn apply_event(
+    event: &TokenEvent,
+    request: &RequestId,
+    partial: &mut CompleteAnswer,
+) -> EventEffect {
+    if event.request != *request || event.index > partial.tokens {
+        return EventEffect::Unusable;
     }
     match event.finish {
-        Some(FinishReason::Cancelled) => Taken::Wrong,
-        Some(finish) if event.index == so_far.tokens => Taken::End(finish),
-        None if event.index == so_far.tokens => {
-            so_far.text.push_str(&event.text);
-            so_far.tokens += 1;
-            Taken::More
+        Some(FinishReason::Cancelled) => EventEffect::Unusable,
+        Some(finish) if event.index == partial.tokens => EventEffect::Finished(finish),
+        None if event.index == partial.tokens => {
+            partial.text.push_str(&event.text);
+            partial.tokens += 1;
+            EventEffect::Continue
         }
-        _ => Taken::More,
+        _ => EventEffect::Continue,
     }
 }
 
-fn refused(
+fn refused_result(
     job: &swiftshunt_types::JobId,
     index: u32,
     custom_id: &str,
--- a/crates/swiftshunt-node/src/batch/job.rs
+++ b/crates/swiftshunt-node/src/batch/job.rs
@@ -12,18 +12,18 @@
 use tokio_util::sync::CancellationToken;
 
 use super::files::{FileError, ItemResult, OutputWriter, read_lines, read_results};
-use super::item::ItemScope;
+use super::item::ItemRunner;
 use crate::context::Context;
 use crate::ledger::{self, LeaseClock};
 
 /// Items of one job that wait for slots or run, at most.
-const CONCURRENT_ITEMS: usize = 256;
+const MAX_CONCURRENT_ITEMS: usize = 256;
 /// Results recorded together, at most.
-const RESULTS_PER_RECORD: usize = 256;
+const MAX_RESULTS_PER_RECORD: usize = 256;
 /// Pause after the log failed.
-const LOG_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How long a leader is looked for when items are recorded.
-const RECORD_TIME: Duration = Duration::from_secs(5);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs one job until it has ended or this leadership is over.
 pub(crate) async fn run_job(
@@ -42,9 +42,10 @@
 }
 
 async fn run_items(context: Arc<Context>, job: Job, lease: LeaseClock, stopped: CancellationToken) {
-    let lines = read_until_success(|| read_lines(&*context.log, &job.request.input)).await;
-    let earlier = read_until_success(|| read_results(&*context.log, &job.request.output)).await;
-    let recorded: Vec<u32> = earlier.keys().copied().collect();
+    let lines = retry_until_success(|| read_lines(&*context.log, &job.request.input)).await;
+    let recorded_results =
+        retry_until_success(|| read_results(&*context.log, &job.request.output)).await;
+    let recorded: Vec<u32> = recorded_results.keys().copied().collect();
     if !recorded.is_empty() {
         record(&context, &job.request.id, recorded.clone()).await;
     }
@@ -54,7 +55,7 @@
         .missing()
         .filter(|index| !finished.contains(index))
         .collect();
-    let scope = ItemScope {
+    let runner = ItemRunner {
         context: Arc::clone(&context),
         job: job.request.id.clone(),
         endpoint: job.request.endpoint.clone(),
@@ -63,14 +64,14 @@
         lease,
         stopped,
     };
-    let (results, received) = mpsc::channel(RESULTS_PER_RECORD);
+    let (results, received) = mpsc::channel(MAX_RESULTS_PER_RECORD);
     let remaining = u32::try_from(pending.len()).unwrap_or(u32::MAX);
     let running = async {
         let items = stream::iter(pending).map(|index| {
             let line = lines.get(index as usize).map_or("", String::as_str);
-            scope.run(index, line, remaining)
+            runner.run(index, line, remaining)
         });
-        let mut items = items.buffer_unordered(CONCURRENT_ITEMS);
+        let mut items = items.buffer_unordered(MAX_CONCURRENT_ITEMS);
         while let Some(result) = items.next().await {
             let Some(result) = result else { break };
             if results.send(result).await.is_err() {
@@ -92,8 +93,12 @@
     mut received: mpsc::Receiver<ItemResult>,
 ) {
     let mut results = Vec::new();
-    while received.recv_many(&mut results, RESULTS_PER_RECORD).await > 0 {
-        read_until_success(|| writer.append(&results)).await;
+    while received
+        .recv_many(&mut results, MAX_RESULTS_PER_RECORD)
+        .await
+        > 0
+    {
+        retry_until_success(|| writer.append(&results)).await;
         let items = results.iter().map(|result| result.index).collect();
         record(context, job, items).await;
         context.metrics.batch_items.inc_by(results.len() as u64);
@@ -110,17 +115,17 @@
             job: job.clone(),
             items: items.clone(),
         };
-        let deadline = context.clock.now() + RECORD_TIME;
+        let deadline = context.clock.now() + RECORD_TIMEOUT;
         let Err(error) = ledger::propose(context, partition, command, deadline).await else {
             return;
         };
         log::warn!(job = job.as_str(), items = items.len(); "items are not recorded yet: {error:?}");
-        tokio::time::sleep(LOG_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 /// Repeats a use of the log until it succeeds: a job outlives the log's outages.
-async fn read_until_success<T, F>(mut attempt: impl FnMut() -> F) -> T
+async fn retry_until_success<T, F>(mut attempt: impl FnMut() -> F) -> T
 where
     F: Future<Output = Result<T, FileError>>,
 {
@@ -129,6 +134,6 @@
             Ok(value) => return value,
             Err(error) => log::warn!("the log is needed for a job: {error}"),
         }
-        tokio::time::sleep(LOG_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/swiftshunt-node/src/batch/mod.rs
+++ b/crates/swiftshunt-node/src/batch/mod.rs
@@ -7,6 +7,6 @@
 mod slots;
 
 pub(crate) use files::{FileError, FileInfo, FilePurpose, read_content, read_info, store};
-pub(crate) use grants::{GrantRequest, Granter, hold_grants};
+pub(crate) use grants::{GrantRequest, Granter, renew_grants};
 pub(crate) use job::run_job;
 pub(crate) use slots::BatchState;
--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -29,7 +29,7 @@
     pub(crate) worker: WorkerId,
     pub(crate) address: SocketAddr,
     /// Cancelled when the slot is taken back.
-    pub(crate) taken_back: CancellationToken,
+    pub(crate) preempted: CancellationToken,
     pool: PoolName,
     context: Arc<Context>,
 }
@@ -49,14 +49,14 @@
 }
 
 /// A slot that is in use.
-struct Running {
+struct RunningItem {
     pool: PoolName,
-    taken_back: CancellationToken,
+    preempted: CancellationToken,
 }
 
 /// What a granter allowed on one engine.
 #[derive(Clone, Debug)]
-struct Granted {
+struct ZoneGrant {
     pool: PoolName,
     zone: ZoneName,
     slots: u32,
@@ -67,8 +67,8 @@
 #[derive(Default)]
 pub(crate) struct BatchState {
     queues: Mutex<BTreeMap<JobId, Queue>>,
-    running: Mutex<BTreeMap<WorkerId, Vec<Running>>>,
-    granted: Mutex<BTreeMap<WorkerId, Granted>>,
+    running: Mutex<BTreeMap<WorkerId, Vec<RunningItem>>>,
+    granted: Mutex<BTreeMap<WorkerId, ZoneGrant>>,
     changed: Notify,
     /// Items began to wait: grants are asked for at once.
     pub(super) demand: Notify,
@@ -97,18 +97,18 @@
             queue.waiting.push_back(sender);
         }
         self.demand.notify_one();
-        self.wake();
+        self.notify_changed();
         receiver.await.ok()
     }
 
     /// Something changed: slots are looked at again.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
     /// An online request was placed: its engine's batch items may have to yield now.
-    pub(crate) fn online_arrived(&self, context: &Context) {
-        self.take_back_excess(context);
+    pub(crate) fn preempt_for_online(&self, context: &Context) {
+        self.preempt_excess(context);
     }
 
     /// Gives and takes back slots until the process ends.
@@ -116,8 +116,8 @@
         loop {
             let changed = context.batch.changed.notified();
             drop(tokio::time::timeout(REVIEW_INTERVAL, changed).await);
-            context.batch.take_back_excess(&context);
-            context.batch.give(&context);
+            context.batch.preempt_excess(&context);
+            context.batch.assign_slots(&context);
         }
     }
 
@@ -145,7 +145,7 @@
         let mut granted = lock(&self.granted);
         granted.retain(|_, held| held.pool != *pool || held.zone != *zone);
         for grant in grants {
-            let held = Granted {
+            let held = ZoneGrant {
                 pool: pool.clone(),
                 zone: zone.clone(),
                 slots: grant.slots,
@@ -154,21 +154,21 @@
             granted.insert(grant.worker, held);
         }
         drop(granted);
-        self.wake();
+        self.notify_changed();
     }
 
-    fn give(&self, context: &Arc<Context>) {
+    fn assign_slots(&self, context: &Arc<Context>) {
         let mut queues = lock(&self.queues);
         queues.retain(|_, queue| {
             queue.waiting.retain(|waiting| !waiting.is_closed());
             !queue.waiting.is_empty()
         });
-        for job in by_slack(&queues) {
+        for job in jobs_by_slack(&queues) {
             let Some(queue) = queues.get_mut(&job) else {
                 continue;
             };
             while !queue.waiting.is_empty() {
-                let Some(slot) = self.take_slot(context, &queue.pool) else {
+                let Some(slot) = self.occupy_slot(context, &queue.pool) else {
                     break;
                 };
                 if let Some(waiting) = queue.waiting.pop_front() {
@@ -180,15 +180,15 @@
     }
 
     /// Occupies a slot on the pool's engine with the most granted room.
-    fn take_slot(&self, context: &Arc<Context>, pool: &PoolName) -> Option<Slot> {
+    fn occupy_slot(&self, context: &Arc<Context>, pool: &PoolName) -> Option<Slot> {
         let mut workers = lock(&context.workers);
         let mut running = lock(&self.running);
         let granted = lock(&self.granted);
         let now = context.clock.now();
-        let rooms = granted
+        let unexpired = granted
             .iter()
             .filter(|(_, held)| held.pool == *pool && now < held.expires_at);
-        let (worker, address) = rooms
+        let (worker, address) = unexpired
             .filter_map(|(id, held)| {
                 let worker = workers
                     .get(id)
@@ -201,15 +201,18 @@
             .max_by_key(|(free, _)| *free)
             .map(|(_, worker)| (worker.machine.id.clone(), worker.machine.address))?;
         workers.get_mut(&worker)?.own_batch += 1;
-        let taken_back = CancellationToken::new();
-        running.entry(worker.clone()).or_default().push(Running {
-            pool: pool.clone(),
-            taken_back: taken_back.clone(),
-        });
+        let preempted = CancellationToken::new();
+        running
+            .entry(worker.clone())
+            .or_default()
+            .push(RunningItem {
+                pool: pool.clone(),
+                preempted: preempted.clone(),
+            });
         Some(Slot {
             worker,
             address,
-            taken_back,
+            preempted,
             pool: pool.clone(),
             context: Arc::clone(context),
         })
@@ -217,7 +220,7 @@
 
     /// Stops the youngest items on engines that hold more than they may: what was granted, and of
     /// the node's own zone also what the engine's load leaves at this moment.
-    fn take_back_excess(&self, context: &Context) {
+    fn preempt_excess(&self, context: &Context) {
         let workers = lock(&context.workers);
         let running = lock(&self.running);
         let granted = lock(&self.granted);
@@ -229,11 +232,11 @@
                 let scheduler = &context.settings.scheduler;
                 allowed = allowed.min(batch_slots(worker, 0, scheduler));
             }
-            let live = slots.iter().filter(|slot| !slot.taken_back.is_cancelled());
-            let live: Vec<&Running> = live.collect();
-            let excess = live.len().saturating_sub(allowed as usize);
-            for slot in live.into_iter().rev().take(excess) {
-                slot.taken_back.cancel();
+            let kept = slots.iter().filter(|slot| !slot.preempted.is_cancelled());
+            let kept: Vec<&RunningItem> = kept.collect();
+            let excess = kept.len().saturating_sub(allowed as usize);
+            for slot in kept.into_iter().rev().take(excess) {
+                slot.preempted.cancel();
                 context.metrics.preempted_items.inc();
             }
         }
@@ -243,22 +246,22 @@
         if let Some(worker) = lock(&context.workers).get_mut(&slot.worker) {
             worker.own_batch = worker.own_batch.saturating_sub(1);
         }
-        slot.taken_back.cancel();
+        slot.preempted.cancel();
         let mut running = lock(&self.running);
         if let Some(slots) = running.get_mut(&slot.worker) {
             let own = slots
                 .iter()
-                .position(|held| held.pool == slot.pool && held.taken_back.is_cancelled());
+                .position(|held| held.pool == slot.pool && held.preempted.is_cancelled());
             if let Some(index) = own {
                 slots.remove(index);
             }
         }
         drop(running);
-        self.wake();
+        self.notify_changed();
     }
 }
 
-fn by_slack(queues: &BTreeMap<JobId, Queue>) -> Vec<JobId> {
+fn jobs_by_slack(queues: &BTreeMap<JobId, Queue>) -> Vec<JobId> {
     let demands = queues.iter().map(|(job, queue)| JobDemand {
         job: job.clone(),
         deadline: queue.deadline,
--- a/crates/swiftshunt-node/src/context.rs
+++ b/crates/swiftshunt-node/src/context.rs
@@ -21,7 +21,7 @@
 use crate::batch::{BatchState, Granter};
 use crate::clock::Clock;
 use crate::decisions::DecisionJournal;
-use crate::fleet::{Beliefs, Expectations, PlacementCache};
+use crate::fleet::{AnnouncedEvents, GossipStability, PlacementCache};
 use crate::ledger::Ledger;
 use crate::lifecycle::Lifecycle;
 use crate::limiter::TenantLimiter;
@@ -49,10 +49,10 @@
     pub(crate) batch: BatchState,
     pub(crate) granter: Granter,
     pub(crate) placement: PlacementCache,
-    pub(crate) expectations: Expectations,
+    pub(crate) announced_events: AnnouncedEvents,
     pub(crate) weights: Option<WeightStore>,
     pub(crate) decisions: DecisionJournal,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) gossip_stability: GossipStability,
     pub(crate) lifecycle: Lifecycle,
     /// Cancelled when the node's tasks are to end at once.
     pub(crate) aborted: CancellationToken,
@@ -63,7 +63,7 @@
 #[derive(Default)]
 pub(crate) struct Routes {
     pub(crate) table: RouteTable,
-    pub(crate) news: Dissemination<PartitionId>,
+    pub(crate) updates: Dissemination<PartitionId>,
     /// Rises with each piece of news.
     pub(crate) version: u64,
 }
@@ -73,7 +73,7 @@
     pub(crate) fn take(&mut self, hint: LeaderHint, fleet_size: usize) {
         if self.table.merge(hint) {
             self.version += 1;
-            self.news.announce(hint.partition, fleet_size);
+            self.updates.announce(hint.partition, fleet_size);
         }
     }
 }
@@ -112,10 +112,10 @@
             batch: BatchState::default(),
             granter: Granter::default(),
             placement: PlacementCache::default(),
-            expectations: Expectations::default(),
+            announced_events: AnnouncedEvents::default(),
             weights,
             decisions: DecisionJournal::default(),
-            beliefs: Beliefs::default(),
+            gossip_stability: GossipStability::default(),
             lifecycle: Lifecycle::default(),
             aborted: CancellationToken::new(),
             metrics,
@@ -134,6 +134,6 @@
 }
 
 /// A random number, for identities and nonces.
-pub(crate) fn draw() -> u64 {
+pub(crate) fn random_u64() -> u64 {
     rand::rng().next_u64()
 }
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -12,35 +12,39 @@
 };
 use swiftshunt_http::{decode_cbor, encode_cbor};
 
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lifecycle::Stage;
 
 /// Records read at a time.
 const READ_LIMIT: usize = 256;
 /// How long a read waits at the end of the stream.
-const TAIL_WAIT: Duration = Duration::from_millis(1000);
+const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Pause after a failed read.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 /// How long a publisher looks for its own record.
-const PUBLISH_WAIT: Duration = Duration::from_secs(5);
+const PUBLISH_CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Replays the configuration stream until the process ends.
 pub(crate) async fn follow_configuration(context: Arc<Context>) {
     let stream = StreamName::configuration();
     loop {
         let from = context.configuration.borrow().next_offset;
-        match context.log.read(&stream, from, READ_LIMIT, TAIL_WAIT).await {
-            Ok(read) if read.records.is_empty() => start_if_alone(&context),
+        match context
+            .log
+            .read(&stream, from, READ_LIMIT, TAIL_READ_TIMEOUT)
+            .await
+        {
+            Ok(read) if read.records.is_empty() => start_serving_without_peers(&context),
             Ok(read) => {
                 apply_records(&context, &read);
                 if context.configuration.borrow().next_offset == from {
                     log::warn!(offset = from; "the log answers from an old offset");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Err(error) => {
                 log::debug!("configuration cannot be read: {error}");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
@@ -75,17 +79,17 @@
     context
         .configuration
         .send_modify(|history| outcome = history.apply(offset, record));
-    note_version(context);
+    record_version_metric(context);
     outcome
 }
 
-fn note_version(context: &Context) {
+fn record_version_metric(context: &Context) {
     let version = context.configuration.borrow().version;
     context.metrics.configuration_version.set(version);
 }
 
 /// A node that has read the stream to its end and knows no peer may serve.
-fn start_if_alone(context: &Context) {
+fn start_serving_without_peers(context: &Context) {
     let starting = context.lifecycle.stage() == Stage::Starting;
     let configured = context.configuration.borrow().version > 0;
     if starting && configured {
@@ -103,11 +107,11 @@
 
 fn adopt(context: &Context, theirs: ConfigurationHistory) {
     let version = theirs.version;
-    let newer = context
+    let is_newer = context
         .configuration
         .send_if_modified(|history| history.adopt(theirs));
-    if newer {
-        note_version(context);
+    if is_newer {
+        record_version_metric(context);
         log::info!(version = version; "configuration in force, from a peer");
     }
 }
@@ -156,7 +160,7 @@
     let record = ConfigurationRecord {
         base,
         author,
-        nonce: draw(),
+        nonce: random_u64(),
         configuration,
     };
     let stream = StreamName::configuration();
@@ -166,7 +170,7 @@
         return Err(PublishError::NotPublished { source });
     }
     let search = find_decision(context, &record, current);
-    let found = tokio::time::timeout(PUBLISH_WAIT, search).await;
+    let found = tokio::time::timeout(PUBLISH_CONFIRM_TIMEOUT, search).await;
     found.unwrap_or(Err(PublishError::Unknown))
 }
 
@@ -179,8 +183,12 @@
     let stream = StreamName::configuration();
     loop {
         let from = history.next_offset;
-        let Ok(read) = context.log.read(&stream, from, READ_LIMIT, TAIL_WAIT).await else {
-            tokio::time::sleep(RETRY_PAUSE).await;
+        let Ok(read) = context
+            .log
+            .read(&stream, from, READ_LIMIT, TAIL_READ_TIMEOUT)
+            .await
+        else {
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         for (index, bytes) in read.records.iter().enumerate() {
@@ -192,13 +200,13 @@
             let outcome = history.apply(offset, &record);
             if record.nonce == own.nonce {
                 adopt(context, history);
-                return decided(own.base, outcome);
+                return publish_result(own.base, outcome);
             }
         }
     }
 }
 
-fn decided(base: Version, outcome: RecordOutcome) -> Result<Version, PublishError> {
+fn publish_result(base: Version, outcome: RecordOutcome) -> Result<Version, PublishError> {
     match outcome {
         RecordOutcome::Applied(version) => Ok(version),
         RecordOutcome::Stale { in_force, author } => Err(PublishError::Stale {
--- a/crates/swiftshunt-node/src/fleet/expectations.rs
+++ b/crates/swiftshunt-node/src/fleet/events.rs
@@ -14,32 +14,31 @@
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
 /// How often the pools' partitions are asked.
-const INTERVAL: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Known events of each pool.
 #[derive(Default)]
-pub(crate) struct Expectations {
+pub(crate) struct AnnouncedEvents {
     events: Mutex<BTreeMap<PoolName, Vec<Event>>>,
 }
 
-impl Expectations {
+impl AnnouncedEvents {
     /// Requests a second that events announce for now.
     pub(crate) fn requests_per_second(&self, context: &Context, pool: &PoolName) -> u64 {
-        let lead = context.settings.scheduler.event_lead.as_secs();
+        let lead_seconds = context.settings.scheduler.event_lead.as_secs();
         let now = unix_seconds();
         let events = lock(&self.events);
-        let active = events
-            .get(pool)
-            .into_iter()
-            .flatten()
-            .filter(|event| now + lead >= event.start && now < event.start + event.lasting);
+        let active =
+            events.get(pool).into_iter().flatten().filter(|event| {
+                now + lead_seconds >= event.start && now < event.start + event.lasting
+            });
         active.map(|event| event.requests_per_second).sum()
     }
 }
 
 /// Keeps the known events up to date until the process ends.
 pub(crate) async fn follow_events(context: Arc<Context>) {
-    let mut ticker = tokio::time::interval(INTERVAL);
+    let mut ticker = tokio::time::interval(POLL_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
@@ -50,15 +49,15 @@
         };
         // Only a granter uses what events announce; if every node asked, the pools' partitions
         // would be asked more the larger the fleet is.
-        let granted = pools.into_iter().filter(|pool| {
+        let granted_pools = pools.into_iter().filter(|pool| {
             let granters = context.placement.granters(&context, pool);
             granters.get(&context.own.zone) == Some(&context.own.id)
         });
-        let granted: Vec<PoolName> = granted.collect();
-        for pool in granted {
+        let granted_pools: Vec<PoolName> = granted_pools.collect();
+        for pool in granted_pools {
             if let Some(state) = read_pool(&context, &pool).await {
                 let events = state.events.into_values().collect();
-                lock(&context.expectations.events).insert(pool, events);
+                lock(&context.announced_events.events).insert(pool, events);
             }
         }
     }
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -15,15 +15,15 @@
 use crate::peer::{Gossip, StateVersions};
 
 /// How often time is looked at.
-const TICK: Duration = Duration::from_millis(25);
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 /// How often seeds that are not known members are tried.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
 /// How often a node that knows nobody else tries its seeds.
-const ALONE_SEED_INTERVAL: Duration = Duration::from_millis(50);
+const ISOLATED_SEED_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Probes members until the process ends.
 pub(crate) async fn run_gossip(context: Arc<Context>) {
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(TICK_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     let mut seeds_due = context.clock.now();
     loop {
@@ -47,27 +47,27 @@
     let nodes = nodes.filter(|machine| machine.kind == swiftshunt_types::MachineKind::Node);
     let mut addresses: Vec<SocketAddr> = nodes.map(|machine| machine.address).collect();
     addresses.extend(&context.settings.seeds);
-    let alone = {
+    let is_alone = {
         let membership = lock(&context.membership);
         addresses
             .retain(|address| *address != context.own.peer && !membership.knows_address(*address));
         membership.reachable().count() == 1
     };
     for address in addresses {
-        tokio::spawn(greet(Arc::clone(context), address));
+        tokio::spawn(join_seed(Arc::clone(context), address));
     }
-    if alone {
-        ALONE_SEED_INTERVAL
+    if is_alone {
+        ISOLATED_SEED_INTERVAL
     } else {
         SEED_INTERVAL
     }
 }
 
-async fn greet(context: Arc<Context>, address: SocketAddr) {
+async fn join_seed(context: Arc<Context>, address: SocketAddr) {
     let message = own_gossip(&context, true);
     let timeout = context.settings.membership.probe_timeout;
     if let Ok(answer) = context.peers.gossip(address, &message, timeout).await {
-        take_gossip(&context, answer, address);
+        merge_gossip(&context, answer, address);
     }
 }
 
@@ -82,7 +82,7 @@
     let now = context.clock.now();
     if let Ok(answer) = answer {
         let answered_by = answer.from.id;
-        take_gossip(&context, answer, target.peer);
+        merge_gossip(&context, answer, target.peer);
         let changes = lock(&context.membership).probe_answered(target.id, answered_by, now);
         log_changes(&changes);
         return;
@@ -118,7 +118,7 @@
         if complete {
             routes.table.hints().copied().collect()
         } else {
-            let chosen = routes.news.next(limit);
+            let chosen = routes.updates.next(limit);
             let hints = chosen
                 .iter()
                 .filter_map(|partition| routes.table.hint(*partition));
@@ -146,36 +146,36 @@
 /// difference is news under way.
 pub(crate) fn answer_gossip(context: &Arc<Context>, received: Gossip) -> Gossip {
     let sender = received.from.peer;
-    let joins = received.complete;
-    let differs = received.digest != digest(context);
-    let settled = context.beliefs.are_settled(context);
-    take_gossip(context, received, sender);
-    own_gossip(context, joins || (differs && settled))
+    let sender_joins = received.complete;
+    let digests_differ = received.digest != digest(context);
+    let is_stable = context.gossip_stability.is_stable(context);
+    merge_gossip(context, received, sender);
+    own_gossip(context, sender_joins || (digests_differ && is_stable))
 }
 
 /// When the node's beliefs last changed.
 #[derive(Default)]
-pub(crate) struct Beliefs {
-    seen: Mutex<(u64, Monotonic)>,
+pub(crate) struct GossipStability {
+    last_change: Mutex<(u64, Monotonic)>,
 }
 
 /// Beliefs that have not changed for this long are settled: news has reached everybody by then.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+const STABLE_DELAY: Duration = Duration::from_secs(5);
 
-impl Beliefs {
-    fn are_settled(&self, context: &Context) -> bool {
+impl GossipStability {
+    fn is_stable(&self, context: &Context) -> bool {
         let version = lock(&context.membership).version() + lock(&context.routes).version;
         let now = context.clock.now();
-        let mut seen = lock(&self.seen);
-        if seen.0 != version {
-            *seen = (version, now);
+        let mut last_change = lock(&self.last_change);
+        if last_change.0 != version {
+            *last_change = (version, now);
         }
-        now >= seen.1 + SETTLED_AFTER
+        now >= last_change.1 + STABLE_DELAY
     }
 }
 
 /// Takes in news. `heard_at` is the address under which the sender was, or can be, reached.
-fn take_gossip(context: &Arc<Context>, received: Gossip, heard_at: SocketAddr) {
+fn merge_gossip(context: &Arc<Context>, received: Gossip, sender_address: SocketAddr) {
     if received.partitions != context.settings.ledger.partitions {
         log::error!(peer = received.from.id.to_string().as_str();
             "peer has {} ledger partitions, this node {}; its messages are ignored",
@@ -185,15 +185,15 @@
     let now = context.clock.now();
     let changes = lock(&context.membership).merge(received.members, now);
     log_changes(&changes);
-    take_routes(context, received.routes);
-    take_leaving_workers(context, received.leaving_workers);
-    catch_up(context, received.versions, heard_at);
+    merge_routes(context, received.routes);
+    merge_leaving_workers(context, received.leaving_workers);
+    fetch_newer_state(context, received.versions, sender_address);
     if context.lifecycle.stage() == Stage::Starting {
-        settle_start(context, received.versions);
+        start_serving_if_current(context, received.versions);
     }
 }
 
-fn take_routes(context: &Context, hints: Vec<swiftshunt_ledger::routes::LeaderHint>) {
+fn merge_routes(context: &Context, hints: Vec<swiftshunt_ledger::routes::LeaderHint>) {
     let fleet_size = lock(&context.membership).records().count();
     let mut routes = lock(&context.routes);
     for hint in hints {
@@ -201,7 +201,10 @@
     }
 }
 
-fn take_leaving_workers(context: &Context, leaving: Vec<(swiftshunt_types::WorkerId, SocketAddr)>) {
+fn merge_leaving_workers(
+    context: &Context,
+    leaving: Vec<(swiftshunt_types::WorkerId, SocketAddr)>,
+) {
     let mut workers = lock(&context.workers);
     for (worker, address) in leaving {
         workers.mark_leaving(worker, address);
@@ -209,7 +212,7 @@
 }
 
 /// Fetches from a peer what it holds in a newer version.
-fn catch_up(context: &Arc<Context>, theirs: StateVersions, peer: SocketAddr) {
+fn fetch_newer_state(context: &Arc<Context>, theirs: StateVersions, peer: SocketAddr) {
     let ours = versions(context);
     if theirs.configuration > ours.configuration {
         tokio::spawn(super::configuration::fetch(Arc::clone(context), peer));
@@ -220,7 +223,7 @@
 }
 
 /// A starting node serves once its configuration is as new as that of a peer that it reached.
-fn settle_start(context: &Context, theirs: StateVersions) {
+fn start_serving_if_current(context: &Context, theirs: StateVersions) {
     let ours = versions(context).configuration;
     if ours > 0 && ours >= theirs.configuration {
         context.lifecycle.start_serving();
@@ -238,8 +241,8 @@
 fn digest(context: &Context) -> u64 {
     let mut hasher = DefaultHasher::new();
     for record in lock(&context.membership).records() {
-        let settled = matches!(record.state, MemberState::Alive | MemberState::Leaving);
-        if settled {
+        let is_stable = matches!(record.state, MemberState::Alive | MemberState::Leaving);
+        if is_stable {
             (record.member.id, record.incarnation, record.state).hash(&mut hasher);
         }
     }
@@ -258,7 +261,10 @@
         let others = membership
             .reachable()
             .filter(|member| member.id != context.own.id);
-        others.take(FAREWELLS).map(|member| member.peer).collect()
+        others
+            .take(MAX_LEAVE_NOTICES)
+            .map(|member| member.peer)
+            .collect()
     };
     let timeout = context.settings.membership.probe_timeout;
     for other in others {
@@ -267,7 +273,7 @@
 }
 
 /// Nodes that are told of a departure at once; they pass it on.
-const FAREWELLS: usize = 6;
+const MAX_LEAVE_NOTICES: usize = 6;
 
 fn log_changes(changes: &[Change]) {
     for change in changes {
--- a/crates/swiftshunt-node/src/fleet/loads.rs
+++ b/crates/swiftshunt-node/src/fleet/loads.rs
@@ -37,8 +37,8 @@
     let mut watched = BTreeMap::new();
     for pool in pools {
         let granters = context.placement.granters(context, &pool);
-        let grants = granters.get(&context.own.zone) == Some(&context.own.id);
-        let size = if grants {
+        let is_granter = granters.get(&context.own.zone) == Some(&context.own.id);
+        let size = if is_granter {
             usize::MAX
         } else {
             context.settings.scheduler.subset_size
@@ -61,10 +61,10 @@
         return local;
     }
     let zones: BTreeSet<&ZoneName> = workers.iter().map(|worker| &worker.machine.zone).collect();
-    let everywhere = zones
+    let all_zones = zones
         .into_iter()
         .flat_map(|zone| workers.subset(own, pool, zone, size));
-    everywhere.collect()
+    all_zones.collect()
 }
 
 async fn read_load(context: Arc<Context>, id: WorkerId, address: SocketAddr) {
--- a/crates/swiftshunt-node/src/fleet/mod.rs
+++ b/crates/swiftshunt-node/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! What nodes tell each other about the fleet: members, leaders, configuration, machines, loads.
 
 mod configuration;
-mod expectations;
+mod events;
 mod gossip;
 mod loads;
 mod machines;
@@ -9,8 +9,8 @@
 mod plans;
 
 pub(crate) use configuration::{PublishError, follow_configuration, publish};
-pub(crate) use expectations::{Expectations, follow_events};
-pub(crate) use gossip::{Beliefs, announce_left, answer_gossip, own_gossip, run_gossip};
+pub(crate) use events::{AnnouncedEvents, follow_events};
+pub(crate) use gossip::{GossipStability, announce_left, answer_gossip, own_gossip, run_gossip};
 pub(crate) use loads::{poll_loads, subset};
 pub(crate) use machines::poll_machines;
 pub(crate) use placement::{PlacementCache, replica_zones_of};
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -20,11 +20,11 @@
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery, PartitionView};
 
 /// How often targets are looked at.
-const INTERVAL: Duration = Duration::from_millis(500);
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Time for one order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
 /// An order that has not led to a loaded model after this long, in seconds, is given up.
-const ORDER_LIFETIME: u64 = 120;
+const ORDER_TTL_SECONDS: u64 = 120;
 /// Seconds assumed for a load while the weight store does not say.
 const ASSUMED_SECONDS_PER_LOAD: f64 = 10.0;
 
@@ -38,22 +38,22 @@
 impl Planner {
     /// Plans until the leadership is over.
     pub(crate) async fn run(self, stopped: CancellationToken) {
-        let mut ticker = tokio::time::interval(INTERVAL);
+        let mut ticker = tokio::time::interval(PLAN_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticker.tick() => self.plan_all().await,
+                _ = ticker.tick() => self.plan_all_targets().await,
                 () = stopped.cancelled() => return,
             }
         }
     }
 
-    async fn plan_all(&self) {
+    async fn plan_all_targets(&self) {
         let Some(LedgerAnswer::Pools(pools)) = self.query(LedgerQuery::Pools).await else {
             return;
         };
         for (pool, state) in pools {
-            self.end_left_orders(&pool, &state).await;
+            self.resend_given_orders(&pool, &state).await;
             for target in state.targets.values() {
                 self.plan(&pool, &state, target).await;
             }
@@ -62,12 +62,12 @@
 
     /// Sends orders that an earlier planner committed and did not see ended: it may have died before
     /// it sent them. Orders of this planner are ended before it plans again.
-    async fn end_left_orders(&self, pool: &PoolName, state: &PoolState) {
-        let left = state
+    async fn resend_given_orders(&self, pool: &PoolName, state: &PoolState) {
+        let unended = state
             .orders
             .iter()
             .filter(|order| matches!(order.status, OrderStatus::Given));
-        for order in left {
+        for order in unended {
             let Some(LedgerAnswer::Partition(view)) = self.query(LedgerQuery::Partition).await
             else {
                 return;
@@ -242,6 +242,6 @@
     let same = |order: &&Order| order.worker == *worker && order.model == *model;
     state.orders.iter().filter(same).any(|order| {
         let failed = matches!(order.status, OrderStatus::Failed { .. });
-        !failed && now < order.given_at + ORDER_LIFETIME
+        !failed && now < order.given_at + ORDER_TTL_SECONDS
     })
 }
--- a/crates/swiftshunt-node/src/lifecycle.rs
+++ b/crates/swiftshunt-node/src/lifecycle.rs
@@ -41,7 +41,7 @@
     }
 }
 
-const IDLE_POLL: Duration = Duration::from_millis(10);
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Lifecycle {
     pub(crate) fn stage(&self) -> Stage {
@@ -49,21 +49,21 @@
     }
 
     pub(crate) fn start_serving(&self) {
-        self.raise(Stage::Serving);
+        self.advance_to(Stage::Serving);
     }
 
     pub(crate) fn start_draining(&self) {
-        self.raise(Stage::Draining);
+        self.advance_to(Stage::Draining);
     }
 
     /// Stages only follow each other.
-    fn raise(&self, next: Stage) {
+    fn advance_to(&self, next: Stage) {
         self.stage.send_if_modified(|stage| {
-            let later = next > *stage;
-            if later {
+            let advances = next > *stage;
+            if advances {
                 *stage = next;
             }
-            later
+            advances
         });
     }
 
@@ -84,9 +84,9 @@
     }
 
     /// Waits until nothing is in progress.
-    pub(crate) async fn idle(&self) {
+    pub(crate) async fn wait_until_idle(&self) {
         while self.in_progress() > 0 {
-            tokio::time::sleep(IDLE_POLL).await;
+            tokio::time::sleep(IDLE_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/swiftshunt-node/src/metrics.rs
+++ b/crates/swiftshunt-node/src/metrics.rs
@@ -33,12 +33,12 @@
     pub(crate) first_token: Histogram,
 }
 
-const FIRST_TOKEN_SMALLEST_SECONDS: f64 = 0.001;
+const FIRST_TOKEN_MIN_SECONDS: f64 = 0.001;
 const FIRST_TOKEN_BUCKETS: u16 = 16;
 
 impl Default for Metrics {
     fn default() -> Self {
-        let buckets = exponential_buckets(FIRST_TOKEN_SMALLEST_SECONDS, 2.0, FIRST_TOKEN_BUCKETS);
+        let buckets = exponential_buckets(FIRST_TOKEN_MIN_SECONDS, 2.0, FIRST_TOKEN_BUCKETS);
         let mut metrics = Self {
             registry: Registry::with_prefix("swiftshunt"),
             online_requests: Counter::default(),
--- a/crates/swiftshunt-node/src/node.rs
+++ b/crates/swiftshunt-node/src/node.rs
@@ -11,9 +11,9 @@
 use swiftshunt_types::NodeId;
 use tokio::task::JoinHandle;
 
-use crate::batch::{BatchState, hold_grants};
+use crate::batch::{BatchState, renew_grants};
 use crate::clock::Clock;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lifecycle::Stage;
 use crate::{api, fleet, ledger, lock, peer};
 
@@ -47,7 +47,7 @@
     settings.listen.api = api_address;
     settings.listen.peer = peer_address;
     let own = Member {
-        id: NodeId(draw()),
+        id: NodeId(random_u64()),
         zone: settings.zone.clone(),
         api: settings.listen.advertise_api.unwrap_or(api_address),
         peer: settings.listen.advertise_peer.unwrap_or(peer_address),
@@ -57,7 +57,7 @@
     let peer_router = peer::router(&context);
     let api_server = serve(api, api_router);
     let peer_server = serve(peer, peer_router);
-    let tasks = background(&context);
+    let tasks = spawn_tasks(&context);
     let id = context.own.id.to_string();
     log::info!(node = id.as_str(), api = api_address.to_string().as_str(),
         peer = peer_address.to_string().as_str(); "node listens");
@@ -71,7 +71,7 @@
     })
 }
 
-fn background(context: &Arc<Context>) -> Vec<JoinHandle<()>> {
+fn spawn_tasks(context: &Arc<Context>) -> Vec<JoinHandle<()>> {
     vec![
         tokio::spawn(fleet::run_gossip(Arc::clone(context))),
         tokio::spawn(fleet::follow_configuration(Arc::clone(context))),
@@ -79,13 +79,13 @@
         tokio::spawn(fleet::poll_loads(Arc::clone(context))),
         tokio::spawn(ledger::supervise(Arc::clone(context))),
         tokio::spawn(BatchState::run(Arc::clone(context))),
-        tokio::spawn(hold_grants(Arc::clone(context))),
+        tokio::spawn(renew_grants(Arc::clone(context))),
         tokio::spawn(fleet::follow_events(Arc::clone(context))),
     ]
 }
 
 /// Pause between looks at whether a stop may go on.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for what answers are left to be written once nothing is in progress.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a stop waits for others to take over what this node leads.
@@ -108,7 +108,7 @@
     }
 
     /// Waits until an operator drains the node.
-    pub async fn drained_by_operator(&self) {
+    pub async fn wait_until_draining(&self) {
         self.context.lifecycle.wait_for(Stage::Draining).await;
     }
 
@@ -120,14 +120,14 @@
         lock(&context.membership).announce_leaving(context.clock.now());
         log::info!("node drains");
         let limit = context.settings.limits.drain_timeout;
-        if tokio::time::timeout(limit, context.lifecycle.idle())
+        if tokio::time::timeout(limit, context.lifecycle.wait_until_idle())
             .await
             .is_err()
         {
             let left = context.lifecycle.in_progress();
             log::warn!("{left} requests did not end within the drain timeout");
         }
-        drop(tokio::time::timeout(HAND_OVER_TIMEOUT, self.handed_over()).await);
+        drop(tokio::time::timeout(HAND_OVER_TIMEOUT, self.wait_for_hand_over()).await);
         self.api_server.stop(CLOSE_TIMEOUT).await;
         fleet::announce_left(context).await;
         self.peer_server.stop(CLOSE_TIMEOUT).await;
@@ -146,9 +146,9 @@
         }
     }
 
-    async fn handed_over(&self) {
+    async fn wait_for_hand_over(&self) {
         while self.context.ledger.leads_any().await {
-            tokio::time::sleep(STOP_POLL).await;
+            tokio::time::sleep(HAND_OVER_POLL_INTERVAL).await;
         }
     }
 }
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -23,13 +23,13 @@
 use crate::lock;
 
 /// Time for an engine to take a request and answer its head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time for one cancel call.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
 /// When a caller should come back to a fleet without capacity.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Tokens that wait for a slow caller.
-const BUFFERED_TOKENS: usize = 256;
+const TOKEN_BUFFER_CAPACITY: usize = 256;
 
 /// What a caller asks for.
 #[derive(Clone, Debug)]
@@ -44,20 +44,20 @@
 }
 
 /// An answer under way: tokens in order, then the end.
-pub(crate) struct Answer {
+pub(crate) struct AnswerStream {
     /// Each token once, in order; the last event carries the finish reason. A failure ends it.
     pub(crate) events: mpsc::Receiver<Result<TokenEvent, Failure>>,
 }
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     pub(crate) text: String,
     pub(crate) tokens: u32,
     pub(crate) finish: FinishReason,
 }
 
-impl WholeAnswer {
+impl CompleteAnswer {
     /// An answer without tokens so far.
     pub(crate) fn empty() -> Self {
         Self {
@@ -72,33 +72,33 @@
 pub(crate) async fn start(
     context: &Arc<Context>,
     request: AnswerRequest,
-) -> Result<Answer, Failure> {
+) -> Result<AnswerStream, Failure> {
     lock(&context.retries).record_first_attempt();
-    let mut run = Run {
+    let mut task = AnswerTask {
         context: Arc::clone(context),
         request,
         next_index: 0,
         excluded: Vec::new(),
-        started_anywhere: false,
-        begun_at: context.clock.now(),
+        may_have_started: false,
+        started_at: context.clock.now(),
     };
-    let engine = run.open_with_retries().await?;
-    let (sender, events) = mpsc::channel(BUFFERED_TOKENS);
-    tokio::spawn(async move { run.relay(engine, sender).await });
-    Ok(Answer { events })
+    let engine = task.open_with_retries().await?;
+    let (sender, events) = mpsc::channel(TOKEN_BUFFER_CAPACITY);
+    tokio::spawn(async move { task.relay(engine, sender).await });
+    Ok(AnswerStream { events })
 }
 
 /// Reads an answer to its end.
-pub(crate) async fn collect(mut answer: Answer) -> Result<WholeAnswer, Failure> {
-    let mut whole = WholeAnswer::empty();
+pub(crate) async fn collect(mut answer: AnswerStream) -> Result<CompleteAnswer, Failure> {
+    let mut complete = CompleteAnswer::empty();
     while let Some(event) = answer.events.recv().await {
         let event = event?;
-        whole.text.push_str(&event.text);
+        complete.text.push_str(&event.text);
         if let Some(finish) = event.finish {
-            whole.finish = finish;
-            return Ok(whole);
+            complete.finish = finish;
+            return Ok(complete);
         }
-        whole.tokens += 1;
+        complete.tokens += 1;
     }
     Err(Failure::unknown(
         ErrorKind::WorkerFailed,
@@ -107,23 +107,23 @@
 }
 
 /// One answer, over as many engines as it takes.
-struct Run {
+struct AnswerTask {
     context: Arc<Context>,
     request: AnswerRequest,
     /// Index of the next token to pass on.
     next_index: u32,
     excluded: Vec<WorkerId>,
     /// Whether any engine may have run any of it.
-    started_anywhere: bool,
-    begun_at: Monotonic,
+    may_have_started: bool,
+    started_at: Monotonic,
 }
 
 /// An engine that answers.
-struct OpenEngine {
+struct EngineStream {
     worker: WorkerId,
     address: SocketAddr,
     stream: TokenStream,
-    _occupied: Occupied,
+    _in_flight: InFlight,
 }
 
 /// How the relay of one engine's stream ended.
@@ -136,12 +136,12 @@
     Expired,
 }
 
-impl Run {
+impl AnswerTask {
     /// Tries engines until one takes the request.
-    async fn open_with_retries(&mut self) -> Result<OpenEngine, Failure> {
+    async fn open_with_retries(&mut self) -> Result<EngineStream, Failure> {
         loop {
-            let (worker, address) = self.place()?;
-            let reason = match self.open(worker.clone(), address).await {
+            let (worker, address) = self.choose_engine()?;
+            let reason = match self.open_stream(worker.clone(), address).await {
                 Ok(engine) => return Ok(engine),
                 Err(EngineError::Refused { reason }) => {
                     return Err(Failure::not_run(ErrorKind::InvalidRequest, reason));
@@ -152,7 +152,7 @@
                     reason
                 }
                 Err(EngineError::Broken { reason }) => {
-                    self.started_anywhere = true;
+                    self.may_have_started = true;
                     reason
                 }
             };
@@ -162,7 +162,7 @@
         }
     }
 
-    fn place(&self) -> Result<(WorkerId, SocketAddr), Failure> {
+    fn choose_engine(&self) -> Result<(WorkerId, SocketAddr), Failure> {
         if self.is_expired() {
             return Err(self.failure(ErrorKind::DeadlineExceeded, "the deadline passed"));
         }
@@ -189,8 +189,12 @@
         }
     }
 
-    async fn open(&self, worker: WorkerId, address: SocketAddr) -> Result<OpenEngine, EngineError> {
-        let occupied = Occupied::new(&self.context, &worker);
+    async fn open_stream(
+        &self,
+        worker: WorkerId,
+        address: SocketAddr,
+    ) -> Result<EngineStream, EngineError> {
+        let in_flight = InFlight::new(&self.context, &worker);
         let request = GenerateRequest {
             request: self.request.id.clone(),
             model: self.request.model.clone(),
@@ -209,24 +213,24 @@
         let engines = &self.context.engines;
         let permit = SendPermit::always();
         let stream = engines
-            .generate(address, &request, permit, HEAD_TIMEOUT)
+            .generate(address, &request, permit, RESPONSE_HEAD_TIMEOUT)
             .await?;
-        Ok(OpenEngine {
+        Ok(EngineStream {
             worker,
             address,
             stream,
-            _occupied: occupied,
+            _in_flight: in_flight,
         })
     }
 
     /// Passes tokens on until the answer is whole, changing engines as needed.
     async fn relay(
         mut self,
-        mut engine: OpenEngine,
+        mut engine: EngineStream,
         sender: mpsc::Sender<Result<TokenEvent, Failure>>,
     ) {
         loop {
-            self.started_anywhere = true;
+            self.may_have_started = true;
             let end = self.relay_engine(&mut engine, &sender).await;
             let reason = match end {
                 RelayEnd::Done => return,
@@ -254,7 +258,7 @@
         }
     }
 
-    async fn resume(&mut self) -> Result<OpenEngine, Failure> {
+    async fn resume(&mut self) -> Result<EngineStream, Failure> {
         self.try_take_retry()?;
         self.context.metrics.resumed_streams.inc();
         self.open_with_retries().await
@@ -262,12 +266,12 @@
 
     async fn relay_engine(
         &mut self,
-        engine: &mut OpenEngine,
+        engine: &mut EngineStream,
         sender: &mpsc::Sender<Result<TokenEvent, Failure>>,
     ) -> RelayEnd {
         loop {
             let received = tokio::select! {
-                received = tokio::time::timeout(self.token_wait(), engine.stream.next()) => received,
+                received = tokio::time::timeout(self.next_token_timeout(), engine.stream.next()) => received,
                 () = sender.closed() => {
                     self.cancel(engine.address).await;
                     return RelayEnd::Done;
@@ -302,7 +306,7 @@
 
     fn count_token(&mut self, finished: bool) {
         if self.next_index == 0 {
-            let elapsed = self.context.clock.now().saturating_sub(self.begun_at);
+            let elapsed = self.context.clock.now().saturating_sub(self.started_at);
             self.context
                 .metrics
                 .first_token
@@ -314,7 +318,7 @@
     }
 
     /// How long the next token may take.
-    fn token_wait(&self) -> Duration {
+    fn next_token_timeout(&self) -> Duration {
         let scheduler = &self.context.settings.scheduler;
         let wait = if self.next_index == 0 {
             scheduler.first_token_timeout
@@ -357,7 +361,7 @@
     }
 
     fn failure(&self, kind: ErrorKind, message: &str) -> Failure {
-        let failure = if self.started_anywhere {
+        let failure = if self.may_have_started {
             Failure::unknown(kind, message)
         } else {
             Failure::not_run(kind, message)
@@ -372,17 +376,17 @@
 }
 
 /// One online request in progress on a worker, until dropped.
-struct Occupied {
+struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
 }
 
-impl Occupied {
+impl InFlight {
     fn new(context: &Arc<Context>, worker: &WorkerId) -> Self {
         if let Some(worker) = lock(&context.workers).get_mut(worker) {
             worker.own_online += 1;
         }
-        context.batch.online_arrived(context);
+        context.batch.preempt_for_online(context);
         Self {
             context: Arc::clone(context),
             worker: worker.clone(),
@@ -390,11 +394,11 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for InFlight {
     fn drop(&mut self) {
         if let Some(worker) = lock(&self.context.workers).get_mut(&self.worker) {
             worker.own_online = worker.own_online.saturating_sub(1);
         }
-        self.context.batch.wake();
+        self.context.batch.notify_changed();
     }
 }
--- a/crates/swiftshunt-node/src/online/openai.rs
+++ b/crates/swiftshunt-node/src/online/openai.rs
@@ -5,12 +5,12 @@
 use swiftshunt_backends::engine::{FinishReason, TokenEvent};
 use swiftshunt_types::{ErrorKind, Failure, ModelName};
 
-use super::answer::WholeAnswer;
+use super::answer::CompleteAnswer;
 
 /// Tokens generated if the caller does not say.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 /// Most tokens that a caller may ask for.
-const MOST_TOKENS: u32 = 32_768;
+const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -115,10 +115,10 @@
     }
 }
 
-fn token_limit(asked: Option<u32>) -> Result<u32, Failure> {
-    let limit = asked.unwrap_or(DEFAULT_MAX_TOKENS);
-    if limit == 0 || limit > MOST_TOKENS {
-        let reason = format!("must be between 1 and {MOST_TOKENS}");
+fn token_limit(requested: Option<u32>) -> Result<u32, Failure> {
+    let limit = requested.unwrap_or(DEFAULT_MAX_TOKENS);
+    if limit == 0 || limit > MAX_TOKENS_LIMIT {
+        let reason = format!("must be between 1 and {MAX_TOKENS_LIMIT}");
         return Err(invalid("max_tokens", &reason));
     }
     Ok(limit)
@@ -156,7 +156,7 @@
     created: u64,
     model: &ModelName,
     prompt: &str,
-    whole: &WholeAnswer,
+    answer: &CompleteAnswer,
 ) -> Value {
     json!({
         "id": format!("chatcmpl-{id}"),
@@ -165,11 +165,11 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "message": { "role": "assistant", "content": whole.text },
+            "message": { "role": "assistant", "content": answer.text },
             "logprobs": null,
-            "finish_reason": finish_name(whole.finish),
+            "finish_reason": finish_name(answer.finish),
         }],
-        "usage": usage(prompt, whole.tokens),
+        "usage": usage(prompt, answer.tokens),
     })
 }
 
@@ -179,7 +179,7 @@
     created: u64,
     model: &ModelName,
     prompt: &str,
-    whole: &WholeAnswer,
+    answer: &CompleteAnswer,
 ) -> Value {
     json!({
         "id": format!("cmpl-{id}"),
@@ -188,11 +188,11 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "text": whole.text,
+            "text": answer.text,
             "logprobs": null,
-            "finish_reason": finish_name(whole.finish),
+            "finish_reason": finish_name(answer.finish),
         }],
-        "usage": usage(prompt, whole.tokens),
+        "usage": usage(prompt, answer.tokens),
     })
 }
 
--- a/crates/swiftshunt-node/src/operator/commands.rs
+++ b/crates/swiftshunt-node/src/operator/commands.rs
@@ -11,7 +11,7 @@
 use super::declarations;
 use crate::api::{cancel_job, create_job, propose_on_job};
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lock;
 
 /// Interface that items call if their lines do not say.
@@ -94,7 +94,7 @@
     input: &FileId,
     within: Duration,
 ) -> Result<Table, Failure> {
-    let id = JobId(format!("batch_{:016x}{:016x}", draw(), draw()));
+    let id = JobId(format!("batch_{:016x}{:016x}", random_u64(), random_u64()));
     let job = create_job(context, id, tenant, input, DEFAULT_ENDPOINT, within).await?;
     let mut table = Table::new(&["id", "items"]);
     table.push(vec![
@@ -116,8 +116,8 @@
     if member.id == context.own.id {
         context.lifecycle.start_draining();
     } else {
-        let asked = context.peers.drain(member.peer).await;
-        asked.map_err(|error| {
+        let drained = context.peers.drain(member.peer).await;
+        drained.map_err(|error| {
             let failure = Failure::unknown(ErrorKind::Unavailable, error.to_string());
             failure.with_retry_after(Duration::from_secs(1))
         })?;
--- a/crates/swiftshunt-node/src/operator/declarations.rs
+++ b/crates/swiftshunt-node/src/operator/declarations.rs
@@ -33,7 +33,7 @@
             let pool = engine_pool(context, &pool)?;
             let event = Event {
                 name: name.clone(),
-                start: moment(&start, "start")?,
+                start: parse_time(&start, "start")?,
                 lasting: lasting.as_secs(),
                 requests_per_second,
                 by,
@@ -54,30 +54,30 @@
                 name: name.clone(),
                 model,
                 replicas: u32::try_from(replicas).unwrap_or(u32::MAX),
-                ready_by: moment(&ready_by, "ready by")?,
+                ready_by: parse_time(&ready_by, "ready by")?,
                 by,
             };
             change(context, &pool.name, PoolCommand::PutTarget(target)).await?;
             Ok(Table::message(format!("target {name} is declared")))
         }
         Statement::DropEvent { name } => {
-            let holds = |state: &PoolState| state.events.contains_key(&name);
+            let contains = |state: &PoolState| state.events.contains_key(&name);
             drop_from(
                 context,
                 "event",
                 &name,
-                holds,
+                contains,
                 PoolCommand::DropEvent(name.clone()),
             )
             .await
         }
         Statement::DropTarget { name } => {
-            let holds = |state: &PoolState| state.targets.contains_key(&name);
+            let contains = |state: &PoolState| state.targets.contains_key(&name);
             drop_from(
                 context,
                 "target",
                 &name,
-                holds,
+                contains,
                 PoolCommand::DropTarget(name.clone()),
             )
             .await
@@ -94,11 +94,11 @@
     context: &Context,
     kind: &str,
     name: &str,
-    holds: impl Fn(&PoolState) -> bool,
+    contains: impl Fn(&PoolState) -> bool,
     command: PoolCommand,
 ) -> Result<Table, Failure> {
     let pools = all_pools(context).await;
-    let found = pools.into_iter().find(|(_, state)| holds(state));
+    let found = pools.into_iter().find(|(_, state)| contains(state));
     let (pool, _) = found.ok_or_else(|| not_found(kind, name))?;
     match change(context, &pool, command).await? {
         PoolOutcome::NotFound => Err(not_found(kind, name)),
@@ -143,12 +143,14 @@
 }
 
 /// Reads `+DURATION` from now, or a date and time in UTC; in seconds of Unix time.
-fn moment(text: &str, clause: &str) -> Result<u64, Failure> {
+fn parse_time(text: &str, clause: &str) -> Result<u64, Failure> {
     let from_now = text.strip_prefix('+').map(humantime::parse_duration);
     let seconds = match from_now {
         Some(Ok(duration)) => Some(unix_seconds() + duration.as_secs()),
         Some(Err(_)) => None,
-        None => humantime::parse_rfc3339_weak(text).ok().map(seconds_of),
+        None => humantime::parse_rfc3339_weak(text)
+            .ok()
+            .map(unix_seconds_of),
     };
     seconds.ok_or_else(|| {
         let message = format!(
@@ -158,7 +160,7 @@
     })
 }
 
-fn seconds_of(time: SystemTime) -> u64 {
+fn unix_seconds_of(time: SystemTime) -> u64 {
     let since = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
     since.as_secs()
 }
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -44,8 +44,8 @@
         let decisions = if member.id == context.own.id {
             context.decisions.about(&subject)
         } else {
-            let asked = context.peers.decisions(member.peer, &subject).await;
-            asked.unwrap_or_default()
+            let requests = context.peers.decisions(member.peer, &subject).await;
+            requests.unwrap_or_default()
         };
         rows.extend(decisions.into_iter().map(|entry| (member.id, entry)));
     }
@@ -121,19 +121,19 @@
 }
 
 /// Asks every partition's leader at once; partitions without a leader are left out.
-async fn ask_all(context: &Context, query: LedgerQuery) -> Vec<LedgerAnswer> {
+async fn query_all_partitions(context: &Context, query: LedgerQuery) -> Vec<LedgerAnswer> {
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let partitions = 0..context.settings.ledger.partitions;
-    let asked = partitions.map(|index| {
+    let requests = partitions.map(|index| {
         let operation = LedgerOperation::Query(query.clone());
         ledger::call(context, PartitionId(index), operation, deadline)
     });
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(requests).await.into_iter().flatten().collect()
 }
 
 /// Every job of the fleet.
 pub(crate) async fn all_jobs(context: &Context) -> Vec<Job> {
-    let answers = ask_all(context, LedgerQuery::Jobs).await;
+    let answers = query_all_partitions(context, LedgerQuery::Jobs).await;
     let jobs = answers.into_iter().filter_map(|answer| match answer {
         LedgerAnswer::Jobs(jobs) => Some(jobs),
         _ => None,
@@ -189,7 +189,7 @@
 
 /// What is declared of every pool of the fleet.
 pub(super) async fn all_pools(context: &Context) -> Vec<(PoolName, PoolState)> {
-    let answers = ask_all(context, LedgerQuery::Pools).await;
+    let answers = query_all_partitions(context, LedgerQuery::Pools).await;
     let pools = answers.into_iter().filter_map(|answer| match answer {
         LedgerAnswer::Pools(pools) => Some(pools),
         _ => None,
@@ -276,7 +276,7 @@
 
 async fn submissions(context: &Context) -> Table {
     let mut table = Table::new(&["id", "tenant", "pool", "repeatable", "status", "worker"]);
-    let answers = ask_all(context, LedgerQuery::Submissions).await;
+    let answers = query_all_partitions(context, LedgerQuery::Submissions).await;
     for answer in answers {
         let LedgerAnswer::Submissions(submissions) = answer else {
             continue;
@@ -320,7 +320,7 @@
         "open_submissions",
         "running_jobs",
     ]);
-    for answer in ask_all(context, LedgerQuery::Partition).await {
+    for answer in query_all_partitions(context, LedgerQuery::Partition).await {
         let LedgerAnswer::Partition(view) = answer else {
             continue;
         };
@@ -347,7 +347,7 @@
 /// The configuration in force at each node.
 async fn configuration(context: &Context) -> Table {
     let mut table = Table::new(&["node", "zone", "version", "author"]);
-    let asked = members(context).into_iter().map(|member| async move {
+    let requests = members(context).into_iter().map(|member| async move {
         let history = if member.id == context.own.id {
             Some(context.configuration.borrow().clone())
         } else {
@@ -355,7 +355,7 @@
         };
         (member, history)
     });
-    for (member, history) in join_all(asked).await {
+    for (member, history) in join_all(requests).await {
         table.push(vec![
             member.id.to_string().into(),
             member.zone.as_str().into(),
--- a/crates/swiftshunt-node/src/peer/client.rs
+++ b/crates/swiftshunt-node/src/peer/client.rs
@@ -22,9 +22,9 @@
 use crate::lock;
 
 /// Batches that wait for one peer; more are dropped, and consensus sends them again.
-const RAFT_QUEUE: usize = 1024;
+const RAFT_QUEUE_CAPACITY: usize = 1024;
 /// Batches in one exchange.
-const RAFT_BATCHES_PER_EXCHANGE: usize = 128;
+const MAX_BATCHES_PER_EXCHANGE: usize = 128;
 /// An exchange of consensus messages that takes longer is given up.
 const RAFT_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for a copy of replicated state.
@@ -155,28 +155,30 @@
     /// Queues consensus messages; drops them if the peer does not keep up.
     pub(crate) fn send_raft(&self, to: SocketAddr, batch: RaftBatch) {
         let mut queues = lock(&self.raft_queues);
-        let queue = queues.entry(to).or_insert_with(|| self.start_queue(to));
+        let queue = queues
+            .entry(to)
+            .or_insert_with(|| self.spawn_raft_sender(to));
         if let Err(mpsc::error::TrySendError::Closed(batch)) = queue.try_send(batch) {
-            let fresh = self.start_queue(to);
-            drop(fresh.try_send(batch));
-            queues.insert(to, fresh);
+            let new_queue = self.spawn_raft_sender(to);
+            drop(new_queue.try_send(batch));
+            queues.insert(to, new_queue);
         }
     }
 
-    fn start_queue(&self, to: SocketAddr) -> mpsc::Sender<RaftBatch> {
-        let (sender, mut receiver) = mpsc::channel(RAFT_QUEUE);
+    fn spawn_raft_sender(&self, to: SocketAddr) -> mpsc::Sender<RaftBatch> {
+        let (sender, mut receiver) = mpsc::channel(RAFT_QUEUE_CAPACITY);
         let (http, traffic) = (self.http.clone(), Arc::clone(&self.traffic));
         tokio::spawn(async move {
             let mut batches = Vec::new();
             while receiver
-                .recv_many(&mut batches, RAFT_BATCHES_PER_EXCHANGE)
+                .recv_many(&mut batches, MAX_BATCHES_PER_EXCHANGE)
                 .await
                 > 0
             {
                 let timeout = RAFT_EXCHANGE_TIMEOUT;
-                let sent = post_counted(&http, &traffic, to, "/peer/raft", &batches, timeout);
-                let sent: Result<(), HttpError> = sent.await;
-                if let Err(error) = sent {
+                let result = post_counted(&http, &traffic, to, "/peer/raft", &batches, timeout);
+                let result: Result<(), HttpError> = result.await;
+                if let Err(error) = result {
                     log::debug!("consensus messages dropped: {error}");
                 }
                 batches.clear();
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -16,23 +16,23 @@
 use swiftshunt_types::{Monotonic, PartitionId, SubmissionId, WorkerId, partition_of};
 use tokio_util::sync::CancellationToken;
 
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::ledger::{self, LeaseClock};
 use crate::lifecycle::InProgress;
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
 /// First pause between tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(25);
+const RETRY_DELAY: Duration = Duration::from_millis(25);
 /// How long a worker that was sent a submission is asked for its outcome before it counts as gone.
-const INQUIRY_TIME: Duration = Duration::from_secs(3);
+const WORKER_LOST_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a worker must say "not started" before a submission that is not repeatable is settled:
 /// an earlier leader may still be about to send it.
-const NOT_STARTED_TIME: Duration = Duration::from_secs(2);
+const NOT_STARTED_SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// How long one inquiry may take.
 const INQUIRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a result is offered to leaders before the next leader's inquiry must find it.
-const RECORD_TIME: Duration = Duration::from_secs(30);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs one submission until it has ended or this leadership is over.
 pub(crate) async fn run_submission(
@@ -65,37 +65,37 @@
     /// A result to record.
     Finished(SubmissionResult),
     /// Look at the ledger again, after a pause.
-    Again,
+    Retry,
     /// The leadership is over.
-    Over,
+    LeadershipEnded,
 }
 
 impl Execution {
     async fn run(&self) {
         let mut attempt = 0;
         while !self.stopped.is_cancelled() {
-            let Some(submission) = self.current().await else {
+            let Some(submission) = self.read_submission().await else {
                 return;
             };
             let step = match &submission.status {
-                SubmissionStatus::Accepted => self.send_first(&submission.request).await,
+                SubmissionStatus::Accepted => self.dispatch_accepted(&submission.request).await,
                 SubmissionStatus::Dispatched(dispatch) => {
-                    self.settle(&submission.request, dispatch).await
+                    self.resolve_outcome(&submission.request, dispatch).await
                 }
                 SubmissionStatus::Completed(_) => return,
             };
             match step {
                 Step::Finished(result) => return self.record(result).await,
-                Step::Over => return,
-                Step::Again => {}
+                Step::LeadershipEnded => return,
+                Step::Retry => {}
             }
-            let pause = backoff(RETRY_PAUSE, attempt, &mut rand::rng());
+            let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
             attempt += 1;
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    async fn current(&self) -> Option<Submission> {
+    async fn read_submission(&self) -> Option<Submission> {
         let query = LedgerQuery::Submission(self.id.clone());
         let operation = LedgerOperation::Query(query);
         match self
@@ -110,10 +110,10 @@
     }
 
     /// Sends an accepted submission to a worker.
-    async fn send_first(&self, request: &NewSubmission) -> Step {
+    async fn dispatch_accepted(&self, request: &NewSubmission) -> Step {
         match self.choose_worker(request, None) {
             Some((worker, address)) => self.dispatch(request, worker, address, None).await,
-            None => Step::Again,
+            None => Step::Retry,
         }
     }
 
@@ -125,7 +125,7 @@
         address: SocketAddr,
         supersedes: Option<DispatchId>,
     ) -> Step {
-        let dispatch = DispatchId(draw());
+        let dispatch = DispatchId(random_u64());
         let command = Command::DispatchSubmission {
             submission: self.id.clone(),
             dispatch,
@@ -142,8 +142,8 @@
             Ok(LedgerAnswer::Outcome(Outcome::Dispatch(DispatchOutcome::Granted(granted)))) => {
                 granted
             }
-            Ok(_) => return Step::Again,
-            Err(_) => return Step::Over,
+            Ok(_) => return Step::Retry,
+            Err(_) => return Step::LeadershipEnded,
         };
         self.explain(
             format!("dispatch {dispatch} to worker {worker}"),
@@ -164,26 +164,26 @@
         address: SocketAddr,
     ) -> Step {
         if !self.lease.is_valid(self.context.clock.now()) {
-            return Step::Over;
+            return Step::LeadershipEnded;
         }
-        let busy = self.occupy(&dispatch.worker);
+        let in_flight = self.track_in_flight(&dispatch.worker);
         let timeout = self.context.settings.limits.worker_timeout;
         let workers = &self.context.submission_workers;
         let body = request.body.clone();
         let answer = workers.perform(address, &self.id, body, timeout).await;
-        drop(busy);
+        drop(in_flight);
         match answer {
-            Ok(answer) => Step::Finished(answered(answer)),
+            Ok(answer) => Step::Finished(answered_result(answer)),
             Err(WorkerError::NotStarted { reason }) => {
                 self.release(dispatch, reason).await;
-                Step::Again
+                Step::Retry
             }
             Err(WorkerError::Unknown { source }) => {
                 self.explain(
                     format!("ask worker {} for the outcome", dispatch.worker),
                     source.to_string(),
                 );
-                Step::Again
+                Step::Retry
             }
         }
     }
@@ -207,76 +207,78 @@
     }
 
     /// Finds out what became of a decision whose answer is missing.
-    async fn settle(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    async fn resolve_outcome(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         let started = self.context.clock.now();
         let mut attempt = 0;
         loop {
             if self.stopped.is_cancelled() {
-                return Step::Over;
+                return Step::LeadershipEnded;
             }
             let elapsed = self.context.clock.now().saturating_sub(started);
-            match self.inquire(dispatch).await {
-                Inquiry::Finished(answer) => return Step::Finished(answered(answer)),
-                Inquiry::Running => {}
-                Inquiry::NotStarted if request.repeatable => {
-                    return self.send_again(request, dispatch).await;
+            match self.query_worker(dispatch).await {
+                ExecutionQuery::Finished(answer) => return Step::Finished(answered_result(answer)),
+                ExecutionQuery::Running => {}
+                ExecutionQuery::NotStarted if request.repeatable => {
+                    return self.redispatch(request, dispatch).await;
                 }
-                Inquiry::NotStarted if elapsed >= NOT_STARTED_TIME => {
-                    return self.give_up(dispatch, "the worker has not seen it");
+                ExecutionQuery::NotStarted if elapsed >= NOT_STARTED_SETTLE_DELAY => {
+                    return self.settle_as_unknown(dispatch, "the worker has not seen it");
                 }
-                Inquiry::Silent if elapsed >= INQUIRY_TIME => {
-                    return self.worker_lost(request, dispatch).await;
+                ExecutionQuery::Unreachable if elapsed >= WORKER_LOST_TIMEOUT => {
+                    return self.handle_lost_worker(request, dispatch).await;
                 }
-                Inquiry::Gone => return self.worker_lost(request, dispatch).await,
-                Inquiry::NotStarted | Inquiry::Silent => {}
+                ExecutionQuery::Unlisted => {
+                    return self.handle_lost_worker(request, dispatch).await;
+                }
+                ExecutionQuery::NotStarted | ExecutionQuery::Unreachable => {}
             }
-            let pause = backoff(RETRY_PAUSE, attempt, &mut rand::rng());
+            let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
             attempt += 1;
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    async fn inquire(&self, dispatch: &Dispatch) -> Inquiry {
+    async fn query_worker(&self, dispatch: &Dispatch) -> ExecutionQuery {
         let Some(address) = self.address_of(&dispatch.worker) else {
-            return Inquiry::Gone;
+            return ExecutionQuery::Unlisted;
         };
         let workers = &self.context.submission_workers;
         match workers.look_up(address, &self.id, INQUIRY_TIMEOUT).await {
-            Ok(ExecutionState::Finished { answer }) => Inquiry::Finished(answer),
-            Ok(ExecutionState::Running) => Inquiry::Running,
-            Ok(ExecutionState::NotStarted) => Inquiry::NotStarted,
-            Err(_) => Inquiry::Silent,
+            Ok(ExecutionState::Finished { answer }) => ExecutionQuery::Finished(answer),
+            Ok(ExecutionState::Running) => ExecutionQuery::Running,
+            Ok(ExecutionState::NotStarted) => ExecutionQuery::NotStarted,
+            Err(_) => ExecutionQuery::Unreachable,
         }
     }
 
     /// Sends a repeatable submission once more: to the same worker, which knows the key if an
     /// earlier send arrives after all.
-    async fn send_again(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    async fn redispatch(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         match self.address_of(&dispatch.worker) {
             Some(address) => {
                 let worker = dispatch.worker.clone();
                 self.dispatch(request, worker, address, Some(dispatch.id))
                     .await
             }
-            None => self.worker_lost(request, dispatch).await,
+            None => self.handle_lost_worker(request, dispatch).await,
         }
     }
 
     /// The worker that was sent it cannot be asked any more.
-    async fn worker_lost(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    async fn handle_lost_worker(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         if !request.repeatable {
-            return self.give_up(dispatch, "the worker cannot be reached");
+            return self.settle_as_unknown(dispatch, "the worker cannot be reached");
         }
         match self.choose_worker(request, Some(&dispatch.worker)) {
             Some((worker, address)) => {
                 self.dispatch(request, worker, address, Some(dispatch.id))
                     .await
             }
-            None => Step::Again,
+            None => Step::Retry,
         }
     }
 
-    fn give_up(&self, dispatch: &Dispatch, reason: &str) -> Step {
+    fn settle_as_unknown(&self, dispatch: &Dispatch, reason: &str) -> Step {
         let decision = format!("settle as outcome unknown after dispatch {}", dispatch.id);
         self.explain(decision, reason.to_owned());
         Step::Finished(SubmissionResult::OutcomeUnknown)
@@ -288,7 +290,7 @@
             submission: self.id.clone(),
             result,
         };
-        let deadline: Monotonic = self.context.clock.now() + RECORD_TIME;
+        let deadline: Monotonic = self.context.clock.now() + RECORD_TIMEOUT;
         let partition = partition_of(self.id.as_str(), self.context.settings.ledger.partitions);
         let recorded = ledger::propose(&self.context, partition, command, deadline).await;
         if recorded.is_err() {
@@ -307,8 +309,8 @@
         let workers = lock(&self.context.workers);
         let candidates = workers.candidates(&request.pool, &self.context.own.zone, now);
         let least_loaded = candidates.into_iter().min_by_key(|worker| {
-            let again = Some(&worker.machine.id) == excluded;
-            (again, worker.own_online, worker.machine.id.clone())
+            let is_excluded = Some(&worker.machine.id) == excluded;
+            (is_excluded, worker.own_online, worker.machine.id.clone())
         })?;
         Some((
             least_loaded.machine.id.clone(),
@@ -322,9 +324,9 @@
     }
 
     /// Counts the submission as in progress, on the worker and in the process.
-    fn occupy(&self, worker: &WorkerId) -> Occupied {
-        count_online(&self.context, worker, 1);
-        Occupied {
+    fn track_in_flight(&self, worker: &WorkerId) -> InFlight {
+        adjust_online_count(&self.context, worker, 1);
+        InFlight {
             context: Arc::clone(&self.context),
             worker: worker.clone(),
             _in_progress: self.context.lifecycle.enter(),
@@ -338,36 +340,36 @@
 }
 
 /// What a worker says of a key.
-enum Inquiry {
+enum ExecutionQuery {
     Finished(WorkerAnswer),
     Running,
     NotStarted,
     /// It does not answer.
-    Silent,
+    Unreachable,
     /// It is no longer in the machine list.
-    Gone,
+    Unlisted,
 }
 
 /// One submission in progress on a worker, until dropped.
-struct Occupied {
+struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
     _in_progress: InProgress,
 }
 
-impl Drop for Occupied {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        count_online(&self.context, &self.worker, -1);
+        adjust_online_count(&self.context, &self.worker, -1);
     }
 }
 
-fn count_online(context: &Context, worker: &WorkerId, change: i32) {
+fn adjust_online_count(context: &Context, worker: &WorkerId, change: i32) {
     if let Some(worker) = lock(&context.workers).get_mut(worker) {
         worker.own_online = worker.own_online.saturating_add_signed(change);
     }
 }
 
-fn answered(answer: WorkerAnswer) -> SubmissionResult {
+fn answered_result(answer: WorkerAnswer) -> SubmissionResult {
     SubmissionResult::Answered {
         status: answer.status,
         body: answer.body,
--- a/crates/swiftshunt/src/serve.rs
+++ b/crates/swiftshunt/src/serve.rs
@@ -125,6 +125,6 @@
     tokio::select! {
         _ = interrupt.recv() => {}
         _ = terminate.recv() => {}
-        () = node.drained_by_operator() => {}
+        () = node.wait_until_draining() => {}
     }
 }
