--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -2,7 +2,7 @@
 //! running items yield.
 //!
 //! Items wait here. Each time something changes, granted slots are given to the job with the least
-//! slack, and items beyond what an engine may run are stopped, their resume point kept.
+//! slack, and items beyond what an engine may run are stopped, their resume point active.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -232,10 +232,10 @@
                 let scheduler = &context.settings.scheduler;
                 allowed = allowed.min(batch_slots(worker, 0, scheduler));
             }
-            let kept = slots.iter().filter(|slot| !slot.preempted.is_cancelled());
-            let kept: Vec<&RunningItem> = kept.collect();
-            let excess = kept.len().saturating_sub(allowed as usize);
-            for slot in kept.into_iter().rev().take(excess) {
+            let active = slots.iter().filter(|slot| !slot.preempted.is_cancelled());
+            let active: Vec<&RunningItem> = active.collect();
+            let excess = active.len().saturating_sub(allowed as usize);
+            for slot in active.into_iter().rev().take(excess) {
                 slot.preempted.cancel();
                 context.metrics.preempted_items.inc();
             }
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -1,7 +1,8 @@
-//! A token stream that survives its engine: it goes on elsewhere from the tokens already passed on.
+//! Answer streams that survive the failure of an engine: another engine resumes generation after the
+//! last relayed token.
 //!
-//! Events are matched by request and index, never by arrival: an index seen before is dropped, a
-//! gap ends the stream's engine as if it had broken.
+//! Events are matched by request and token index, never by arrival order: an index that was already
+//! relayed is dropped, and a gap is handled like a broken stream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,16 +23,16 @@
 use crate::fleet::subset;
 use crate::lock;
 
-/// Time for an engine to take a request and answer its head.
+/// Timeout for an engine to accept a request and send the response head.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for one cancel call.
+/// Timeout of one cancel call to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller should come back to a fleet without capacity.
+/// `Retry-After` of failures for lack of capacity.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Tokens that wait for a slow caller.
+/// Tokens buffered for a slow caller; a full buffer blocks the relay.
 const TOKEN_BUFFER_CAPACITY: usize = 256;
 
-/// What a caller asks for.
+/// An online request, independent of the interface that it came through.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRequest {
     pub(crate) id: RequestId,
@@ -39,26 +40,28 @@
     pub(crate) model: ModelName,
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
-    /// When the caller gives up.
+    /// When the caller stops waiting; `None` if it set no timeout.
     pub(crate) deadline: Option<Monotonic>,
 }
 
-/// An answer under way: tokens in order, then the end.
+/// An answer in progress.
 pub(crate) struct AnswerStream {
-    /// Each token once, in order; the last event carries the finish reason. A failure ends it.
+    /// Each token once, in order. The stream ends with an event that carries the finish reason, or
+    /// with a failure.
     pub(crate) events: mpsc::Receiver<Result<TokenEvent, Failure>>,
 }
 
-/// A whole answer.
+/// The text of an answer, as far as it has been received.
 #[derive(Clone, Debug)]
 pub(crate) struct CompleteAnswer {
     pub(crate) text: String,
     pub(crate) tokens: u32,
+    /// Only meaningful once the answer has ended.
     pub(crate) finish: FinishReason,
 }
 
 impl CompleteAnswer {
-    /// An answer without tokens so far.
+    /// An answer without tokens.
     pub(crate) fn empty() -> Self {
         Self {
             text: String::new(),
@@ -68,7 +71,7 @@
     }
 }
 
-/// Starts an answer. Returns once an engine has taken it, or with the reason why none did.
+/// Starts an answer. Returns once an engine has accepted the request, or with the reason why none did.
 pub(crate) async fn start(
     context: &Arc<Context>,
     request: AnswerRequest,
@@ -88,7 +91,7 @@
     Ok(AnswerStream { events })
 }
 
-/// Reads an answer to its end.
+/// Reads an answer stream to its end. Fails if the stream ends without a finish reason.
 pub(crate) async fn collect(mut answer: AnswerStream) -> Result<CompleteAnswer, Failure> {
     let mut complete = CompleteAnswer::empty();
     while let Some(event) = answer.events.recv().await {
@@ -106,19 +109,20 @@
     ))
 }
 
-/// One answer, over as many engines as it takes.
+/// State of one answer across the engines that generate it.
 struct AnswerTask {
     context: Arc<Context>,
     request: AnswerRequest,
-    /// Index of the next token to pass on.
+    /// Index of the next token to relay.
     next_index: u32,
+    /// Workers that failed this request and are not chosen again.
     excluded: Vec<WorkerId>,
-    /// Whether any engine may have run any of it.
+    /// Whether any engine may have started to run the request.
     may_have_started: bool,
     started_at: Monotonic,
 }
 
-/// An engine that answers.
+/// An open token stream of one engine.
 struct EngineStream {
     worker: WorkerId,
     address: SocketAddr,
@@ -126,18 +130,18 @@
     _in_flight: InFlight,
 }
 
-/// How the relay of one engine's stream ended.
+/// Why the relay of one engine's stream ended.
 enum RelayEnd {
-    /// The caller has the whole answer, or has gone.
+    /// The caller has received the complete answer, or has disconnected.
     Done,
-    /// The engine broke off.
+    /// The engine's stream failed or was invalid, for the given reason.
     Broken(String),
-    /// The deadline passed.
+    /// The request's deadline passed.
     Expired,
 }
 
 impl AnswerTask {
-    /// Tries engines until one takes the request.
+    /// Tries engines until one accepts the request, no engine is left or the retry budget is spent.
     async fn open_with_retries(&mut self) -> Result<EngineStream, Failure> {
         loop {
             let (worker, address) = self.choose_engine()?;
@@ -223,7 +227,7 @@
         })
     }
 
-    /// Passes tokens on until the answer is whole, changing engines as needed.
+    /// Relays tokens until the answer is complete, and resumes on another engine when one fails.
     async fn relay(
         mut self,
         mut engine: EngineStream,
@@ -317,7 +321,7 @@
         }
     }
 
-    /// How long the next token may take.
+    /// Timeout for the next token: the configured one, cut at the request's deadline.
     fn next_token_timeout(&self) -> Duration {
         let scheduler = &self.context.settings.scheduler;
         let wait = if self.next_index == 0 {
@@ -349,7 +353,7 @@
         );
     }
 
-    /// Takes one retry out of the budget.
+    /// Takes one retry from the node's retry budget.
     fn try_take_retry(&self) -> Result<(), Failure> {
         if lock(&self.context.retries).try_take_retry() {
             return Ok(());
@@ -375,7 +379,7 @@
     }
 }
 
-/// One online request in progress on a worker, until dropped.
+/// Counts one online request as in progress on a worker until dropped.
 struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
--- a/crates/swiftshunt-node/src/online/mod.rs
+++ b/crates/swiftshunt-node/src/online/mod.rs
@@ -1,4 +1,4 @@
-//! Online answers: one whole answer to each caller, whatever happens to the engines that give it.
+//! Online requests: streams answers from engines to callers and resumes them when an engine fails.
 
 mod answer;
 mod openai;
--- a/crates/swiftshunt-node/src/online/openai.rs
+++ b/crates/swiftshunt-node/src/online/openai.rs
@@ -1,4 +1,4 @@
-//! The caller interface's shapes, as OpenAI clients send and expect them.
+//! Request and response bodies of the OpenAI-compatible interface.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -7,9 +7,9 @@
 
 use super::answer::CompleteAnswer;
 
-/// Tokens generated if the caller does not say.
+/// Token limit of requests that set none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Most tokens that a caller may ask for.
+/// Highest token limit that a request may set.
 const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Body of `POST /v1/chat/completions`.
@@ -27,7 +27,7 @@
     pub(crate) stream_options: Option<StreamOptions>,
 }
 
-/// What a streamed answer carries besides its tokens.
+/// Options of a streamed answer.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct StreamOptions {
     #[serde(default)]
@@ -42,7 +42,7 @@
     content: Option<Content>,
 }
 
-/// A message's content: text, or parts of which the text ones count.
+/// Content of a message: plain text, or a list of parts, all of which must be of type `text`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 enum Content {
@@ -59,7 +59,7 @@
 }
 
 impl ChatRequest {
-    /// The prompt that the engine receives.
+    /// The messages as one prompt, a line `role: text` for each.
     pub(crate) fn prompt(&self) -> Result<String, Failure> {
         if self.messages.is_empty() {
             return Err(invalid("messages", "must hold at least one message"));
@@ -136,7 +136,7 @@
     }
 }
 
-/// A stand-in for the tokeniser's count: words of the prompt.
+/// Approximates the number of prompt tokens by the number of words, as no tokeniser is available.
 fn prompt_tokens(prompt: &str) -> usize {
     prompt.split_whitespace().count()
 }
@@ -150,7 +150,7 @@
     })
 }
 
-/// Answer to a chat request that is not streamed.
+/// Response body of a chat request that is not streamed.
 pub(crate) fn chat_completion(
     id: &str,
     created: u64,
@@ -173,7 +173,7 @@
     })
 }
 
-/// Answer to a completion request that is not streamed.
+/// Response body of a completion request that is not streamed.
 pub(crate) fn text_completion(
     id: &str,
     created: u64,
@@ -219,7 +219,7 @@
     })
 }
 
-/// The chunk after the last one, for callers that ask for usage.
+/// The final chunk of a streamed chat answer, for requests that set `include_usage`.
 pub(crate) fn chat_usage_chunk(
     id: &str,
     created: u64,
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -1,7 +1,8 @@
-//! The leader's side of a submission: decide, commit the decision, send, record the result.
+//! Execution of a submission by the leader of its partition: choose a worker, commit the dispatch,
+//! send the request, record the result.
 //!
-//! The decision to send is committed before a byte is written, so whoever leads next finds it and
-//! asks the worker by key instead of sending blindly.
+//! The dispatch is committed before any byte is sent, so that the next leader finds it and queries
+//! the worker by submission identifier instead of sending the request a second time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,19 +23,19 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// First pause between tries.
+/// Base delay of the exponential backoff between steps.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
-/// How long a worker that was sent a submission is asked for its outcome before it counts as gone.
+/// How long the worker of a dispatch may leave queries unanswered before it counts as lost.
 const WORKER_LOST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a worker must say "not started" before a submission that is not repeatable is settled:
-/// an earlier leader may still be about to send it.
+/// How long a worker must report "not started" before a submission that is not repeatable is settled
+/// as outcome unknown: an earlier leader may still be about to send it.
 const NOT_STARTED_SETTLE_DELAY: Duration = Duration::from_secs(2);
-/// How long one inquiry may take.
+/// Timeout of one query for the state of an execution.
 const INQUIRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a result is offered to leaders before the next leader's inquiry must find it.
+/// How long recording a result is retried. After that, the next leader reads it from the worker.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs one submission until it has ended or this leadership is over.
+/// Runs one submission until it has completed or `stopped` is cancelled at the end of this leadership.
 pub(crate) async fn run_submission(
     context: Arc<Context>,
     partition: PartitionId,
@@ -60,13 +61,13 @@
     stopped: CancellationToken,
 }
 
-/// What follows one step.
+/// Outcome of one step of an execution.
 enum Step {
-    /// A result to record.
+    /// The submission has this result, which is not recorded yet.
     Finished(SubmissionResult),
-    /// Look at the ledger again, after a pause.
+    /// The submission must be read from the ledger again, after a delay.
     Retry,
-    /// The leadership is over.
+    /// This node does not lead the partition, or its lease has expired.
     LeadershipEnded,
 }
 
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends an accepted submission to a worker.
+    /// Dispatches a submission that no worker has been chosen for; retries if the pool has no worker.
     async fn dispatch_accepted(&self, request: &NewSubmission) -> Step {
         match self.choose_worker(request, None) {
             Some((worker, address)) => self.dispatch(request, worker, address, None).await,
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Commits the decision to send, then sends.
+    /// Commits a dispatch to `worker`, in place of the dispatch `supersedes` if given, then sends the
+    /// request.
     async fn dispatch(
         &self,
         request: &NewSubmission,
@@ -155,8 +157,8 @@
         self.perform(request, &granted, address).await
     }
 
-    /// Sends under a committed decision. Between the commit and this point the process may have
-    /// been stopped for any time, so the lease is looked at last.
+    /// Sends the request of a committed dispatch. The process may have been suspended for any length
+    /// of time since the commit, so the lease is checked immediately before the send.
     async fn perform(
         &self,
         request: &NewSubmission,
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Takes the decision back: the worker certainly did not start.
+    /// Releases a dispatch whose worker certainly did not start the submission.
     async fn release(&self, dispatch: &Dispatch, reason: String) {
         let now = self.context.clock.now();
         lock(&self.context.workers).record_connection_failure(&dispatch.worker, now);
@@ -206,7 +208,8 @@
         );
     }
 
-    /// Finds out what became of a decision whose answer is missing.
+    /// Queries the worker of a dispatch without a recorded result until the outcome is known, the
+    /// submission may be dispatched again, or the worker counts as lost.
     async fn resolve_outcome(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         let started = self.context.clock.now();
         let mut attempt = 0;
@@ -216,21 +219,21 @@
             }
             let elapsed = self.context.clock.now().saturating_sub(started);
             match self.query_worker(dispatch).await {
-                ExecutionQuery::Finished(answer) => return Step::Finished(answered_result(answer)),
-                ExecutionQuery::Running => {}
-                ExecutionQuery::NotStarted if request.repeatable => {
+                QueryResult::Finished(answer) => return Step::Finished(answered_result(answer)),
+                QueryResult::Running => {}
+                QueryResult::NotStarted if request.repeatable => {
                     return self.redispatch(request, dispatch).await;
                 }
-                ExecutionQuery::NotStarted if elapsed >= NOT_STARTED_SETTLE_DELAY => {
+                QueryResult::NotStarted if elapsed >= NOT_STARTED_SETTLE_DELAY => {
                     return self.settle_as_unknown(dispatch, "the worker has not seen it");
                 }
-                ExecutionQuery::Unreachable if elapsed >= WORKER_LOST_TIMEOUT => {
-                    return self.handle_lost_worker(request, dispatch).await;
+                QueryResult::Unreachable if elapsed >= WORKER_LOST_TIMEOUT => {
+                    return self.on_worker_lost(request, dispatch).await;
                 }
-                ExecutionQuery::Unlisted => {
-                    return self.handle_lost_worker(request, dispatch).await;
+                QueryResult::Unlisted => {
+                    return self.on_worker_lost(request, dispatch).await;
                 }
-                ExecutionQuery::NotStarted | ExecutionQuery::Unreachable => {}
+                QueryResult::NotStarted | QueryResult::Unreachable => {}
             }
             let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
             attempt += 1;
@@ -238,21 +241,21 @@
         }
     }
 
-    async fn query_worker(&self, dispatch: &Dispatch) -> ExecutionQuery {
+    async fn query_worker(&self, dispatch: &Dispatch) -> QueryResult {
         let Some(address) = self.address_of(&dispatch.worker) else {
-            return ExecutionQuery::Unlisted;
+            return QueryResult::Unlisted;
         };
         let workers = &self.context.submission_workers;
         match workers.look_up(address, &self.id, INQUIRY_TIMEOUT).await {
-            Ok(ExecutionState::Finished { answer }) => ExecutionQuery::Finished(answer),
-            Ok(ExecutionState::Running) => ExecutionQuery::Running,
-            Ok(ExecutionState::NotStarted) => ExecutionQuery::NotStarted,
-            Err(_) => ExecutionQuery::Unreachable,
+            Ok(ExecutionState::Finished { answer }) => QueryResult::Finished(answer),
+            Ok(ExecutionState::Running) => QueryResult::Running,
+            Ok(ExecutionState::NotStarted) => QueryResult::NotStarted,
+            Err(_) => QueryResult::Unreachable,
         }
     }
 
-    /// Sends a repeatable submission once more: to the same worker, which knows the key if an
-    /// earlier send arrives after all.
+    /// Dispatches a repeatable submission again, to the same worker: it recognises the identifier if
+    /// the earlier request still arrives.
     async fn redispatch(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         match self.address_of(&dispatch.worker) {
             Some(address) => {
@@ -260,12 +263,13 @@
                 self.dispatch(request, worker, address, Some(dispatch.id))
                     .await
             }
-            None => self.handle_lost_worker(request, dispatch).await,
+            None => self.on_worker_lost(request, dispatch).await,
         }
     }
 
-    /// The worker that was sent it cannot be asked any more.
-    async fn handle_lost_worker(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    /// Handles a worker that cannot be queried: dispatches a repeatable submission to another worker,
+    /// settles any other as outcome unknown.
+    async fn on_worker_lost(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         if !request.repeatable {
             return self.settle_as_unknown(dispatch, "the worker cannot be reached");
         }
@@ -284,7 +288,8 @@
         Step::Finished(SubmissionResult::OutcomeUnknown)
     }
 
-    /// Records the result with whoever leads now; the first recorded result stands.
+    /// Records the result at the partition's current leader. If a result is already recorded, that one
+    /// is kept.
     async fn record(&self, result: SubmissionResult) {
         let command = Command::CompleteSubmission {
             submission: self.id.clone(),
@@ -294,12 +299,12 @@
         let partition = partition_of(self.id.as_str(), self.context.settings.ledger.partitions);
         let recorded = ledger::propose(&self.context, partition, command, deadline).await;
         if recorded.is_err() {
-            log::warn!(submission = self.id.as_str(); "result not recorded here; the next leader asks the worker");
+            log::warn!(submission = self.id.as_str(); "result not recorded; the next leader queries the worker");
         }
     }
 
-    /// The worker with the fewest submissions in progress from here, other than `excluded` if
-    /// there is a choice.
+    /// The worker of the pool with the fewest online requests in progress from this node. `excluded`
+    /// is chosen only if it is the only candidate.
     fn choose_worker(
         &self,
         request: &NewSubmission,
@@ -323,7 +328,8 @@
         workers.get(worker).map(|worker| worker.machine.address)
     }
 
-    /// Counts the submission as in progress, on the worker and in the process.
+    /// Counts the submission as in progress, for the worker and for this process, until the returned
+    /// value is dropped.
     fn track_in_flight(&self, worker: &WorkerId) -> InFlight {
         adjust_online_count(&self.context, worker, 1);
         InFlight {
@@ -339,18 +345,18 @@
     }
 }
 
-/// What a worker says of a key.
-enum ExecutionQuery {
+/// Result of querying the worker of a dispatch for the state of the execution.
+enum QueryResult {
     Finished(WorkerAnswer),
     Running,
     NotStarted,
-    /// It does not answer.
+    /// The query failed or timed out.
     Unreachable,
-    /// It is no longer in the machine list.
+    /// The worker is not in the machine list.
     Unlisted,
 }
 
-/// One submission in progress on a worker, until dropped.
+/// Counts one submission as in progress on a worker until dropped.
 struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
--- a/crates/swiftshunt-node/src/submissions/intake.rs
+++ b/crates/swiftshunt-node/src/submissions/intake.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a submission: accept it in the ledger, wait for its result.
+//! Acceptance of submissions in the ledger, and reads of their results.
 
 use std::time::Duration;
 
@@ -14,18 +14,22 @@
 use crate::ledger;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// What a caller hands in.
+/// A submission as a caller sends it.
 pub(crate) struct SubmitRequest {
     pub(crate) tenant: TenantName,
+    /// Idempotency key, unique within the tenant.
     pub(crate) key: String,
     pub(crate) pool: PoolName,
     pub(crate) body: String,
+    /// Whether the submission may be sent to a worker more than once.
     pub(crate) repeatable: bool,
     /// How long the caller waits for the result.
     pub(crate) wait: Duration,
 }
 
-/// Accepts a submission and waits for its result; none if it has not ended in time.
+/// Accepts a submission and waits for its result; the result is `None` if the submission has not
+/// completed within `request.wait`. Fails with `KeyReused` if the idempotency key belongs to a
+/// submission with different content.
 pub(crate) async fn submit(
     context: &Context,
     request: SubmitRequest,
@@ -65,13 +69,14 @@
     }
 }
 
-/// Digest of everything that makes two requests the same.
+/// Digest of the content by which a repeated request is told from a reuse of its key.
 fn request_digest(request: &SubmitRequest) -> Digest {
     let identity = format!("{}\n{}\n{}", request.pool, request.repeatable, request.body);
     Digest::of(identity.as_bytes())
 }
 
-/// The accepted submission's result, through any change of leader; none if the time is up.
+/// Waits for the result of an accepted submission, also across changes of leader. `None` if the
+/// deadline passes or the partition cannot be reached before it.
 async fn await_result(
     context: &Context,
     partition: PartitionId,
@@ -96,7 +101,8 @@
     }
 }
 
-/// Reads a submission of a tenant, from its leader.
+/// Reads a submission from the leader of its partition. `NotFound` also if it belongs to another
+/// tenant.
 pub(crate) async fn read(
     context: &Context,
     tenant: &TenantName,
@@ -116,7 +122,7 @@
     if !submission.has_ended() {
         return Ok(submission);
     }
-    // A recorded result is shown only once it cannot be lost: the await passes through the archive.
+    // A result is returned only once it is archived and cannot be lost; awaiting it ensures that.
     let result = await_result(context, partition, id, deadline).await;
     let status = result.map(SubmissionStatus::Completed);
     Ok(Submission {
--- a/crates/swiftshunt-node/src/submissions/mod.rs
+++ b/crates/swiftshunt-node/src/submissions/mod.rs
@@ -1,4 +1,5 @@
-//! Submissions: taken in once, run once, their result readable everywhere.
+//! Submissions: idempotent acceptance, execution by the partition's leader, results readable from every
+//! node.
 
 mod execution;
 mod intake;
