--- a/crates/swiftshunt-node/src/batch/files.rs
+++ b/crates/swiftshunt-node/src/batch/files.rs
@@ -1,5 +1,6 @@
-//! Files as log streams: a header, numbered chunks, an end. An upload that breaks off leaves no end
-//! and is no file. An append that was repeated is recognised by its chunk number.
+//! Files stored as log streams: numbered chunks of lines, then an end record. An interrupted upload
+//! leaves no end record and does not count as a file. Repeated appends are recognised by their chunk
+//! number, and in job outputs by the index of the item.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +14,7 @@
 use swiftshunt_scheduler::retry::backoff;
 use swiftshunt_types::{FileId, TenantName};
 
-/// What a file is for.
+/// Purpose of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FilePurpose {
@@ -23,66 +24,69 @@
     BatchOutput,
 }
 
-/// What is known of a file.
+/// Metadata of an uploaded file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FileInfo {
     pub(crate) id: FileId,
     pub(crate) tenant: TenantName,
     pub(crate) name: String,
     pub(crate) purpose: FilePurpose,
+    /// In seconds of Unix time.
     pub(crate) created: u64,
     pub(crate) bytes: u64,
     pub(crate) lines: u32,
 }
 
-/// The result of one item: its index and its line in the output.
+/// The result of one item.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ItemResult {
+    /// Index of the item in the job's input.
     pub(crate) index: u32,
+    /// The item's line in the job's output, without the line break.
     pub(crate) line: String,
 }
 
 /// A record of a file's stream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum FileRecord {
-    /// Whole lines of an uploaded file.
+    /// Consecutive lines of an uploaded file.
     Lines { chunk: u32, lines: Vec<String> },
-    /// The end of an uploaded file.
+    /// The end of an uploaded file, with its number of chunks.
     End { info: FileInfo, chunks: u32 },
-    /// Results of a job's items, in the order in which they came.
+    /// Results of a job's items, in the order in which the items ended.
     Results(Vec<ItemResult>),
 }
 
 /// Why a file cannot be read or stored.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum FileError {
-    /// No such file, or its upload broke off.
+    /// The file does not exist, or its upload was interrupted.
     #[display("no such file")]
     NotFound,
-    /// The log cannot be used.
+    /// The log service failed or cannot be reached.
     #[display("{source}")]
     Log {
-        /// The reason.
+        /// The failure of the log service.
         source: LogError,
     },
-    /// A record cannot be read.
+    /// A record cannot be decoded or encoded.
     #[display("a record of the file cannot be read: {reason}")]
     #[from(ignore)]
     BadRecord {
-        /// Why.
+        /// Message of the codec.
         #[error(not(source))]
         reason: String,
     },
 }
 
-/// Bytes of lines in one record, at most, unless a single line is longer.
+/// Size from which a chunk of lines is closed, in bytes; its last line may exceed it.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// Tries of one append.
+/// Attempts of one append before it fails.
 const MAX_APPEND_ATTEMPTS: u32 = 4;
-/// First pause between tries.
+/// Base delay of the exponential backoff between attempts.
 const APPEND_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Stores an uploaded file. It exists once this returns.
+/// Stores an uploaded file. The file exists once this returns without an error.
 pub(crate) async fn store(
     log: &dyn LogService,
     info: &FileInfo,
@@ -116,7 +120,7 @@
     append(log, &stream, &end).await
 }
 
-/// Appends with retries. A repeated append is harmless: readers drop what they have seen.
+/// Appends a record, with retries. A repeated append is harmless, as readers drop duplicates.
 async fn append(
     log: &dyn LogService,
     stream: &StreamName,
@@ -139,7 +143,7 @@
     }
 }
 
-/// A file's content as replay gives it.
+/// State of a file after replay of its stream.
 #[derive(Default)]
 struct ReplayedFile {
     chunks: BTreeMap<u32, Vec<String>>,
@@ -169,13 +173,13 @@
     Ok(content)
 }
 
-/// What is known of an uploaded file.
+/// Reads the metadata of an uploaded file.
 pub(crate) async fn read_info(log: &dyn LogService, file: &FileId) -> Result<FileInfo, FileError> {
     let content = replay(log, file).await?;
     content.complete_end().map(|(info, _)| info.clone())
 }
 
-/// The lines of an uploaded file.
+/// Reads the lines of an uploaded file.
 pub(crate) async fn read_lines(
     log: &dyn LogService,
     file: &FileId,
@@ -185,7 +189,8 @@
     Ok(content.chunks.into_values().flatten().collect())
 }
 
-/// The results in a job's output, by item; the first result of an item stands.
+/// Reads the results in a job's output, by index of the item; of several results of an item, the first
+/// counts.
 pub(crate) async fn read_results(
     log: &dyn LogService,
     file: &FileId,
@@ -193,7 +198,7 @@
     Ok(replay(log, file).await?.results)
 }
 
-/// The text of an uploaded file or of a job's output.
+/// Reads the text of an uploaded file or of a job's output.
 pub(crate) async fn read_content(log: &dyn LogService, file: &FileId) -> Result<String, FileError> {
     let content = replay(log, file).await?;
     let lines: Vec<String> = if content.results.is_empty() {
@@ -208,7 +213,7 @@
 }
 
 impl ReplayedFile {
-    /// The end record, if every chunk is there.
+    /// The end record; `NotFound` unless every chunk is present.
     fn complete_end(&self) -> Result<&(FileInfo, u32), FileError> {
         let end = self.end.as_ref().ok_or(FileError::NotFound)?;
         let complete = self.chunks.len() == end.1 as usize;
@@ -216,7 +221,7 @@
     }
 }
 
-/// Appends results to a job's output.
+/// Writer of a job's output.
 pub(crate) struct OutputWriter {
     log: Arc<dyn LogService>,
     stream: StreamName,
@@ -230,7 +235,7 @@
         }
     }
 
-    /// Appends results; returns once they are certainly there.
+    /// Appends results in one record; once this returns without an error, they are stored.
     pub(crate) async fn append(&self, results: &[ItemResult]) -> Result<Offset, FileError> {
         let record = FileRecord::Results(results.to_vec());
         let bytes = encode_cbor(&record).map_err(|reason| FileError::BadRecord { reason })?;
--- a/crates/swiftshunt-node/src/batch/grants.rs
+++ b/crates/swiftshunt-node/src/batch/grants.rs
@@ -1,5 +1,5 @@
-//! Grants between nodes: this node as the granter of its zone's engines, and as a holder that asks
-//! the granters of each zone.
+//! Grants of batch slots between nodes: this node grants the slots of its zone's engines for the pools
+//! assigned to it, and requests grants from the granters of each zone.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Renewals within one grant's lifetime.
+/// Number of renewals within the lifetime of a grant.
 const RENEWALS_PER_LIFETIME: u32 = 4;
-/// Shortest pause between two rounds of asking.
+/// Shortest interval between two rounds of requests to granters.
 const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(20);
-/// A granter that does not answer within this is passed over.
+/// Timeout of a request to one granter; a granter that does not answer is skipped in that round.
 const GRANT_REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A holder asks for slots.
+/// A node's request for batch slots of a pool.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct GrantRequest {
     pub(crate) holder: NodeId,
     pub(crate) pool: PoolName,
-    /// Slots wanted, those held included.
+    /// Number of slots wanted, including those that the holder already holds.
     pub(crate) wanted: u32,
 }
 
-/// The tables of the pools that this node grants in its zone.
+/// Grant tables of the pools whose batch slots this node grants in its zone.
 #[derive(Default)]
 pub(crate) struct Granter {
     tables: Mutex<BTreeMap<PoolName, GrantTable>>,
 }
 
 impl Granter {
-    /// Answers a holder: what it may run in this node's zone until its grants expire.
+    /// Renews a holder's grants: the slots that it may use in this node's zone until they expire.
     pub(crate) fn grant(&self, context: &Context, request: &GrantRequest) -> Vec<Grant> {
         let allowances = allowances(context, &request.pool);
         let mut tables = lock(&self.tables);
@@ -49,12 +49,13 @@
     }
 }
 
-/// Batch requests that each engine of the zone may run now.
+/// Number of batch requests that each engine of the pool in this node's zone may run.
 fn allowances(context: &Context, pool: &PoolName) -> Vec<(WorkerId, u32)> {
     let scheduler = &context.settings.scheduler;
     let now = context.clock.now();
     let workers = lock(&context.workers);
-    // An engine that died goes on in the list for a while, and with the report that it gave last.
+    // A crashed engine stays in the machine list, with its last load report, until the platform removes
+    // it.
     let in_zone = |worker: &&Worker| {
         worker.machine.pool == *pool
             && worker.machine.zone == context.own.zone
@@ -74,7 +75,7 @@
     allowed.collect()
 }
 
-/// Asks the granters for what this node's items need, until the process ends.
+/// Renews the grants that this node's batch items need, until the process ends.
 pub(crate) async fn renew_grants(context: Arc<Context>) {
     let renewal_interval = context.settings.scheduler.grant_lifetime / RENEWALS_PER_LIFETIME;
     loop {
@@ -87,7 +88,7 @@
     }
 }
 
-/// Asks the own zone first and the others for what is still wanted.
+/// Requests grants from the node's own zone first, and from the other zones for what is still unmet.
 async fn request_from_zones(context: &Arc<Context>, pool: &PoolName, wanted: u32) {
     let granters = context.placement.granters(context, pool);
     let mut zones: Vec<(ZoneName, NodeId)> = granters.into_iter().collect();
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -1,5 +1,5 @@
-//! One item of a job: a slot, a token stream, a result line. A stream that yields or breaks goes on
-//! from its last token in the next slot.
+//! Execution of one item of a job: acquires a slot, generates the answer, builds the result line. A
+//! stream that is preempted or fails resumes after its last token in the next slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,15 +19,16 @@
 use crate::online::CompleteAnswer;
 use crate::online::{ChatRequest, CompletionRequest, chat_completion, text_completion};
 
-/// Time for an engine to take an item.
+/// Timeout for an engine to accept a request and send the response head.
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for one cancel call.
+/// Timeout of one cancel call to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after an engine failed.
+/// Delay before the next slot after an engine failed to accept an item.
 const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Pause until a lease that is over is looked at again.
+/// Delay before an expired lease is checked again.
 const LEASE_RECHECK_DELAY: Duration = Duration::from_millis(50);
-/// How long an engine may pause a batch stream; online work may hold it up for long.
+/// Timeout for the next token. It is long because engines pause batch streams in favour of online
+/// requests.
 const TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One line of a job's input.
@@ -39,7 +40,7 @@
     body: Value,
 }
 
-/// What an item asks of an engine.
+/// A parsed item.
 #[derive(Clone, Debug)]
 pub(super) struct Item {
     index: u32,
@@ -49,30 +50,34 @@
     is_chat: bool,
 }
 
-/// What the job lends to its items.
+/// State that the items of a job share.
 pub(super) struct ItemRunner {
     pub(super) context: Arc<Context>,
     pub(super) job: swiftshunt_types::JobId,
+    /// Endpoint of items whose line names none.
     pub(super) endpoint: String,
+    /// In seconds of Unix time.
     pub(super) deadline: u64,
+    /// In seconds of Unix time.
     pub(super) created: u64,
     pub(super) lease: LeaseClock,
     pub(super) stopped: CancellationToken,
 }
 
-/// How one stay in a slot ended.
+/// How the use of one slot ended.
 enum SlotOutcome {
     Completed(FinishReason),
-    /// The slot was taken back or the engine failed; the tokens so far are kept.
+    /// The slot was preempted, the lease had expired or the engine failed. The tokens received so far
+    /// are kept.
     Interrupted,
-    /// The engine refuses the item itself.
+    /// The engine rejected the request as invalid, for the given reason.
     Refused(String),
-    /// The job or the leadership is over.
+    /// The job or the leadership ended.
     Stopped,
 }
 
 impl ItemRunner {
-    /// Runs one line of the input; none if the job or the leadership ended first.
+    /// Runs one line of the input; `None` if the job or the leadership ended first.
     pub(super) async fn run(&self, index: u32, line: &str, remaining: u32) -> Option<ItemResult> {
         match self.parse(index, line) {
             Ok(item) => self.run_item(item, remaining).await,
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Generates in one slot until the answer is whole or the slot is lost.
+    /// Generates in one slot until the answer is complete or the slot is lost.
     async fn run_in_slot(
         &self,
         item: &Item,
@@ -181,7 +186,7 @@
         if self.stopped.is_cancelled() {
             return SlotOutcome::Stopped;
         }
-        // A lease that is over may still be renewed; if it is not, the leadership ends.
+        // An expired lease may still be renewed; otherwise the leadership ends and cancels `stopped`.
         if !self.lease.is_valid(self.context.clock.now()) {
             tokio::time::sleep(LEASE_RECHECK_DELAY).await;
             return SlotOutcome::Interrupted;
@@ -221,8 +226,8 @@
         }
     }
 
-    /// Holds as long as the job and the lease do: a process that was stopped on the way to the engine, and
-    /// replaced or told of a cancellation meanwhile, starts nothing more.
+    /// Permits the send only while the job runs and the lease is valid: a process that is suspended
+    /// before the send, while another leader takes over or the job is cancelled, must not start the item.
     fn permit(&self) -> SendPermit {
         let clock = self.context.clock;
         let lease = self.lease.clone();
@@ -257,10 +262,11 @@
     }
 }
 
-/// What an event did to the answer so far.
+/// Effect of an event on the partial answer.
 enum EventEffect {
     Continue,
     Finished(FinishReason),
+    /// The event belongs to another request, leaves a gap or reports a cancellation.
     Unusable,
 }
 
--- a/crates/swiftshunt-node/src/batch/job.rs
+++ b/crates/swiftshunt-node/src/batch/job.rs
@@ -1,5 +1,5 @@
-//! One job, at the leader of its partition: items run concurrently, results are appended to the
-//! output, and then recorded in the ledger.
+//! Execution of a job by the leader of its partition: items run concurrently, and their results are
+//! appended to the output before the items are recorded as done in the ledger.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,16 +16,16 @@
 use crate::context::Context;
 use crate::ledger::{self, LeaseClock};
 
-/// Items of one job that wait for slots or run, at most.
+/// Limit of the items of one job that run or wait for a slot at the same time.
 const MAX_CONCURRENT_ITEMS: usize = 256;
-/// Results recorded together, at most.
+/// Limit of the results that are appended and recorded together.
 const MAX_RESULTS_PER_RECORD: usize = 256;
-/// Pause after the log failed.
+/// Delay before an operation on the log or the ledger is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How long a leader is looked for when items are recorded.
+/// Timeout of one attempt to record items in the ledger.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs one job until it has ended or this leadership is over.
+/// Runs one job until it has ended or `stopped` is cancelled.
 pub(crate) async fn run_job(
     context: Arc<Context>,
     job: Job,
@@ -33,11 +33,11 @@
     stopped: CancellationToken,
 ) {
     let id = job.request.id.clone();
-    log::info!(job = id.as_str(); "job of {} items runs here", job.request.items);
+    log::info!(job = id.as_str(); "job of {} items starts on this node", job.request.items);
     let work = run_items(context, job, lease, stopped.clone());
     tokio::select! {
         () = work => {}
-        () = stopped.cancelled() => log::info!(job = id.as_str(); "job stops here"),
+        () = stopped.cancelled() => log::info!(job = id.as_str(); "job stops on this node"),
     }
 }
 
@@ -106,8 +106,8 @@
     }
 }
 
-/// Records items as done, for as long as the job runs here: items that stay unrecorded under the
-/// same leader would leave the job open for ever.
+/// Records items as done, and retries until it succeeds: nothing else under the same leader would
+/// record them, so the job would never complete.
 async fn record(context: &Context, job: &JobId, items: Vec<u32>) {
     let partition = partition_of(job.as_str(), context.settings.ledger.partitions);
     loop {
@@ -119,12 +119,12 @@
         let Err(error) = ledger::propose(context, partition, command, deadline).await else {
             return;
         };
-        log::warn!(job = job.as_str(), items = items.len(); "items are not recorded yet: {error:?}");
+        log::warn!(job = job.as_str(), items = items.len(); "recording completed items failed, retrying: {error:?}");
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Repeats a use of the log until it succeeds: a job outlives the log's outages.
+/// Repeats an operation on the log until it succeeds, so that a job survives outages of the log.
 async fn retry_until_success<T, F>(mut attempt: impl FnMut() -> F) -> T
 where
     F: Future<Output = Result<T, FileError>>,
@@ -132,7 +132,7 @@
     loop {
         match attempt().await {
             Ok(value) => return value,
-            Err(error) => log::warn!("the log is needed for a job: {error}"),
+            Err(error) => log::warn!("log operation of a job failed, retrying: {error}"),
         }
         tokio::time::sleep(RETRY_DELAY).await;
     }
--- a/crates/swiftshunt-node/src/batch/mod.rs
+++ b/crates/swiftshunt-node/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: files in log streams, items run in the gaps that online work leaves.
+//! Batch jobs: files in log streams, and items that run on capacity that online requests leave free.
 
 mod files;
 mod grants;
--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -1,8 +1,8 @@
-//! Batch slots at the node that runs items: which job may run an item on which engine now, and which
-//! running items yield.
+//! Batch slots of the node that runs items: assigns granted slots to waiting items, and preempts running
+//! items.
 //!
-//! Items wait here. Each time something changes, granted slots are given to the job with the least
-//! slack, and items beyond what an engine may run are stopped, their resume point active.
+//! Whenever the state changes, free slots go to the job with the least slack first, and items in excess
+//! of what an engine may run are preempted. A preempted item resumes after its last token.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,16 +19,16 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Slots are looked at this often even if nothing is heard.
+/// Interval at which slots are reviewed without a change notification.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(10);
-/// Assumed time per item until one is measured, in seconds.
+/// Assumed time per item from which the slack of a job is computed, in seconds.
 const ASSUMED_SECONDS_PER_ITEM: f64 = 0.5;
 
-/// A slot on an engine, held until dropped.
+/// A slot on an engine, released when dropped.
 pub(crate) struct Slot {
     pub(crate) worker: WorkerId,
     pub(crate) address: SocketAddr,
-    /// Cancelled when the slot is taken back.
+    /// Cancelled when the holder must stop using the slot.
     pub(crate) preempted: CancellationToken,
     pool: PoolName,
     context: Arc<Context>,
@@ -40,21 +40,23 @@
     }
 }
 
-/// A job that has items waiting.
+/// The items of a job that wait for a slot.
 struct Queue {
     pool: PoolName,
+    /// In seconds of Unix time.
     deadline: u64,
+    /// Items that the job has yet to complete.
     remaining: u32,
     waiting: VecDeque<oneshot::Sender<Slot>>,
 }
 
-/// A slot that is in use.
+/// An item that occupies a slot.
 struct RunningItem {
     pool: PoolName,
     preempted: CancellationToken,
 }
 
-/// What a granter allowed on one engine.
+/// The slots that a zone's granter allows this node on one engine.
 #[derive(Clone, Debug)]
 struct ZoneGrant {
     pool: PoolName,
@@ -63,19 +65,20 @@
     expires_at: Monotonic,
 }
 
-/// Waiting items, granted slots and running items of this node.
+/// Waiting items, running items and granted slots of this node.
 #[derive(Default)]
 pub(crate) struct BatchState {
     queues: Mutex<BTreeMap<JobId, Queue>>,
     running: Mutex<BTreeMap<WorkerId, Vec<RunningItem>>>,
     granted: Mutex<BTreeMap<WorkerId, ZoneGrant>>,
     changed: Notify,
-    /// Items began to wait: grants are asked for at once.
+    /// Notified when an item starts to wait, so that grants are requested without delay.
     pub(super) demand: Notify,
 }
 
 impl BatchState {
-    /// Waits for a slot for an item of `job`.
+    /// Waits for a slot for an item of `job`. `deadline` is in seconds of Unix time, `remaining` counts
+    /// the items that the job has yet to complete. `None` if the wait was dropped without a slot.
     pub(crate) async fn acquire(
         &self,
         job: &JobId,
@@ -101,17 +104,18 @@
         receiver.await.ok()
     }
 
-    /// Something changed: slots are looked at again.
+    /// Triggers a review of the slots.
     pub(crate) fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
-    /// An online request was placed: its engine's batch items may have to yield now.
+    /// Preempts batch items whose engine has no capacity left for them, after an online request was
+    /// placed.
     pub(crate) fn preempt_for_online(&self, context: &Context) {
         self.preempt_excess(context);
     }
 
-    /// Gives and takes back slots until the process ends.
+    /// Assigns and preempts slots until the process ends.
     pub(crate) async fn run(context: Arc<Context>) {
         loop {
             let changed = context.batch.changed.notified();
@@ -121,7 +125,7 @@
         }
     }
 
-    /// Slots wanted for each pool: what waits and what runs.
+    /// Number of slots wanted for each pool: waiting and running items.
     pub(super) fn wanted(&self) -> BTreeMap<PoolName, u32> {
         let mut wanted: BTreeMap<PoolName, u32> = BTreeMap::new();
         for queue in lock(&self.queues).values() {
@@ -134,7 +138,7 @@
         wanted
     }
 
-    /// Takes over what the granter of a zone allows of a pool, in place of what it allowed before.
+    /// Replaces the grants of a pool in a zone.
     pub(super) fn set_granted(
         &self,
         pool: &PoolName,
@@ -172,14 +176,14 @@
                     break;
                 };
                 if let Some(waiting) = queue.waiting.pop_front() {
-                    // A slot that nobody takes any more is freed by its drop.
+                    // If the receiver has gone, dropping the slot releases it.
                     drop(waiting.send(slot));
                 }
             }
         }
     }
 
-    /// Occupies a slot on the pool's engine with the most granted room.
+    /// Occupies a slot on the engine of the pool with the most free granted slots.
     fn occupy_slot(&self, context: &Arc<Context>, pool: &PoolName) -> Option<Slot> {
         let mut workers = lock(&context.workers);
         let mut running = lock(&self.running);
@@ -218,8 +222,9 @@
         })
     }
 
-    /// Stops the youngest items on engines that hold more than they may: what was granted, and of
-    /// the node's own zone also what the engine's load leaves at this moment.
+    /// Preempts the youngest items on engines that run more of this node's items than allowed. The limit
+    /// is the granted number of slots; on engines with online requests of this node it is also the
+    /// number that the engine's load permits.
     fn preempt_excess(&self, context: &Context) {
         let workers = lock(&context.workers);
         let running = lock(&self.running);
@@ -261,6 +266,7 @@
     }
 }
 
+/// The queued jobs, the one with the least slack first.
 fn jobs_by_slack(queues: &BTreeMap<JobId, Queue>) -> Vec<JobId> {
     let demands = queues.iter().map(|(job, queue)| JobDemand {
         job: job.clone(),
