--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration at this node: replayed from the log, fetched from peers, published.
+//! The fleet configuration at this node: replay from the log, transfer from peers, publication.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,13 +15,13 @@
 use crate::context::{Context, random_u64};
 use crate::lifecycle::Stage;
 
-/// Records read at a time.
+/// Limit of the records in one read.
 const READ_LIMIT: usize = 256;
-/// How long a read waits at the end of the stream.
+/// How long a read at the end of the stream waits for a record.
 const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause after a failed read.
+/// Delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// How long a publisher looks for its own record.
+/// How long a publisher waits until replay reaches its own record.
 const PUBLISH_CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Replays the configuration stream until the process ends.
@@ -34,16 +34,16 @@
             .read(&stream, from, READ_LIMIT, TAIL_READ_TIMEOUT)
             .await
         {
-            Ok(read) if read.records.is_empty() => start_serving_without_peers(&context),
+            Ok(read) if read.records.is_empty() => start_serving_if_configured(&context),
             Ok(read) => {
                 apply_records(&context, &read);
                 if context.configuration.borrow().next_offset == from {
-                    log::warn!(offset = from; "the log answers from an old offset");
+                    log::warn!(offset = from; "the log returned only records that were replayed before, retrying");
                     tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Err(error) => {
-                log::debug!("configuration cannot be read: {error}");
+                log::debug!("reading the configuration stream failed, retrying: {error}");
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
@@ -62,7 +62,7 @@
                 }
             }
             Err(reason) => {
-                log::error!(offset = offset; "configuration record cannot be read: {reason}");
+                log::error!(offset = offset; "configuration record cannot be decoded and is skipped: {reason}");
                 context
                     .configuration
                     .send_modify(|history| history.skip(offset));
@@ -88,8 +88,9 @@
     context.metrics.configuration_version.set(version);
 }
 
-/// A node that has read the stream to its end and knows no peer may serve.
-fn start_serving_without_peers(context: &Context) {
+/// Starts serving at the end of the stream if a configuration is in force. Without reachable peers,
+/// this is the only way for a node to start serving.
+fn start_serving_if_configured(context: &Context) {
     let starting = context.lifecycle.stage() == Stage::Starting;
     let configured = context.configuration.borrow().version > 0;
     if starting && configured {
@@ -97,7 +98,7 @@
     }
 }
 
-/// Takes over a newer configuration from a peer.
+/// Fetches the configuration from a peer and adopts it if it is newer.
 pub(crate) async fn fetch(context: Arc<Context>, peer: SocketAddr) {
     let Ok(theirs) = context.peers.configuration(peer).await else {
         return;
@@ -112,37 +113,38 @@
         .send_if_modified(|history| history.adopt(theirs));
     if is_newer {
         record_version_metric(context);
-        log::info!(version = version; "configuration in force, from a peer");
+        log::info!(version = version; "configuration in force, fetched from a peer");
     }
 }
 
-/// Why a configuration is not in force.
+/// Why a publication did not succeed.
 #[derive(Debug, Display, Error)]
 pub(crate) enum PublishError {
-    /// Another one came first.
+    /// The base is not the version in force; the configuration was not applied.
     #[display(
         "version {in_force} by `{author}` is in force; the change was based on version {base}"
     )]
     Stale {
-        /// What the author saw.
+        /// The version that the configuration was based on.
         base: Version,
-        /// What is in force.
+        /// The version in force.
         in_force: Version,
-        /// Who published that.
+        /// Name of the operator who published the version in force.
         author: String,
     },
-    /// The log cannot be reached: nothing was published.
+    /// The log cannot be reached; nothing was appended.
     #[display("the log cannot be reached: {source}")]
     NotPublished {
-        /// The reason.
+        /// The failure of the log service.
         source: LogError,
     },
-    /// The answer was lost, and the record was not seen in time.
+    /// The outcome is unknown: replay did not reach the record in time. The configuration may still
+    /// come into force.
     #[display("the log did not confirm; the change may come into force")]
     Unknown,
 }
 
-/// Publishes a configuration based on version `base` and waits until replay has decided on it.
+/// Publishes a configuration based on version `base` and waits until replay has applied or ignored it.
 pub(crate) async fn publish(
     context: &Context,
     base: Version,
@@ -174,7 +176,8 @@
     found.unwrap_or(Err(PublishError::Unknown))
 }
 
-/// Replays from `history` on until the author's own record is decided.
+/// Replays the stream from `history` on until the record `own`, recognised by its nonce, is applied or
+/// ignored.
 async fn find_decision(
     context: &Context,
     own: &ConfigurationRecord,
--- a/crates/swiftshunt-node/src/fleet/events.rs
+++ b/crates/swiftshunt-node/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Online work that events announce, as this node has last heard from the pools' partitions.
+//! Online load announced by events, as last read from the partitions that hold the pools' state.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -13,17 +13,18 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// How often the pools' partitions are asked.
+/// Interval at which the events of the pools are read.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Known events of each pool.
+/// The announced events of each pool for which this node grants batch slots.
 #[derive(Default)]
 pub(crate) struct AnnouncedEvents {
     events: Mutex<BTreeMap<PoolName, Vec<Event>>>,
 }
 
 impl AnnouncedEvents {
-    /// Requests a second that events announce for now.
+    /// Requests per second that the active events of a pool announce. An event is active from the
+    /// configured lead before its start until its end.
     pub(crate) fn requests_per_second(&self, context: &Context, pool: &PoolName) -> u64 {
         let lead_seconds = context.settings.scheduler.event_lead.as_secs();
         let now = unix_seconds();
@@ -36,7 +37,7 @@
     }
 }
 
-/// Keeps the known events up to date until the process ends.
+/// Reads the events of the pools periodically until the process ends.
 pub(crate) async fn follow_events(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(POLL_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -47,8 +48,8 @@
             let pools = history.configuration.pools.iter();
             pools.map(|pool| pool.name.clone()).collect()
         };
-        // Only a granter uses what events announce; if every node asked, the pools' partitions
-        // would be asked more the larger the fleet is.
+        // Only granters use the events. If every node read them, the load on the pools' partitions
+        // would grow with the fleet.
         let granted_pools = pools.into_iter().filter(|pool| {
             let granters = context.placement.granters(&context, pool);
             granters.get(&context.own.zone) == Some(&context.own.id)
@@ -63,7 +64,7 @@
     }
 }
 
-/// What is declared of a pool, from its partition's leader.
+/// Reads a pool's state from the leader of its partition; `None` if that fails.
 async fn read_pool(context: &Context, pool: &PoolName) -> Option<PoolState> {
     let partition = partition_of(&pool_key(pool), context.settings.ledger.partitions);
     let operation = LedgerOperation::Query(LedgerQuery::Pool(pool.clone()));
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! The probe cycle and the news on it.
+//! The probe cycle, and the gossip that is piggybacked on probes.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -14,11 +14,11 @@
 use crate::lock;
 use crate::peer::{Gossip, StateVersions};
 
-/// How often time is looked at.
+/// Interval at which the membership's timers are checked.
 const TICK_INTERVAL: Duration = Duration::from_millis(25);
-/// How often seeds that are not known members are tried.
+/// Interval at which seeds that are not known members are contacted.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a node that knows nobody else tries its seeds.
+/// Interval at which a node without reachable peers contacts its seeds.
 const ISOLATED_SEED_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Probes members until the process ends.
@@ -40,7 +40,8 @@
     }
 }
 
-/// Greets the seeds that are not known members; returns when to look again.
+/// Sends a join message to the nodes of the machine list and the seeds that are not known members.
+/// Returns the time until the next attempt.
 fn join_through_seeds(context: &Arc<Context>) -> Duration {
     let listed = lock(&context.machine_list).clone();
     let nodes = listed.machines.iter();
@@ -74,9 +75,9 @@
 async fn probe(context: Arc<Context>, plan: ProbePlan) {
     let target = plan.target;
     let mut message = own_gossip(&context, false);
-    // What is believed of the target always travels on its probe, so that it can refute.
-    let belief = lock(&context.membership).record(target.id).cloned();
-    message.members.extend(belief);
+    // The target's own record is always included, so that the target can refute a suspicion.
+    let target_record = lock(&context.membership).record(target.id).cloned();
+    message.members.extend(target_record);
     let timeout = context.settings.membership.probe_timeout;
     let answer = context.peers.gossip(target.peer, &message, timeout).await;
     let now = context.clock.now();
@@ -101,7 +102,8 @@
     log_changes(&changes);
 }
 
-/// The message that this node sends now.
+/// Builds this node's gossip message: all records and leader hints if `complete`, else the next
+/// updates to disseminate.
 pub(crate) fn own_gossip(context: &Context, complete: bool) -> Gossip {
     let digest = digest(context);
     let members = {
@@ -141,9 +143,9 @@
     }
 }
 
-/// Takes a message and answers it. The answer is complete if the sender joins, or if the two sides
-/// still believe different things although nothing has been news here for a while: before that the
-/// difference is news under way.
+/// Merges a message and builds the answer. The answer is complete if the sender joins, or if the
+/// digests differ although this node's view has not changed for [`STABLE_DELAY`]: before that, updates
+/// still being disseminated may explain the difference.
 pub(crate) fn answer_gossip(context: &Arc<Context>, received: Gossip) -> Gossip {
     let sender = received.from.peer;
     let sender_joins = received.complete;
@@ -153,13 +155,14 @@
     own_gossip(context, sender_joins || (digests_differ && is_stable))
 }
 
-/// When the node's beliefs last changed.
+/// Tracks when this node's view of members and leaders last changed.
 #[derive(Default)]
 pub(crate) struct GossipStability {
+    /// The version of the view, and when it was first observed.
     last_change: Mutex<(u64, Monotonic)>,
 }
 
-/// Beliefs that have not changed for this long are settled: news has reached everybody by then.
+/// Time without a change after which the view is stable; updates have reached every node by then.
 const STABLE_DELAY: Duration = Duration::from_secs(5);
 
 impl GossipStability {
@@ -174,11 +177,11 @@
     }
 }
 
-/// Takes in news. `heard_at` is the address under which the sender was, or can be, reached.
+/// Merges a peer's message. `sender_address` is the peer address of the sender.
 fn merge_gossip(context: &Arc<Context>, received: Gossip, sender_address: SocketAddr) {
     if received.partitions != context.settings.ledger.partitions {
         log::error!(peer = received.from.id.to_string().as_str();
-            "peer has {} ledger partitions, this node {}; its messages are ignored",
+            "peer is configured with {} ledger partitions and this node with {}; ignoring its messages",
             received.partitions, context.settings.ledger.partitions);
         return;
     }
@@ -211,7 +214,7 @@
     }
 }
 
-/// Fetches from a peer what it holds in a newer version.
+/// Fetches the configuration and the machine list from a peer, each if the peer's version is newer.
 fn fetch_newer_state(context: &Arc<Context>, theirs: StateVersions, peer: SocketAddr) {
     let ours = versions(context);
     if theirs.configuration > ours.configuration {
@@ -222,7 +225,7 @@
     }
 }
 
-/// A starting node serves once its configuration is as new as that of a peer that it reached.
+/// Starts serving if this node's configuration is at least as new as that of the peer.
 fn start_serving_if_current(context: &Context, theirs: StateVersions) {
     let ours = versions(context).configuration;
     if ours > 0 && ours >= theirs.configuration {
@@ -237,12 +240,13 @@
     }
 }
 
-/// Hash of all beliefs on members and leaders: equal on nodes that have heard the same.
+/// Hash of the known members and leaders; equal on nodes with the same view. Suspected, dead and left
+/// members are not included.
 fn digest(context: &Context) -> u64 {
     let mut hasher = DefaultHasher::new();
     for record in lock(&context.membership).records() {
-        let is_stable = matches!(record.state, MemberState::Alive | MemberState::Leaving);
-        if is_stable {
+        let is_confirmed = matches!(record.state, MemberState::Alive | MemberState::Leaving);
+        if is_confirmed {
             (record.member.id, record.incarnation, record.state).hash(&mut hasher);
         }
     }
@@ -252,7 +256,7 @@
     hasher.finish()
 }
 
-/// Tells a few others that this node is gone, so that nobody waits to find out.
+/// Tells some peers that this node has left, so that its departure needs no failure detection.
 pub(crate) async fn announce_left(context: &Arc<Context>) {
     lock(&context.membership).announce_left(context.clock.now());
     let message = own_gossip(context, true);
@@ -272,7 +276,7 @@
     }
 }
 
-/// Nodes that are told of a departure at once; they pass it on.
+/// Number of peers that are told directly that this node has left; gossip disseminates it further.
 const MAX_LEAVE_NOTICES: usize = 6;
 
 fn log_changes(changes: &[Change]) {
--- a/crates/swiftshunt-node/src/fleet/loads.rs
+++ b/crates/swiftshunt-node/src/fleet/loads.rs
@@ -1,4 +1,4 @@
-//! Load reports of the workers that this node sends to or grants slots of.
+//! Load reports of the workers to which this node sends requests or whose batch slots it grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Reads each worker's load until the process ends.
+/// Reads the load of the watched workers periodically until the process ends.
 pub(crate) async fn poll_loads(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(context.settings.scheduler.load_interval);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -24,8 +24,8 @@
     }
 }
 
-/// The workers whose load this node reads: its subset of each pool, and all of the pools whose batch
-/// slots it grants in its zone.
+/// The workers whose load this node reads: its subset of each pool's workers, and all workers in its
+/// zone of the pools whose batch slots it grants there.
 fn watched_workers(context: &Context) -> BTreeMap<WorkerId, SocketAddr> {
     let pools: BTreeSet<PoolName> = {
         let workers = lock(&context.workers);
@@ -52,7 +52,8 @@
     watched
 }
 
-/// This node's subset of its zone's workers of a pool; of every zone's if its own has none.
+/// This node's subset of a pool's workers in its own zone, at most `size`. If the zone has none, the
+/// subsets of all zones.
 pub(crate) fn subset(context: &Context, pool: &PoolName, size: usize) -> Vec<WorkerId> {
     let own = context.own.id;
     let workers = lock(&context.workers);
@@ -81,7 +82,7 @@
             };
             lock(&context.workers).record_report(&id, report, load.models, asked_at);
         }
-        // Where something stands between, a worker that is gone shows as a connection that breaks.
+        // Behind a proxy or load balancer, a worker that has gone shows as a connection that breaks off.
         Err(HttpError::NotConnected { .. } | HttpError::BrokenOff { .. }) => {
             lock(&context.workers).record_connection_failure(&id, asked_at);
         }
--- a/crates/swiftshunt-node/src/fleet/machines.rs
+++ b/crates/swiftshunt-node/src/fleet/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list at this node: polled from the platform, fetched from peers that have a newer one.
+//! The machine list at this node: polled from the platform, and fetched from peers with a newer version.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Polls the platform until the process ends.
+/// Polls the platform for the machine list until the process ends.
 pub(crate) async fn poll_machines(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(context.settings.platform.machines_interval);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -16,12 +16,14 @@
         ticker.tick().await;
         match context.machine_service.fetch().await {
             Ok(list) => apply(&context, list),
-            Err(error) => log::debug!("machine list cannot be read: {error}"),
+            Err(error) => {
+                log::debug!("fetching the machine list failed, retrying at the next poll: {error}")
+            }
         }
     }
 }
 
-/// Takes over a newer list from a peer.
+/// Fetches the machine list from a peer and applies it if it is newer.
 pub(crate) async fn fetch(context: Arc<Context>, peer: SocketAddr) {
     if let Ok(list) = context.peers.machines(peer).await {
         apply(&context, list);
@@ -30,7 +32,7 @@
 
 fn apply(context: &Context, list: MachineList) {
     if lock(&context.workers).apply_list(&list) {
-        log::info!(version = list.version; "machine list of {} machines", list.machines.len());
+        log::info!(version = list.version; "machine list applied, {} machines", list.machines.len());
         *lock(&context.machine_list) = list;
     }
 }
--- a/crates/swiftshunt-node/src/fleet/mod.rs
+++ b/crates/swiftshunt-node/src/fleet/mod.rs
@@ -1,4 +1,5 @@
-//! What nodes tell each other about the fleet: members, leaders, configuration, machines, loads.
+//! This node's view of the fleet: members, leaders, configuration, machines, worker loads, announced
+//! events; and the loading of models for serving targets.
 
 mod configuration;
 mod events;
--- a/crates/swiftshunt-node/src/fleet/placement.rs
+++ b/crates/swiftshunt-node/src/fleet/placement.rs
@@ -1,4 +1,5 @@
-//! Which node of each zone holds what, derived from the member list and kept until that changes.
+//! Placement of partition replicas and slot granters on nodes, derived from the member list and cached
+//! until the list changes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -9,7 +10,7 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Derived placements, all of one version of the member list.
+/// Cached placements, all derived from the same version of the member list.
 #[derive(Default)]
 pub(crate) struct PlacementCache {
     derived: Mutex<Derived>,
@@ -23,7 +24,8 @@
 }
 
 impl PlacementCache {
-    /// For each zone with an eligible node, the node that should hold the partition's replica.
+    /// The node that should hold the partition's replica, for each of its replica zones that has an
+    /// eligible node.
     pub(crate) fn candidates(
         &self,
         context: &Context,
@@ -48,7 +50,7 @@
         found
     }
 
-    /// For each zone with an eligible node, the node that grants the batch slots of a pool there.
+    /// The node that grants the pool's batch slots, for each zone that has an eligible node.
     pub(crate) fn granters(
         &self,
         context: &Context,
@@ -64,7 +66,7 @@
         granters.collect()
     }
 
-    /// Version of the member list that placements were last derived from.
+    /// Version of the current member list, from which placements are derived.
     pub(crate) fn version(&self, context: &Context) -> Option<u64> {
         let mut derived = lock(&self.derived);
         derived.refresh(context);
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -1,5 +1,5 @@
-//! Serving targets at the leader of the pool's partition: plan backward from the deadline, commit
-//! each load order, send it with a fence.
+//! Planning of model loads for serving targets, at the leader of the pool's partition: start loads so
+//! that they end by the target's deadline, commit each load order, send it with a fencing token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,16 +19,17 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery, PartitionView};
 
-/// How often targets are looked at.
+/// Interval at which targets are planned.
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
-/// Time for one order.
+/// Timeout of sending one order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// An order that has not led to a loaded model after this long, in seconds, is given up.
+/// Time after which an order without a loaded model counts as failed and the load may be ordered
+/// again, in seconds.
 const ORDER_TTL_SECONDS: u64 = 120;
-/// Seconds assumed for a load while the weight store does not say.
+/// Assumed duration of a load if the weight store is not configured or fails, in seconds.
 const ASSUMED_SECONDS_PER_LOAD: f64 = 10.0;
 
-/// The plans of one partition's pools, under one leadership.
+/// Planner of the pools of one partition, for the duration of one leadership.
 pub(crate) struct Planner {
     pub(crate) context: Arc<Context>,
     pub(crate) partition: PartitionId,
@@ -36,7 +37,7 @@
 }
 
 impl Planner {
-    /// Plans until the leadership is over.
+    /// Plans periodically until `stopped` is cancelled at the end of the leadership.
     pub(crate) async fn run(self, stopped: CancellationToken) {
         let mut ticker = tokio::time::interval(PLAN_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Sends orders that an earlier planner committed and did not see ended: it may have died before
-    /// it sent them. Orders of this planner are ended before it plans again.
+    /// Sends orders that were committed without a recorded outcome: an earlier planner may have
+    /// crashed before it sent them. This planner records the outcome of its own orders before it plans
+    /// again.
     async fn resend_given_orders(&self, pool: &PoolName, state: &PoolState) {
         let unended = state
             .orders
@@ -73,7 +75,7 @@
                 return;
             };
             let sequence = order.sequence;
-            log::info!(sequence, worker = order.worker.as_str(); "an order that was left is sent");
+            log::info!(sequence, worker = order.worker.as_str(); "resending a load order without a recorded outcome");
             let status = self
                 .send(&view, &order.worker, &order.model, sequence)
                 .await;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Commits an order, then sends it.
+    /// Commits an order, sends it and records its outcome.
     async fn order(&self, pool: &PoolName, target: &Target, worker: &WorkerId, now: u64) {
         let change = PoolCommand::GiveOrder {
             target: target.name.clone(),
