--- a/crates/swiftshunt-node/src/context.rs
+++ b/crates/swiftshunt-node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State and services shared by the modules of a node.
 
 use std::sync::{Arc, Mutex};
 
@@ -28,7 +28,7 @@
 use crate::metrics::Metrics;
 use crate::peer::PeerClient;
 
-/// Everything that the parts of a node share.
+/// State and services shared by the modules of a node.
 pub(crate) struct Context {
     pub(crate) settings: Settings,
     pub(crate) own: Member,
@@ -54,22 +54,22 @@
     pub(crate) decisions: DecisionJournal,
     pub(crate) gossip_stability: GossipStability,
     pub(crate) lifecycle: Lifecycle,
-    /// Cancelled when the node's tasks are to end at once.
+    /// Cancelled when the node's tasks must end immediately.
     pub(crate) aborted: CancellationToken,
     pub(crate) metrics: Metrics,
 }
 
-/// Known leaders and which news of them still travels.
+/// Known leaders of the partitions, and the updates that are still being disseminated.
 #[derive(Default)]
 pub(crate) struct Routes {
     pub(crate) table: RouteTable,
     pub(crate) updates: Dissemination<PartitionId>,
-    /// Rises with each piece of news.
+    /// Incremented with each hint that changes the table.
     pub(crate) version: u64,
 }
 
 impl Routes {
-    /// Takes in a hint and passes it on if it is new.
+    /// Merges a hint, and disseminates it if it changes the table.
     pub(crate) fn take(&mut self, hint: LeaderHint, fleet_size: usize) {
         if self.table.merge(hint) {
             self.version += 1;
@@ -129,11 +129,11 @@
         if failure.execution == Execution::NotRun {
             self.metrics.refused_requests.inc();
         }
-        log::debug!("request refused: {failure}");
+        log::debug!("request failed: {failure}");
     }
 }
 
-/// A random number, for identities and nonces.
+/// Returns a random number for identifiers and nonces.
 pub(crate) fn random_u64() -> u64 {
     rand::rng().next_u64()
 }
--- a/crates/swiftshunt-node/src/decisions.rs
+++ b/crates/swiftshunt-node/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What this node decided, when and why: the source of `explain`.
+//! Journal of this node's decisions with their reasons, read by the statement `explain`.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -8,30 +8,30 @@
 use crate::clock::unix_seconds;
 use crate::lock;
 
-/// Decisions kept; older ones are forgotten.
+/// Number of decisions kept; the oldest are dropped first.
 const CAPACITY: usize = 20_000;
 
-/// One decision.
+/// A recorded decision.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Decision {
-    /// When, in seconds of Unix time, for display.
+    /// Time of the decision in seconds of Unix time, for display only.
     pub(crate) at: u64,
-    /// About what: a request, job, worker, order or submission.
+    /// Kind and identifier of what the decision is about, such as `submission ID`.
     pub(crate) subject: String,
-    /// What was decided.
+    /// The decision as text for operators.
     pub(crate) decision: String,
-    /// Why.
+    /// The reason as text for operators.
     pub(crate) reason: String,
 }
 
-/// The newest decisions of this node.
+/// The latest decisions of this node, up to [`CAPACITY`].
 #[derive(Default)]
 pub(crate) struct DecisionJournal {
     decisions: Mutex<VecDeque<Decision>>,
 }
 
 impl DecisionJournal {
-    /// Records a decision.
+    /// Records a decision and logs it at debug level.
     pub(crate) fn record(
         &self,
         subject: impl Into<String>,
@@ -52,7 +52,7 @@
         decisions.push_back(entry);
     }
 
-    /// Every decision about `subject`, oldest first.
+    /// Returns the kept decisions about `subject`, oldest first.
     pub(crate) fn about(&self, subject: &str) -> Vec<Decision> {
         let decisions = lock(&self.decisions);
         let about = decisions.iter().filter(|entry| entry.subject == subject);
--- a/crates/swiftshunt-node/src/lib.rs
+++ b/crates/swiftshunt-node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The swiftshunt node: wires the pure decision crates to sockets, clocks and the platform.
+//! The swiftshunt node: connects the crates that decide without I/O to sockets, clocks and the platform.
 
 mod api;
 mod batch;
@@ -18,8 +18,8 @@
 
 pub use node::{RunningNode, StartError, start};
 
-/// Locks a mutex. A thread that panicked while it held the lock broke an invariant; the data is
-/// taken as it is, since every critical section leaves it whole at each step.
+/// Locks a mutex, also if a thread panicked while it held the lock: every critical section keeps the
+/// data consistent at each step, so the data is still valid.
 fn lock<T>(mutex: &std::sync::Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex
         .lock()
--- a/crates/swiftshunt-node/src/lifecycle.rs
+++ b/crates/swiftshunt-node/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! A node's way from start to stop, and the requests that a planned stop waits for.
+//! Lifecycle stages of a node, and the count of requests that a planned stop waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,18 +6,18 @@
 
 use tokio::sync::watch;
 
-/// Where a node is on its way.
+/// Stage of a node's lifecycle, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Stage {
-    /// Has no configuration that is as new as its peers'; takes no traffic.
+    /// The node has no configuration as new as that of its peers, and accepts no requests.
     Starting,
-    /// Serves.
+    /// The node accepts requests.
     Serving,
-    /// Finishes what it has and takes nothing new.
+    /// The node finishes requests in progress and accepts no new ones.
     Draining,
 }
 
-/// The node's stage and its requests in progress.
+/// The node's stage and the number of its requests in progress.
 pub(crate) struct Lifecycle {
     stage: watch::Sender<Stage>,
     in_progress: Arc<AtomicU64>,
@@ -56,7 +56,7 @@
         self.advance_to(Stage::Draining);
     }
 
-    /// Stages only follow each other.
+    /// Moves to a later stage; has no effect if the node is in that stage or a later one.
     fn advance_to(&self, next: Stage) {
         self.stage.send_if_modified(|stage| {
             let advances = next > *stage;
@@ -67,13 +67,14 @@
         });
     }
 
+    /// Waits until the node has reached the stage `wanted` or a later one.
     pub(crate) async fn wait_for(&self, wanted: Stage) {
         let mut receiver = self.stage.subscribe();
-        // The sender lives as long as `self`, so waiting cannot fail.
+        // The sender lives as long as `self`, so the wait cannot fail.
         drop(receiver.wait_for(|stage| *stage >= wanted).await);
     }
 
-    /// Counts a request in, whatever the stage.
+    /// Counts a request as in progress, in any stage.
     pub(crate) fn enter(&self) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgress(Arc::clone(&self.in_progress))
@@ -83,7 +84,7 @@
         self.in_progress.load(Ordering::Acquire)
     }
 
-    /// Waits until nothing is in progress.
+    /// Waits until no request is in progress.
     pub(crate) async fn wait_until_idle(&self) {
         while self.in_progress() > 0 {
             tokio::time::sleep(IDLE_POLL_INTERVAL).await;
--- a/crates/swiftshunt-node/src/limiter.rs
+++ b/crates/swiftshunt-node/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Request rates of tenants at this node.
+//! Limits of the tenants' request rates at this node.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -9,14 +9,15 @@
 
 use crate::lock;
 
-/// One bucket a tenant.
+/// A token bucket for each tenant.
 #[derive(Default)]
 pub(crate) struct TenantLimiter {
     buckets: Mutex<HashMap<TenantName, TokenBucket>>,
 }
 
 impl TenantLimiter {
-    /// Takes one request out of the tenant's rate.
+    /// Takes one token from the tenant's bucket. Fails with `RateLimited` and the time until the next
+    /// token if the bucket is empty.
     pub(crate) fn admit(&self, tenant: &Tenant, now: Monotonic) -> Result<(), Failure> {
         let limits = &tenant.limits;
         let mut buckets = lock(&self.buckets);
--- a/crates/swiftshunt-node/src/metrics.rs
+++ b/crates/swiftshunt-node/src/metrics.rs
@@ -13,19 +13,19 @@
 /// The node's metrics.
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Online requests taken in.
+    /// Online requests accepted.
     pub(crate) online_requests: Counter,
     /// Requests refused without running.
     pub(crate) refused_requests: Counter,
     /// Streams resumed on another engine.
     pub(crate) resumed_streams: Counter,
-    /// Submissions taken in through this node.
+    /// Submissions accepted through this node.
     pub(crate) submissions: Counter,
     /// Batch items whose results were recorded.
     pub(crate) batch_items: Counter,
-    /// Batch streams stopped for online work.
+    /// Batch items that were preempted.
     pub(crate) preempted_items: Counter,
-    /// Partitions led.
+    /// Partitions that this node leads.
     pub(crate) led_partitions: Gauge,
     /// Version of the configuration in force.
     pub(crate) configuration_version: Gauge<u64, AtomicU64>,
@@ -62,7 +62,7 @@
         let counters = [
             (
                 "online_requests",
-                "Online requests taken in",
+                "Online requests accepted",
                 &self.online_requests,
             ),
             (
@@ -75,11 +75,15 @@
                 "Streams resumed on another engine",
                 &self.resumed_streams,
             ),
-            ("submissions", "Submissions taken in", &self.submissions),
-            ("batch_items", "Batch items recorded", &self.batch_items),
+            ("submissions", "Submissions accepted", &self.submissions),
+            (
+                "batch_items",
+                "Batch items whose results were recorded",
+                &self.batch_items,
+            ),
             (
                 "preempted_items",
-                "Batch items stopped for online work",
+                "Batch items that were preempted",
                 &self.preempted_items,
             ),
         ];
@@ -88,7 +92,7 @@
         }
         registry.register(
             "led_partitions",
-            "Partitions led",
+            "Partitions that this node leads",
             self.led_partitions.clone(),
         );
         registry.register(
@@ -104,20 +108,20 @@
         );
     }
 
-    /// Shows what a node says to its peers.
+    /// Registers the metrics of the calls to other nodes.
     pub(crate) fn register_traffic(&mut self, traffic: &PeerTraffic) {
         let registry = &mut self.registry;
         let calls = traffic.calls.clone();
         registry.register("peer_calls", "Calls to other nodes", calls);
         let sent = traffic.sent_bytes.clone();
-        let help = "Bytes of bodies sent to other nodes";
+        let help = "Bytes of request bodies sent to other nodes";
         registry.register_with_unit("peer_sent", help, Unit::Bytes, sent);
         let received = traffic.received_bytes.clone();
-        let help = "Bytes of bodies received from other nodes in answer";
+        let help = "Bytes of response bodies received from other nodes";
         registry.register_with_unit("peer_received", help, Unit::Bytes, received);
     }
 
-    /// The text that `/metrics` answers.
+    /// Encodes the metrics as the response body of `/metrics`.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/swiftshunt-node/src/node.rs
+++ b/crates/swiftshunt-node/src/node.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of a node.
+//! Start, planned stop and abort of a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,17 +17,17 @@
 use crate::lifecycle::Stage;
 use crate::{api, fleet, ledger, lock, peer};
 
-/// Why a node did not start.
+/// The node cannot listen on a configured address.
 #[derive(Debug, Display, Error)]
 #[display("{field}: {source}")]
 pub struct StartError {
-    /// The setting that names the address.
+    /// Key of the setting that holds the address.
     pub field: &'static str,
-    /// Why it cannot be listened on.
+    /// Why the address cannot be bound.
     pub source: BindError,
 }
 
-/// A node that runs.
+/// Handle of a running node.
 pub struct RunningNode {
     context: Arc<Context>,
     api: SocketAddr,
@@ -37,7 +37,8 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-/// Starts a node; it listens once this returns.
+/// Starts a node. It accepts connections once this returns, and serves requests once it has a
+/// configuration.
 pub async fn start(mut settings: Settings) -> Result<RunningNode, StartError> {
     let failed = |field| move |source| StartError { field, source };
     let api = bind(settings.listen.api).await;
@@ -60,7 +61,7 @@
     let tasks = spawn_tasks(&context);
     let id = context.own.id.to_string();
     log::info!(node = id.as_str(), api = api_address.to_string().as_str(),
-        peer = peer_address.to_string().as_str(); "node listens");
+        peer = peer_address.to_string().as_str(); "node is listening");
     Ok(RunningNode {
         context,
         api: api_address,
@@ -84,59 +85,60 @@
     ]
 }
 
-/// Pause between looks at whether a stop may go on.
+/// Interval at which a stop checks whether the node still leads partitions.
 const HAND_OVER_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for what answers are left to be written once nothing is in progress.
+/// Timeout for the servers to close their connections once no request is in progress.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a stop waits for others to take over what this node leads.
+/// Timeout for other nodes to take over the partitions that this node leads.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl RunningNode {
-    /// The identity of this process life.
+    /// Returns the identity of this process; it is new at each start.
     pub fn id(&self) -> NodeId {
         self.context.own.id
     }
 
-    /// Where callers and operators are served.
+    /// Returns the address that serves callers and operators.
     pub fn api_address(&self) -> SocketAddr {
         self.api
     }
 
-    /// Where other nodes are served.
+    /// Returns the address that serves other nodes.
     pub fn peer_address(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Waits until an operator drains the node.
+    /// Waits until the node starts draining, as an operator requests it by a statement.
     pub async fn wait_until_draining(&self) {
         self.context.lifecycle.wait_for(Stage::Draining).await;
     }
 
-    /// The planned stop: takes nothing new, hands over what it leads, finishes what it has, goes.
+    /// Stops the node in order: refuses new requests, finishes those in progress, hands over the
+    /// partitions that it leads, announces its departure and ends its tasks. Each wait has a timeout.
     pub async fn stop(mut self) {
         let context = &Arc::clone(&self.context);
         context.lifecycle.start_draining();
         self.api_server.drain();
         lock(&context.membership).announce_leaving(context.clock.now());
-        log::info!("node drains");
+        log::info!("node is draining");
         let limit = context.settings.limits.drain_timeout;
         if tokio::time::timeout(limit, context.lifecycle.wait_until_idle())
             .await
             .is_err()
         {
             let left = context.lifecycle.in_progress();
-            log::warn!("{left} requests did not end within the drain timeout");
+            log::warn!("{left} requests did not end within the drain timeout, continuing the stop");
         }
         drop(tokio::time::timeout(HAND_OVER_TIMEOUT, self.wait_for_hand_over()).await);
         self.api_server.stop(CLOSE_TIMEOUT).await;
         fleet::announce_left(context).await;
         self.peer_server.stop(CLOSE_TIMEOUT).await;
         self.api_server.ended().await;
-        log::info!("node stops");
+        log::info!("node stopped");
         self.abort();
     }
 
-    /// Ends every task at once, as a crash would.
+    /// Ends all tasks immediately, as a crash would, without finishing requests.
     pub fn abort(self) {
         self.context.aborted.cancel();
         self.api_server.abort();
--- a/crates/swiftshunt-node/src/peer/client.rs
+++ b/crates/swiftshunt-node/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes.
+//! Client of the peer interface.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,16 +21,17 @@
 use crate::decisions::Decision;
 use crate::lock;
 
-/// Batches that wait for one peer; more are dropped, and consensus sends them again.
+/// Capacity of the queue of message batches to one peer. Batches beyond it are dropped; the consensus
+/// protocol sends their messages again.
 const RAFT_QUEUE_CAPACITY: usize = 1024;
-/// Batches in one exchange.
+/// Limit of the batches in one exchange.
 const MAX_BATCHES_PER_EXCHANGE: usize = 128;
-/// An exchange of consensus messages that takes longer is given up.
+/// Timeout of one exchange of consensus messages.
 const RAFT_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for a copy of replicated state.
+/// Timeout of calls that read state from a peer or drain it.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes and calls between this node and its peers, as far as this node began them.
+/// Counters of the calls that this node made to other nodes, and of the bytes of their bodies.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTraffic {
     pub(crate) calls: Counter,
@@ -59,7 +60,7 @@
     decode_cbor(&answer.body).map_err(unreadable)
 }
 
-/// Client of other nodes' peer interface.
+/// Client of the peer interface of other nodes.
 pub(crate) struct PeerClient {
     http: HttpClient,
     traffic: Arc<PeerTraffic>,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// What this node has said to and heard from its peers on its own calls.
+    /// The counters of this client's calls.
     pub(crate) fn traffic(&self) -> &PeerTraffic {
         &self.traffic
     }
@@ -152,7 +153,7 @@
         self.post(leader, "/peer/ledger", request, timeout).await
     }
 
-    /// Queues consensus messages; drops them if the peer does not keep up.
+    /// Queues consensus messages for a peer. Drops them if the queue is full.
     pub(crate) fn send_raft(&self, to: SocketAddr, batch: RaftBatch) {
         let mut queues = lock(&self.raft_queues);
         let queue = queues
@@ -179,7 +180,7 @@
                 let result = post_counted(&http, &traffic, to, "/peer/raft", &batches, timeout);
                 let result: Result<(), HttpError> = result.await;
                 if let Err(error) = result {
-                    log::debug!("consensus messages dropped: {error}");
+                    log::debug!("exchange with a peer failed, consensus messages dropped: {error}");
                 }
                 batches.clear();
             }
--- a/crates/swiftshunt-node/src/peer/mod.rs
+++ b/crates/swiftshunt-node/src/peer/mod.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other: CBOR over HTTP.
+//! The interface between nodes: CBOR over HTTP.
 
 mod client;
 mod protocol;
--- a/crates/swiftshunt-node/src/peer/protocol.rs
+++ b/crates/swiftshunt-node/src/peer/protocol.rs
@@ -15,86 +15,88 @@
 use swiftshunt_membership::{Member, MemberRecord};
 use swiftshunt_types::{JobId, NodeId, PartitionId, PoolName, SubmissionId, WorkerId};
 
-/// Versions of what every node holds a copy of.
+/// Versions of the state that every node replicates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct StateVersions {
-    /// Of the fleet configuration.
+    /// Version of the fleet configuration.
     pub(crate) configuration: u64,
-    /// Of the machine list.
+    /// Version of the machine list.
     pub(crate) machines: u64,
 }
 
-/// A probe and the news that travels on it; also its answer.
+/// A probe or its answer, with the updates that are piggybacked on it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Gossip {
-    /// The sender.
+    /// The sending node.
     pub(crate) from: Member,
-    /// Partitions in the sender's settings; must be the same everywhere.
+    /// Number of ledger partitions in the sender's settings. Messages with a number other than the
+    /// receiver's are ignored.
     pub(crate) partitions: u16,
-    /// Versions that the sender holds.
+    /// Versions of the replicated state that the sender holds.
     pub(crate) versions: StateVersions,
-    /// News of members.
+    /// Records of members.
     pub(crate) members: Vec<MemberRecord>,
-    /// News of leaders.
+    /// Hints on the leaders of partitions.
     pub(crate) routes: Vec<LeaderHint>,
-    /// Workers that declared themselves leaving, by name and address.
+    /// Workers that declared themselves leaving, by identifier and address.
     pub(crate) leaving_workers: Vec<(WorkerId, SocketAddr)>,
-    /// Hash of all that the sender believes of members and leaders.
+    /// Hash of the members and leaders that the sender knows.
     pub(crate) digest: u64,
-    /// Whether `members` and `routes` are complete.
+    /// Whether `members` and `routes` hold all that the sender knows, rather than recent updates.
     pub(crate) complete: bool,
 }
 
-/// Please probe somebody that I cannot reach.
+/// A request to probe a node on behalf of the sender, which does not reach that node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ProbeRequest {
-    /// Whom.
+    /// Peer address of the node to probe.
     pub(crate) target: SocketAddr,
 }
 
-/// Who answered at the probed address, if anybody did.
+/// Answer to a [`ProbeRequest`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct ProbeAnswer {
-    /// The process that answered.
+    /// The node that answered at the probed address; `None` if none did.
     pub(crate) answered_by: Option<NodeId>,
 }
 
 /// Consensus messages for one replica.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct RaftBatch {
-    /// The sender.
+    /// The sending node.
     pub(crate) from: NodeId,
-    /// The receiver's identity: a restarted process at its address must not take them.
+    /// The receiving node. A process restarted at the same address has another identity and must
+    /// ignore the messages.
     pub(crate) to: NodeId,
-    /// Which group.
+    /// The partition whose replicas exchange the messages.
     pub(crate) partition: PartitionId,
-    /// The group's generation.
+    /// The partition's generation.
     pub(crate) generation: Generation,
     /// The messages, in order.
     pub(crate) messages: Vec<Message<LedgerState>>,
 }
 
-/// An operation on a partition, for its leader.
+/// A request to the leader of a partition.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct LedgerRequest {
-    /// Which partition.
+    /// The partition.
     pub(crate) partition: PartitionId,
-    /// What to do.
+    /// The operation to carry out.
     pub(crate) operation: LedgerOperation,
 }
 
-/// What a leader is asked to do. Every operation may be repeated without harm.
+/// An operation at the leader of a partition. Every operation is idempotent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LedgerOperation {
-    /// Commit a command.
+    /// Commit a command and answer with its outcome.
     Propose(Command),
-    /// Read.
+    /// Read the partition's state.
     Query(LedgerQuery),
-    /// Wait until a submission ends.
+    /// Wait until a submission has a result.
     AwaitSubmission {
-        /// Which.
+        /// The submission.
         id: SubmissionId,
-        /// For how long.
+        /// How long to wait.
         wait: Duration,
     },
 }
@@ -104,78 +106,78 @@
 pub(crate) enum LedgerQuery {
     /// One submission.
     Submission(SubmissionId),
-    /// Every submission, for operators.
+    /// All submissions of the partition.
     Submissions,
     /// One job.
     Job(JobId),
-    /// Every job.
+    /// All jobs of the partition.
     Jobs,
-    /// What is declared of one pool.
+    /// Events, targets and orders of one pool.
     Pool(PoolName),
-    /// What is declared of every pool.
+    /// Events, targets and orders of all pools of the partition.
     Pools,
-    /// The group itself.
+    /// State of the partition's consensus group.
     Partition,
 }
 
-/// What a leader knows of its group.
+/// State of a partition's consensus group, as its leader sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct PartitionView {
-    /// Which partition.
+    /// The partition.
     pub(crate) partition: PartitionId,
-    /// Its generation.
+    /// The partition's generation.
     pub(crate) generation: Generation,
-    /// Its term.
+    /// The current term.
     pub(crate) term: Term,
-    /// Its leader.
+    /// The leader that answers.
     pub(crate) leader: NodeId,
-    /// Its voters.
+    /// The voting replicas.
     pub(crate) voters: Vec<NodeId>,
-    /// Its learners.
+    /// The replicas without a vote.
     pub(crate) learners: Vec<NodeId>,
     /// The highest committed index.
     pub(crate) committed: Index,
     /// The highest archived index.
     pub(crate) archived: Index,
-    /// Submissions that have not ended.
+    /// Number of submissions without a result.
     pub(crate) open_submissions: u64,
-    /// Jobs that run.
+    /// Number of running jobs.
     pub(crate) running_jobs: u64,
 }
 
-/// What a leader answers.
+/// A leader's answer to a [`LedgerOperation`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum LedgerAnswer {
-    /// To a command.
+    /// Answer to [`LedgerOperation::Propose`].
     Outcome(Outcome),
-    /// To [`LedgerQuery::Submission`].
+    /// Answer to [`LedgerQuery::Submission`]; `None` if there is no such submission.
     Submission(Option<Submission>),
-    /// To [`LedgerQuery::Submissions`].
+    /// Answer to [`LedgerQuery::Submissions`].
     Submissions(Vec<Submission>),
-    /// To [`LedgerQuery::Job`].
+    /// Answer to [`LedgerQuery::Job`]; `None` if there is no such job.
     Job(Option<Job>),
-    /// To [`LedgerQuery::Jobs`].
+    /// Answer to [`LedgerQuery::Jobs`].
     Jobs(Vec<Job>),
-    /// To [`LedgerQuery::Pool`].
+    /// Answer to [`LedgerQuery::Pool`].
     Pool(PoolState),
-    /// To [`LedgerQuery::Pools`].
+    /// Answer to [`LedgerQuery::Pools`].
     Pools(BTreeMap<PoolName, PoolState>),
-    /// To [`LedgerQuery::Partition`].
+    /// Answer to [`LedgerQuery::Partition`].
     Partition(PartitionView),
-    /// To [`LedgerOperation::AwaitSubmission`]; none if it has not ended in time.
+    /// Answer to [`LedgerOperation::AwaitSubmission`]; `None` if the submission has no result in time.
     Result(Option<SubmissionResult>),
 }
 
-/// Why a replica did not do what it was asked.
+/// Why a replica did not carry out an operation.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum LedgerRefusal {
-    /// It does not lead; nothing was appended.
+    /// The replica does not lead the partition; nothing was appended.
     #[display("not the leader")]
     NotLeader {
-        /// Who may lead.
+        /// The leader, as far as the replica knows it.
         hint: Option<LeaderAddress>,
     },
-    /// It lost leadership after appending; the command may yet be committed.
+    /// The replica lost leadership after it appended the command, which may still be committed.
     #[display("leadership was lost before the outcome was known")]
     Lost,
 }
--- a/crates/swiftshunt-node/src/peer/server.rs
+++ b/crates/swiftshunt-node/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The peer interface of a node.
+//! Server of the peer interface.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use crate::context::Context;
 use crate::fleet;
 
-/// Largest message between nodes, in bytes: a snapshot of a partition.
+/// Size limit of a request body, in bytes. The largest messages carry a snapshot of a partition.
 const MESSAGE_LIMIT: usize = 512 << 20;
 
 /// Routes of the peer interface.
