--- a/crates/swiftshunt-node/src/api/auth.rs
+++ b/crates/swiftshunt-node/src/api/auth.rs
@@ -1,4 +1,5 @@
-//! Who is calling: bearer tokens, known by their digests.
+//! Authentication of callers and operators by bearer tokens, of which only digests are stored, and
+//! admission of tenants' requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +11,18 @@
 use crate::lifecycle::{InProgress, Stage};
 use swiftshunt_http::Call;
 
-/// When a caller should come back to a node that starts or stops; another may serve at once.
+/// `Retry-After` of requests to a node that is starting or stopping. It is short, as another node may
+/// serve the request immediately.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A tenant whose request is counted as in progress.
+/// An admitted request, with its tenant.
 pub(super) struct Admitted {
     pub(super) tenant: Tenant,
     pub(super) in_progress: InProgress,
 }
 
-/// Lets in a tenant's request: the node serves, the token is known, the rate is kept.
+/// Admits a tenant's request if the node is serving, the token is known and the tenant's request rate
+/// is not exceeded.
 pub(super) fn admit(context: &Arc<Context>, call: &Call) -> Result<Admitted, Failure> {
     let in_progress = enter(context)?;
     let tenant = tenant(context, call)?;
@@ -30,9 +33,10 @@
     })
 }
 
-/// Counts a request in, unless the node starts or stops.
+/// Counts a request as in progress; fails with `Unavailable` if the node is starting or draining.
 fn enter(context: &Context) -> Result<InProgress, Failure> {
-    // Counted before the stage is looked at: a stop that begins now waits for it.
+    // The request is counted before the stage is checked, so that a stop that begins in between waits
+    // for it.
     let in_progress = context.lifecycle.enter();
     let message = match context.lifecycle.stage() {
         Stage::Serving => return Ok(in_progress),
@@ -50,7 +54,8 @@
     found.cloned().ok_or_else(unauthenticated)
 }
 
-/// The operator behind a call; operators of the settings file are known without configuration.
+/// Returns the name of the operator who sent a call. Operators of the settings file are recognised
+/// also without a fleet configuration.
 pub(super) fn operator(context: &Context, call: &Call) -> Result<String, Failure> {
     let digest = bearer_digest(call)?;
     let mut local = context.settings.operators.iter();
--- a/crates/swiftshunt-node/src/api/batches.rs
+++ b/crates/swiftshunt-node/src/api/batches.rs
@@ -1,4 +1,4 @@
-//! Batch jobs of callers.
+//! `/v1/batches`: creates, reads, lists and cancels batch jobs of a tenant.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use crate::ledger;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// Interfaces that items may call.
+/// Endpoints that a job may name.
 const ENDPOINTS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
-/// Prefix of a job's output file, followed by the job's identifier.
+/// Prefix of the identifier of a job's output file; the job's identifier follows.
 const OUTPUT_PREFIX: &str = "file-output-";
 
 /// Body of `POST /v1/batches`.
@@ -31,7 +31,7 @@
     completion_window: String,
 }
 
-/// Creates a job; with an idempotency key, the same one at every try.
+/// Creates a job. Requests with the same idempotency key create the same job.
 pub(super) async fn create(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let tenant = admitted.tenant.name.clone();
@@ -56,7 +56,8 @@
     Ok(Reply::json(&render(&job.await?)))
 }
 
-/// Creates a job over an uploaded file of the tenant.
+/// Creates a job for an uploaded file of the tenant; its deadline is `window` from the current time.
+/// Fails with `KeyReused` if the identifier belongs to a different job.
 pub(crate) async fn create_job(
     context: &Context,
     id: JobId,
@@ -87,7 +88,7 @@
     find(context, &id).await
 }
 
-/// Reads a job.
+/// Answers with a job of the tenant.
 pub(super) async fn read(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let id = JobId(call.path_parameter("id")?);
@@ -95,7 +96,7 @@
     Ok(Reply::json(&render(&job)))
 }
 
-/// Reads the tenant's jobs.
+/// Answers with the tenant's jobs.
 pub(super) async fn list(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let jobs = crate::operator::all_jobs(&context).await;
@@ -139,7 +140,7 @@
     }
 }
 
-/// Commits a command on a job.
+/// Commits a command at the partition of a job.
 pub(crate) async fn propose(
     context: &Context,
     id: &JobId,
@@ -150,7 +151,7 @@
     outcome.map_err(ledger::to_failure)
 }
 
-/// Reads a job from its leader.
+/// Reads a job from the leader of its partition, whichever tenant it belongs to.
 pub(crate) async fn find(context: &Context, id: &JobId) -> Result<Job, Failure> {
     let operation = LedgerOperation::Query(LedgerQuery::Job(id.clone()));
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
@@ -169,7 +170,8 @@
     Ok(job)
 }
 
-/// Whether a file is the output of one of the tenant's jobs.
+/// Whether a file is the output of one of the tenant's jobs. `NotFound` if it is named like an output
+/// but belongs to no job of the tenant.
 pub(super) async fn owns_output(
     context: &Context,
     tenant: &TenantName,
@@ -193,7 +195,7 @@
 const SECONDS_PER_MINUTE: u64 = 60;
 const SECONDS_PER_HOUR: u64 = 3600;
 
-/// Reads a window such as `24h` or `15m`.
+/// Parses a completion window such as `24h` or `15m`.
 fn completion_window(text: &str) -> Result<Duration, Failure> {
     let malformed = || {
         let message = "`completion_window` must be hours or minutes, such as `24h` or `15m`";
--- a/crates/swiftshunt-node/src/api/chat.rs
+++ b/crates/swiftshunt-node/src/api/chat.rs
@@ -20,10 +20,10 @@
     chat_usage_chunk, collect, completion_chunk, start, text_completion,
 };
 
-/// Header with which a caller says how long it waits, in milliseconds.
+/// Header that states how long the caller waits for the answer, in milliseconds.
 const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
 
-/// A chat completion, whole or streamed.
+/// Answers a chat request, in one body or as a stream.
 pub(super) async fn chat(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let body: ChatRequest = call.json(context.settings.limits.body_bytes).await?;
@@ -49,7 +49,7 @@
     Ok(events(answer, render, admitted.in_progress))
 }
 
-/// A text completion, whole or streamed.
+/// Answers a completion request, in one body or as a stream.
 pub(super) async fn completions(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let body: CompletionRequest = call.json(context.settings.limits.body_bytes).await?;
@@ -97,7 +97,7 @@
     })
 }
 
-/// When the caller gives up, if it says so.
+/// When the caller stops waiting; `None` without the header [`TIMEOUT_HEADER`].
 pub(super) fn deadline(context: &Context, call: &Call) -> Result<Option<Monotonic>, Failure> {
     let Some(text) = call.header(TIMEOUT_HEADER) else {
         return Ok(None);
@@ -111,7 +111,8 @@
     ))
 }
 
-/// An answer as server-sent events, closed by `[DONE]`; a failure becomes a last error event.
+/// Streams an answer as server-sent events. `[DONE]` follows the last token; after a failure the last
+/// event is the error. The request counts as in progress until the stream is dropped.
 fn events(
     answer: AnswerStream,
     render: impl Fn(&TokenEvent) -> Vec<Value> + Send + 'static,
--- a/crates/swiftshunt-node/src/api/files.rs
+++ b/crates/swiftshunt-node/src/api/files.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/files` and reads of files.
+//! `/v1/files`: uploads of files, and reads of their metadata and content.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,12 +13,12 @@
 use crate::clock::unix_seconds;
 use crate::context::{Context, random_u64};
 
-/// When a caller should come back while the log is away.
+/// `Retry-After` of failures of the log.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
-/// Bytes of form data around the file itself.
+/// Allowance for the form data around the file in an upload, in bytes.
 const FORM_OVERHEAD: usize = 64 * 1024;
 
-/// Stores an uploaded file.
+/// Stores the file of an upload form.
 pub(super) async fn upload(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let form = read_form(&context, &mut call).await?;
@@ -27,7 +27,7 @@
     Ok(Reply::json(&render(&info)))
 }
 
-/// Stores the items of a job as a file of `tenant`.
+/// Stores the input of a job as a new file of `tenant`.
 pub(super) async fn store_file(
     context: &Context,
     tenant: &TenantName,
@@ -50,7 +50,7 @@
     Ok(info)
 }
 
-/// What is known of a file.
+/// Answers with the metadata of a file of the tenant.
 pub(super) async fn info(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let id = FileId(call.path_parameter("id")?);
@@ -58,7 +58,8 @@
     Ok(Reply::json(&render(&info)))
 }
 
-/// A file's content; of a job's output, the results so far.
+/// Answers with the content of a file of the tenant. For the output of a running job, these are the
+/// results that have been written so far.
 pub(super) async fn content(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let id = FileId(call.path_parameter("id")?);
@@ -71,7 +72,7 @@
     Ok(Reply::bytes("application/jsonl", text))
 }
 
-/// A file of the tenant.
+/// Reads the metadata of a file; `NotFound` if it belongs to another tenant.
 pub(super) async fn own_file(
     context: &Context,
     tenant: &TenantName,
@@ -106,7 +107,7 @@
     }
 }
 
-/// The form of an upload.
+/// The file of an upload form.
 struct Form {
     name: String,
     content: String,
--- a/crates/swiftshunt-node/src/api/health.rs
+++ b/crates/swiftshunt-node/src/api/health.rs
@@ -9,12 +9,13 @@
 use crate::context::Context;
 use crate::lifecycle::Stage;
 
-/// The process answers.
+/// Answers 200 as long as the process handles requests.
 pub(super) async fn healthz(_context: Arc<Context>, _call: Call) -> Result<Reply, Failure> {
     Ok(Reply::json(&json!({ "status": "ok" })))
 }
 
-/// The node takes traffic, and every partition has a leader.
+/// Answers 200 if the node is serving, every partition has a known leader and the node's replicas are
+/// settled; otherwise 503.
 pub(super) async fn readyz(context: Arc<Context>, _call: Call) -> Result<Reply, Failure> {
     let partitions = context.settings.ledger.partitions;
     let led = {
@@ -37,7 +38,7 @@
     Ok(Reply::json(&body).with_status(if ready { 200 } else { 503 }))
 }
 
-/// Prometheus text.
+/// Answers with the metrics in the Prometheus text format.
 pub(super) async fn metrics(context: Arc<Context>, _call: Call) -> Result<Reply, Failure> {
     Ok(Reply::bytes(
         "text/plain; version=0.0.4",
--- a/crates/swiftshunt-node/src/api/mod.rs
+++ b/crates/swiftshunt-node/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The caller interface and the operator interface, over HTTP.
+//! HTTP interface for callers and operators.
 
 mod auth;
 mod batches;
--- a/crates/swiftshunt-node/src/api/models.rs
+++ b/crates/swiftshunt-node/src/api/models.rs
@@ -9,7 +9,7 @@
 use super::auth::admit;
 use crate::context::Context;
 
-/// The models that callers may name.
+/// Answers with the models of all pools of the fleet configuration.
 pub(super) async fn list(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let _admitted = admit(&context, &call)?;
     let history = context.configuration.borrow();
--- a/crates/swiftshunt-node/src/api/operator.rs
+++ b/crates/swiftshunt-node/src/api/operator.rs
@@ -1,4 +1,4 @@
-//! Operator statements and the fleet configuration.
+//! `/v1/operator`: executes statements, reads and publishes the fleet configuration.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::fleet::{PublishError, publish};
 use crate::operator::execute;
 
-/// Largest statement or configuration, in bytes.
+/// Size limit of a request body with a statement or a configuration, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 
 /// Body of `POST /v1/operator/statements`.
@@ -27,13 +27,13 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ConfigurationBody {
-    /// The version that the operator saw.
+    /// Version that the configuration is based on.
     base: u64,
-    /// The whole configuration, as TOML.
+    /// The complete configuration as TOML.
     toml: String,
 }
 
-/// Carries out one statement.
+/// Executes one statement and answers with its table.
 pub(super) async fn statement(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let author = operator(&context, &call)?;
     let body: StatementBody = call.json(BODY_LIMIT).await?;
@@ -41,7 +41,7 @@
     Ok(Reply::json(&table))
 }
 
-/// The configuration in force at this node.
+/// Answers with the configuration in force at this node.
 pub(super) async fn read_configuration(
     context: Arc<Context>,
     call: Call,
@@ -55,7 +55,7 @@
     })))
 }
 
-/// Publishes a configuration; answers once it is decided whether it is in force.
+/// Publishes a configuration. Answers once it is in force, was refused, or its outcome stays unknown.
 pub(super) async fn publish_configuration(
     context: Arc<Context>,
     mut call: Call,
--- a/crates/swiftshunt-node/src/api/submissions.rs
+++ b/crates/swiftshunt-node/src/api/submissions.rs
@@ -14,20 +14,20 @@
 use crate::context::Context;
 use crate::submissions::{self, SubmitRequest};
 
-/// Header with the caller's key.
+/// Header with the idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
-/// Longest key, in bytes.
+/// Limit of the length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
 /// Body of a submission.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct SubmissionBody {
-    /// The pool whose workers perform it.
+    /// The pool whose workers execute the submission.
     pool: PoolName,
-    /// What the worker receives.
+    /// The request body that the worker receives.
     input: Value,
-    /// Whether it may be sent to a worker more than once, under the same key.
+    /// Whether the submission may be sent to a worker more than once, under the same identifier.
     #[serde(default = "repeatable_by_default")]
     repeatable: bool,
 }
@@ -36,7 +36,7 @@
     true
 }
 
-/// Takes a submission in and answers with its result.
+/// Accepts a submission and answers with its result, or with 202 if it is not known in time.
 pub(super) async fn submit(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let key = idempotency_key(&call)?;
@@ -58,7 +58,7 @@
     Ok(render(&id, result.as_ref()))
 }
 
-/// Reads a submission.
+/// Answers with the state of a submission of the tenant.
 pub(super) async fn read(context: Arc<Context>, call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let id = SubmissionId(call.path_parameter("id")?);
@@ -70,7 +70,7 @@
     Ok(render(&id, result))
 }
 
-/// The same bytes on every node: made of nothing but what is recorded.
+/// Builds the answer from recorded state alone, so that all nodes answer with the same bytes.
 fn render(id: &SubmissionId, result: Option<&SubmissionResult>) -> Reply {
     let object = |status: &str, result: Value| json!({ "id": id, "object": "submission", "status": status, "result": result });
     match result {
--- a/crates/swiftshunt-node/src/operator/commands.rs
+++ b/crates/swiftshunt-node/src/operator/commands.rs
@@ -1,5 +1,5 @@
-//! Statements that change something. Conflicting ones are ordered by the ledger, and each author is
-//! told what came of the own one.
+//! Statements that change state. The ledger orders conflicting statements, and each author receives the
+//! outcome of its own statement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::context::{Context, random_u64};
 use crate::lock;
 
-/// Interface that items call if their lines do not say.
+/// Endpoint of items whose line names none.
 const DEFAULT_ENDPOINT: &str = "/v1/chat/completions";
 
 pub(super) async fn execute(
--- a/crates/swiftshunt-node/src/operator/declarations.rs
+++ b/crates/swiftshunt-node/src/operator/declarations.rs
@@ -1,4 +1,4 @@
-//! Events and serving targets: declared by operators, kept by the pool's partition.
+//! Statements on events and serving targets, which are stored in the partition of their pool.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -15,7 +15,7 @@
 use crate::context::Context;
 use crate::ledger;
 
-/// Carries out a statement on events or targets.
+/// Executes a statement on events or targets.
 pub(super) async fn execute(
     context: &Context,
     author: &str,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Drops a declaration from whichever pool holds it.
+/// Drops an event or target by its name, from the first pool that contains it.
 async fn drop_from(
     context: &Context,
     kind: &str,
@@ -142,7 +142,8 @@
     Err(Failure::not_run(ErrorKind::ModelNotFound, message))
 }
 
-/// Reads `+DURATION` from now, or a date and time in UTC; in seconds of Unix time.
+/// Parses `+DURATION`, counted from the current time, or a date and time in UTC. Returns seconds of
+/// Unix time.
 fn parse_time(text: &str, clause: &str) -> Result<u64, Failure> {
     let from_now = text.strip_prefix('+').map(humantime::parse_duration);
     let seconds = match from_now {
--- a/crates/swiftshunt-node/src/operator/mod.rs
+++ b/crates/swiftshunt-node/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operator statements: what is read, and what is done.
+//! Execution of operator statements.
 
 mod commands;
 mod declarations;
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 
-/// Carries out one statement for `author`.
+/// Parses and executes one statement of the operator `author`.
 pub(crate) async fn execute(
     context: &Arc<Context>,
     author: &str,
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that `show` reads, and the decisions that `explain` tells.
+//! Tables that the statements `show` and `explain` return.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// Reads a table.
+/// Builds the rows of a table, before the statement's conditions are applied.
 pub(super) async fn read(context: &Arc<Context>, table: TableName) -> Result<Table, Failure> {
     match table {
         TableName::Nodes => Ok(nodes(context)),
@@ -31,7 +31,8 @@
     }
 }
 
-/// Tells every decision about something, from this node and its peers.
+/// Collects the decisions about a subject from this node and the peers that answer, oldest first.
+/// `NotFound` if there are none.
 pub(super) async fn explain(
     context: &Arc<Context>,
     subject: ExplainSubject,
@@ -120,7 +121,8 @@
     table
 }
 
-/// Asks every partition's leader at once; partitions without a leader are left out.
+/// Sends a query to the leaders of all partitions concurrently. Partitions that do not answer are left
+/// out.
 async fn query_all_partitions(context: &Context, query: LedgerQuery) -> Vec<LedgerAnswer> {
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let partitions = 0..context.settings.ledger.partitions;
@@ -131,7 +133,7 @@
     join_all(requests).await.into_iter().flatten().collect()
 }
 
-/// Every job of the fleet.
+/// All jobs of the fleet, except those of partitions that do not answer.
 pub(crate) async fn all_jobs(context: &Context) -> Vec<Job> {
     let answers = query_all_partitions(context, LedgerQuery::Jobs).await;
     let jobs = answers.into_iter().filter_map(|answer| match answer {
@@ -187,7 +189,7 @@
     table
 }
 
-/// What is declared of every pool of the fleet.
+/// Events, targets and orders of all pools, except those of partitions that do not answer.
 pub(super) async fn all_pools(context: &Context) -> Vec<(PoolName, PoolState)> {
     let answers = query_all_partitions(context, LedgerQuery::Pools).await;
     let pools = answers.into_iter().filter_map(|answer| match answer {
@@ -344,7 +346,7 @@
     table
 }
 
-/// The configuration in force at each node.
+/// The version and author of the configuration in force at each reachable member.
 async fn configuration(context: &Context) -> Table {
     let mut table = Table::new(&["node", "zone", "version", "author"]);
     let requests = members(context).into_iter().map(|member| async move {
