--- a/crates/swiftshunt-node/src/api/auth.rs
+++ b/crates/swiftshunt-node/src/api/auth.rs
@@ -24,7 +24,7 @@
 /// Admits a tenant's request if the node is serving, the token is known and the tenant's request rate
 /// is not exceeded.
 pub(super) fn admit(context: &Arc<Context>, call: &Call) -> Result<Admitted, Failure> {
-    let in_progress = enter(context)?;
+    let in_progress = start_request(context)?;
     let tenant = tenant(context, call)?;
     context.limiter.admit(&tenant, context.clock.now())?;
     Ok(Admitted {
@@ -34,10 +34,10 @@
 }
 
 /// Counts a request as in progress; fails with `Unavailable` if the node is starting or draining.
-fn enter(context: &Context) -> Result<InProgress, Failure> {
+fn start_request(context: &Context) -> Result<InProgress, Failure> {
     // The request is counted before the stage is checked, so that a stop that begins in between waits
     // for it.
-    let in_progress = context.lifecycle.enter();
+    let in_progress = context.lifecycle.start_request();
     let message = match context.lifecycle.stage() {
         Stage::Serving => return Ok(in_progress),
         Stage::Starting => "this node has no configuration yet",
--- a/crates/swiftshunt-node/src/api/mod.rs
+++ b/crates/swiftshunt-node/src/api/mod.rs
@@ -25,12 +25,12 @@
         .push(Router::with_path("metrics").get(endpoint(context, health::metrics)))
         .push(
             Router::with_path("v1")
-                .push(callers(context))
-                .push(operators(context)),
+                .push(caller_routes(context))
+                .push(operator_routes(context)),
         )
 }
 
-fn callers(context: &Arc<Context>) -> Router {
+fn caller_routes(context: &Arc<Context>) -> Router {
     Router::new()
         .push(Router::with_path("chat/completions").post(endpoint(context, chat::chat)))
         .push(Router::with_path("completions").post(endpoint(context, chat::completions)))
@@ -49,7 +49,7 @@
         .push(Router::with_path("batches/{id}/cancel").post(endpoint(context, batches::cancel)))
 }
 
-fn operators(context: &Arc<Context>) -> Router {
+fn operator_routes(context: &Arc<Context>) -> Router {
     Router::with_path("operator")
         .push(Router::with_path("statements").post(endpoint(context, operator::statement)))
         .push(
--- a/crates/swiftshunt-node/src/context.rs
+++ b/crates/swiftshunt-node/src/context.rs
@@ -70,7 +70,7 @@
 
 impl Routes {
     /// Merges a hint, and disseminates it if it changes the table.
-    pub(crate) fn take(&mut self, hint: LeaderHint, fleet_size: usize) {
+    pub(crate) fn merge(&mut self, hint: LeaderHint, fleet_size: usize) {
         if self.table.merge(hint) {
             self.version += 1;
             self.updates.announce(hint.partition, fleet_size);
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -100,17 +100,17 @@
 
 /// Fetches the configuration from a peer and adopts it if it is newer.
 pub(crate) async fn fetch(context: Arc<Context>, peer: SocketAddr) {
-    let Ok(theirs) = context.peers.configuration(peer).await else {
+    let Ok(peer_history) = context.peers.configuration(peer).await else {
         return;
     };
-    adopt(&context, theirs);
+    adopt(&context, peer_history);
 }
 
-fn adopt(context: &Context, theirs: ConfigurationHistory) {
-    let version = theirs.version;
+fn adopt(context: &Context, peer_history: ConfigurationHistory) {
+    let version = peer_history.version;
     let is_newer = context
         .configuration
-        .send_if_modified(|history| history.adopt(theirs));
+        .send_if_modified(|history| history.adopt(peer_history));
     if is_newer {
         record_version_metric(context);
         log::info!(version = version; "configuration in force, fetched from a peer");
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -200,7 +200,7 @@
     let fleet_size = lock(&context.membership).records().count();
     let mut routes = lock(&context.routes);
     for hint in hints {
-        routes.take(hint, fleet_size);
+        routes.merge(hint, fleet_size);
     }
 }
 
@@ -215,20 +215,20 @@
 }
 
 /// Fetches the configuration and the machine list from a peer, each if the peer's version is newer.
-fn fetch_newer_state(context: &Arc<Context>, theirs: StateVersions, peer: SocketAddr) {
-    let ours = versions(context);
-    if theirs.configuration > ours.configuration {
+fn fetch_newer_state(context: &Arc<Context>, peer_versions: StateVersions, peer: SocketAddr) {
+    let own_versions = versions(context);
+    if peer_versions.configuration > own_versions.configuration {
         tokio::spawn(super::configuration::fetch(Arc::clone(context), peer));
     }
-    if theirs.machines > ours.machines {
+    if peer_versions.machines > own_versions.machines {
         tokio::spawn(super::machines::fetch(Arc::clone(context), peer));
     }
 }
 
 /// Starts serving if this node's configuration is at least as new as that of the peer.
-fn start_serving_if_current(context: &Context, theirs: StateVersions) {
-    let ours = versions(context).configuration;
-    if ours > 0 && ours >= theirs.configuration {
+fn start_serving_if_current(context: &Context, peer_versions: StateVersions) {
+    let own_version = versions(context).configuration;
+    if own_version > 0 && own_version >= peer_versions.configuration {
         context.lifecycle.start_serving();
     }
 }
--- a/crates/swiftshunt-node/src/ledger/hints.rs
+++ b/crates/swiftshunt-node/src/ledger/hints.rs
@@ -55,6 +55,6 @@
         };
         let fleet_size = lock(&context.membership).records().count();
         let mut routes = lock(&context.routes);
-        routes.take(hint, fleet_size);
+        routes.merge(hint, fleet_size);
     }
 }
--- a/crates/swiftshunt-node/src/lifecycle.rs
+++ b/crates/swiftshunt-node/src/lifecycle.rs
@@ -75,7 +75,7 @@
     }
 
     /// Counts a request as in progress, in any stage.
-    pub(crate) fn enter(&self) -> InProgress {
+    pub(crate) fn start_request(&self) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::AcqRel);
         InProgress(Arc::clone(&self.in_progress))
     }
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -31,11 +31,12 @@
 /// as outcome unknown: an earlier leader may still be about to send it.
 const NOT_STARTED_SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// Timeout of one query for the state of an execution.
-const INQUIRY_TIMEOUT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long recording a result is retried. After that, the next leader reads it from the worker.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs one submission until it has completed or `stopped` is cancelled at the end of this leadership.
+/// Runs one submission until it has completed. Returns earlier if `stopped` is cancelled, the partition
+/// does not answer as leader, or the lease has expired before a send.
 pub(crate) async fn run_submission(
     context: Arc<Context>,
     partition: PartitionId,
@@ -230,9 +231,7 @@
                 QueryResult::Unreachable if elapsed >= WORKER_LOST_TIMEOUT => {
                     return self.on_worker_lost(request, dispatch).await;
                 }
-                QueryResult::Unlisted => {
-                    return self.on_worker_lost(request, dispatch).await;
-                }
+                QueryResult::Unlisted => return self.on_worker_lost(request, dispatch).await,
                 QueryResult::NotStarted | QueryResult::Unreachable => {}
             }
             let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
@@ -246,7 +245,7 @@
             return QueryResult::Unlisted;
         };
         let workers = &self.context.submission_workers;
-        match workers.look_up(address, &self.id, INQUIRY_TIMEOUT).await {
+        match workers.look_up(address, &self.id, QUERY_TIMEOUT).await {
             Ok(ExecutionState::Finished { answer }) => QueryResult::Finished(answer),
             Ok(ExecutionState::Running) => QueryResult::Running,
             Ok(ExecutionState::NotStarted) => QueryResult::NotStarted,
@@ -335,7 +334,7 @@
         InFlight {
             context: Arc::clone(&self.context),
             worker: worker.clone(),
-            _in_progress: self.context.lifecycle.enter(),
+            _in_progress: self.context.lifecycle.start_request(),
         }
     }
 
