--- a/crates/swiftshunt-node/src/api/auth.rs
+++ b/crates/swiftshunt-node/src/api/auth.rs
@@ -11,7 +11,7 @@
 use crate::lifecycle::{InProgress, Stage};
 use swiftshunt_http::Call;
 
-/// `Retry-After` of requests to a node that is starting or stopping. It is short, as another node may
+/// `Retry-After` of refusals by a node that is starting or stopping. It is short, as another node may
 /// serve the request immediately.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
--- a/crates/swiftshunt-node/src/batch/files.rs
+++ b/crates/swiftshunt-node/src/batch/files.rs
@@ -31,7 +31,7 @@
     pub(crate) tenant: TenantName,
     pub(crate) name: String,
     pub(crate) purpose: FilePurpose,
-    /// In seconds of Unix time.
+    /// Creation time in seconds of Unix time.
     pub(crate) created: u64,
     pub(crate) bytes: u64,
     pub(crate) lines: u32,
@@ -153,30 +153,30 @@
 
 async fn replay(log: &dyn LogService, file: &FileId) -> Result<ReplayedFile, FileError> {
     let stream = StreamName::file(file);
-    let mut content = ReplayedFile::default();
+    let mut replayed = ReplayedFile::default();
     for bytes in read_all(log, &stream, 0).await? {
         let record = decode_cbor(&bytes).map_err(|reason| FileError::BadRecord { reason })?;
         match record {
             FileRecord::Lines { chunk, lines } => {
-                content.chunks.entry(chunk).or_insert(lines);
+                replayed.chunks.entry(chunk).or_insert(lines);
             }
             FileRecord::End { info, chunks } => {
-                content.end.get_or_insert((info, chunks));
+                replayed.end.get_or_insert((info, chunks));
             }
             FileRecord::Results(results) => {
                 for result in results {
-                    content.results.entry(result.index).or_insert(result.line);
+                    replayed.results.entry(result.index).or_insert(result.line);
                 }
             }
         }
     }
-    Ok(content)
+    Ok(replayed)
 }
 
 /// Reads the metadata of an uploaded file.
 pub(crate) async fn read_info(log: &dyn LogService, file: &FileId) -> Result<FileInfo, FileError> {
-    let content = replay(log, file).await?;
-    content.complete_end().map(|(info, _)| info.clone())
+    let replayed = replay(log, file).await?;
+    replayed.complete_end().map(|(info, _)| info.clone())
 }
 
 /// Reads the lines of an uploaded file.
@@ -184,9 +184,9 @@
     log: &dyn LogService,
     file: &FileId,
 ) -> Result<Vec<String>, FileError> {
-    let content = replay(log, file).await?;
-    content.complete_end()?;
-    Ok(content.chunks.into_values().flatten().collect())
+    let replayed = replay(log, file).await?;
+    replayed.complete_end()?;
+    Ok(replayed.chunks.into_values().flatten().collect())
 }
 
 /// Reads the results in a job's output, by index of the item; of several results of an item, the first
@@ -200,12 +200,12 @@
 
 /// Reads the text of an uploaded file or of a job's output.
 pub(crate) async fn read_content(log: &dyn LogService, file: &FileId) -> Result<String, FileError> {
-    let content = replay(log, file).await?;
-    let lines: Vec<String> = if content.results.is_empty() {
-        content.complete_end()?;
-        content.chunks.into_values().flatten().collect()
+    let replayed = replay(log, file).await?;
+    let lines: Vec<String> = if replayed.results.is_empty() {
+        replayed.complete_end()?;
+        replayed.chunks.into_values().flatten().collect()
     } else {
-        content.results.into_values().collect()
+        replayed.results.into_values().collect()
     };
     let mut text = lines.join("\n");
     text.push('\n');
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -16,7 +16,7 @@
 use super::slots::Slot;
 use crate::context::Context;
 use crate::ledger::LeaseClock;
-use crate::online::CompleteAnswer;
+use crate::online::AnswerText;
 use crate::online::{ChatRequest, CompletionRequest, chat_completion, text_completion};
 
 /// Timeout for an engine to accept a request and send the response head.
@@ -56,9 +56,9 @@
     pub(super) job: swiftshunt_types::JobId,
     /// Endpoint of items whose line names none.
     pub(super) endpoint: String,
-    /// In seconds of Unix time.
+    /// Deadline of the job in seconds of Unix time.
     pub(super) deadline: u64,
-    /// In seconds of Unix time.
+    /// Creation time of the job in seconds of Unix time.
     pub(super) created: u64,
     pub(super) lease: LeaseClock,
     pub(super) stopped: CancellationToken,
@@ -146,7 +146,7 @@
     }
 
     async fn run_item(&self, item: Item, remaining: u32) -> Option<ItemResult> {
-        let mut partial = CompleteAnswer::empty();
+        let mut partial = AnswerText::empty();
         loop {
             let slot = tokio::select! {
                 slot = self.context.batch.acquire(&self.job, &item.pool, self.deadline, remaining) => slot?,
@@ -173,12 +173,7 @@
     }
 
     /// Generates in one slot until the answer is complete or the slot is lost.
-    async fn run_in_slot(
-        &self,
-        item: &Item,
-        slot: &Slot,
-        partial: &mut CompleteAnswer,
-    ) -> SlotOutcome {
+    async fn run_in_slot(&self, item: &Item, slot: &Slot, partial: &mut AnswerText) -> SlotOutcome {
         let request = GenerateRequest {
             resume_from: partial.tokens,
             ..item.request.clone()
@@ -240,7 +235,7 @@
         drop(engines.cancel(slot.address, request, CANCEL_TIMEOUT).await);
     }
 
-    fn result(&self, item: &Item, answer: &CompleteAnswer) -> ItemResult {
+    fn result(&self, item: &Item, answer: &AnswerText) -> ItemResult {
         let request = &item.request;
         let id = request.request.as_str();
         let render = if item.is_chat {
@@ -270,11 +265,7 @@
     Unusable,
 }
 
-fn apply_event(
-    event: &TokenEvent,
-    request: &RequestId,
-    partial: &mut CompleteAnswer,
-) -> EventEffect {
+fn apply_event(event: &TokenEvent, request: &RequestId, partial: &mut AnswerText) -> EventEffect {
     if event.request != *request || event.index > partial.tokens {
         return EventEffect::Unusable;
     }
--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -43,7 +43,7 @@
 /// The items of a job that wait for a slot.
 struct Queue {
     pool: PoolName,
-    /// In seconds of Unix time.
+    /// Deadline of the job in seconds of Unix time.
     deadline: u64,
     /// Items that the job has yet to complete.
     remaining: u32,
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -91,9 +91,9 @@
 /// Starts serving at the end of the stream if a configuration is in force. Without reachable peers,
 /// this is the only way for a node to start serving.
 fn start_serving_if_configured(context: &Context) {
-    let starting = context.lifecycle.stage() == Stage::Starting;
-    let configured = context.configuration.borrow().version > 0;
-    if starting && configured {
+    let is_starting = context.lifecycle.stage() == Stage::Starting;
+    let is_configured = context.configuration.borrow().version > 0;
+    if is_starting && is_configured {
         context.lifecycle.start_serving();
     }
 }
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -75,7 +75,7 @@
 async fn probe(context: Arc<Context>, plan: ProbePlan) {
     let target = plan.target;
     let mut message = own_gossip(&context, false);
-    // The target's own record is always included, so that the target can refute a suspicion.
+    // This node's record of the target is always included, so that the target can refute a suspicion.
     let target_record = lock(&context.membership).record(target.id).cloned();
     message.members.extend(target_record);
     let timeout = context.settings.membership.probe_timeout;
--- a/crates/swiftshunt-node/src/fleet/loads.rs
+++ b/crates/swiftshunt-node/src/fleet/loads.rs
@@ -69,7 +69,7 @@
 }
 
 async fn read_load(context: Arc<Context>, id: WorkerId, address: SocketAddr) {
-    let asked_at = context.clock.now();
+    let requested_at = context.clock.now();
     let timeout = context.settings.scheduler.load_interval * 2;
     match context.engines.load(address, timeout).await {
         Ok(load) => {
@@ -80,11 +80,11 @@
                 slots: load.slots,
                 leaving: load.leaving,
             };
-            lock(&context.workers).record_report(&id, report, load.models, asked_at);
+            lock(&context.workers).record_report(&id, report, load.models, requested_at);
         }
         // Behind a proxy or load balancer, a worker that has gone shows as a connection that breaks off.
         Err(HttpError::NotConnected { .. } | HttpError::BrokenOff { .. }) => {
-            lock(&context.workers).record_connection_failure(&id, asked_at);
+            lock(&context.workers).record_connection_failure(&id, requested_at);
         }
         Err(_) => {}
     }
--- a/crates/swiftshunt-node/src/node.rs
+++ b/crates/swiftshunt-node/src/node.rs
@@ -114,7 +114,8 @@
     }
 
     /// Stops the node in order: refuses new requests, finishes those in progress, hands over the
-    /// partitions that it leads, announces its departure and ends its tasks. Each wait has a timeout.
+    /// partitions that it leads, announces its departure and ends its tasks. The waits for requests, for
+    /// the hand-over and for connections to close have timeouts.
     pub async fn stop(mut self) {
         let context = &Arc::clone(&self.context);
         context.lifecycle.start_draining();
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -53,14 +53,14 @@
 
 /// The text of an answer, as far as it has been received.
 #[derive(Clone, Debug)]
-pub(crate) struct CompleteAnswer {
+pub(crate) struct AnswerText {
     pub(crate) text: String,
     pub(crate) tokens: u32,
     /// Only meaningful once the answer has ended.
     pub(crate) finish: FinishReason,
 }
 
-impl CompleteAnswer {
+impl AnswerText {
     /// An answer without tokens.
     pub(crate) fn empty() -> Self {
         Self {
@@ -92,8 +92,8 @@
 }
 
 /// Reads an answer stream to its end. Fails if the stream ends without a finish reason.
-pub(crate) async fn collect(mut answer: AnswerStream) -> Result<CompleteAnswer, Failure> {
-    let mut complete = CompleteAnswer::empty();
+pub(crate) async fn collect(mut answer: AnswerStream) -> Result<AnswerText, Failure> {
+    let mut complete = AnswerText::empty();
     while let Some(event) = answer.events.recv().await {
         let event = event?;
         complete.text.push_str(&event.text);
@@ -141,7 +141,8 @@
 }
 
 impl AnswerTask {
-    /// Tries engines until one accepts the request, no engine is left or the retry budget is spent.
+    /// Tries engines until one accepts the request. Fails if an engine refuses it as invalid, no engine is
+    /// available, the deadline passes or the retry budget is spent.
     async fn open_with_retries(&mut self) -> Result<EngineStream, Failure> {
         loop {
             let (worker, address) = self.choose_engine()?;
--- a/crates/swiftshunt-node/src/online/openai.rs
+++ b/crates/swiftshunt-node/src/online/openai.rs
@@ -5,7 +5,7 @@
 use swiftshunt_backends::engine::{FinishReason, TokenEvent};
 use swiftshunt_types::{ErrorKind, Failure, ModelName};
 
-use super::answer::CompleteAnswer;
+use super::answer::AnswerText;
 
 /// Token limit of requests that set none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
@@ -156,7 +156,7 @@
     created: u64,
     model: &ModelName,
     prompt: &str,
-    answer: &CompleteAnswer,
+    answer: &AnswerText,
 ) -> Value {
     json!({
         "id": format!("chatcmpl-{id}"),
@@ -179,7 +179,7 @@
     created: u64,
     model: &ModelName,
     prompt: &str,
-    answer: &CompleteAnswer,
+    answer: &AnswerText,
 ) -> Value {
     json!({
         "id": format!("cmpl-{id}"),
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// Collects the decisions about a subject from this node and the peers that answer, oldest first.
+/// Collects the decisions about a subject from this node and the peers that answer, ordered by time.
 /// `NotFound` if there are none.
 pub(super) async fn explain(
     context: &Arc<Context>,
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -266,8 +266,8 @@
         }
     }
 
-    /// Handles a worker that cannot be queried: dispatches a repeatable submission to another worker,
-    /// settles any other as outcome unknown.
+    /// Handles a worker that cannot be queried: dispatches a repeatable submission again, to another
+    /// worker if there is one, and settles any other submission as outcome unknown.
     async fn on_worker_lost(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         if !request.repeatable {
             return self.settle_as_unknown(dispatch, "the worker cannot be reached");
