--- a/crates/swiftshunt-node/src/batch/files.rs
+++ b/crates/swiftshunt-node/src/batch/files.rs
@@ -14,7 +14,7 @@
 use swiftshunt_scheduler::retry::backoff;
 use swiftshunt_types::{FileId, TenantName};
 
-/// Purpose of a file.
+/// What the lines of a file are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FilePurpose {
@@ -173,13 +173,13 @@
     Ok(replayed)
 }
 
-/// Reads the metadata of an uploaded file.
+/// Reads the metadata of an uploaded file; `NotFound` unless its upload is complete.
 pub(crate) async fn read_info(log: &dyn LogService, file: &FileId) -> Result<FileInfo, FileError> {
     let replayed = replay(log, file).await?;
     replayed.complete_end().map(|(info, _)| info.clone())
 }
 
-/// Reads the lines of an uploaded file.
+/// Reads the lines of an uploaded file; `NotFound` unless its upload is complete.
 pub(crate) async fn read_lines(
     log: &dyn LogService,
     file: &FileId,
@@ -221,7 +221,7 @@
     }
 }
 
-/// Writer of a job's output.
+/// Appends results of items to a job's output.
 pub(crate) struct OutputWriter {
     log: Arc<dyn LogService>,
     stream: StreamName,
--- a/crates/swiftshunt-node/src/batch/grants.rs
+++ b/crates/swiftshunt-node/src/batch/grants.rs
@@ -111,6 +111,7 @@
     }
 }
 
+/// Requests grants from one granter. `None` if its address is unknown or it does not answer in time.
 async fn request_grants(
     context: &Context,
     granter: NodeId,
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -23,7 +23,7 @@
 const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of one cancel call to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before the next slot after an engine failed to accept an item.
+/// Delay before an item waits for another slot after an engine failed to accept it.
 const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Delay before an expired lease is checked again.
 const LEASE_RECHECK_DELAY: Duration = Duration::from_millis(50);
@@ -77,7 +77,8 @@
 }
 
 impl ItemRunner {
-    /// Runs one line of the input; `None` if the job or the leadership ended first.
+    /// Runs one line of the input; `None` if the job or the leadership ended first. `remaining` is the
+    /// number of items that were incomplete when the job started on this node.
     pub(super) async fn run(&self, index: u32, line: &str, remaining: u32) -> Option<ItemResult> {
         match self.parse(index, line) {
             Ok(item) => self.run_item(item, remaining).await,
--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -19,7 +19,7 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Interval at which slots are reviewed without a change notification.
+/// Longest time between two reviews of the slots while no change is notified.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(10);
 /// Assumed time per item from which the slack of a job is computed, in seconds.
 const ASSUMED_SECONDS_PER_ITEM: f64 = 0.5;
@@ -45,7 +45,7 @@
     pool: PoolName,
     /// Deadline of the job in seconds of Unix time.
     deadline: u64,
-    /// Items that the job has yet to complete.
+    /// Number of items that were incomplete when the job started on this node.
     remaining: u32,
     waiting: VecDeque<oneshot::Sender<Slot>>,
 }
@@ -77,8 +77,8 @@
 }
 
 impl BatchState {
-    /// Waits for a slot for an item of `job`. `deadline` is in seconds of Unix time, `remaining` counts
-    /// the items that the job has yet to complete. `None` if the wait was dropped without a slot.
+    /// Waits for a slot for an item of `job`. `deadline` is in seconds of Unix time, `remaining` is the
+    /// number of items that were incomplete when the job started on this node. `None` if the wait was dropped without a slot.
     pub(crate) async fn acquire(
         &self,
         job: &JobId,
@@ -138,7 +138,7 @@
         wanted
     }
 
-    /// Replaces the grants of a pool in a zone.
+    /// Replaces the grants of a pool in a zone; the new ones all expire at `expires_at`.
     pub(super) fn set_granted(
         &self,
         pool: &PoolName,
@@ -161,6 +161,7 @@
         self.notify_changed();
     }
 
+    /// Gives free granted slots to waiting items, the jobs with the least slack first.
     fn assign_slots(&self, context: &Arc<Context>) {
         let mut queues = lock(&self.queues);
         queues.retain(|_, queue| {
@@ -230,35 +231,37 @@
         let running = lock(&self.running);
         let granted = lock(&self.granted);
         let now = context.clock.now();
-        for (id, slots) in running.iter() {
+        for (id, items) in running.iter() {
             let held = granted.get(id).filter(|held| now < held.expires_at);
             let mut allowed = held.map_or(0, |held| held.slots);
             if let Some(worker) = workers.get(id).filter(|worker| worker.own_online > 0) {
                 let scheduler = &context.settings.scheduler;
                 allowed = allowed.min(batch_slots(worker, 0, scheduler));
             }
-            let active = slots.iter().filter(|slot| !slot.preempted.is_cancelled());
+            let active = items.iter().filter(|item| !item.preempted.is_cancelled());
             let active: Vec<&RunningItem> = active.collect();
             let excess = active.len().saturating_sub(allowed as usize);
-            for slot in active.into_iter().rev().take(excess) {
-                slot.preempted.cancel();
+            for item in active.into_iter().rev().take(excess) {
+                item.preempted.cancel();
                 context.metrics.preempted_items.inc();
             }
         }
     }
 
+    /// Frees a slot and removes its item from the running items.
     fn release(&self, context: &Context, slot: &Slot) {
         if let Some(worker) = lock(&context.workers).get_mut(&slot.worker) {
             worker.own_batch = worker.own_batch.saturating_sub(1);
         }
         slot.preempted.cancel();
         let mut running = lock(&self.running);
-        if let Some(slots) = running.get_mut(&slot.worker) {
-            let own = slots
+        if let Some(items) = running.get_mut(&slot.worker) {
+            // Entries of cancelled items of one pool are interchangeable, so any of them may be removed.
+            let cancelled = items
                 .iter()
-                .position(|held| held.pool == slot.pool && held.preempted.is_cancelled());
-            if let Some(index) = own {
-                slots.remove(index);
+                .position(|item| item.pool == slot.pool && item.preempted.is_cancelled());
+            if let Some(index) = cancelled {
+                items.remove(index);
             }
         }
         drop(running);
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -55,6 +55,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerText {
     pub(crate) text: String,
+    /// Number of tokens in `text`.
     pub(crate) tokens: u32,
     /// Only meaningful once the answer has ended.
     pub(crate) finish: FinishReason,
@@ -71,7 +72,7 @@
     }
 }
 
-/// Starts an answer. Returns once an engine has accepted the request, or with the reason why none did.
+/// Starts an answer. Returns once an engine has accepted the request; fails with the reason if none does.
 pub(crate) async fn start(
     context: &Arc<Context>,
     request: AnswerRequest,
@@ -93,15 +94,15 @@
 
 /// Reads an answer stream to its end. Fails if the stream ends without a finish reason.
 pub(crate) async fn collect(mut answer: AnswerStream) -> Result<AnswerText, Failure> {
-    let mut complete = AnswerText::empty();
+    let mut received = AnswerText::empty();
     while let Some(event) = answer.events.recv().await {
         let event = event?;
-        complete.text.push_str(&event.text);
+        received.text.push_str(&event.text);
         if let Some(finish) = event.finish {
-            complete.finish = finish;
-            return Ok(complete);
+            received.finish = finish;
+            return Ok(received);
         }
-        complete.tokens += 1;
+        received.tokens += 1;
     }
     Err(Failure::unknown(
         ErrorKind::WorkerFailed,
@@ -161,12 +162,13 @@
                     reason
                 }
             };
-            self.explain(format!("give up worker {worker}"), reason);
+            self.record_decision(format!("give up worker {worker}"), reason);
             self.excluded.push(worker);
             self.try_take_retry()?;
         }
     }
 
+    /// Chooses an engine of the pool that has not failed this request.
     fn choose_engine(&self) -> Result<(WorkerId, SocketAddr), Failure> {
         if self.is_expired() {
             return Err(self.failure(ErrorKind::DeadlineExceeded, "the deadline passed"));
@@ -194,6 +196,7 @@
         }
     }
 
+    /// Sends the request to one engine, from the first token that has not been relayed.
     async fn open_stream(
         &self,
         worker: WorkerId,
@@ -208,7 +211,7 @@
             priority: Priority::Online,
             resume_from: self.next_index,
         };
-        self.explain(
+        self.record_decision(
             format!("send to worker {worker} from token {}", self.next_index),
             format!(
                 "prefix affinity within the load bound of pool {}",
@@ -247,7 +250,7 @@
                 }
                 RelayEnd::Broken(reason) => reason,
             };
-            self.explain(
+            self.record_decision(
                 format!("resume elsewhere than on worker {}", engine.worker),
                 reason,
             );
@@ -263,12 +266,14 @@
         }
     }
 
+    /// Opens a stream on another engine after one failed. Takes a retry from the budget.
     async fn resume(&mut self) -> Result<EngineStream, Failure> {
         self.try_take_retry()?;
         self.context.metrics.resumed_streams.inc();
         self.open_with_retries().await
     }
 
+    /// Relays the tokens of one engine until its stream ends or cannot be used further.
     async fn relay_engine(
         &mut self,
         engine: &mut EngineStream,
@@ -322,20 +327,21 @@
         }
     }
 
-    /// Timeout for the next token: the configured one, cut at the request's deadline.
+    /// Timeout for the next token: the configured one, but at most the time left until the request's
+    /// deadline.
     fn next_token_timeout(&self) -> Duration {
         let scheduler = &self.context.settings.scheduler;
-        let wait = if self.next_index == 0 {
+        let timeout = if self.next_index == 0 {
             scheduler.first_token_timeout
         } else {
             scheduler.token_timeout
         };
         let now = self.context.clock.now();
-        let left = self
+        let remaining = self
             .request
             .deadline
             .map(|deadline| deadline.saturating_sub(now));
-        left.map_or(wait, |left| wait.min(left))
+        remaining.map_or(timeout, |remaining| timeout.min(remaining))
     }
 
     fn is_expired(&self) -> bool {
@@ -365,6 +371,7 @@
         ))
     }
 
+    /// A failure that says whether any engine may have started to run the request.
     fn failure(&self, kind: ErrorKind, message: &str) -> Failure {
         let failure = if self.may_have_started {
             Failure::unknown(kind, message)
@@ -374,7 +381,8 @@
         failure.with_retry_after(RETRY_AFTER)
     }
 
-    fn explain(&self, decision: String, reason: String) {
+    /// Adds a decision about this request to the decisions that operators can read.
+    fn record_decision(&self, decision: String, reason: String) {
         let subject = format!("request {}", self.request.id);
         self.context.decisions.record(subject, decision, reason);
     }
