--- a/crates/swiftshunt-node/src/api/batches.rs
+++ b/crates/swiftshunt-node/src/api/batches.rs
@@ -31,7 +31,7 @@
     completion_window: String,
 }
 
-/// Creates a job. Requests with the same idempotency key create the same job.
+/// Creates a job. Repeated requests of a tenant with one idempotency key create a single job.
 pub(super) async fn create(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let tenant = admitted.tenant.name.clone();
@@ -124,7 +124,7 @@
     Ok(Reply::json(&render(&job)))
 }
 
-/// Cancels a job. Once this returns, no item of it starts.
+/// Cancels a job. Once this returns without an error, no item of it starts.
 pub(crate) async fn cancel_job(
     context: &Context,
     id: &JobId,
@@ -151,7 +151,8 @@
     outcome.map_err(ledger::to_failure)
 }
 
-/// Reads a job from the leader of its partition, whichever tenant it belongs to.
+/// Reads a job from the leader of its partition, whichever tenant it belongs to; `NotFound` if there is
+/// none.
 pub(crate) async fn find(context: &Context, id: &JobId) -> Result<Job, Failure> {
     let operation = LedgerOperation::Query(LedgerQuery::Job(id.clone()));
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
--- a/crates/swiftshunt-node/src/api/chat.rs
+++ b/crates/swiftshunt-node/src/api/chat.rs
@@ -34,19 +34,19 @@
     let model = body.model.clone();
     let answer = start(&context, request).await?;
     if !body.stream {
-        let whole = collect(answer).await?;
-        let completion = chat_completion(&id, created, &model, &prompt, &whole);
+        let answer_text = collect(answer).await?;
+        let completion = chat_completion(&id, created, &model, &prompt, &answer_text);
         return Ok(Reply::json(&completion));
     }
-    let usage = body.includes_usage();
+    let includes_usage = body.includes_usage();
     let render = move |event: &TokenEvent| {
         let mut chunks = vec![chat_chunk(&id, created, &model, event)];
-        if usage && event.finish.is_some() {
+        if includes_usage && event.finish.is_some() {
             chunks.push(chat_usage_chunk(&id, created, &model, &prompt, event.index));
         }
         chunks
     };
-    Ok(events(answer, render, admitted.in_progress))
+    Ok(event_stream(answer, render, admitted.in_progress))
 }
 
 /// Answers a completion request, in one body or as a stream.
@@ -61,12 +61,12 @@
     let model = body.model.clone();
     let answer = start(&context, request).await?;
     if !body.stream {
-        let whole = collect(answer).await?;
-        let completion = text_completion(&id, created, &model, &body.prompt, &whole);
+        let answer_text = collect(answer).await?;
+        let completion = text_completion(&id, created, &model, &body.prompt, &answer_text);
         return Ok(Reply::json(&completion));
     }
     let render = move |event: &TokenEvent| vec![completion_chunk(&id, created, &model, event)];
-    Ok(events(answer, render, admitted.in_progress))
+    Ok(event_stream(answer, render, admitted.in_progress))
 }
 
 fn answer_request(
@@ -113,7 +113,7 @@
 
 /// Streams an answer as server-sent events. `[DONE]` follows the last token; after a failure the last
 /// event is the error. The request counts as in progress until the stream is dropped.
-fn events(
+fn event_stream(
     answer: AnswerStream,
     render: impl Fn(&TokenEvent) -> Vec<Value> + Send + 'static,
     in_progress: InProgress,
--- a/crates/swiftshunt-node/src/batch/job.rs
+++ b/crates/swiftshunt-node/src/batch/job.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Records items as done, and retries until it succeeds: nothing else under the same leader would
-/// record them, so the job would never complete.
+/// Records items as done. Retries until it succeeds or the job stops on this node: nothing else under
+/// the same leader would record them, so the job would never complete.
 async fn record(context: &Context, job: &JobId, items: Vec<u32>) {
     let partition = partition_of(job.as_str(), context.settings.ledger.partitions);
     loop {
--- a/crates/swiftshunt-node/src/context.rs
+++ b/crates/swiftshunt-node/src/context.rs
@@ -31,6 +31,7 @@
 /// State and services shared by the modules of a node.
 pub(crate) struct Context {
     pub(crate) settings: Settings,
+    /// This node as a member of the fleet.
     pub(crate) own: Member,
     pub(crate) clock: Clock,
     pub(crate) log: Arc<dyn LogService>,
@@ -43,6 +44,7 @@
     pub(crate) configuration: watch::Sender<ConfigurationHistory>,
     pub(crate) machine_list: Mutex<MachineList>,
     pub(crate) workers: Mutex<WorkerTable>,
+    /// Budget for retries of online requests, shared by all requests of this node.
     pub(crate) retries: Mutex<RetryBudget>,
     pub(crate) limiter: TenantLimiter,
     pub(crate) ledger: Ledger,
@@ -50,6 +52,7 @@
     pub(crate) granter: Granter,
     pub(crate) placement: PlacementCache,
     pub(crate) announced_events: AnnouncedEvents,
+    /// `None` if the settings name no weight store.
     pub(crate) weights: Option<WeightStore>,
     pub(crate) decisions: DecisionJournal,
     pub(crate) gossip_stability: GossipStability,
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -138,8 +138,8 @@
         /// The failure of the log service.
         source: LogError,
     },
-    /// The outcome is unknown: replay did not reach the record in time. The configuration may still
-    /// come into force.
+    /// The outcome is unknown: replay did not reach the record in time, and the configuration may still
+    /// come into force. Also returned if the record cannot be encoded; then nothing was appended.
     #[display("the log did not confirm; the change may come into force")]
     Unknown,
 }
@@ -171,14 +171,15 @@
     if let Err(source @ LogError::NotReached { .. }) = appended {
         return Err(PublishError::NotPublished { source });
     }
-    let search = find_decision(context, &record, current);
+    // After any other failure, the log may have stored the record.
+    let search = find_outcome(context, &record, current);
     let found = tokio::time::timeout(PUBLISH_CONFIRM_TIMEOUT, search).await;
     found.unwrap_or(Err(PublishError::Unknown))
 }
 
 /// Replays the stream from `history` on until the record `own`, recognised by its nonce, is applied or
 /// ignored.
-async fn find_decision(
+async fn find_outcome(
     context: &Context,
     own: &ConfigurationRecord,
     mut history: ConfigurationHistory,
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Probes a member directly, and through helpers one after another if it does not answer.
 async fn probe(context: Arc<Context>, plan: ProbePlan) {
     let target = plan.target;
     let mut message = own_gossip(&context, false);
@@ -89,6 +90,7 @@
         return;
     }
     for helper in &plan.helpers {
+        // The helper's own probe of the target may take one timeout.
         let timeout = timeout * 2;
         let answer = context.peers.probe(helper.peer, target.peer, timeout).await;
         if let Some(answered_by) = answer.ok().and_then(|answer| answer.answered_by) {
--- a/crates/swiftshunt-node/src/fleet/loads.rs
+++ b/crates/swiftshunt-node/src/fleet/loads.rs
@@ -82,7 +82,7 @@
             };
             lock(&context.workers).record_report(&id, report, load.models, requested_at);
         }
-        // Behind a proxy or load balancer, a worker that has gone shows as a connection that breaks off.
+        // Behind a proxy or load balancer, the connection to a stopped worker opens and then breaks off.
         Err(HttpError::NotConnected { .. } | HttpError::BrokenOff { .. }) => {
             lock(&context.workers).record_connection_failure(&id, requested_at);
         }
--- a/crates/swiftshunt-node/src/fleet/placement.rs
+++ b/crates/swiftshunt-node/src/fleet/placement.rs
@@ -13,11 +13,11 @@
 /// Cached placements, all derived from the same version of the member list.
 #[derive(Default)]
 pub(crate) struct PlacementCache {
-    derived: Mutex<Derived>,
+    placements: Mutex<Placements>,
 }
 
 #[derive(Default)]
-struct Derived {
+struct Placements {
     version: Option<u64>,
     by_zone: BTreeMap<ZoneName, Vec<NodeId>>,
     candidates: HashMap<PartitionId, BTreeMap<ZoneName, NodeId>>,
@@ -31,13 +31,13 @@
         context: &Context,
         partition: PartitionId,
     ) -> BTreeMap<ZoneName, NodeId> {
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        if let Some(known) = derived.candidates.get(&partition) {
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        if let Some(known) = placements.candidates.get(&partition) {
             return known.clone();
         }
         let zones = replica_zones_of(context, partition);
-        let found: BTreeMap<ZoneName, NodeId> = derived
+        let found: BTreeMap<ZoneName, NodeId> = placements
             .by_zone
             .iter()
             .filter(|(zone, _)| zones.contains(zone))
@@ -46,7 +46,7 @@
                 Some((zone.clone(), node))
             })
             .collect();
-        derived.candidates.insert(partition, found.clone());
+        placements.candidates.insert(partition, found.clone());
         found
     }
 
@@ -57,9 +57,9 @@
         pool: &PoolName,
     ) -> BTreeMap<ZoneName, NodeId> {
         let key = u64::from(partition_of(pool.as_str(), u16::MAX).0);
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        let zones = derived.by_zone.iter();
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        let zones = placements.by_zone.iter();
         let granters = zones.filter_map(|(zone, nodes)| {
             Some((zone.clone(), rendezvous(key, nodes.iter().copied())?))
         });
@@ -68,9 +68,9 @@
 
     /// Version of the current member list, from which placements are derived.
     pub(crate) fn version(&self, context: &Context) -> Option<u64> {
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        derived.version
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        placements.version
     }
 }
 
@@ -80,7 +80,8 @@
     replica_zones(partition, &settings.zones, settings.ledger.replicas)
 }
 
-impl Derived {
+impl Placements {
+    /// Derives the nodes of each zone again if the member list has changed, and clears the candidates.
     fn refresh(&mut self, context: &Context) {
         let membership = lock(&context.membership);
         if self.version == Some(membership.version()) {
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -1,5 +1,5 @@
-//! Planning of model loads for serving targets, at the leader of the pool's partition: start loads so
-//! that they end by the target's deadline, commit each load order, send it with a fencing token.
+//! Planning of model loads for serving targets, at the leader of the pool's partition. Loads start early
+//! enough to end by the target's deadline. Each load order is committed, then sent with a fencing token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,8 +23,8 @@
 const PLAN_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of sending one order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time after which an order without a loaded model counts as failed and the load may be ordered
-/// again, in seconds.
+/// Time for which an order that has not failed counts as outstanding, in seconds. After it, the load may
+/// be ordered again if the engine does not have the model.
 const ORDER_TTL_SECONDS: u64 = 120;
 /// Assumed duration of a load if the weight store is not configured or fails, in seconds.
 const ASSUMED_SECONDS_PER_LOAD: f64 = 10.0;
@@ -56,7 +56,7 @@
         for (pool, state) in pools {
             self.resend_given_orders(&pool, &state).await;
             for target in state.targets.values() {
-                self.plan(&pool, &state, target).await;
+                self.plan_target(&pool, &state, target).await;
             }
         }
     }
@@ -65,11 +65,11 @@
     /// crashed before it sent them. This planner records the outcome of its own orders before it plans
     /// again.
     async fn resend_given_orders(&self, pool: &PoolName, state: &PoolState) {
-        let unended = state
+        let given = state
             .orders
             .iter()
             .filter(|order| matches!(order.status, OrderStatus::Given));
-        for order in unended {
+        for order in given {
             let Some(LedgerAnswer::Partition(view)) = self.query(LedgerQuery::Partition).await
             else {
                 return;
@@ -84,7 +84,7 @@
         }
     }
 
-    async fn plan(&self, pool: &PoolName, state: &PoolState, target: &Target) {
+    async fn plan_target(&self, pool: &PoolName, state: &PoolState, target: &Target) {
         let now = unix_seconds();
         let demand = ReplicaTarget {
             model: target.model.clone(),
@@ -122,6 +122,7 @@
         views.collect()
     }
 
+    /// Duration of one load of the model, from its size and the rate of the weight store.
     async fn seconds_per_load(&self, model: &ModelName) -> f64 {
         let Some(store) = &self.context.weights else {
             return ASSUMED_SECONDS_PER_LOAD;
@@ -149,7 +150,7 @@
         let Some(LedgerAnswer::Partition(view)) = self.query(LedgerQuery::Partition).await else {
             return;
         };
-        self.explain(target, worker, sequence);
+        self.record_decisions(target, worker, sequence);
         let status = self.send(&view, worker, &target.model, sequence).await;
         self.change(pool, PoolCommand::EndOrder { sequence, status })
             .await;
@@ -219,7 +220,9 @@
             .ok()
     }
 
-    fn explain(&self, target: &Target, worker: &WorkerId, sequence: u64) {
+    /// Records the decision under the target, the order and the worker, as operators may ask for any of
+    /// them.
+    fn record_decisions(&self, target: &Target, worker: &WorkerId, sequence: u64) {
         let decision = format!("order {sequence}: worker {worker} loads {}", target.model);
         let reason = format!(
             "target {} needs {} replicas in each zone by {}",
@@ -240,9 +243,11 @@
     }
 }
 
+/// Whether an order to load the model on the worker has not failed and is younger than
+/// [`ORDER_TTL_SECONDS`].
 fn is_outstanding(state: &PoolState, worker: &WorkerId, model: &ModelName, now: u64) -> bool {
-    let same = |order: &&Order| order.worker == *worker && order.model == *model;
-    state.orders.iter().filter(same).any(|order| {
+    let is_same_load = |order: &&Order| order.worker == *worker && order.model == *model;
+    state.orders.iter().filter(is_same_load).any(|order| {
         let failed = matches!(order.status, OrderStatus::Failed { .. });
         !failed && now < order.given_at + ORDER_TTL_SECONDS
     })
--- a/crates/swiftshunt-node/src/lib.rs
+++ b/crates/swiftshunt-node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The swiftshunt node: connects the crates that decide without I/O to sockets, clocks and the platform.
+//! The swiftshunt node: connects the crates whose logic does no I/O to sockets, clocks and the platform.
 
 mod api;
 mod batch;
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -45,8 +45,8 @@
         let decisions = if member.id == context.own.id {
             context.decisions.about(&subject)
         } else {
-            let requests = context.peers.decisions(member.peer, &subject).await;
-            requests.unwrap_or_default()
+            let answer = context.peers.decisions(member.peer, &subject).await;
+            answer.unwrap_or_default()
         };
         rows.extend(decisions.into_iter().map(|entry| (member.id, entry)));
     }
--- a/crates/swiftshunt-node/src/peer/client.rs
+++ b/crates/swiftshunt-node/src/peer/client.rs
@@ -100,6 +100,7 @@
         self.post(to, "/peer/gossip", gossip, timeout).await
     }
 
+    /// Lets the node `through` probe the node `target`.
     pub(crate) async fn probe(
         &self,
         through: SocketAddr,
@@ -144,6 +145,8 @@
         self.post(to, "/peer/drain", &(), FETCH_TIMEOUT).await
     }
 
+    /// Sends an operation to the leader of a partition. The outer error is a failed call, the inner one
+    /// the refusal of the replica.
     pub(crate) async fn ledger(
         &self,
         leader: SocketAddr,
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -1,5 +1,5 @@
-//! Execution of a submission by the leader of its partition: choose a worker, commit the dispatch,
-//! send the request, record the result.
+//! Execution of a submission by the leader of its partition: it chooses a worker, commits the dispatch,
+//! sends the request and records the result.
 //!
 //! The dispatch is committed before any byte is sent, so that the next leader finds it and queries
 //! the worker by submission identifier instead of sending the request a second time.
@@ -25,10 +25,12 @@
 
 /// Base delay of the exponential backoff between steps.
 const RETRY_DELAY: Duration = Duration::from_millis(25);
-/// How long the worker of a dispatch may leave queries unanswered before it counts as lost.
+/// Time since the first query of the worker of a dispatch, from which a failed query makes it count as
+/// lost.
 const WORKER_LOST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a worker must report "not started" before a submission that is not repeatable is settled
-/// as outcome unknown: an earlier leader may still be about to send it.
+/// Time since the first query, from which a submission that is not repeatable is settled as outcome
+/// unknown if the worker reports "not started". Before that, an earlier leader may still be about to
+/// send it.
 const NOT_STARTED_SETTLE_DELAY: Duration = Duration::from_secs(2);
 /// Timeout of one query for the state of an execution.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -97,6 +99,8 @@
         }
     }
 
+    /// Reads the submission from the local replica. `None` if it does not exist or the replica does not
+    /// answer as leader.
     async fn read_submission(&self) -> Option<Submission> {
         let query = LedgerQuery::Submission(self.id.clone());
         let operation = LedgerOperation::Query(query);
@@ -148,7 +152,7 @@
             Ok(_) => return Step::Retry,
             Err(_) => return Step::LeadershipEnded,
         };
-        self.explain(
+        self.record_decision(
             format!("dispatch {dispatch} to worker {worker}"),
             format!(
                 "least loaded worker of pool {}; attempt {}",
@@ -182,7 +186,7 @@
                 Step::Retry
             }
             Err(WorkerError::Unknown { source }) => {
-                self.explain(
+                self.record_decision(
                     format!("ask worker {} for the outcome", dispatch.worker),
                     source.to_string(),
                 );
@@ -195,7 +199,7 @@
     async fn release(&self, dispatch: &Dispatch, reason: String) {
         let now = self.context.clock.now();
         lock(&self.context.workers).record_connection_failure(&dispatch.worker, now);
-        self.explain(format!("take dispatch {} back", dispatch.id), reason);
+        self.record_decision(format!("take dispatch {} back", dispatch.id), reason);
         let command = Command::ReleaseSubmission {
             submission: self.id.clone(),
             dispatch: dispatch.id,
@@ -283,7 +287,7 @@
 
     fn settle_as_unknown(&self, dispatch: &Dispatch, reason: &str) -> Step {
         let decision = format!("settle as outcome unknown after dispatch {}", dispatch.id);
-        self.explain(decision, reason.to_owned());
+        self.record_decision(decision, reason.to_owned());
         Step::Finished(SubmissionResult::OutcomeUnknown)
     }
 
@@ -338,7 +342,8 @@
         }
     }
 
-    fn explain(&self, decision: String, reason: String) {
+    /// Adds a decision about this submission to the decisions that operators can read.
+    fn record_decision(&self, decision: String, reason: String) {
         let subject = format!("submission {}", self.id);
         self.context.decisions.record(subject, decision, reason);
     }
--- a/crates/swiftshunt-node/src/submissions/intake.rs
+++ b/crates/swiftshunt-node/src/submissions/intake.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// Digest of the content by which a repeated request is told from a reuse of its key.
+/// Digest of the content. It distinguishes a repeated request from a reuse of its key.
 fn request_digest(request: &SubmitRequest) -> Digest {
     let identity = format!("{}\n{}\n{}", request.pool, request.repeatable, request.body);
     Digest::of(identity.as_bytes())
@@ -122,7 +122,8 @@
     if !submission.has_ended() {
         return Ok(submission);
     }
-    // A result is returned only once it is archived and cannot be lost; awaiting it ensures that.
+    // Awaiting the result ensures that it is archived and cannot be lost. If that fails before the
+    // deadline, the result that was read above is returned, although it may not be archived.
     let result = await_result(context, partition, id, deadline).await;
     let status = result.map(SubmissionStatus::Completed);
     Ok(Submission {
