--- a/crates/swiftshunt-node/src/api/auth.rs
+++ b/crates/swiftshunt-node/src/api/auth.rs
@@ -46,6 +46,7 @@
     Err(Failure::not_run(ErrorKind::Unavailable, message).with_retry_after(RETRY_AFTER))
 }
 
+/// Returns the tenant whose token the call carries; `Unauthenticated` if there is none.
 fn tenant(context: &Context, call: &Call) -> Result<Tenant, Failure> {
     let digest = bearer_digest(call)?;
     let history = context.configuration.borrow();
--- a/crates/swiftshunt-node/src/api/files.rs
+++ b/crates/swiftshunt-node/src/api/files.rs
@@ -113,6 +113,8 @@
     content: String,
 }
 
+/// Reads the fields `file` and `purpose` of an upload; fails unless the purpose is `batch` and the file
+/// has content.
 async fn read_form(context: &Context, call: &mut Call) -> Result<Form, Failure> {
     let content_type = call.header("content-type").unwrap_or_default().to_owned();
     let boundary = multer::parse_boundary(content_type).map_err(malformed)?;
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -266,6 +266,7 @@
     Unusable,
 }
 
+/// Appends the token of an event to the partial answer if it is the next one. A repeated token is skipped.
 fn apply_event(event: &TokenEvent, request: &RequestId, partial: &mut AnswerText) -> EventEffect {
     if event.request != *request || event.index > partial.tokens {
         return EventEffect::Unusable;
--- a/crates/swiftshunt-node/src/batch/job.rs
+++ b/crates/swiftshunt-node/src/batch/job.rs
@@ -41,6 +41,8 @@
     }
 }
 
+/// Runs the items without a stored result. Results that a previous leader appended to the output but did
+/// not record are recorded first.
 async fn run_items(context: Arc<Context>, job: Job, lease: LeaseClock, stopped: CancellationToken) {
     let lines = retry_until_success(|| read_lines(&*context.log, &job.request.input)).await;
     let recorded_results =
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -50,6 +50,7 @@
     }
 }
 
+/// Applies records in order. Records that cannot be decoded are skipped, so that replay continues.
 fn apply_records(context: &Context, read: &ReadRecords) {
     let mut last = None;
     for (index, bytes) in read.records.iter().enumerate() {
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -198,6 +198,7 @@
     }
 }
 
+/// Merges leader hints, and disseminates those that change the table.
 fn merge_routes(context: &Context, hints: Vec<swiftshunt_ledger::routes::LeaderHint>) {
     let fleet_size = lock(&context.membership).records().count();
     let mut routes = lock(&context.routes);
--- a/crates/swiftshunt-node/src/online/openai.rs
+++ b/crates/swiftshunt-node/src/online/openai.rs
@@ -115,6 +115,7 @@
     }
 }
 
+/// The requested token limit or the default; fails if it is 0 or above [`MAX_TOKENS_LIMIT`].
 fn token_limit(requested: Option<u32>) -> Result<u32, Failure> {
     let limit = requested.unwrap_or(DEFAULT_MAX_TOKENS);
     if limit == 0 || limit > MAX_TOKENS_LIMIT {
--- a/crates/swiftshunt-node/src/operator/commands.rs
+++ b/crates/swiftshunt-node/src/operator/commands.rs
@@ -17,6 +17,7 @@
 /// Endpoint of items whose line names none.
 const DEFAULT_ENDPOINT: &str = "/v1/chat/completions";
 
+/// Executes a statement that changes state; fails with `InvalidRequest` for one that only reads.
 pub(super) async fn execute(
     context: &Arc<Context>,
     author: &str,
@@ -62,6 +63,7 @@
     Ok(Table::message(message))
 }
 
+/// Sets the deadline of a running job to `within` from the current time.
 async fn set_deadline(
     context: &Context,
     author: &str,
@@ -104,6 +106,7 @@
     Ok(table)
 }
 
+/// Starts draining a reachable node. If the call to another node fails, that node may drain all the same.
 async fn drain_node(context: &Context, id: &str) -> Result<Table, Failure> {
     let member = {
         let membership = lock(&context.membership);
@@ -125,6 +128,7 @@
     Ok(Table::message(format!("node {id} drains")))
 }
 
+/// Marks a worker as leaving; gossip carries the mark to the other nodes.
 fn drain_worker(context: &Context, id: &str) -> Result<Table, Failure> {
     let worker = WorkerId(id.to_owned());
     let mut workers = lock(&context.workers);
--- a/crates/swiftshunt-node/src/operator/declarations.rs
+++ b/crates/swiftshunt-node/src/operator/declarations.rs
@@ -106,6 +106,7 @@
     }
 }
 
+/// Commits a command at the partition of a pool.
 async fn change(
     context: &Context,
     pool: &PoolName,
@@ -124,6 +125,7 @@
     }
 }
 
+/// Returns the pool if it is a pool of engines; `NotFound` otherwise.
 fn engine_pool(context: &Context, name: &str) -> Result<Pool, Failure> {
     let history = context.configuration.borrow();
     let pool = history.configuration.pool(&name.into());
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -66,6 +66,7 @@
     Ok(table)
 }
 
+/// The members that are reachable according to this node, itself included.
 fn members(context: &Context) -> Vec<Member> {
     lock(&context.membership).reachable().cloned().collect()
 }
--- a/crates/swiftshunt-node/src/peer/client.rs
+++ b/crates/swiftshunt-node/src/peer/client.rs
@@ -39,6 +39,7 @@
     pub(crate) received_bytes: Counter,
 }
 
+/// Posts a CBOR body and decodes the CBOR answer; counts the call and the bytes of both bodies.
 async fn post_counted<T: DeserializeOwned>(
     http: &HttpClient,
     traffic: &PeerTraffic,
--- a/crates/swiftshunt-node/src/peer/protocol.rs
+++ b/crates/swiftshunt-node/src/peer/protocol.rs
@@ -38,7 +38,8 @@
     pub(crate) members: Vec<MemberRecord>,
     /// Hints on the leaders of partitions.
     pub(crate) routes: Vec<LeaderHint>,
-    /// Workers that declared themselves leaving, by identifier and address.
+    /// Workers that accept no new requests, by their own report or an operator's statement; identifier and
+    /// address.
     pub(crate) leaving_workers: Vec<(WorkerId, SocketAddr)>,
     /// Hash of the members and leaders that the sender knows.
     pub(crate) digest: u64,
@@ -96,7 +97,7 @@
     AwaitSubmission {
         /// The submission.
         id: SubmissionId,
-        /// How long to wait.
+        /// How long to wait; the answer is `None` after that.
         wait: Duration,
     },
 }
--- a/crates/swiftshunt-node/src/submissions/intake.rs
+++ b/crates/swiftshunt-node/src/submissions/intake.rs
@@ -43,6 +43,7 @@
     Ok((id, result))
 }
 
+/// Commits the submission in the ledger; succeeds also if an equal one was accepted before.
 async fn accept(
     context: &Context,
     partition: PartitionId,
