--- a/crates/swiftshunt-node/src/api/chat.rs
+++ b/crates/swiftshunt-node/src/api/chat.rs
@@ -76,7 +76,7 @@
     prompt: String,
     max_tokens: u32,
 ) -> Result<AnswerRequest, Failure> {
-    let pool = pool_of(context, model)?;
+    let pool = pool_of_model(context, model)?;
     context.metrics.online_requests.inc();
     Ok(AnswerRequest {
         id: RequestId(format!("{:016x}", random_u64())),
@@ -88,7 +88,8 @@
     })
 }
 
-fn pool_of(context: &Context, model: &ModelName) -> Result<Pool, Failure> {
+/// Returns the pool that serves the model; `ModelNotFound` if there is none.
+fn pool_of_model(context: &Context, model: &ModelName) -> Result<Pool, Failure> {
     let history = context.configuration.borrow();
     let pool = history.configuration.pool_of_model(model).cloned();
     pool.ok_or_else(|| {
--- a/crates/swiftshunt-node/src/batch/job.rs
+++ b/crates/swiftshunt-node/src/batch/job.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Runs the items without a stored result. Results that a previous leader appended to the output but did
-/// not record are recorded first.
+/// Runs the items without a stored result. All items with a result in the output are recorded as done
+/// first, as a previous leader may have appended results without recording their items.
 async fn run_items(context: Arc<Context>, job: Job, lease: LeaseClock, stopped: CancellationToken) {
     let lines = retry_until_success(|| read_lines(&*context.log, &job.request.input)).await;
     let recorded_results =
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -244,6 +244,7 @@
         }
     }
 
+    /// Asks the worker of a dispatch once for the state of the execution.
     async fn query_worker(&self, dispatch: &Dispatch) -> QueryResult {
         let Some(address) = self.address_of(&dispatch.worker) else {
             return QueryResult::Unlisted;
@@ -285,6 +286,7 @@
         }
     }
 
+    /// Ends the execution with an unknown outcome, as the submission must not be sent again.
     fn settle_as_unknown(&self, dispatch: &Dispatch, reason: &str) -> Step {
         let decision = format!("settle as outcome unknown after dispatch {}", dispatch.id);
         self.record_decision(decision, reason.to_owned());
