--- a/crates/swiftshunt-lab/src/platform/caller.rs
+++ b/crates/swiftshunt-lab/src/platform/caller.rs
@@ -45,7 +45,7 @@
     }
 
     /// Adds the caller's host, and its key if it has one.
-    fn signed(&self, request: HttpRequest) -> HttpRequest {
+    fn with_caller_headers(&self, request: HttpRequest) -> HttpRequest {
         let request = request.with_header("host", HOST);
         match &self.key {
             Some(key) => {
@@ -55,17 +55,17 @@
         }
     }
 
-    fn question(
+    fn text_request(
         &self,
         gateway: SocketAddr,
         path: &str,
         id: &str,
         deadline: Duration,
     ) -> HttpRequest {
-        self.question_of(gateway, path, id, deadline, "a question")
+        self.text_request_with_body(gateway, path, id, deadline, "a question")
     }
 
-    fn question_of(
+    fn text_request_with_body(
         &self,
         gateway: SocketAddr,
         path: &str,
@@ -74,7 +74,7 @@
         body: &str,
     ) -> HttpRequest {
         let request = HttpRequest::post(gateway, path, "text/plain", body.to_owned());
-        self.signed(request)
+        self.with_caller_headers(request)
             .with_header(headers::REQUEST_ID, id)
             .with_header(headers::DEADLINE, deadline.as_millis().to_string())
     }
@@ -85,10 +85,10 @@
         gateway: SocketAddr,
         path: &str,
         id: &str,
-        more: &[(&'static str, &str)],
+        extra_headers: &[(&'static str, &str)],
     ) -> Result<HttpAnswer, HttpError> {
-        let mut request = self.question(gateway, path, id, CALL_TIMEOUT);
-        for (name, value) in more {
+        let mut request = self.text_request(gateway, path, id, CALL_TIMEOUT);
+        for (name, value) in extra_headers {
             request = request.with_header(name, *value);
         }
         self.client.exchange(request, CALL_TIMEOUT).await
@@ -102,7 +102,7 @@
         id: &str,
         deadline: Duration,
     ) -> Result<HttpAnswer, HttpError> {
-        let request = self.question(gateway, path, id, deadline);
+        let request = self.text_request(gateway, path, id, deadline);
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
@@ -114,7 +114,7 @@
         id: &str,
         body: &str,
     ) -> Result<HttpAnswer, HttpError> {
-        let request = self.question_of(gateway, path, id, CALL_TIMEOUT, body);
+        let request = self.text_request_with_body(gateway, path, id, CALL_TIMEOUT, body);
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
@@ -139,27 +139,27 @@
         parts: &[(u64, u32)],
     ) -> Result<HttpAnswer, HttpError> {
         let tokens: u32 = parts.iter().map(|(_, tokens)| tokens).sum();
-        let named: Vec<String> = parts
+        let part_texts: Vec<String> = parts
             .iter()
             .map(|(part, tokens)| format!("{part:x}:{tokens}"))
             .collect();
         let request = self
-            .question(gateway, path, id, CALL_TIMEOUT)
+            .text_request(gateway, path, id, CALL_TIMEOUT)
             .with_header(headers::TOKENS, format!("{tokens},10"))
-            .with_header(headers::PROMPT, named.join(","));
+            .with_header(headers::PROMPT, part_texts.join(","));
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
     /// Asks, and leaves after `patience`.
-    pub async fn ask_and_leave(
+    pub async fn ask_and_disconnect(
         &self,
         gateway: SocketAddr,
         path: &str,
         id: &str,
-        patience: Duration,
+        leave_after: Duration,
     ) {
         let asked = self.ask(gateway, path, id, CALL_TIMEOUT);
-        drop(tokio::time::timeout(patience, asked).await);
+        drop(tokio::time::timeout(leave_after, asked).await);
     }
 
     /// Hands a job in.
@@ -194,7 +194,9 @@
         };
         let body = serde_json::to_vec(&document).unwrap_or_default();
         let request = HttpRequest::post(gateway, path, "application/json", body);
-        let request = self.signed(request).with_header(headers::REQUEST_ID, job);
+        let request = self
+            .with_caller_headers(request)
+            .with_header(headers::REQUEST_ID, job);
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok(answer.status)
     }
@@ -209,7 +211,7 @@
     ) -> Result<(StatusCode, PageDocument), HttpError> {
         let path = format!("{}{job}?{}={from}", paths::JOBS, queries::AFTER);
         let request = self
-            .signed(HttpRequest::get(gateway, path))
+            .with_caller_headers(HttpRequest::get(gateway, path))
             .with_header(headers::WAIT, wait.as_millis().to_string());
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         let document = serde_json::from_slice(&answer.body);
@@ -230,7 +232,7 @@
         item: &str,
     ) -> Result<(StatusCode, Bytes), HttpError> {
         let path = format!("{}{job}?{}={item}", paths::ITEMS, queries::ITEM);
-        let request = self.signed(HttpRequest::get(gateway, path));
+        let request = self.with_caller_headers(HttpRequest::get(gateway, path));
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok((answer.status, answer.body))
     }
@@ -239,7 +241,7 @@
     pub async fn end(&self, gateway: SocketAddr, job: &str) -> Result<StatusCode, HttpError> {
         let mut request = HttpRequest::get(gateway, format!("{}{job}", paths::JOBS));
         request.method = Method::DELETE;
-        let request = self.signed(request);
+        let request = self.with_caller_headers(request);
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok(answer.status)
     }
@@ -254,7 +256,7 @@
     }
 
     /// A figure that a gateway tells: the value of the line that begins with `name`, 0 without one.
-    pub async fn figure(&self, metrics: SocketAddr, name: &str) -> f64 {
+    pub async fn metric_value(&self, metrics: SocketAddr, name: &str) -> f64 {
         let text = self.metrics(metrics).await;
         let mut lines = text.lines();
         let line = lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -12,29 +12,31 @@
 use swiftshunt_platform::words::{topics, values};
 
 use super::caller::PlatformCaller;
-use super::places::Places;
 use super::process::time_of_day_ms;
 use super::server::any_port;
-use super::store::{Door, Store};
+use super::store::{Store, StoreListener};
 use super::worker::{Worker, WorkerSettings};
+use super::zone_layout::ZoneLayout;
 use crate::harness::{HarnessError, Process};
 use crate::proxy::{Link, Way, Width};
 use configuration::PublishedConfiguration;
 pub use configuration::{
-    ASK, BATCH, ONCE, STREAM, STREAM_ONCE, TenantText, first_configuration, route, split,
+    ASK, BATCH, ONCE, PublishedTenant, STREAM, STREAM_ONCE, first_configuration, route,
+    weighted_split,
 };
 pub(crate) use start::{
-    GatewaySettingsText, KeptAddresses, settings_text, start_gateway, start_gateway_anew,
+    GatewayAddresses, GatewaySettingsText, settings_text, start_gateway,
+    start_gateway_on_free_addresses,
 };
 
 /// Ports that are tried until one is free.
-const PORT_TRIES: usize = 100;
+const PORT_ATTEMPTS: usize = 100;
 /// Partitions of the store's topics.
 const PARTITIONS: u32 = 4;
 /// Time within which what is waited for must come about.
-const PATIENCE: Duration = Duration::from_secs(20);
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A gateway process and its door to the store.
 pub struct RunningGateway {
@@ -49,9 +51,9 @@
     /// Where its figures are told.
     pub metrics: SocketAddr,
     /// Its door.
-    pub door: Door,
+    pub store_listener: StoreListener,
     /// Its way to the door, if that leads over a line.
-    link: Option<Link>,
+    store_link: Option<Link>,
     settings: PathBuf,
     program: PathBuf,
 }
@@ -62,7 +64,7 @@
         program: PathBuf,
         settings: PathBuf,
         metrics: SocketAddr,
-        door: Door,
+        store_listener: StoreListener,
     ) -> Result<Self, HarnessError> {
         let address = |field: &str| {
             let text = process.announced(field);
@@ -76,8 +78,8 @@
             peers: address("peers")?,
             metrics,
             process,
-            door,
-            link: None,
+            store_listener,
+            store_link: None,
             settings,
             program,
         })
@@ -89,9 +91,9 @@
     /// The store.
     pub store: Store,
     /// Workers of the service `whole`.
-    pub whole: Vec<Worker>,
+    pub whole_workers: Vec<Worker>,
     /// Workers of the service `engine`.
-    pub engines: Vec<Worker>,
+    pub engine_workers: Vec<Worker>,
     /// Gateways.
     pub gateways: Vec<RunningGateway>,
     /// A caller.
@@ -102,8 +104,8 @@
     version: u64,
     lease: Duration,
     directory: String,
-    places: Places,
-    line: Option<Arc<Width>>,
+    zone_layout: ZoneLayout,
+    store_line: Option<Arc<Width>>,
 }
 
 /// How many there are of each, and how they serve.
@@ -116,9 +118,9 @@
     /// Events of a stream.
     pub events: u64,
     /// Pause between events.
-    pub event_pause: Duration,
+    pub event_interval: Duration,
     /// Time of a whole answer.
-    pub whole_pause: Duration,
+    pub answer_delay: Duration,
     /// Lease of partitions.
     pub lease: Duration,
     /// Seed of the store's faults.
@@ -128,15 +130,15 @@
     /// More lines of its part on the directory.
     pub directory: String,
     /// The body of a request that ends each worker that begins to run it.
-    pub workers_ended_by: Option<String>,
+    pub crash_workers_on_body: Option<String>,
     /// Whether workers tell when they started, and keep their identifiers when they start again.
-    pub workers_tell_start: bool,
+    pub report_start_times: bool,
     /// Where gateways and workers stand.
-    pub places: Places,
+    pub zone_layout: ZoneLayout,
     /// Programs that gateways run by turns in place of the one that the fleet is started with; none for that alone.
     pub programs: Vec<PathBuf>,
     /// The line over which gateways outside the first region reach the store.
-    pub line: Option<Arc<Width>>,
+    pub store_line: Option<Arc<Width>>,
 }
 
 impl Default for PlatformOptions {
@@ -145,17 +147,17 @@
             gateways: 2,
             workers: 2,
             events: 8,
-            event_pause: Duration::from_millis(10),
-            whole_pause: Duration::from_millis(5),
+            event_interval: Duration::from_millis(10),
+            answer_delay: Duration::from_millis(5),
             lease: Duration::from_secs(1),
             seed: 1,
             settings: String::new(),
             directory: String::new(),
-            workers_ended_by: None,
-            workers_tell_start: false,
-            places: Places::default(),
+            crash_workers_on_body: None,
+            report_start_times: false,
+            zone_layout: ZoneLayout::default(),
             programs: Vec::new(),
-            line: None,
+            store_line: None,
         }
     }
 }
@@ -170,30 +172,30 @@
         let scratch = scratch.join(format!("fleet-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&scratch)?;
         let store = Store::new(PARTITIONS, options.seed);
-        let mut whole = Vec::new();
-        let mut engines = Vec::new();
+        let mut whole_workers = Vec::new();
+        let mut engine_workers = Vec::new();
         for index in 0..options.workers {
-            let settings = |name: &str, events, pause| WorkerSettings {
+            let settings = |name: &str, events, delay| WorkerSettings {
                 incarnation: format!("{name}-{index}"),
                 slots: 16,
                 events,
-                pause,
-                ended_by: options.workers_ended_by.clone(),
-                started_unix_ms: options.workers_tell_start.then(time_of_day_ms),
-                zone: options.places.zone(index).to_owned(),
+                answer_delay: delay,
+                crash_on_body: options.crash_workers_on_body.clone(),
+                started_unix_ms: options.report_start_times.then(time_of_day_ms),
+                zone: options.zone_layout.zone(index).to_owned(),
             };
-            let of_whole = settings("whole", None, options.whole_pause);
-            whole.push(Worker::start(of_whole).await?);
-            let engine = settings("engine", Some(options.events), options.event_pause);
-            engines.push(Worker::start(engine).await?);
+            let whole_settings = settings("whole", None, options.answer_delay);
+            whole_workers.push(Worker::start(whole_settings).await?);
+            let engine_settings = settings("engine", Some(options.events), options.event_interval);
+            engine_workers.push(Worker::start(engine_settings).await?);
         }
         if options.programs.is_empty() {
             options.programs.push(binary.to_owned());
         }
         let mut fleet = Self {
             store,
-            whole,
-            engines,
+            whole_workers,
+            engine_workers,
             gateways: Vec::new(),
             caller: PlatformCaller::default(),
             programs: options.programs,
@@ -201,8 +203,8 @@
             version: 0,
             lease: options.lease,
             directory: options.directory,
-            places: options.places,
-            line: options.line,
+            zone_layout: options.zone_layout,
+            store_line: options.store_line,
         };
         fleet.configure(first_configuration());
         fleet.list_all(values::READY);
@@ -218,41 +220,50 @@
     }
 
     /// Adds a gateway, without waiting until it is ready.
-    pub async fn add_gateway(&mut self, more_settings: &str) -> Result<(), HarnessError> {
-        let door = self.store.open_door().await?;
+    pub async fn add_gateway(&mut self, extra_settings: &str) -> Result<(), HarnessError> {
+        let store_listener = self.store.open_listener().await?;
         let index = self.gateways.len();
-        let link = self.link_to(door.address, index).await?;
-        let store = link.as_ref().map_or(door.address, |link| link.address);
+        let link = self.link_to(store_listener.address, index).await?;
+        let store = link
+            .as_ref()
+            .map_or(store_listener.address, |link| link.address);
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
         let program = self.programs[index % self.programs.len()].clone();
-        let started = start_gateway_anew(&program, &settings, |addresses| {
+        let started = start_gateway_on_free_addresses(&program, &settings, |addresses| {
             settings_text(&GatewaySettingsText {
                 index,
-                places: &self.places,
+                zone_layout: &self.zone_layout,
                 peers: addresses.peers,
                 metrics: addresses.metrics,
                 store,
                 partitions: PARTITIONS,
                 lease: self.lease,
                 directory: &self.directory,
-                more: more_settings,
+                extra_lines: extra_settings,
             })
         });
         let (process, addresses) = started?;
         let metrics = addresses.metrics;
-        let mut gateway = RunningGateway::new(process, program, settings, metrics, door)?;
-        gateway.link = link;
+        let mut gateway = RunningGateway::new(process, program, settings, metrics, store_listener)?;
+        gateway.store_link = link;
         self.gateways.push(gateway);
         Ok(())
     }
 
     /// The way of a gateway to the store, if it leads over a line.
-    async fn link_to(&self, door: SocketAddr, index: usize) -> std::io::Result<Option<Link>> {
-        let line = self.line.as_ref().filter(|_| self.places.is_far(index));
+    async fn link_to(
+        &self,
+        store_listener: SocketAddr,
+        index: usize,
+    ) -> std::io::Result<Option<Link>> {
+        let line = self
+            .store_line
+            .as_ref()
+            .filter(|_| self.zone_layout.is_outside_first_region(index));
         let Some(line) = line else {
             return Ok(None);
         };
-        let link = Link::open(any_port(), Some(door)).await?;
+        let link = Link::open(any_port(), Some(store_listener)).await?;
         link.set_way(Way {
             delay: Duration::ZERO,
             width: Some(Arc::clone(line)),
@@ -264,17 +275,18 @@
     pub fn restart(&mut self, index: usize) -> Result<(), HarnessError> {
         self.gateways[index].process.kill();
         let program = self.gateways[index].program.clone();
-        self.start_again(index, program)
+        self.start_process(index, program)
     }
 
-    fn start_again(&mut self, index: usize, program: PathBuf) -> Result<(), HarnessError> {
+    fn start_process(&mut self, index: usize, program: PathBuf) -> Result<(), HarnessError> {
         let gateway = &self.gateways[index];
         let settings = gateway.settings.clone();
         let process = start_gateway(&program, &settings)?;
-        let (metrics, door) = (gateway.metrics, gateway.door.clone());
-        let link = self.gateways[index].link.take();
-        self.gateways[index] = RunningGateway::new(process, program, settings, metrics, door)?;
-        self.gateways[index].link = link;
+        let (metrics, store_listener) = (gateway.metrics, gateway.store_listener.clone());
+        let link = self.gateways[index].store_link.take();
+        self.gateways[index] =
+            RunningGateway::new(process, program, settings, metrics, store_listener)?;
+        self.gateways[index].store_link = link;
         Ok(())
     }
 
@@ -284,12 +296,12 @@
         gateway.process.terminate();
         let ends = async {
             while gateway.process.is_running() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let ended = tokio::time::timeout(PATIENCE, ends).await;
+        let ended = tokio::time::timeout(CONDITION_TIMEOUT, ends).await;
         assert!(ended.is_ok(), "gateway {index} does not stop");
-        self.start_again(index, program.to_owned())?;
+        self.start_process(index, program.to_owned())?;
         let ready = self.gateways[index].ready;
         let caller = &self.caller;
         eventually("the gateway is ready", || caller.is_ready(ready)).await;
@@ -313,7 +325,7 @@
     pub fn configure_tenants(
         &mut self,
         mut document: ConfigurationDocument,
-        tenants: Option<&[TenantText]>,
+        tenants: Option<&[PublishedTenant]>,
     ) {
         self.version += 1;
         document.version = self.version;
@@ -337,23 +349,23 @@
 
     /// Lists every worker in a state.
     pub fn list_all(&self, state: &str) {
-        for worker in &self.whole {
+        for worker in &self.whole_workers {
             self.list(worker, "whole", state);
         }
-        for worker in &self.engines {
+        for worker in &self.engine_workers {
             self.list(worker, "engine", state);
         }
     }
 
     /// Lists a worker in the directory.
     pub fn list(&self, worker: &Worker, service: &str, state: &str) {
-        let document = Self::entry_of(worker, service, state);
+        let document = Self::directory_entry(worker, service, state);
         let body = serde_json::to_vec(&document).unwrap_or_default();
         self.store.put(topics::WORKERS, worker.incarnation(), body);
     }
 
     /// What a worker says of itself.
-    pub fn entry_of(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
+    pub fn directory_entry(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
         WorkerDocument {
             service: service.to_owned(),
             address: worker.address.to_string(),
@@ -370,7 +382,7 @@
     /// Ends a worker of the service `whole` and starts it again, at its address and under its identifier; it
     /// is listed as ready in its new life.
     pub async fn restart_worker(&mut self, index: usize) -> std::io::Result<()> {
-        let old = &self.whole[index];
+        let old = &self.whole_workers[index];
         old.crash();
         let address = old.address;
         let settings = WorkerSettings {
@@ -379,7 +391,7 @@
         };
         let worker = start_worker_at(address, settings).await?;
         self.list(&worker, "whole", values::READY);
-        self.whole[index] = worker;
+        self.whole_workers[index] = worker;
         Ok(())
     }
 
@@ -392,7 +404,7 @@
 
     /// Runs of a request at all workers.
     pub fn runs_of(&self, id: &str) -> Vec<super::worker::Run> {
-        let workers = self.whole.iter().chain(&self.engines);
+        let workers = self.whole_workers.iter().chain(&self.engine_workers);
         let runs = workers.flat_map(Worker::runs);
         runs.filter(|run| run.id == id).collect()
     }
@@ -405,10 +417,10 @@
 
 /// Starts a worker at an address that another one may just be leaving.
 async fn start_worker_at(address: SocketAddr, settings: WorkerSettings) -> std::io::Result<Worker> {
-    for _ in 0..PORT_TRIES {
+    for _ in 0..PORT_ATTEMPTS {
         match Worker::start_watched(address, settings.clone(), Arc::new(|_, _| {})).await {
             Ok(worker) => return Ok(worker),
-            Err(_) => tokio::time::sleep(LOOK).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse))
@@ -422,9 +434,9 @@
 {
     let waited = async {
         while !condition().await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let held = tokio::time::timeout(PATIENCE, waited).await;
-    assert!(held.is_ok(), "not within {PATIENCE:?}: {what}");
+    let held = tokio::time::timeout(CONDITION_TIMEOUT, waited).await;
+    assert!(held.is_ok(), "not within {CONDITION_TIMEOUT:?}: {what}");
 }
--- a/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
@@ -70,7 +70,7 @@
 /// A tenant as operators publish it.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
-pub struct TenantText {
+pub struct PublishedTenant {
     /// Name.
     pub name: String,
     /// Keys.
@@ -83,7 +83,7 @@
     pub burst: f64,
 }
 
-impl TenantText {
+impl PublishedTenant {
     /// A tenant without a limit.
     pub fn new(name: &str, keys: &[&str]) -> Self {
         Self {
@@ -94,7 +94,7 @@
     }
 
     /// The same tenant with a limit.
-    pub fn limited(self, rate_per_s: f64, burst: f64) -> Self {
+    pub fn with_rate_limit(self, rate_per_s: f64, burst: f64) -> Self {
         Self {
             rate_per_s,
             burst,
@@ -109,11 +109,11 @@
     #[serde(flatten)]
     pub(super) document: ConfigurationDocument,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub(super) tenants: Option<&'t [TenantText]>,
+    pub(super) tenants: Option<&'t [PublishedTenant]>,
 }
 
 /// A split of a route.
-pub fn split(parts: &[(&str, u32)]) -> Option<Vec<BackendDocument>> {
+pub fn weighted_split(parts: &[(&str, u32)]) -> Option<Vec<BackendDocument>> {
     let parts = parts.iter().map(|(service, weight)| BackendDocument {
         service: (*service).to_owned(),
         weight: *weight,
--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -9,9 +9,9 @@
 
 use rand::seq::SliceRandom;
 
-use super::PORT_TRIES;
+use super::PORT_ATTEMPTS;
 use crate::harness::{HarnessError, Process};
-use crate::platform::places::Places;
+use crate::platform::zone_layout::ZoneLayout;
 use crate::stand_in::lock;
 
 /// Starts a gateway by a settings file; its log lies beside that.
@@ -28,7 +28,7 @@
 
 /// Addresses that a gateway keeps when it starts again: others know it by them.
 #[derive(Clone, Copy)]
-pub(crate) struct KeptAddresses {
+pub(crate) struct GatewayAddresses {
     /// Where it listens for other gateways.
     pub(crate) peers: SocketAddr,
     /// Where it listens for who asks for its figures.
@@ -36,79 +36,83 @@
 }
 
 /// Times that a gateway is started with other addresses before it is given up.
-const STARTS: usize = 5;
+const START_ATTEMPTS: usize = 5;
 /// What the log of a gateway says whose address another process took first.
-const ADDRESS_TAKEN: &str = "in use";
+const ADDRESS_IN_USE: &str = "in use";
 
 /// Starts a gateway for the first time, by the settings that `text` makes of its addresses. Another test program may
 /// take one of them between a look at it and the start: then others are drawn.
-pub(crate) fn start_gateway_anew(
+pub(crate) fn start_gateway_on_free_addresses(
     program: &Path,
     settings: &Path,
-    text: impl Fn(KeptAddresses) -> String,
-) -> Result<(Process, KeptAddresses), HarnessError> {
+    text: impl Fn(GatewayAddresses) -> String,
+) -> Result<(Process, GatewayAddresses), HarnessError> {
     for start in 1.. {
-        let addresses = KeptAddresses {
+        let addresses = GatewayAddresses {
             peers: free_address()?,
             metrics: free_address()?,
         };
         std::fs::write(settings, text(addresses))?;
         match start_gateway(program, settings) {
             Ok(process) => return Ok((process, addresses)),
-            Err(error) if start >= STARTS || !is_address_taken(settings) => return Err(error),
+            Err(error) if start >= START_ATTEMPTS || !is_address_in_use(settings) => {
+                return Err(error);
+            }
             Err(_) => eprintln!("an address of {} was taken", settings.display()),
         }
     }
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse).into())
 }
 
-fn is_address_taken(settings: &Path) -> bool {
+fn is_address_in_use(settings: &Path) -> bool {
     let log = std::fs::read_to_string(settings.with_extension("log"));
-    log.is_ok_and(|log| log.contains(ADDRESS_TAKEN))
+    log.is_ok_and(|log| log.contains(ADDRESS_IN_USE))
 }
 
 /// Ports that the system gives to nobody by itself.
-const FIXED_PORTS: Range<u16> = 20_000..30_000;
+const NON_EPHEMERAL_PORTS: Range<u16> = 20_000..30_000;
 
 /// Ports of a block.
-const BLOCK: u16 = 50;
+const PORTS_PER_BLOCK: u16 = 50;
 /// Directory, beside other temporary files, of a file for each block: who holds its lock has the block's ports, also
 /// for gateways that do not listen yet, or are to start again.
-const PORT_LOCKS: &str = "swiftshunt-lab-ports";
+const PORT_LOCK_DIRECTORY: &str = "swiftshunt-lab-ports";
 
 /// The ports of this process, among other test programs that run beside it.
-struct OwnPorts {
+struct PortAllocator {
     /// Those of the newest block that were not given to a gateway yet.
-    left: Range<u16>,
+    unused: Range<u16>,
     locks: Vec<File>,
 }
 
-static OWN_PORTS: Mutex<OwnPorts> = Mutex::new(OwnPorts {
-    left: 0..0,
+static PORT_ALLOCATOR: Mutex<PortAllocator> = Mutex::new(PortAllocator {
+    unused: 0..0,
     locks: Vec::new(),
 });
 
-impl OwnPorts {
+impl PortAllocator {
     fn next(&mut self) -> std::io::Result<u16> {
         loop {
-            if let Some(port) = self.left.next() {
+            if let Some(port) = self.unused.next() {
                 return Ok(port);
             }
-            self.take_block()?;
+            self.reserve_block()?;
         }
     }
 
     /// Takes a block that no other process has, until this process ends.
-    fn take_block(&mut self) -> std::io::Result<()> {
-        let directory = std::env::temp_dir().join(PORT_LOCKS);
+    fn reserve_block(&mut self) -> std::io::Result<()> {
+        let directory = std::env::temp_dir().join(PORT_LOCK_DIRECTORY);
         std::fs::create_dir_all(&directory)?;
-        let mut firsts: Vec<u16> = FIXED_PORTS.step_by(BLOCK.into()).collect();
-        firsts.shuffle(&mut rand::rng());
-        for first in firsts {
+        let mut first_ports: Vec<u16> = NON_EPHEMERAL_PORTS
+            .step_by(PORTS_PER_BLOCK.into())
+            .collect();
+        first_ports.shuffle(&mut rand::rng());
+        for first in first_ports {
             let file = File::create(directory.join(first.to_string()))?;
             match file.try_lock() {
                 Ok(()) => {
-                    self.left = first..first + BLOCK;
+                    self.unused = first..first + PORTS_PER_BLOCK;
                     self.locks.push(file);
                     return Ok(());
                 }
@@ -123,8 +127,8 @@
 /// An address that nobody listens at, and that no other test program takes.
 fn free_address() -> std::io::Result<SocketAddr> {
     let mut last = std::io::Error::from(std::io::ErrorKind::AddrInUse);
-    for _ in 0..PORT_TRIES {
-        let port = lock(&OWN_PORTS).next()?;
+    for _ in 0..PORT_ATTEMPTS {
+        let port = lock(&PORT_ALLOCATOR).next()?;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let stream = std::net::TcpListener::bind(address);
         match stream.and_then(|_| std::net::UdpSocket::bind(address)) {
@@ -138,7 +142,7 @@
 /// What a gateway's settings file says.
 pub(crate) struct GatewaySettingsText<'t> {
     pub(crate) index: usize,
-    pub(crate) places: &'t Places,
+    pub(crate) zone_layout: &'t ZoneLayout,
     /// Where it listens for other gateways.
     pub(crate) peers: SocketAddr,
     /// Where it listens for who asks for its figures.
@@ -149,25 +153,25 @@
     /// More lines of its part on the directory.
     pub(crate) directory: &'t str,
     /// More lines.
-    pub(crate) more: &'t str,
+    pub(crate) extra_lines: &'t str,
 }
 
 /// The settings file of a gateway.
 pub(crate) fn settings_text(settings: &GatewaySettingsText<'_>) -> String {
     let GatewaySettingsText {
         index,
-        places,
+        zone_layout,
         peers,
         metrics,
         store,
         partitions,
         directory,
-        more,
+        extra_lines,
         ..
     } = settings;
     let lease = settings.lease.as_millis();
-    let zone = places.zone(*index);
-    let zones = places.settings();
+    let zone = zone_layout.zone(*index);
+    let zones = zone_layout.settings_toml();
     format!(
         r#"name = "gateway-{index}"
 zone = "{zone}"
@@ -193,7 +197,7 @@
 [batch]
 lease = "{lease}ms"
 
-{more}
+{extra_lines}
 "#
     )
 }
--- a/crates/swiftshunt-lab/src/platform/groups.rs
+++ b/crates/swiftshunt-lab/src/platform/groups.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 struct Member {
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Members and what they own.
@@ -20,10 +20,10 @@
 impl Group {
     /// Removes members that have been silent for too long, and deals partitions evenly if the
     /// members changed.
-    fn settle(&mut self, partitions: u32, changed: bool) {
+    fn rebalance(&mut self, partitions: u32, changed: bool) {
         let now = Instant::now();
         let before = self.members.len();
-        self.members.retain(|_, member| member.until > now);
+        self.members.retain(|_, member| member.expires_at > now);
         if !changed && before == self.members.len() {
             return;
         }
@@ -38,26 +38,28 @@
     }
 
     /// A member joins, or stays for `time` more.
-    pub(super) fn join(&mut self, member: &str, time: Duration, partitions: u32) {
-        let until = Instant::now() + time;
-        let known = self.members.insert(member.to_owned(), Member { until });
-        self.settle(partitions, known.is_none());
+    pub(super) fn join(&mut self, member: &str, ttl: Duration, partitions: u32) {
+        let expires_at = Instant::now() + ttl;
+        let previous = self
+            .members
+            .insert(member.to_owned(), Member { expires_at });
+        self.rebalance(partitions, previous.is_none());
     }
 
     /// A member leaves.
     pub(super) fn leave(&mut self, member: &str, partitions: u32) {
-        let known = self.members.remove(member);
-        self.settle(partitions, known.is_some());
+        let previous = self.members.remove(member);
+        self.rebalance(partitions, previous.is_some());
     }
 
     /// Moves each partition to the member behind its present one.
-    pub(super) fn deal_anew(&mut self) {
+    pub(super) fn rotate_owners(&mut self) {
         let names: Vec<String> = self.members.keys().cloned().collect();
         let count = names.len().max(1);
         self.generation += 1;
         for owner in self.owners.values_mut() {
-            let place = names.iter().position(|name| name == owner);
-            if let Some(name) = names.get((place.unwrap_or(0) + 1) % count) {
+            let position = names.iter().position(|name| name == owner);
+            if let Some(name) = names.get((position.unwrap_or(0) + 1) % count) {
                 owner.clone_from(name);
             }
         }
--- a/crates/swiftshunt-lab/src/platform/mod.rs
+++ b/crates/swiftshunt-lab/src/platform/mod.rs
@@ -4,9 +4,9 @@
 pub mod caller;
 pub mod fleet;
 mod groups;
-pub mod places;
 pub mod process;
 pub mod quickstart;
 mod server;
 pub mod store;
 pub mod worker;
+pub mod zone_layout;
--- a/crates/swiftshunt-lab/src/platform/process.rs
+++ b/crates/swiftshunt-lab/src/platform/process.rs
@@ -18,8 +18,8 @@
 #[argh(subcommand, name = "platform-store")]
 pub struct StoreArguments {
     /// addresses to listen on, each with faults of its own
-    #[argh(option, default = "1")]
-    doors: usize,
+    #[argh(option, long = "doors", default = "1")]
+    listeners: usize,
     /// partitions of each topic
     #[argh(option, default = "4")]
     partitions: u32,
@@ -73,11 +73,11 @@
 /// Runs the store until the process is ended.
 pub async fn run_store(arguments: &StoreArguments) -> std::io::Result<()> {
     let store = Store::new(arguments.partitions, arguments.seed);
-    let mut doors = Vec::new();
-    for _ in 0..arguments.doors {
-        doors.push(store.open_door().await?.address.to_string());
+    let mut listeners = Vec::new();
+    for _ in 0..arguments.listeners {
+        listeners.push(store.open_listener().await?.address.to_string());
     }
-    announce(&json!({ "event": "listening", "doors": doors.join(",") }));
+    announce(&json!({ "event": "listening", "doors": listeners.join(",") }));
     std::future::pending().await
 }
 
@@ -88,12 +88,12 @@
         incarnation: arguments.incarnation,
         slots: arguments.slots,
         events: arguments.events,
-        pause: Duration::from_millis(arguments.pause_ms),
-        ended_by: None,
+        answer_delay: Duration::from_millis(arguments.pause_ms),
+        crash_on_body: None,
         started_unix_ms: None,
         zone: "zone-a".to_owned(),
     };
-    let tell = move |event: RunEvent, run: &Run| {
+    let report_run = move |event: RunEvent, run: &Run| {
         let line = RunLine {
             run: event,
             incarnation: incarnation.clone(),
@@ -103,7 +103,7 @@
         };
         announce(&json!(line));
     };
-    let worker = Worker::start_watched(arguments.listen, settings, Arc::new(tell)).await?;
+    let worker = Worker::start_watched(arguments.listen, settings, Arc::new(report_run)).await?;
     announce(&json!({ "event": "listening", "address": worker.address.to_string() }));
     std::future::pending().await
 }
--- a/crates/swiftshunt-lab/src/platform/quickstart.rs
+++ b/crates/swiftshunt-lab/src/platform/quickstart.rs
@@ -11,7 +11,7 @@
 /// Runs until the process is interrupted.
 pub async fn run(binaries: &Binaries) -> Result<(), HarnessError> {
     let options = PlatformOptions {
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     };
     let scratch = std::env::temp_dir().join("swiftshunt-quickstart");
--- a/crates/swiftshunt-lab/src/platform/server.rs
+++ b/crates/swiftshunt-lab/src/platform/server.rs
@@ -29,7 +29,7 @@
 }
 
 /// A whole body.
-pub(crate) fn whole(bytes: impl Into<Bytes>) -> Body {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     http_body_util::Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -28,18 +28,19 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-pub use self::control::{CONTROL_DEAL_ANEW, CONTROL_DROP_HISTORY, CONTROL_FAULTS};
-use self::wire::{Query, decode, json, place, status};
+pub use self::control::{CONTROL_DROP_HISTORY_PATH, CONTROL_FAULTS_PATH, CONTROL_REASSIGN_PATH};
+use self::wire::{Query, decode, json_answer, status_answer, topic_partition};
 use super::groups::Group;
-use super::server::{Body, BrokenOff, any_port, serve, whole};
+use super::server::{Body, BrokenOff, any_port, full_body, serve};
 use crate::stand_in::lock;
 
 /// How a store that is down behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Down {
+pub enum StoreOutage {
     /// It does not answer.
-    Silent,
+    #[serde(rename = "silent")]
+    Unresponsive,
     /// It refuses.
     Busy,
     /// It closes connections.
@@ -51,27 +52,34 @@
 #[serde(default)]
 pub struct StoreFaults {
     /// The store is down.
-    pub down: Option<Down>,
+    #[serde(rename = "down")]
+    pub outage: Option<StoreOutage>,
     /// Each answer takes this much longer.
     pub delay: Duration,
     /// Reads that come or wait are never answered; everything else is.
-    pub lost_reads: bool,
+    #[serde(rename = "lost_reads")]
+    pub hang_reads: bool,
     /// Share of appends that are done and not answered.
-    pub lost_answers: f64,
+    #[serde(rename = "lost_answers")]
+    pub lost_answer_probability: f64,
     /// A connection that loses an answer stays open and says nothing more.
-    pub lost_in_silence: bool,
+    #[serde(rename = "lost_in_silence")]
+    pub hold_open_on_lost_answer: bool,
     /// Appends whose answers are lost are done this much later.
-    pub done_late: Duration,
+    #[serde(rename = "done_late")]
+    pub lost_append_delay: Duration,
     /// Every second call for the newest records of a topic is refused.
-    pub half_of_listings: bool,
+    #[serde(rename = "half_of_listings")]
+    pub refuse_every_second_newest: bool,
     /// Share of appends that are acknowledged and not done: no store does that. Shows that a test
     /// would notice.
-    pub forgotten: f64,
+    #[serde(rename = "forgotten")]
+    pub false_acknowledgement_probability: f64,
 }
 
 /// A record as it lies in the log.
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredRecord {
     offset: u64,
     key: Vec<u8>,
     value: Bytes,
@@ -79,17 +87,17 @@
 
 #[derive(Default)]
 struct Partition {
-    records: Vec<Stored>,
-    first_kept: u64,
+    records: Vec<StoredRecord>,
+    first_offset: u64,
     end: u64,
-    newest: BTreeMap<Vec<u8>, Stored>,
+    newest: BTreeMap<Vec<u8>, StoredRecord>,
 }
 
 impl Partition {
     fn append(&mut self, records: Vec<(Vec<u8>, Bytes)>) -> u64 {
         let first = self.end;
         for (key, value) in records {
-            let stored = Stored {
+            let stored = StoredRecord {
                 offset: self.end,
                 key: key.clone(),
                 value,
@@ -112,35 +120,38 @@
     groups: HashMap<String, Group>,
     calls: u64,
     /// Calls for the newest records, by topic.
-    listings: HashMap<String, u64>,
+    newest_calls: HashMap<String, u64>,
 }
 
 struct Shared {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
     partitions: u32,
-    random: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
 }
 
 /// A door of a store.
 #[derive(Clone)]
-pub struct Door {
+pub struct StoreListener {
     /// Where it listens.
     pub address: SocketAddr,
     faults: Arc<Mutex<StoreFaults>>,
     /// Reads that came, by topic.
-    reads: Arc<Mutex<BTreeMap<String, u64>>>,
+    read_calls: Arc<Mutex<BTreeMap<String, u64>>>,
 }
 
-impl Door {
+impl StoreListener {
     /// Sets the faults.
-    pub fn set(&self, faults: StoreFaults) {
+    pub fn set_faults(&self, faults: StoreFaults) {
         *lock(&self.faults) = faults;
     }
 
     /// Reads of a topic's tail that came so far.
-    pub fn reads(&self, topic: &str) -> u64 {
-        lock(&self.reads).get(topic).copied().unwrap_or_default()
+    pub fn read_calls(&self, topic: &str) -> u64 {
+        lock(&self.read_calls)
+            .get(topic)
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -163,7 +174,7 @@
             state: Mutex::default(),
             changed: watch::Sender::new(0),
             partitions,
-            random: Mutex::new(StdRng::seed_from_u64(seed)),
+            rng: Mutex::new(StdRng::seed_from_u64(seed)),
         };
         Self {
             shared: Arc::new(shared),
@@ -172,30 +183,30 @@
     }
 
     /// Opens a door.
-    pub async fn open_door(&self) -> std::io::Result<Door> {
+    pub async fn open_listener(&self) -> std::io::Result<StoreListener> {
         let faults = Arc::new(Mutex::new(StoreFaults::default()));
-        let of_door = Arc::clone(&faults);
-        let reads = Arc::new(Mutex::new(BTreeMap::new()));
-        let counted = Arc::clone(&reads);
+        let listener_faults = Arc::clone(&faults);
+        let read_calls = Arc::new(Mutex::new(BTreeMap::new()));
+        let counted_reads = Arc::clone(&read_calls);
         let shared = Arc::clone(&self.shared);
         let address = serve(
             any_port(),
             self.stop.clone(),
             move |request: Request<Incoming>| {
                 let shared = Arc::clone(&shared);
-                let faults = Arc::clone(&of_door);
+                let faults = Arc::clone(&listener_faults);
                 if request.uri().path() == paths::READ {
                     let topic = Query::of(&request).text(queries::TOPIC).to_owned();
-                    *lock(&counted).entry(topic).or_default() += 1;
+                    *lock(&counted_reads).entry(topic).or_default() += 1;
                 }
-                async move { answer(shared, faults, request).await }
+                async move { handle_call(shared, faults, request).await }
             },
         )
         .await?;
-        Ok(Door {
+        Ok(StoreListener {
             address,
             faults,
-            reads,
+            read_calls,
         })
     }
 
@@ -211,8 +222,8 @@
     }
 
     /// Deals all partitions of all groups anew, each to the member behind its present one.
-    pub fn deal_anew(&self) {
-        self.shared.deal_anew();
+    pub fn reassign_partitions(&self) {
+        self.shared.reassign_partitions();
     }
 
     /// Calls that came so far.
@@ -244,14 +255,14 @@
     fn drop_history(&self) {
         for partition in lock(&self.state).partitions.values_mut() {
             partition.records.clear();
-            partition.first_kept = partition.end;
+            partition.first_offset = partition.end;
         }
         self.changed.send_modify(|version| *version += 1);
     }
 
-    fn deal_anew(&self) {
+    fn reassign_partitions(&self) {
         for group in lock(&self.state).groups.values_mut() {
-            group.deal_anew();
+            group.rotate_owners();
         }
     }
 
@@ -274,21 +285,25 @@
     }
 }
 
-async fn answer(
+async fn handle_call(
     shared: Arc<Shared>,
     faults: Arc<Mutex<StoreFaults>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, BrokenOff> {
-    if request.uri().path().starts_with(control::BEGINNING) {
-        return control::obey(&shared, &faults, request).await;
+    if request
+        .uri()
+        .path()
+        .starts_with(control::CONTROL_PATH_PREFIX)
+    {
+        return control::handle_control_call(&shared, &faults, request).await;
     }
     lock(&shared.state).calls += 1;
-    let now = lock(&faults).clone();
-    tokio::time::sleep(now.delay).await;
-    match now.down {
-        Some(Down::Silent) => return std::future::pending().await,
-        Some(Down::Busy) => return Ok(status(StatusCode::SERVICE_UNAVAILABLE)),
-        Some(Down::Reset) => return Err(BrokenOff),
+    let active_faults = lock(&faults).clone();
+    tokio::time::sleep(active_faults.delay).await;
+    match active_faults.outage {
+        Some(StoreOutage::Unresponsive) => return std::future::pending().await,
+        Some(StoreOutage::Busy) => return Ok(status_answer(StatusCode::SERVICE_UNAVAILABLE)),
+        Some(StoreOutage::Reset) => return Err(BrokenOff),
         None => {}
     }
     let query = Query::of(&request);
@@ -296,17 +311,19 @@
     let body = request.into_body().collect().await;
     let body = body.map_err(|_| BrokenOff)?.to_bytes();
     match path.as_str() {
-        paths::APPEND => append(&shared, &now, &query, body).await,
-        paths::READ if now.lost_reads => std::future::pending().await,
+        paths::APPEND => append(&shared, &active_faults, &query, body).await,
+        paths::READ if active_faults.hang_reads => std::future::pending().await,
         paths::READ => read(&shared, &faults, &query).await,
-        paths::NEWEST if now.half_of_listings && is_second(&shared, &query) => {
-            Ok(status(StatusCode::TOO_MANY_REQUESTS))
+        paths::NEWEST
+            if active_faults.refuse_every_second_newest && is_second_call(&shared, &query) =>
+        {
+            Ok(status_answer(StatusCode::TOO_MANY_REQUESTS))
         }
         paths::NEWEST => Ok(newest(&shared, &query)),
         paths::JOIN => Ok(join(&shared, &body)),
         paths::OWNERS => Ok(owners(&shared, &query)),
         paths::LEAVE => Ok(leave(&shared, &body)),
-        _ => Ok(status(StatusCode::NOT_FOUND)),
+        _ => Ok(status_answer(StatusCode::NOT_FOUND)),
     }
 }
 
@@ -319,27 +336,27 @@
     let topic = query.text(queries::TOPIC).to_owned();
     let partition = query.number(queries::PARTITION) as u32;
     let Some(records) = decode(body) else {
-        return Ok(status(StatusCode::BAD_REQUEST));
+        return Ok(status_answer(StatusCode::BAD_REQUEST));
     };
-    let is_lost = lock(&shared.random).random_bool(faults.lost_answers);
+    let is_lost = lock(&shared.rng).random_bool(faults.lost_answer_probability);
     if is_lost {
         let shared = Arc::clone(shared);
-        let later = faults.done_late;
+        let append_delay = faults.lost_append_delay;
         tokio::spawn(async move {
-            tokio::time::sleep(later).await;
+            tokio::time::sleep(append_delay).await;
             shared.append(&topic, partition, records);
         });
-        if faults.lost_in_silence {
+        if faults.hold_open_on_lost_answer {
             return std::future::pending().await;
         }
         return Err(BrokenOff);
     }
-    if lock(&shared.random).random_bool(faults.forgotten) {
+    if lock(&shared.rng).random_bool(faults.false_acknowledgement_probability) {
         let end = shared.end(&topic, partition);
-        return Ok(json(&AppendedDocument { offset: end, end }));
+        return Ok(json_answer(&AppendedDocument { offset: end, end }));
     }
     let (offset, end) = shared.append(&topic, partition, records);
-    Ok(json(&AppendedDocument { offset, end }))
+    Ok(json_answer(&AppendedDocument { offset, end }))
 }
 
 async fn read(
@@ -352,32 +369,32 @@
     let mut changed = shared.changed.subscribe();
     loop {
         changed.mark_unchanged();
-        if let Some(answer) = read_now(shared, query) {
+        if let Some(answer) = read_available(shared, query) {
             return Ok(answer);
         }
-        let is_over = tokio::time::timeout_at(deadline, changed.changed())
+        let has_timed_out = tokio::time::timeout_at(deadline, changed.changed())
             .await
             .is_err();
-        if lock(faults).down.is_some() {
+        if lock(faults).outage.is_some() {
             return Err(BrokenOff);
         }
-        if lock(faults).lost_reads {
+        if lock(faults).hang_reads {
             return std::future::pending().await;
         }
-        if is_over {
-            return Ok(raw(shared, query, &[]));
+        if has_timed_out {
+            return Ok(records_answer(shared, query, &[]));
         }
     }
 }
 
 /// An answer if there is one now: records, or that they are gone.
-fn read_now(shared: &Shared, query: &Query) -> Option<Response<Body>> {
+fn read_available(shared: &Shared, query: &Query) -> Option<Response<Body>> {
     let from = query.number(queries::FROM);
     let records = {
         let state = lock(&shared.state);
-        let partition = state.partitions.get(&place(query))?;
-        if from < partition.first_kept {
-            return Some(status(StatusCode::GONE));
+        let partition = state.partitions.get(&topic_partition(query))?;
+        if from < partition.first_offset {
+            return Some(status_answer(StatusCode::GONE));
         }
         let records = partition.records.iter();
         let wanted = records.filter(|record| record.offset >= from);
@@ -386,14 +403,14 @@
     if records.is_empty() && query.number(queries::WAIT) > 0 {
         return None;
     }
-    Some(raw(shared, query, &records))
+    Some(records_answer(shared, query, &records))
 }
 
-fn raw(shared: &Shared, query: &Query, records: &[Stored]) -> Response<Body> {
+fn records_answer(shared: &Shared, query: &Query, records: &[StoredRecord]) -> Response<Body> {
     let (end, first) = {
         let state = lock(&shared.state);
-        let partition = state.partitions.get(&place(query));
-        partition.map_or((0, 0), |partition| (partition.end, partition.first_kept))
+        let partition = state.partitions.get(&topic_partition(query));
+        partition.map_or((0, 0), |partition| (partition.end, partition.first_offset))
     };
     let mut body = BytesMut::new();
     body.put_u64(end);
@@ -404,44 +421,44 @@
         body.put_slice(&record.key);
         body.put_slice(&record.value);
     }
-    Response::new(whole(body.freeze()))
+    Response::new(full_body(body.freeze()))
 }
 
 /// Whether a call for the newest records of a topic is the second of two.
-fn is_second(shared: &Shared, query: &Query) -> bool {
+fn is_second_call(shared: &Shared, query: &Query) -> bool {
     let mut state = lock(&shared.state);
     let topic = query.text(queries::TOPIC).to_owned();
-    let calls = state.listings.entry(topic).or_default();
+    let calls = state.newest_calls.entry(topic).or_default();
     *calls += 1;
     calls.is_multiple_of(2)
 }
 
 /// Records of a page.
-const PAGE: usize = 500;
+const PAGE_RECORDS: usize = 500;
 
 fn newest(shared: &Shared, query: &Query) -> Response<Body> {
     let after = query.text(queries::AFTER).as_bytes().to_vec();
     let state = lock(&shared.state);
-    let Some(partition) = state.partitions.get(&place(query)) else {
-        return json(&NewestDocument {
+    let Some(partition) = state.partitions.get(&topic_partition(query)) else {
+        return json_answer(&NewestDocument {
             requests: Vec::new(),
             more: false,
             end: 0,
         });
     };
-    let behind = partition
+    let after_key = partition
         .newest
         .values()
         .filter(|record| after.is_empty() || record.key > after);
-    let mut page: Vec<&Stored> = behind.take(PAGE + 1).collect();
-    let more = page.len() > PAGE;
-    page.truncate(PAGE);
+    let mut page: Vec<&StoredRecord> = after_key.take(PAGE_RECORDS + 1).collect();
+    let more = page.len() > PAGE_RECORDS;
+    page.truncate(PAGE_RECORDS);
     let requests = page.into_iter().map(|record| RecordDocument {
         key: String::from_utf8_lossy(&record.key).into_owned(),
         value: STANDARD.encode(&record.value),
         offset: record.offset,
     });
-    json(&NewestDocument {
+    json_answer(&NewestDocument {
         requests: requests.collect(),
         more,
         end: partition.end,
@@ -450,18 +467,18 @@
 
 fn join(shared: &Shared, body: &[u8]) -> Response<Body> {
     let Ok(document) = serde_json::from_slice::<JoinDocument>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_answer(StatusCode::BAD_REQUEST);
     };
     let mut state = lock(&shared.state);
     let group = state.groups.entry(document.group).or_default();
-    let time = Duration::from_millis(document.ttl_ms);
-    group.join(&document.member, time, shared.partitions);
+    let ttl = Duration::from_millis(document.ttl_ms);
+    group.join(&document.member, ttl, shared.partitions);
     let owned = group
         .owners
         .iter()
         .filter(|(_, owner)| **owner == document.member);
     let parts = owned.map(|(partition, _)| (topics::JOBS.to_owned(), *partition, 0));
-    json(&JoinedDocument {
+    json_answer(&JoinedDocument {
         generation: group.generation,
         parts: parts.collect(),
     })
@@ -473,18 +490,18 @@
     let owners = group.into_iter().flat_map(|group| &group.owners);
     let parts =
         owners.map(|(partition, member)| (topics::JOBS.to_owned(), *partition, member.clone(), 0));
-    json(&OwnersDocument {
+    json_answer(&OwnersDocument {
         parts: parts.collect(),
     })
 }
 
 fn leave(shared: &Shared, body: &[u8]) -> Response<Body> {
     let Ok(document) = serde_json::from_slice::<LeaveDocument>(body) else {
-        return status(StatusCode::BAD_REQUEST);
+        return status_answer(StatusCode::BAD_REQUEST);
     };
     let mut state = lock(&shared.state);
     if let Some(group) = state.groups.get_mut(&document.group) {
         group.leave(&document.member, shared.partitions);
     }
-    status(StatusCode::OK)
+    status_answer(StatusCode::OK)
 }
--- a/crates/swiftshunt-lab/src/platform/store/wire.rs
+++ b/crates/swiftshunt-lab/src/platform/store/wire.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use swiftshunt_platform::words::queries;
 
-use crate::platform::server::{Body, whole};
+use crate::platform::server::{Body, full_body};
 
 /// Names and values of a query.
 pub(super) struct Query(HashMap<String, String>);
@@ -34,16 +34,16 @@
 }
 
 /// An answer without a body.
-pub(super) fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(whole(Bytes::new()));
+pub(super) fn status_answer(status: StatusCode) -> Response<Body> {
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
 /// An answer with a document.
-pub(super) fn json(document: &impl Serialize) -> Response<Body> {
+pub(super) fn json_answer(document: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(document).unwrap_or_default();
-    Response::new(whole(body))
+    Response::new(full_body(body))
 }
 
 /// Records of a body: length, length of the key, key, value.
@@ -66,7 +66,7 @@
 }
 
 /// The topic and partition that a call names.
-pub(super) fn place(query: &Query) -> (String, u32) {
+pub(super) fn topic_partition(query: &Query) -> (String, u32) {
     (
         query.text(queries::TOPIC).to_owned(),
         query.number(queries::PARTITION) as u32,
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -15,44 +15,55 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio_util::sync::CancellationToken;
 
-use super::server::{Body, BrokenOff, any_port, serve, whole};
+use super::server::{Body, BrokenOff, any_port, full_body, serve};
 use crate::stand_in::lock;
 
 /// What a worker does with the next requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
+pub enum WorkerBehaviour {
     /// Serves them.
     #[default]
-    Sound,
+    #[serde(rename = "sound")]
+    Normal,
     /// Runs them and does not answer.
-    Dark,
+    #[serde(rename = "dark")]
+    Hang,
     /// Runs them, and does not answer every second one.
-    HangSometimes,
+    #[serde(rename = "hang_sometimes")]
+    HangEverySecond,
     /// Runs them and is silent for this long first.
-    Late(Duration),
+    #[serde(rename = "late")]
+    DelayAnswer(Duration),
     /// Runs them and closes the connection.
-    LoseAnswer,
+    #[serde(rename = "lose_answer")]
+    CloseWithoutAnswer,
     /// Breaks streams off after this many events.
-    BreakAfter(u64),
+    #[serde(rename = "break_after")]
+    TruncateStreamAfter(u64),
     /// Does not run them and says so.
     Decline,
     /// Runs them and answers for another request.
-    AnswerAnother,
+    #[serde(rename = "answer_another")]
+    AnswerOtherRequestId,
     /// Runs them and does not sign.
     Unsigned,
     /// Runs them and fails.
     Fail,
     /// Says that they can never be done.
-    Never,
+    #[serde(rename = "never")]
+    RejectPermanently,
     /// Runs them and answers 503 without the word that they did not run.
-    FalseRefusal,
+    #[serde(rename = "false_refusal")]
+    RunAndAnswer503,
     /// Runs them and signs another answer as theirs: no gateway can tell. Shows that a test would.
     WrongBody,
     /// Tells of each run twice. Shows that a test counts runs.
-    TellTwice,
+    #[serde(rename = "tell_twice")]
+    ReportRunTwice,
     /// Runs them and says that it did not. Shows that a test looks at runs.
-    LyingRefusal,
+    #[serde(rename = "lying_refusal")]
+    ReportRunAndDecline,
 }
 
 /// What it serves.
@@ -65,9 +76,9 @@
     /// Events of a stream; none for whole answers.
     pub events: Option<u64>,
     /// Time before a whole answer, and between events.
-    pub pause: Duration,
+    pub answer_delay: Duration,
     /// The body of a request that ends it a pause after it began to run.
-    pub ended_by: Option<String>,
+    pub crash_on_body: Option<String>,
     /// When it started, in milliseconds of Unix time, if it tells.
     pub started_unix_ms: Option<u64>,
     /// The zone in which it stands.
@@ -75,7 +86,7 @@
 }
 
 /// Where a test sets a worker's manner (a body of [`Manner`]).
-pub const CONTROL_MANNER: &str = "/stand-in/manner";
+pub const CONTROL_BEHAVIOUR_PATH: &str = "/stand-in/manner";
 
 /// What is told about a run as it happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -108,13 +119,13 @@
     /// Whether it was shown a caller's credentials.
     pub has_credentials: bool,
     /// Whether it came to its end.
-    pub ended: bool,
+    pub completed: bool,
 }
 
 struct Shared {
     settings: WorkerSettings,
     watcher: RunWatcher,
-    manner: Mutex<Manner>,
+    behaviour: Mutex<WorkerBehaviour>,
     runs: Mutex<Vec<Run>>,
     slots: Arc<Semaphore>,
     stop: CancellationToken,
@@ -170,13 +181,13 @@
             slots: Arc::new(Semaphore::new(settings.slots)),
             settings,
             watcher,
-            manner: Mutex::default(),
+            behaviour: Mutex::default(),
             runs: Mutex::default(),
             stop: stop.clone(),
         });
-        let of_server = Arc::clone(&shared);
+        let server_shared = Arc::clone(&shared);
         let address = serve(listen, stop.clone(), move |request| {
-            answer(Arc::clone(&of_server), request)
+            handle_request(Arc::clone(&server_shared), request)
         })
         .await?;
         Ok(Self {
@@ -202,8 +213,8 @@
     }
 
     /// Changes its manner.
-    pub fn set(&self, manner: Manner) {
-        *lock(&self.shared.manner) = manner;
+    pub fn set_behaviour(&self, behaviour: WorkerBehaviour) {
+        *lock(&self.shared.behaviour) = behaviour;
     }
 
     /// What ran so far.
@@ -212,7 +223,7 @@
     }
 
     /// Whether it has ended, and nothing runs on it any more.
-    pub fn has_ended(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.stop.is_cancelled()
     }
 
@@ -227,20 +238,20 @@
     }
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn all(headers: &HeaderMap, name: &str) -> Vec<String> {
+fn header_values(headers: &HeaderMap, name: &str) -> Vec<String> {
     let values = headers.get_all(name).iter();
     let values = values.map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned());
     values.collect()
 }
 
-fn answer_with(status: StatusCode, set: &[(&'static str, &str)], body: Body) -> Response<Body> {
+fn answer_with(status: StatusCode, headers: &[(&'static str, &str)], body: Body) -> Response<Body> {
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
-    for (name, value) in set {
+    for (name, value) in headers {
         if let Ok(value) = HeaderValue::from_str(value) {
             answer
                 .headers_mut()
@@ -250,63 +261,68 @@
     answer
 }
 
-fn decline(status: StatusCode, id: &str) -> Response<Body> {
-    let set = [(headers::REQUEST_ID, id), (headers::DECLINED, "1")];
-    answer_with(status, &set, whole(Bytes::new()))
+fn declined_answer(status: StatusCode, id: &str) -> Response<Body> {
+    let answer_headers = [(headers::REQUEST_ID, id), (headers::DECLINED, "1")];
+    answer_with(status, &answer_headers, full_body(Bytes::new()))
 }
 
 /// Obeys a test.
-async fn control(shared: &Shared, request: Request<Incoming>) -> Result<Response<Body>, BrokenOff> {
+async fn handle_control_call(
+    shared: &Shared,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, BrokenOff> {
     let body = request.into_body().collect().await;
-    let wanted = serde_json::from_slice(&body.map_err(|_| BrokenOff)?.to_bytes());
-    let status = match wanted {
-        Ok(manner) => {
-            *lock(&shared.manner) = manner;
+    let behaviour = serde_json::from_slice(&body.map_err(|_| BrokenOff)?.to_bytes());
+    let status = match behaviour {
+        Ok(behaviour) => {
+            *lock(&shared.behaviour) = behaviour;
             StatusCode::OK
         }
         Err(_) => StatusCode::BAD_REQUEST,
     };
-    Ok(answer_with(status, &[], whole(Bytes::new())))
+    Ok(answer_with(status, &[], full_body(Bytes::new())))
 }
 
-async fn answer(
+async fn handle_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, BrokenOff> {
-    if request.uri().path() == CONTROL_MANNER {
-        return control(&shared, request).await;
+    if request.uri().path() == CONTROL_BEHAVIOUR_PATH {
+        return handle_control_call(&shared, request).await;
     }
-    let id = text(request.headers(), headers::REQUEST_ID).unwrap_or("");
+    let id = header_text(request.headers(), headers::REQUEST_ID).unwrap_or("");
     let id = id.to_owned();
-    let manner = *lock(&shared.manner);
-    let expected = text(request.headers(), headers::INCARNATION);
+    let behaviour = *lock(&shared.behaviour);
+    let expected = header_text(request.headers(), headers::INCARNATION);
     if expected.is_some_and(|expected| expected != shared.settings.incarnation) {
         return Ok(answer_with(
             StatusCode::MISDIRECTED_REQUEST,
             &[(headers::REQUEST_ID, &id)],
-            whole(Bytes::new()),
+            full_body(Bytes::new()),
         ));
     }
-    if manner == Manner::Decline {
-        return Ok(decline(StatusCode::SERVICE_UNAVAILABLE, &id));
+    if behaviour == WorkerBehaviour::Decline {
+        return Ok(declined_answer(StatusCode::SERVICE_UNAVAILABLE, &id));
     }
-    let last_event = text(request.headers(), headers::LAST_EVENT);
+    let last_event = header_text(request.headers(), headers::LAST_EVENT);
     let last_event = last_event.and_then(|last| last.parse().ok());
-    let deadline = text(request.headers(), headers::DEADLINE);
+    let deadline = header_text(request.headers(), headers::DEADLINE);
     let run = Run {
         id: id.clone(),
         path: request.uri().path().to_owned(),
         last_event,
         deadline_ms: deadline.and_then(|deadline| deadline.parse().ok()),
-        tenants: all(request.headers(), headers::TENANT),
+        tenants: header_values(request.headers(), headers::TENANT),
         has_credentials: request.headers().contains_key(AUTHORIZATION),
-        ended: false,
+        completed: false,
     };
     // A slot is held for as long as the answer is made; the semaphore is never closed.
     (shared.watcher)(RunEvent::Arrived, &run);
-    match manner {
-        Manner::TellTwice => (shared.watcher)(RunEvent::Arrived, &run),
-        Manner::LyingRefusal => return Ok(decline(StatusCode::SERVICE_UNAVAILABLE, &id)),
+    match behaviour {
+        WorkerBehaviour::ReportRunTwice => (shared.watcher)(RunEvent::Arrived, &run),
+        WorkerBehaviour::ReportRunAndDecline => {
+            return Ok(declined_answer(StatusCode::SERVICE_UNAVAILABLE, &id));
+        }
         _ => {}
     }
     let slots = Arc::clone(&shared.slots);
@@ -322,45 +338,61 @@
         runs.push(run);
         runs.len() - 1
     };
-    if let Some(body) = &shared.settings.ended_by
+    if let Some(body) = &shared.settings.crash_on_body
         && has_body(request, body).await
     {
-        tokio::time::sleep(shared.settings.pause).await;
+        tokio::time::sleep(shared.settings.answer_delay).await;
         shared.stop.cancel();
         return Err(BrokenOff);
     }
-    match manner {
-        Manner::Dark => return std::future::pending().await,
-        Manner::HangSometimes if index % 2 == 0 => {
+    match behaviour {
+        WorkerBehaviour::Hang => return std::future::pending().await,
+        WorkerBehaviour::HangEverySecond if index % 2 == 0 => {
             drop(slot);
             return std::future::pending().await;
         }
-        Manner::Late(pause) => tokio::time::sleep(pause).await,
-        Manner::LoseAnswer => return Err(BrokenOff),
-        Manner::Fail => return Ok(signed(&shared, StatusCode::INTERNAL_SERVER_ERROR, &id)),
-        Manner::Never => return Ok(signed(&shared, StatusCode::UNPROCESSABLE_ENTITY, &id)),
-        Manner::FalseRefusal => return Ok(signed(&shared, StatusCode::SERVICE_UNAVAILABLE, &id)),
-        Manner::AnswerAnother => return Ok(signed(&shared, StatusCode::OK, "another")),
+        WorkerBehaviour::DelayAnswer(pause) => tokio::time::sleep(pause).await,
+        WorkerBehaviour::CloseWithoutAnswer => return Err(BrokenOff),
+        WorkerBehaviour::Fail => {
+            return Ok(signed_answer(
+                &shared,
+                StatusCode::INTERNAL_SERVER_ERROR,
+                &id,
+            ));
+        }
+        WorkerBehaviour::RejectPermanently => {
+            return Ok(signed_answer(
+                &shared,
+                StatusCode::UNPROCESSABLE_ENTITY,
+                &id,
+            ));
+        }
+        WorkerBehaviour::RunAndAnswer503 => {
+            return Ok(signed_answer(&shared, StatusCode::SERVICE_UNAVAILABLE, &id));
+        }
+        WorkerBehaviour::AnswerOtherRequestId => {
+            return Ok(signed_answer(&shared, StatusCode::OK, "another"));
+        }
         _ => {}
     }
     let signature = format!("signed-by-{}", shared.settings.incarnation);
-    let mut set = vec![(headers::REQUEST_ID, id.as_str())];
-    if manner != Manner::Unsigned {
-        set.push((headers::SIGNATURE, signature.as_str()));
+    let mut answer_headers = vec![(headers::REQUEST_ID, id.as_str())];
+    if behaviour != WorkerBehaviour::Unsigned {
+        answer_headers.push((headers::SIGNATURE, signature.as_str()));
     }
     let load = format!("{},0,{}", shared.running(), shared.settings.slots);
-    set.push((headers::LOAD, load.as_str()));
+    answer_headers.push((headers::LOAD, load.as_str()));
     let Some(events) = shared.settings.events else {
-        tokio::time::sleep(shared.settings.pause).await;
-        lock(&shared.runs)[index].ended = true;
-        let body = match manner {
-            Manner::WrongBody => whole("answer to another"),
-            _ => whole(format!("answer to {id}")),
+        tokio::time::sleep(shared.settings.answer_delay).await;
+        lock(&shared.runs)[index].completed = true;
+        let body = match behaviour {
+            WorkerBehaviour::WrongBody => full_body("answer to another"),
+            _ => full_body(format!("answer to {id}")),
         };
-        return Ok(answer_with(StatusCode::OK, &set, body));
+        return Ok(answer_with(StatusCode::OK, &answer_headers, body));
     };
-    let body = stream(&shared, slot, index, &id, events, last_event, manner);
-    let mut answer = answer_with(StatusCode::OK, &set, body);
+    let body = event_stream_body(&shared, slot, index, &id, events, last_event, behaviour);
+    let mut answer = answer_with(StatusCode::OK, &answer_headers, body);
     let content_type = HeaderValue::from_static("text/event-stream");
     answer.headers_mut().insert(CONTENT_TYPE, content_type);
     Ok(answer)
@@ -372,13 +404,13 @@
     body.is_ok_and(|body| body.to_bytes() == expected)
 }
 
-fn signed(shared: &Shared, status: StatusCode, id: &str) -> Response<Body> {
+fn signed_answer(shared: &Shared, status: StatusCode, id: &str) -> Response<Body> {
     let signature = format!("signed-by-{}", shared.settings.incarnation);
-    let set = [
+    let answer_headers = [
         (headers::REQUEST_ID, id),
         (headers::SIGNATURE, signature.as_str()),
     ];
-    answer_with(status, &set, whole("the worker's own words"))
+    answer_with(status, &answer_headers, full_body("the worker's own words"))
 }
 
 /// Data of an event: the same at every worker.
@@ -386,14 +418,14 @@
     format!("{id}-piece-{event}")
 }
 
-fn stream(
+fn event_stream_body(
     shared: &Arc<Shared>,
     slot: HeldSlot,
     index: usize,
     id: &str,
     events: u64,
     last_event: Option<u64>,
-    manner: Manner,
+    behaviour: WorkerBehaviour,
 ) -> Body {
     let first = last_event.map_or(0, |last| last + 1);
     let shared = Arc::clone(shared);
@@ -405,19 +437,19 @@
         let id = id.clone();
         let slot = Arc::clone(&slot);
         async move {
-            let _held = slot;
-            if let Manner::BreakAfter(most) = manner
-                && event >= first + most
+            let _held_slot = slot;
+            if let WorkerBehaviour::TruncateStreamAfter(limit) = behaviour
+                && event >= first + limit
             {
                 // What was sent before gets out first.
-                tokio::time::sleep(shared.settings.pause).await;
+                tokio::time::sleep(shared.settings.answer_delay).await;
                 return Err(BrokenOff);
             }
             if event == events {
-                lock(&shared.runs)[index].ended = true;
+                lock(&shared.runs)[index].completed = true;
                 return Ok(Frame::data(Bytes::new()));
             }
-            tokio::time::sleep(shared.settings.pause).await;
+            tokio::time::sleep(shared.settings.answer_delay).await;
             let text = format!("id: {event}\ndata: {}\n\n", event_data(&id, event));
             Ok(Frame::data(Bytes::from(text)))
         }
--- a/crates/swiftshunt-lab/src/platform/places.rs
+++ b/crates/swiftshunt-lab/src/platform/zone_layout.rs
@@ -1,25 +1,25 @@
 //! The zones of a fleet, in which its gateways and workers stand by turns.
 
 /// A zone and its region.
-pub type Place = (&'static str, &'static str);
+pub type ZoneAndRegion = (&'static str, &'static str);
 
 /// The zones of a fleet.
 #[derive(Clone, Debug)]
-pub struct Places(Vec<Place>);
+pub struct ZoneLayout(Vec<ZoneAndRegion>);
 
-impl Default for Places {
+impl Default for ZoneLayout {
     fn default() -> Self {
         Self(vec![("zone-a", "region-a")])
     }
 }
 
-impl Places {
+impl ZoneLayout {
     /// These zones; the first one alone where there is one.
-    pub fn new(places: &[Place]) -> Self {
-        if places.is_empty() {
+    pub fn new(zones: &[ZoneAndRegion]) -> Self {
+        if zones.is_empty() {
             return Self::default();
         }
-        Self(places.to_vec())
+        Self(zones.to_vec())
     }
 
     /// The zone of the gateway, or of the worker of a service, with this number.
@@ -33,12 +33,12 @@
     }
 
     /// Whether the gateway with this number stands outside the first region.
-    pub fn is_far(&self, index: usize) -> bool {
+    pub fn is_outside_first_region(&self, index: usize) -> bool {
         self.0[index % self.0.len()].1 != self.0[0].1
     }
 
     /// Zones and regions as lines of a gateway's settings; none where there is one zone.
-    pub(crate) fn settings(&self) -> String {
+    pub(crate) fn settings_toml(&self) -> String {
         if self.0.len() < 2 {
             return String::new();
         }
--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::caller::ITEM_TOKENS;
-use crate::platform::store::{Down, StoreFaults};
-use crate::platform::worker::Manner;
+use crate::platform::store::{StoreFaults, StoreOutage};
+use crate::platform::worker::WorkerBehaviour;
 use crate::proxy::Fault;
 
 /// Time without faults at the beginning: gateways hear of each other.
@@ -212,14 +212,14 @@
         /// Which.
         index: usize,
         /// How.
-        manner: Manner,
+        manner: WorkerBehaviour,
     },
     /// All workers of a service serve badly.
     ServiceManner {
         /// The service.
         service: Service,
         /// How.
-        manner: Manner,
+        manner: WorkerBehaviour,
     },
     /// The store misbehaves for some gateways, or for all if none is named.
     Store {
@@ -422,38 +422,38 @@
     f64::from(random.random_range(range)) / 100.0
 }
 
-fn draw_manner(service: Service, random: &mut StdRng) -> Manner {
-    let late = Manner::Late(Duration::from_millis(random.random_range(50..2_500)));
-    let broken = Manner::BreakAfter(random.random_range(0..6));
+fn draw_manner(service: Service, random: &mut StdRng) -> WorkerBehaviour {
+    let late = WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
+    let broken = WorkerBehaviour::TruncateStreamAfter(random.random_range(0..6));
     let common = [
-        Manner::Dark,
-        Manner::HangSometimes,
+        WorkerBehaviour::Hang,
+        WorkerBehaviour::HangEverySecond,
         late,
-        Manner::LoseAnswer,
-        Manner::Decline,
-        Manner::AnswerAnother,
-        Manner::Unsigned,
-        Manner::FalseRefusal,
+        WorkerBehaviour::CloseWithoutAnswer,
+        WorkerBehaviour::Decline,
+        WorkerBehaviour::AnswerOtherRequestId,
+        WorkerBehaviour::Unsigned,
+        WorkerBehaviour::RunAndAnswer503,
     ];
     match service {
         // Engines do not fail items: then giving one up is a fault of the gateways.
         Service::Engine if random.random_bool(0.3) => broken,
-        Service::Whole if random.random_bool(0.2) => Manner::Fail,
-        _ => *common.choose(random).unwrap_or(&Manner::Dark),
+        Service::Whole if random.random_bool(0.2) => WorkerBehaviour::Fail,
+        _ => *common.choose(random).unwrap_or(&WorkerBehaviour::Hang),
     }
 }
 
 fn draw_store_faults(random: &mut StdRng) -> StoreFaults {
     let mut faults = StoreFaults::default();
     match random.random_range(0..6) {
-        0 => faults.down = Some(Down::Silent),
-        1 => faults.down = Some(Down::Busy),
-        2 => faults.down = Some(Down::Reset),
+        0 => faults.outage = Some(StoreOutage::Unresponsive),
+        1 => faults.outage = Some(StoreOutage::Busy),
+        2 => faults.outage = Some(StoreOutage::Reset),
         3 => faults.delay = Duration::from_millis(random.random_range(20..600)),
-        4 => faults.lost_reads = true,
+        4 => faults.hang_reads = true,
         _ => {
-            faults.lost_answers = hundredths(10..70, random);
-            faults.done_late = Duration::from_millis(random.random_range(0..3_000));
+            faults.lost_answer_probability = hundredths(10..70, random);
+            faults.lost_append_delay = Duration::from_millis(random.random_range(0..3_000));
         }
     }
     faults
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -21,11 +21,11 @@
 use super::plan::{Disruption, LinkEnd, Moment, Plan, Service, Step, ZONES};
 use super::{SoakError, journal};
 use crate::harness::{Binaries, Process};
-use crate::platform::places::{Place, Places};
 use crate::platform::process::time_of_day_ms;
 use crate::platform::store::{
-    CONTROL_DEAL_ANEW, CONTROL_DROP_HISTORY, CONTROL_FAULTS, StoreFaults,
+    CONTROL_DROP_HISTORY_PATH, CONTROL_FAULTS_PATH, CONTROL_REASSIGN_PATH, StoreFaults,
 };
+use crate::platform::zone_layout::{ZoneAndRegion, ZoneLayout};
 use crate::proxy::{Fault, Way, Width};
 use crate::stand_in::lock;
 
@@ -34,7 +34,7 @@
 /// Time that a call to a stand-in may take.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The zones of a round in two regions.
-const TWO_REGIONS: [Place; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
+const TWO_REGIONS: [ZoneAndRegion; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
 /// The zone in which the store stands, by its number.
 const STORE_STANDS: usize = 0;
 /// Moments that a slow follower may miss.
@@ -110,10 +110,10 @@
     }
 
     /// The zones of the round.
-    fn places(&self) -> Places {
+    fn places(&self) -> ZoneLayout {
         match self.plan.regions {
-            Some(_) => Places::new(&TWO_REGIONS),
-            None => Places::default(),
+            Some(_) => ZoneLayout::new(&TWO_REGIONS),
+            None => ZoneLayout::default(),
         }
     }
 
@@ -241,11 +241,11 @@
             }
             Disruption::DropHistory => {
                 let from = self.now();
-                self.command_store(CONTROL_DROP_HISTORY).await;
+                self.command_store(CONTROL_DROP_HISTORY_PATH).await;
                 self.record(Scope::Store, from);
             }
             Disruption::DealAnew => {
-                self.command_store(CONTROL_DEAL_ANEW).await;
+                self.command_store(CONTROL_REASSIGN_PATH).await;
                 self.reached(Moment::DealtAnew);
             }
             Disruption::Link { link, fault } => self.disturb_link(*link, *fault, time).await,
@@ -268,7 +268,7 @@
             return;
         };
         let body = serde_json::to_vec(faults).unwrap_or_default();
-        let request = HttpRequest::post(slot.door, CONTROL_FAULTS, "application/json", body);
+        let request = HttpRequest::post(slot.door, CONTROL_FAULTS_PATH, "application/json", body);
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
                 "the store's stand-in does not take faults: {error}"
@@ -289,7 +289,7 @@
                 .await;
         }
         // What was done late may come this much after the fault.
-        tokio::time::sleep(faults.done_late).await;
+        tokio::time::sleep(faults.lost_append_delay).await;
         if gateways.is_empty() {
             return self.record(Scope::Store, from);
         }
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -13,7 +13,8 @@
 use crate::harness::Process;
 use crate::platform::caller::PlatformCaller;
 use crate::platform::fleet::{
-    GatewaySettingsText, KeptAddresses, settings_text, start_gateway, start_gateway_anew,
+    GatewayAddresses, GatewaySettingsText, settings_text, start_gateway,
+    start_gateway_on_free_addresses,
 };
 use crate::proxy::Link;
 use crate::soak::SoakError;
@@ -73,20 +74,20 @@
         store.set_way(self.way_to_store(index));
         let program = self.program(index);
         let places = self.places();
-        let text = |addresses: KeptAddresses| {
+        let text = |addresses: GatewayAddresses| {
             settings_text(&GatewaySettingsText {
                 index,
-                places: &places,
+                zone_layout: &places,
                 peers: addresses.peers,
                 metrics: addresses.metrics,
                 store: store.address,
                 partitions: PARTITIONS,
                 lease: LEASE,
                 directory: SHARED_READS,
-                more: &more,
+                extra_lines: &more,
             })
         };
-        let start = || start_gateway_anew(&program, &settings, text);
+        let start = || start_gateway_on_free_addresses(&program, &settings, text);
         let (process, addresses) = tokio::task::block_in_place(start)?;
         let callers = Link::open(
             any,
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -10,7 +10,7 @@
 
 use super::{CONTROL_TIMEOUT, Testbed};
 use crate::harness::Process;
-use crate::platform::worker::{CONTROL_MANNER, Manner};
+use crate::platform::worker::{CONTROL_BEHAVIOUR_PATH, WorkerBehaviour};
 use crate::proxy::Link;
 use crate::soak::SoakError;
 use crate::soak::calm::Scope;
@@ -239,7 +239,7 @@
         &self,
         service: Service,
         index: usize,
-        manner: Manner,
+        manner: WorkerBehaviour,
         time: Duration,
     ) {
         let Some(slot) = self.worker(service, index) else {
@@ -249,16 +249,21 @@
         let from = self.now();
         self.set_manner(&worker, manner).await;
         tokio::time::sleep(time).await;
-        self.set_manner(&worker, Manner::Sound).await;
+        self.set_manner(&worker, WorkerBehaviour::Normal).await;
         self.record(Scope::Worker(worker.incarnation.clone()), from);
     }
 
-    async fn set_manner(&self, worker: &WorkerState, manner: Manner) {
+    async fn set_manner(&self, worker: &WorkerState, manner: WorkerBehaviour) {
         let body = serde_json::to_vec(&manner).unwrap_or_default();
         let Ok(addresses) = super::addresses(worker.process.announced("address")) else {
             return;
         };
-        let request = HttpRequest::post(addresses[0], CONTROL_MANNER, "application/json", body);
+        let request = HttpRequest::post(
+            addresses[0],
+            CONTROL_BEHAVIOUR_PATH,
+            "application/json",
+            body,
+        );
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!("a worker's stand-in does not obey: {error}"));
         }
--- a/crates/swiftshunt/tests/gateway/mod.rs
+++ b/crates/swiftshunt/tests/gateway/mod.rs
@@ -10,7 +10,7 @@
 use hyper::StatusCode;
 use swiftshunt_lab::platform::caller::item_id;
 use swiftshunt_lab::platform::fleet::{BATCH, PlatformFleet, PlatformOptions, eventually};
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
 use swiftshunt_lab::platform::worker::event_data;
 use swiftshunt_platform::documents::ResultDocument;
 use swiftshunt_platform::words::values;
@@ -56,7 +56,7 @@
 /// Returns the faults of a platform log that accepts connections and never answers.
 pub fn down() -> StoreFaults {
     StoreFaults {
-        down: Some(Down::Silent),
+        outage: Some(StoreOutage::Unresponsive),
         ..StoreFaults::default()
     }
 }
--- a/crates/swiftshunt/tests/gateway_batch.rs
+++ b/crates/swiftshunt/tests/gateway_batch.rs
@@ -8,8 +8,8 @@
 use hyper::StatusCode;
 use swiftshunt_lab::platform::caller::{item_body, item_id};
 use swiftshunt_lab::platform::fleet::{BATCH, PlatformOptions, eventually, first_configuration};
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
-use swiftshunt_lab::platform::worker::{Manner, Run};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
+use swiftshunt_lab::platform::worker::{Run, WorkerBehaviour};
 use swiftshunt_platform::words::values;
 use test_case::test_case;
 
@@ -95,7 +95,7 @@
     // Both gateways are cut off: the other one may own the job's partition, and would still answer 404 if
     // it reached the log.
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
     let answer = fleet
         .caller
@@ -117,7 +117,7 @@
         answer.is_ok_and(|(status, _)| status == StatusCode::OK)
     })
     .await;
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1].store_listener.set_faults(gateway::down());
     whole_job(&fleet, one, "job-1", 3).await;
     let answer = fleet.caller.results(two, "job-1", 0, NO_WAIT).await;
     let (status, page) = answer.expect("no response");
@@ -131,7 +131,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_survives_a_restart_of_all_gateways() {
     let mut fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(60),
+        event_interval: Duration::from_millis(60),
         ..PlatformOptions::default()
     })
     .await;
@@ -164,16 +164,16 @@
 #[test_case(Duration::ZERO; "append is executed immediately")]
 #[test_case(Duration::from_millis(1500); "append is executed late")]
 #[tokio::test(flavor = "multi_thread")]
-async fn lost_answers_of_the_log_duplicate_no_results(done_late: Duration) {
+async fn lost_answers_of_the_log_duplicate_no_results(lost_append_delay: Duration) {
     let fleet = start(PlatformOptions {
         seed: 7,
         ..PlatformOptions::default()
     })
     .await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults {
-            lost_answers: 0.5,
-            done_late,
+        gateway.store_listener.set_faults(StoreFaults {
+            lost_answer_probability: 0.5,
+            lost_append_delay,
             ..StoreFaults::default()
         });
     }
@@ -209,9 +209,9 @@
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-0", 1).await;
-    fleet.gateways[0].door.set(StoreFaults {
-        lost_answers: 0.4,
-        lost_in_silence: true,
+    fleet.gateways[0].store_listener.set_faults(StoreFaults {
+        lost_answer_probability: 0.4,
+        hold_open_on_lost_answer: true,
         ..StoreFaults::default()
     });
     let submit_in_time = |number: usize| {
@@ -230,24 +230,24 @@
     assert!(late <= LATE, "{late} jobs were late");
 }
 
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn no_job_is_accepted_while_the_log_is_down_and_a_rejected_job_never_runs(down: Down) {
+async fn no_job_is_accepted_while_the_log_is_down_and_a_rejected_job_never_runs(down: StoreOutage) {
     let fleet = start(PlatformOptions::default()).await;
     // Both gateways are cut off, since a gateway without the log submits jobs through another one.
     for gateway in &fleet.gateways {
         let faults = StoreFaults {
-            down: Some(down),
+            outage: Some(down),
             ..StoreFaults::default()
         };
-        gateway.door.set(faults);
+        gateway.store_listener.set_faults(faults);
     }
     let gateway = fleet.gateways[0].callers;
     let status = fleet.caller.submit(gateway, BATCH, "job-1", 3).await;
     let status = status.expect("no response");
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     assert_ne!(status, StatusCode::ACCEPTED);
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -263,7 +263,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn items_keep_running_while_the_log_is_down_for_all_gateways() {
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(400),
+        event_interval: Duration::from_millis(400),
         ..PlatformOptions::default()
     })
     .await;
@@ -275,16 +275,16 @@
     })
     .await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
     // The runs take longer than a lease, but less than the time for which the log retains leases.
     eventually("every item has a finished run", || async {
-        let ended = |item: &String| fleet.runs_of(item).iter().any(|run| run.ended);
+        let ended = |item: &String| fleet.runs_of(item).iter().any(|run| run.completed);
         items.iter().all(ended)
     })
     .await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     whole_job(&fleet, gateway, "job-1", 6).await;
     for item in &items {
@@ -295,7 +295,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_gateway_hands_over_the_progress_of_its_items() {
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(250),
+        event_interval: Duration::from_millis(250),
         ..PlatformOptions::default()
     })
     .await;
@@ -340,7 +340,7 @@
 async fn items_of_an_ended_job_stop_running() {
     let fleet = start(PlatformOptions {
         events: 200,
-        event_pause: Duration::from_millis(50),
+        event_interval: Duration::from_millis(50),
         ..PlatformOptions::default()
     })
     .await;
@@ -365,13 +365,16 @@
     assert_eq!(count_before, count());
 }
 
-#[test_case(Manner::Fail, 3; "failed runs")]
-#[test_case(Manner::Never, 1; "items that workers reject as impossible")]
+#[test_case(WorkerBehaviour::Fail, 3; "failed runs")]
+#[test_case(WorkerBehaviour::RejectPermanently, 1; "items that workers reject as impossible")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_failing_item_is_given_up_after_the_allowed_number_of_runs(manner: Manner, runs: usize) {
+async fn a_failing_item_is_given_up_after_the_allowed_number_of_runs(
+    behaviour: WorkerBehaviour,
+    runs: usize,
+) {
     let fleet = start(PlatformOptions::default()).await;
-    for engine in &fleet.engines {
-        engine.set(manner);
+    for engine in &fleet.engine_workers {
+        engine.set_behaviour(behaviour);
     }
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-1", 2).await;
@@ -387,8 +390,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_item_whose_stream_breaks_resumes_after_its_last_event() {
     let fleet = start(PlatformOptions::default()).await;
-    for engine in &fleet.engines {
-        engine.set(Manner::BreakAfter(3));
+    for engine in &fleet.engine_workers {
+        engine.set_behaviour(WorkerBehaviour::TruncateStreamAfter(3));
     }
     let gateway = fleet.gateways[0].callers;
     submit(&fleet, gateway, "job-1", 3).await;
@@ -403,7 +406,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn reassigned_partitions_duplicate_no_results() {
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     })
     .await;
@@ -412,7 +415,7 @@
         submit(&fleet, one, &format!("job-{number}"), 4).await;
     }
     for _ in 0..5 {
-        fleet.store.deal_anew();
+        fleet.store.reassign_partitions();
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     for number in 0..4 {
@@ -428,7 +431,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn items_of_a_paused_gateway_run_elsewhere_and_its_late_results_change_nothing() {
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(150),
+        event_interval: Duration::from_millis(150),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_changes.rs
+++ b/crates/swiftshunt/tests/gateway_changes.rs
@@ -52,8 +52,8 @@
             changed.routes.remove(0);
         }
         for gateway in &fleet.gateways {
-            gateway.door.set(StoreFaults {
-                lost_reads: true,
+            gateway.store_listener.set_faults(StoreFaults {
+                hang_reads: true,
                 ..StoreFaults::default()
             });
         }
@@ -61,7 +61,7 @@
         fleet.configure(first_configuration());
         tokio::time::sleep(OUTAGE).await;
         for gateway in &fleet.gateways {
-            gateway.door.set(StoreFaults::default());
+            gateway.store_listener.set_faults(StoreFaults::default());
         }
         fleet.configure(changed);
         tokio::time::sleep(APPLIED_WITHIN).await;
@@ -83,7 +83,7 @@
 async fn requests_are_served_by_the_known_configuration_while_the_log_is_down() {
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     for (number, gateway) in fleet.gateways.iter().enumerate() {
@@ -97,14 +97,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_single_gateway_without_the_log_serves_by_the_known_configuration() {
     let mut fleet = start(PlatformOptions::default()).await;
-    fleet.gateways[0].door.set(gateway::down());
+    fleet.gateways[0].store_listener.set_faults(gateway::down());
     fleet.configure(first_configuration());
     let answer = fleet
         .caller
         .ask(fleet.gateways[0].callers, ASK, "r1", DEADLINE)
         .await;
     assert_eq!(answer.expect("no response").status, StatusCode::OK);
-    fleet.gateways[0].door.set(StoreFaults::default());
+    fleet.gateways[0]
+        .store_listener
+        .set_faults(StoreFaults::default());
     let answer = fleet
         .caller
         .ask(fleet.gateways[1].callers, ASK, "r2", DEADLINE)
@@ -124,30 +126,30 @@
 async fn a_leaving_worker_receives_nothing_after_two_seconds(leaving: Leaving) {
     let fleet = start(PlatformOptions::default()).await;
     match leaving {
-        Leaving::Draining => fleet.list(&fleet.whole[0], "whole", values::DRAINING),
-        Leaving::Unlisted => fleet.unlist(&fleet.whole[0]),
+        Leaving::Draining => fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING),
+        Leaving::Unlisted => fleet.unlist(&fleet.whole_workers[0]),
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..20 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
 /// The state of a draining worker that was read from the log stays valid while the log is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_worker_receives_nothing_while_the_log_is_down() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.list(&fleet.whole[0], "whole", values::DRAINING);
+    fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..40 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
@@ -155,7 +157,7 @@
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
 /// Directory entries may expire while the log is unreachable. A worker whose entry is missing afterwards
@@ -164,23 +166,23 @@
 async fn a_worker_whose_entry_expired_receives_nothing_until_it_is_listed_again() {
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
-    fleet.unlist(&fleet.whole[0]);
+    fleet.unlist(&fleet.whole_workers[0]);
     tokio::time::sleep(APPLIED_WITHIN / 2).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..24 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("gone-{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
-    fleet.list(&fleet.whole[0], "whole", values::READY);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
+    fleet.list(&fleet.whole_workers[0], "whole", values::READY);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for number in 0..24 {
         let gateway = fleet.gateways[number % 2].callers;
@@ -188,7 +190,7 @@
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert!(fleet.whole[0].runs().len() > before);
+    assert!(fleet.whole_workers[0].runs().len() > before);
 }
 
 /// If all directory entries expired while the log was unreachable, living workers list themselves again
@@ -199,14 +201,14 @@
     const LISTED_AFTER: Duration = Duration::from_millis(1_500);
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
-    for worker in fleet.whole.iter().chain(&fleet.engines) {
+    for worker in fleet.whole_workers.iter().chain(&fleet.engine_workers) {
         fleet.unlist(worker);
     }
     tokio::time::sleep(APPLIED_WITHIN / 2).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     let returned = std::time::Instant::now();
     let (mut asked, mut refused) = (0, 0);
@@ -232,11 +234,11 @@
         ..PlatformOptions::default()
     })
     .await;
-    fleet.unlist(&fleet.whole[2]);
+    fleet.unlist(&fleet.whole_workers[2]);
     tokio::time::sleep(APPLIED_WITHIN * 2).await;
-    fleet.list(&fleet.whole[2], "whole", values::READY);
+    fleet.list(&fleet.whole_workers[2], "whole", values::READY);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[2].runs().len();
+    let before = fleet.whole_workers[2].runs().len();
     let gateway = fleet.gateways[0].callers;
     let asked = (0..60).map(|number| {
         let caller = fleet.caller.clone();
@@ -246,7 +248,7 @@
     for answer in futures_util::future::join_all(asked).await {
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    let at_new = fleet.whole[2].runs().len() - before;
+    let at_new = fleet.whole_workers[2].runs().len() - before;
     assert!(at_new < 45, "{at_new} of 60 went to the new worker");
 }
 
@@ -254,7 +256,7 @@
 async fn a_planned_stop_breaks_off_no_stream_and_ends_in_time() {
     let mut fleet = start(PlatformOptions {
         events: 20,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     })
     .await;
@@ -303,7 +305,7 @@
 async fn a_request_late_in_a_planned_stop_gets_503_with_retry_after() {
     let fleet = start(PlatformOptions {
         events: 60,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -31,8 +31,8 @@
 async fn fleet() -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways: 4,
-        event_pause: RUN_TIME / 8,
-        whole_pause: RUN_TIME,
+        event_interval: RUN_TIME / 8,
+        answer_delay: RUN_TIME,
         settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
         ..PlatformOptions::default()
     })
@@ -49,7 +49,11 @@
 
 /// Writes a directory entry that marks the worker as cold.
 fn mark_cold(fleet: &ExclusiveFleet, worker: &Worker, service: &str) {
-    let mut entry = json!(PlatformFleet::entry_of(worker, service, values::READY));
+    let mut entry = json!(PlatformFleet::directory_entry(
+        worker,
+        service,
+        values::READY
+    ));
     entry["coldLeftMs"] = json!(COLD.as_millis() as u64);
     let body = serde_json::to_vec(&entry).expect("the entry cannot be encoded");
     fleet.store.put(topics::WORKERS, worker.incarnation(), body);
@@ -98,7 +102,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_and_items_together_do_not_exceed_the_bound_of_a_cold_worker() {
     let fleet = fleet().await;
-    let engine = &fleet.engines[0];
+    let engine = &fleet.engine_workers[0];
     mark_cold(&fleet, engine, "engine");
     tokio::time::sleep(Duration::from_millis(700)).await;
     for job in 0..4 {
@@ -122,7 +126,7 @@
 async fn online_requests_do_not_exceed_the_bound_of_a_cold_worker_after_a_gateway_is_killed() {
     let mut fleet = fleet().await;
     fleet.gateways[3].process.kill();
-    let worker = &fleet.whole[0];
+    let worker = &fleet.whole_workers[0];
     mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(700)).await;
     let (most, total) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2]).await;
@@ -145,7 +149,7 @@
         })
         .await;
     }
-    let worker = &fleet.whole[0];
+    let worker = &fleet.whole_workers[0];
     mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(300)).await;
     let (most, _) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2, 3]).await;
--- a/crates/swiftshunt/tests/gateway_connections.rs
+++ b/crates/swiftshunt/tests/gateway_connections.rs
@@ -21,7 +21,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 fn running(fleet: &ExclusiveFleet) -> usize {
-    let workers = fleet.whole.iter().chain(&fleet.engines);
+    let workers = fleet.whole_workers.iter().chain(&fleet.engine_workers);
     workers.map(|worker| worker.running()).sum()
 }
 
@@ -42,8 +42,8 @@
 async fn a_disconnected_caller_frees_its_worker_within_half_a_second(path: &str) {
     let fleet = start(PlatformOptions {
         events: 200,
-        event_pause: Duration::from_millis(20),
-        whole_pause: Duration::from_secs(4),
+        event_interval: Duration::from_millis(20),
+        answer_delay: Duration::from_secs(4),
         ..PlatformOptions::default()
     })
     .await;
@@ -52,7 +52,11 @@
     let calls = (0..6).map(|number| {
         let caller = fleet.caller.clone();
         let id = format!("r{number}");
-        async move { caller.ask_and_leave(gateway, path, &id, leave_after).await }
+        async move {
+            caller
+                .ask_and_disconnect(gateway, path, &id, leave_after)
+                .await
+        }
     });
     let ran = async {
         tokio::time::sleep(leave_after / 2).await;
--- a/crates/swiftshunt/tests/gateway_directory.rs
+++ b/crates/swiftshunt/tests/gateway_directory.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 use swiftshunt_lab::platform::fleet::{ASK, PlatformFleet, PlatformOptions, eventually};
-use swiftshunt_lab::platform::worker::Manner;
+use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_platform::words::{topics, values};
 use test_case::test_case;
 
@@ -19,7 +19,7 @@
 async fn fleet(workers: usize) -> ExclusiveFleet {
     start(PlatformOptions {
         workers,
-        workers_tell_start: true,
+        report_start_times: true,
         ..PlatformOptions::default()
     })
     .await
@@ -33,22 +33,25 @@
 
 /// The only worker was draining, failing or silent before it restarted under its identifier. Nothing known of
 /// its previous incarnation may keep requests from the new one.
-#[test_case(values::DRAINING, Manner::Sound; "worker was draining")]
-#[test_case(values::READY, Manner::Fail; "worker was failing")]
-#[test_case(values::READY, Manner::Dark; "worker did not answer")]
+#[test_case(values::DRAINING, WorkerBehaviour::Normal; "worker was draining")]
+#[test_case(values::READY, WorkerBehaviour::Fail; "worker was failing")]
+#[test_case(values::READY, WorkerBehaviour::Hang; "worker did not answer")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_worker_is_used_whatever_it_did_before(state: &str, manner: Manner) {
+async fn a_restarted_worker_is_used_whatever_it_did_before(
+    state: &str,
+    behaviour: WorkerBehaviour,
+) {
     let mut fleet = fleet(1).await;
     assert_eq!(ask(&fleet, "before").await, StatusCode::OK);
-    fleet.whole[0].set(manner);
-    fleet.list(&fleet.whole[0], "whole", state);
+    fleet.whole_workers[0].set_behaviour(behaviour);
+    fleet.list(&fleet.whole_workers[0], "whole", state);
     for number in 0..6 {
         let gateway = fleet.gateways[0].callers;
         let id = format!("meanwhile-{number}");
         let leave_after = Duration::from_millis(200);
         fleet
             .caller
-            .ask_and_leave(gateway, ASK, &id, leave_after)
+            .ask_and_disconnect(gateway, ASK, &id, leave_after)
             .await;
     }
     fleet.restart_worker(0).await.expect("a worker");
@@ -76,7 +79,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_entries_of_a_previous_incarnation_change_nothing() {
     let mut fleet = fleet(1).await;
-    let mut late = PlatformFleet::entry_of(&fleet.whole[0], "whole", values::DRAINING);
+    let mut late =
+        PlatformFleet::directory_entry(&fleet.whole_workers[0], "whole", values::DRAINING);
     fleet.restart_worker(0).await.expect("a worker");
     eventually("the worker serves", || async {
         ask(&fleet, "after").await == StatusCode::OK
@@ -85,7 +89,7 @@
     for _ in 0..10 {
         late.call_seq += 1;
         let body = serde_json::to_vec(&late).expect("the document cannot be encoded");
-        let id = fleet.whole[0].incarnation();
+        let id = fleet.whole_workers[0].incarnation();
         fleet.store.put(topics::WORKERS, id, body);
         tokio::time::sleep(APPLIED_WITHIN / 10).await;
         assert_eq!(ask(&fleet, "once more").await, StatusCode::OK);
@@ -97,7 +101,7 @@
     worker: &swiftshunt_lab::platform::worker::Worker,
     change: (&str, Option<Value>),
 ) -> Vec<u8> {
-    let entry = PlatformFleet::entry_of(worker, "whole", values::READY);
+    let entry = PlatformFleet::directory_entry(worker, "whole", values::READY);
     let mut entry = serde_json::to_value(entry).expect("the entry cannot be encoded");
     let fields = entry.as_object_mut().expect("fields");
     match change {
@@ -113,7 +117,7 @@
 async fn malformed_entries_add_no_worker() {
     let fleet = fleet(3).await;
     // All malformed entries have the address of this worker, so a gateway that uses one of them is detected.
-    let unlisted = &fleet.whole[2];
+    let unlisted = &fleet.whole_workers[2];
     fleet.unlist(unlisted);
     let changes = [
         ("service", None),
@@ -151,7 +155,7 @@
             fleet.store.put(topics::WORKERS, &key, body.clone());
         }
         fleet.store.put(topics::WORKERS, "whole-0", vec![0xff]);
-        fleet.list(&fleet.whole[0], "whole", values::READY);
+        fleet.list(&fleet.whole_workers[0], "whole", values::READY);
         assert_eq!(ask(&fleet, "as ever").await, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -165,7 +169,7 @@
     println!("{lines} lines for {} entries", bodies.len() * 20);
     // At most one line for each key.
     assert!(lines <= bodies.len() + 1, "{lines} lines");
-    let unreadable = fleet.caller.figure(
+    let unreadable = fleet.caller.metric_value(
         fleet.gateways[0].metrics,
         "swiftshunt_records_unreadable_total",
     );
--- a/crates/swiftshunt/tests/gateway_evacuation.rs
+++ b/crates/swiftshunt/tests/gateway_evacuation.rs
@@ -10,11 +10,11 @@
 use gateway::{ExclusiveFleet, assert_all_events, listed, start, submit, whole_job};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{
-    ASK, BATCH, PlatformOptions, STREAM, eventually, first_configuration, route, split,
+    ASK, BATCH, PlatformOptions, STREAM, eventually, first_configuration, route, weighted_split,
 };
-use swiftshunt_lab::platform::places::Places;
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
 use swiftshunt_lab::platform::worker::Worker;
+use swiftshunt_lab::platform::zone_layout::ZoneLayout;
 use swiftshunt_platform::words::{topics, values};
 use test_case::test_case;
 
@@ -31,14 +31,14 @@
 /// Returns options for two gateways and two workers per service, one of each in both zones of a region.
 fn two_zones() -> PlatformOptions {
     PlatformOptions {
-        places: Places::new(&[(A, "north"), (B, "north")]),
+        zone_layout: ZoneLayout::new(&[(A, "north"), (B, "north")]),
         ..PlatformOptions::default()
     }
 }
 
 /// Returns the number of runs of each worker in zone a.
 fn runs_in_a(fleet: &ExclusiveFleet) -> Vec<usize> {
-    let workers = fleet.whole.iter().chain(&fleet.engines);
+    let workers = fleet.whole_workers.iter().chain(&fleet.engine_workers);
     let in_a = workers.filter(|worker| worker.settings().zone == A);
     in_a.map(|worker| worker.runs().len()).collect()
 }
@@ -97,14 +97,14 @@
     let fleet = start(PlatformOptions {
         gateways: 1,
         events: EVENTS,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..two_zones()
     })
     .await;
     let gateway = fleet.gateways[0].callers;
     let caller = fleet.caller.clone();
     let stream = tokio::spawn(async move { caller.ask(gateway, STREAM, "stream", DEADLINE).await });
-    let in_a = &fleet.engines[0];
+    let in_a = &fleet.engine_workers[0];
     eventually("the stream runs in zone a", || async {
         in_a.running() == 1
     })
@@ -149,15 +149,15 @@
     assert_zone_a_receives_nothing(&fleet, "restarted").await;
 }
 
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_without_access_to_the_log_applies_an_evacuation(how: Down) {
+async fn a_gateway_without_access_to_the_log_applies_an_evacuation(how: StoreOutage) {
     let fleet = start(two_zones()).await;
     tokio::time::sleep(SETTLED).await;
-    fleet.gateways[0].door.set(StoreFaults {
-        down: Some(how),
+    fleet.gateways[0].store_listener.set_faults(StoreFaults {
+        outage: Some(how),
         ..StoreFaults::default()
     });
     tokio::time::sleep(SETTLED).await;
@@ -181,7 +181,7 @@
         tokio::time::sleep(APPLIED_WITHIN).await;
     }
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
     tokio::time::sleep(SETTLED).await;
     if withdrawn {
@@ -191,7 +191,7 @@
     }
     fleet.store.drop_history();
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     tokio::time::sleep(SETTLED).await;
     if withdrawn {
@@ -225,7 +225,7 @@
         assert!(retry_after.is_some(), "{path}: no retry-after header");
     }
     let evacuated = "swiftshunt_refusals_total{reason=\"Evacuated\"}";
-    let refused = fleet.caller.figure(gateway.metrics, evacuated).await;
+    let refused = fleet.caller.metric_value(gateway.metrics, evacuated).await;
     assert_eq!(refused, 3.0);
     let before = runs_in_a(&fleet);
     submit(&fleet, gateway.callers, "waits", 3).await;
@@ -244,11 +244,11 @@
     let mut configuration = first_configuration();
     let mut parts = route("/parts/", values::IDEMPOTENT, "whole");
     parts.service = None;
-    parts.backends = split(&[("whole", 1), ("engine", 1)]);
+    parts.backends = weighted_split(&[("whole", 1), ("engine", 1)]);
     configuration.routes.push(parts);
     fleet.configure(configuration);
     // The service `whole` has no worker outside of zone a any more.
-    fleet.unlist(&fleet.whole[1]);
+    fleet.unlist(&fleet.whole_workers[1]);
     fleet.evacuate(A);
     tokio::time::sleep(APPLIED_WITHIN).await;
     let gateway = fleet.gateways[0].callers;
@@ -267,20 +267,20 @@
     let fleet = start(PlatformOptions {
         gateways: 1,
         events: EVENTS,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         settings: "[evacuation]\nobey_within = \"2s\"\nitems_leave_after = \"1s\"".to_owned(),
         ..two_zones()
     })
     .await;
     let gateway = &fleet.gateways[0];
     submit(&fleet, gateway.callers, "long", 6).await;
-    let in_a: &Worker = &fleet.engines[0];
+    let in_a: &Worker = &fleet.engine_workers[0];
     eventually("items run in zone a", || async { in_a.running() > 0 }).await;
     fleet.evacuate(A);
     let evacuated_at = Instant::now();
     let metric = format!("swiftshunt_evacuated_in_progress{{zone=\"{A}\"}}");
     eventually("the metric shows runs in zone a", || async {
-        fleet.caller.figure(gateway.metrics, &metric).await > 0.0
+        fleet.caller.metric_value(gateway.metrics, &metric).await > 0.0
     })
     .await;
     eventually("zone a is empty", || async { in_a.running() == 0 }).await;
@@ -291,11 +291,11 @@
         evacuated_at.elapsed()
     );
     eventually("the metric shows no runs in zone a", || async {
-        fleet.caller.figure(gateway.metrics, &metric).await == 0.0
+        fleet.caller.metric_value(gateway.metrics, &metric).await == 0.0
     })
     .await;
     whole_job(&fleet, gateway.callers, "long", 6).await;
-    let runs = fleet.engines[1].runs();
+    let runs = fleet.engine_workers[1].runs();
     let resumed = runs.iter().filter(|run| run.last_event.is_some()).count();
     assert!(resumed > 0, "no item was resumed with its progress");
 }
@@ -305,19 +305,22 @@
     let fleet = start(two_zones()).await;
     let metric = format!("swiftshunt_evacuated_zones{{zone=\"{A}\"}}");
     for gateway in &fleet.gateways {
-        assert_eq!(fleet.caller.figure(gateway.metrics, &metric).await, 0.0);
+        assert_eq!(
+            fleet.caller.metric_value(gateway.metrics, &metric).await,
+            0.0
+        );
     }
     fleet.evacuate(A);
     for gateway in &fleet.gateways {
         eventually("the metric shows the zone as evacuated", || async {
-            fleet.caller.figure(gateway.metrics, &metric).await == 1.0
+            fleet.caller.metric_value(gateway.metrics, &metric).await == 1.0
         })
         .await;
     }
     fleet.withdraw_evacuation(A);
     for gateway in &fleet.gateways {
         eventually("the metric shows the zone as not evacuated", || async {
-            fleet.caller.figure(gateway.metrics, &metric).await == 0.0
+            fleet.caller.metric_value(gateway.metrics, &metric).await == 0.0
         })
         .await;
     }
@@ -333,7 +336,7 @@
         command.args(["publish", "--log", log, what, A]);
         command.output().expect("a command")
     };
-    let log = fleet.gateways[0].door.address.to_string();
+    let log = fleet.gateways[0].store_listener.address.to_string();
     let written = publish(&log, "--evacuate");
     assert!(written.status.success(), "{written:?}");
     assert_eq!(fleet.store.keys(topics::OPERATOR), 2);
--- a/crates/swiftshunt/tests/gateway_foreign.rs
+++ b/crates/swiftshunt/tests/gateway_foreign.rs
@@ -218,7 +218,7 @@
     let mut random = seeded_rng();
     let mut fleet = fleet().await;
     // No worker has this state, so a gateway that uses the damaged entry is detected.
-    let entry = PlatformFleet::entry_of(&fleet.engines[0], "whole", "asleep");
+    let entry = PlatformFleet::directory_entry(&fleet.engine_workers[0], "whole", "asleep");
     let entry = serde_json::to_vec(&entry).expect("the entry cannot be encoded");
     for number in 0..MALFORMED {
         let body = match random.random_range(0..4) {
@@ -244,7 +244,7 @@
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_requests_are_served(&mut fleet, MALFORMED).await;
-    let used = fleet.engines[0].runs();
+    let used = fleet.engine_workers[0].runs();
     assert!(used.is_empty(), "a foreign entry was used: {used:?}");
     assert_logs_are_short(&fleet);
 }
--- a/crates/swiftshunt/tests/gateway_limits.rs
+++ b/crates/swiftshunt/tests/gateway_limits.rs
@@ -27,7 +27,7 @@
     let mut fleet = start(PlatformOptions {
         gateways: 3,
         events: 400,
-        event_pause: Duration::from_millis(50),
+        event_interval: Duration::from_millis(50),
         ..PlatformOptions::default()
     })
     .await;
@@ -219,7 +219,7 @@
     );
     tokio::time::sleep(SETTLED).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults {
+        gateway.store_listener.set_faults(StoreFaults {
             delay: Duration::from_millis(1_400),
             ..StoreFaults::default()
         });
--- a/crates/swiftshunt/tests/gateway_metrics.rs
+++ b/crates/swiftshunt/tests/gateway_metrics.rs
@@ -7,7 +7,7 @@
 use gateway::{ExclusiveFleet, start};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{ASK, BATCH, PlatformOptions, STREAM, eventually};
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
 
 /// Time within which gateways must apply a change.
 const APPLIED_WITHIN: Duration = Duration::from_secs(2);
@@ -25,9 +25,9 @@
     let refused = |reason: &str| {
         let name = format!("{REFUSALS}{{reason=\"{reason}\"}}");
         let caller = fleet.caller.clone();
-        async move { caller.figure(gateway.metrics, &name).await }
+        async move { caller.metric_value(gateway.metrics, &name).await }
     };
-    for worker in &fleet.whole {
+    for worker in &fleet.whole_workers {
         fleet.unlist(worker);
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
@@ -37,8 +37,8 @@
     assert_eq!(refused("NoWorker").await, 1.0);
     assert_eq!(refused("LogAway").await, 0.0);
 
-    gateway.door.set(StoreFaults {
-        down: Some(Down::Busy),
+    gateway.store_listener.set_faults(StoreFaults {
+        outage: Some(StoreOutage::Busy),
         ..StoreFaults::default()
     });
     let answer = fleet
@@ -58,7 +58,7 @@
     let fleet = start(PlatformOptions {
         gateways: 1,
         events: 3,
-        event_pause: Duration::from_millis(540),
+        event_interval: Duration::from_millis(540),
         ..PlatformOptions::default()
     })
     .await;
@@ -70,7 +70,7 @@
     assert_eq!(answer.expect("no response").status, StatusCode::OK);
     let name = "swiftshunt_streams_paused_total";
     eventually("the pause is counted", || async {
-        fleet.caller.figure(gateway.metrics, name).await == 1.0
+        fleet.caller.metric_value(gateway.metrics, name).await == 1.0
     })
     .await;
     let line = line_of(&fleet, "s1", "a stream paused").await;
@@ -84,7 +84,7 @@
 async fn a_late_response_is_logged_with_its_times() {
     let fleet = start(PlatformOptions {
         gateways: 1,
-        whole_pause: Duration::from_millis(500),
+        answer_delay: Duration::from_millis(500),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_peaks.rs
+++ b/crates/swiftshunt/tests/gateway_peaks.rs
@@ -55,7 +55,7 @@
     let fleet = start(PlatformOptions {
         gateways: 3,
         events: EVENTS,
-        event_pause: EVENT_PAUSE,
+        event_interval: EVENT_PAUSE,
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_peers.rs
+++ b/crates/swiftshunt/tests/gateway_peers.rs
@@ -21,7 +21,7 @@
     for job in &jobs {
         drop(fleet.caller.results(two, job, 0, NO_WAIT).await);
     }
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1].store_listener.set_faults(gateway::down());
     for job in &jobs {
         submit(&fleet, one, job, 3).await;
     }
@@ -76,7 +76,7 @@
 async fn an_ended_job_does_not_run_at_a_new_owner_with_outdated_state() {
     const ITEMS: usize = 150;
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(60),
+        event_interval: Duration::from_millis(60),
         ..PlatformOptions::default()
     })
     .await;
@@ -94,18 +94,18 @@
         })
         .await;
         println!("{} runs before move {moves}", runs());
-        fleet.store.deal_anew();
+        fleet.store.reassign_partitions();
         tokio::time::sleep(Duration::from_millis(800)).await;
     }
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults {
-            lost_reads: true,
+        gateway.store_listener.set_faults(StoreFaults {
+            hang_reads: true,
             ..StoreFaults::default()
         });
     }
     let status = fleet.caller.end(two, "job-1").await;
     assert_eq!(status.expect("no response"), StatusCode::OK);
-    fleet.store.deal_anew();
+    fleet.store.reassign_partitions();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let count_before = runs();
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/swiftshunt/tests/gateway_quarantine.rs
+++ b/crates/swiftshunt/tests/gateway_quarantine.rs
@@ -40,7 +40,7 @@
     start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 12,
-        workers_ended_by: Some(body.to_owned()),
+        crash_workers_on_body: Some(body.to_owned()),
         ..PlatformOptions::default()
     })
     .await
@@ -110,8 +110,8 @@
 
 /// Returns the number of workers that have ended.
 fn ended(fleet: &ExclusiveFleet) -> usize {
-    let workers = fleet.whole.iter().chain(&fleet.engines);
-    workers.filter(|worker| worker.has_ended()).count()
+    let workers = fleet.whole_workers.iter().chain(&fleet.engine_workers);
+    workers.filter(|worker| worker.has_crashed()).count()
 }
 
 /// The same request arrives at each gateway in turn, with a new identifier each time. It ends at most three
@@ -203,14 +203,14 @@
     // The gateways need this long to discover each other.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(down());
+        gateway.store_listener.set_faults(down());
     }
     let tried = try_in_turn(&fleet, STREAM_ONCE).await;
     let statuses: Vec<_> = tried.iter().map(|(_, answer)| status_of(answer)).collect();
     println!("{} workers ended, {statuses:?}", ended(&fleet));
     assert!(ended(&fleet) <= MAX_ENDS, "{}", ended(&fleet));
     for gateway in &fleet.gateways {
-        gateway.door.set(Default::default());
+        gateway.store_listener.set_faults(Default::default());
     }
     eventually("the ends are recorded", || async {
         fleet.store.keys(topics::QUARANTINE) >= MAX_ENDS
@@ -262,8 +262,8 @@
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 8,
-        whole_pause: Duration::from_millis(100),
-        event_pause: Duration::from_millis(40),
+        answer_delay: Duration::from_millis(100),
+        event_interval: Duration::from_millis(40),
         ..PlatformOptions::default()
     })
     .await;
@@ -271,7 +271,7 @@
         // The gateways need this long to discover each other.
         tokio::time::sleep(Duration::from_millis(2_500)).await;
         for gateway in &fleet.gateways {
-            gateway.door.set(down());
+            gateway.store_listener.set_faults(down());
         }
     }
     for crash in 0..5 {
@@ -281,8 +281,8 @@
         let path = path.to_owned();
         let request =
             tokio::spawn(async move { caller.ask_with_body(gateway, &path, &id, "popular").await });
-        let workers = || fleet.whole.iter().chain(&fleet.engines);
-        let runs_at = || workers().find(|worker| worker.running() > 0 && !worker.has_ended());
+        let workers = || fleet.whole_workers.iter().chain(&fleet.engine_workers);
+        let runs_at = || workers().find(|worker| worker.running() > 0 && !worker.has_crashed());
         eventually("the request runs", || async { runs_at().is_some() }).await;
         runs_at().expect("a worker").crash();
         let answer = request
@@ -313,8 +313,8 @@
     let mut fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 1,
-        workers_ended_by: Some(HARMFUL.to_owned()),
-        workers_tell_start: true,
+        crash_workers_on_body: Some(HARMFUL.to_owned()),
+        report_start_times: true,
         ..PlatformOptions::default()
     })
     .await;
@@ -324,7 +324,7 @@
         let id = format!("harmful-{number}");
         let answer = fleet.caller.ask_with_body(gateway, ONCE, &id, HARMFUL);
         drop(answer.await);
-        if fleet.whole[0].has_ended() {
+        if fleet.whole_workers[0].has_crashed() {
             ends += 1;
             tokio::time::sleep(gone_for).await;
             fleet.restart_worker(0).await.expect("a worker");
@@ -350,7 +350,7 @@
 /// of the worker's.
 async fn behind_links(fleet: &ExclusiveFleet) -> Vec<Option<Link>> {
     let mut links = Vec::new();
-    for worker in &fleet.whole {
+    for worker in &fleet.whole_workers {
         let any = ([127, 0, 0, 1], 0).into();
         let link = Link::open(any, Some(worker.address)).await.expect("a link");
         list_at(fleet, worker, link.address);
@@ -362,7 +362,7 @@
 /// Writes the directory entry of a worker with the address of its link, as a worker itself does about once a
 /// second.
 fn list_at(fleet: &ExclusiveFleet, worker: &Worker, address: SocketAddr) {
-    let mut entry = PlatformFleet::entry_of(worker, "whole", values::READY);
+    let mut entry = PlatformFleet::directory_entry(worker, "whole", values::READY);
     entry.address = address.to_string();
     let entry = serde_json::to_vec(&entry).expect("JSON");
     fleet
@@ -379,7 +379,7 @@
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 5,
-        whole_pause: Duration::from_millis(300),
+        answer_delay: Duration::from_millis(300),
         ..PlatformOptions::default()
     })
     .await;
@@ -393,7 +393,12 @@
         let id = format!("innocent-{cut}");
         let request =
             tokio::spawn(async move { caller.ask_with_body(gateway, ONCE, &id, "innocent").await });
-        let running = || fleet.whole.iter().position(|worker| worker.running() > 0);
+        let running = || {
+            fleet
+                .whole_workers
+                .iter()
+                .position(|worker| worker.running() > 0)
+        };
         eventually("the request runs", || async { running().is_some() }).await;
         let index = running().expect("a worker");
         let link = links[index].take().expect("a link is cut twice");
@@ -404,13 +409,13 @@
     }
     for (index, link) in links.iter_mut().enumerate() {
         if link.is_none() {
-            let target = fleet.whole[index].address;
+            let target = fleet.whole_workers[index].address;
             *link = Link::open(addresses[index], Some(target)).await.ok();
         }
     }
     for gateway in &fleet.gateways {
         let served = || async {
-            for (worker, address) in fleet.whole.iter().zip(&addresses) {
+            for (worker, address) in fleet.whole_workers.iter().zip(&addresses) {
                 list_at(&fleet, worker, *address);
             }
             let answer =
@@ -423,5 +428,10 @@
         };
         eventually("the request is served again", served).await;
     }
-    assert!(fleet.whole.iter().all(|worker| !worker.has_ended()));
+    assert!(
+        fleet
+            .whole_workers
+            .iter()
+            .all(|worker| !worker.has_crashed())
+    );
 }
--- a/crates/swiftshunt/tests/gateway_rates.rs
+++ b/crates/swiftshunt/tests/gateway_rates.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use hyper::header::RETRY_AFTER;
 use swiftshunt_lab::platform::fleet::{
-    ASK, PlatformOptions, TenantText, eventually, first_configuration,
+    ASK, PlatformOptions, PublishedTenant, eventually, first_configuration,
 };
 use test_case::test_case;
 use tokio::time::Instant;
@@ -37,8 +37,8 @@
     })
     .await;
     let tenants = [
-        TenantText::new("limited", &[LIMITED]).limited(RATE, BURST),
-        TenantText::new("free", &[FREE]),
+        PublishedTenant::new("limited", &[LIMITED]).with_rate_limit(RATE, BURST),
+        PublishedTenant::new("free", &[FREE]),
     ];
     fleet.configure_tenants(first_configuration(), Some(&tenants));
     tokio::time::sleep(SETTLED).await;
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -52,8 +52,10 @@
 /// Returns the indexes of the gateways that read the directory from the log while entries are renewed.
 async fn readers(fleet: &ExclusiveFleet) -> Vec<usize> {
     let reads = || -> Vec<u64> {
-        let doors = fleet.gateways.iter().map(|gateway| &gateway.door);
-        doors.map(|door| door.reads(topics::WORKERS)).collect()
+        let listeners = fleet.gateways.iter().map(|gateway| &gateway.store_listener);
+        listeners
+            .map(|listener| listener.read_calls(topics::WORKERS))
+            .collect()
     };
     let before = reads();
     renew_entries(fleet, APPLIED_WITHIN).await;
@@ -66,14 +68,14 @@
 /// Removes a worker and adds a route. Asserts that, after `APPLIED_WITHIN`, these gateways send nothing to the
 /// worker and serve the route.
 async fn assert_changes_apply(fleet: &mut ExclusiveFleet, gateways: &[usize]) {
-    fleet.unlist(&fleet.whole[0]);
+    fleet.unlist(&fleet.whole_workers[0]);
     let mut configuration = first_configuration();
     configuration
         .routes
         .push(route("/added/", values::IDEMPOTENT, "whole"));
     fleet.configure(configuration);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..12 {
         let gateway = &fleet.gateways[gateways[number % gateways.len()]];
         for path in [ASK, "/added/"] {
@@ -84,7 +86,7 @@
         }
     }
     assert_eq!(
-        fleet.whole[0].runs().len(),
+        fleet.whole_workers[0].runs().len(),
         before,
         "a request ran at the removed worker"
     );
@@ -125,13 +127,13 @@
         match loss {
             Loss::Paused => gateway.process.pause(),
             Loss::Killed => gateway.process.kill(),
-            Loss::LogSilent => gateway.door.set(gateway::down()),
-            Loss::ReadsLost => gateway.door.set(StoreFaults {
-                lost_reads: true,
+            Loss::LogSilent => gateway.store_listener.set_faults(gateway::down()),
+            Loss::ReadsLost => gateway.store_listener.set_faults(StoreFaults {
+                hang_reads: true,
                 ..StoreFaults::default()
             }),
-            Loss::LogBusy => gateway.door.set(StoreFaults {
-                down: Some(swiftshunt_lab::platform::store::Down::Busy),
+            Loss::LogBusy => gateway.store_listener.set_faults(StoreFaults {
+                outage: Some(swiftshunt_lab::platform::store::StoreOutage::Busy),
                 ..StoreFaults::default()
             }),
         }
@@ -147,7 +149,9 @@
     let readers = readers(&fleet).await;
     let others: Vec<usize> = (0..GATEWAYS).filter(|it| !readers.contains(it)).collect();
     for other in &others {
-        fleet.gateways[*other].door.set(gateway::down());
+        fleet.gateways[*other]
+            .store_listener
+            .set_faults(gateway::down());
     }
     assert_changes_apply(&mut fleet, &others).await;
 }
--- a/crates/swiftshunt/tests/gateway_refused.rs
+++ b/crates/swiftshunt/tests/gateway_refused.rs
@@ -10,7 +10,7 @@
 use swiftshunt_lab::platform::fleet::{
     ASK, BATCH, PlatformOptions, eventually, first_configuration,
 };
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
 use swiftshunt_platform::words::{topics, values};
 use test_case::test_case;
 
@@ -21,14 +21,14 @@
 const SETTLED: Duration = Duration::from_millis(2_500);
 
 /// Starts two gateways, lets them discover each other, and cuts the first off from the log.
-async fn with_one_refused(how: Down) -> ExclusiveFleet {
+async fn with_one_refused(how: StoreOutage) -> ExclusiveFleet {
     let fleet = start(PlatformOptions::default()).await;
     tokio::time::sleep(SETTLED).await;
     let faults = StoreFaults {
-        down: Some(how),
+        outage: Some(how),
         ..StoreFaults::default()
     };
-    fleet.gateways[0].door.set(faults);
+    fleet.gateways[0].store_listener.set_faults(faults);
     tokio::time::sleep(SETTLED).await;
     fleet
 }
@@ -57,8 +57,8 @@
         let key = format!("{}-{number}", if number % 2 == 0 { "a" } else { "z" });
         fleet.store.put(topics::WORKERS, &key, body);
     }
-    fleet.gateways[0].door.set(StoreFaults {
-        half_of_listings: true,
+    fleet.gateways[0].store_listener.set_faults(StoreFaults {
+        refuse_every_second_newest: true,
         ..StoreFaults::default()
     });
     fleet.restart(0).expect("the gateway did not start");
@@ -70,18 +70,18 @@
     .await;
 }
 
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_gateway_applies_changes_in_time(how: Down) {
+async fn a_refused_gateway_applies_changes_in_time(how: StoreOutage) {
     let mut fleet = with_one_refused(how).await;
     let mut changed = first_configuration();
     changed.routes.remove(1);
     fleet.configure(changed);
-    fleet.list(&fleet.whole[0], "whole", values::DRAINING);
+    fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     let gateway = fleet.gateways[0].callers;
     let removed = fleet.caller.ask(gateway, "/once/", "r", DEADLINE).await;
     assert_eq!(removed.expect("no response").status, StatusCode::NOT_FOUND);
@@ -90,14 +90,14 @@
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_gateway_accepts_and_lists_jobs(how: Down) {
+async fn a_refused_gateway_accepts_and_lists_jobs(how: StoreOutage) {
     const ITEMS: usize = 4;
     let fleet = with_one_refused(how).await;
     let [refused, other] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
@@ -114,16 +114,16 @@
 
 /// If no gateway reaches the log, submissions fail without additional delay, and jobs are accepted again once
 /// the log is back.
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn submissions_fail_without_delay_if_all_gateways_are_refused(how: Down) {
+async fn submissions_fail_without_delay_if_all_gateways_are_refused(how: StoreOutage) {
     let fleet = with_one_refused(how).await;
     let faults = StoreFaults {
-        down: Some(how),
+        outage: Some(how),
         ..StoreFaults::default()
     };
-    fleet.gateways[1].door.set(faults);
+    fleet.gateways[1].store_listener.set_faults(faults);
     tokio::time::sleep(SETTLED).await;
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let sent_at = Instant::now();
@@ -137,7 +137,7 @@
         assert!(sent_at.elapsed() < Duration::from_secs(4));
     }
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     tokio::time::sleep(SETTLED).await;
     for gateway in &fleet.gateways {
@@ -148,10 +148,10 @@
 }
 
 /// A gateway that starts while the log does not serve it knows other gateways only from its settings.
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_while_it_is_refused_serves(how: Down) {
+async fn a_gateway_that_starts_while_it_is_refused_serves(how: StoreOutage) {
     let mut fleet = with_one_refused(how).await;
     let seed = fleet.gateways[1].peers;
     let lines = format!("[gateways]\nseeds = [\"{seed}\"]");
@@ -170,7 +170,7 @@
 /// does not serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_gateway_announces_itself_to_a_refused_one() {
-    let mut fleet = with_one_refused(Down::Busy).await;
+    let mut fleet = with_one_refused(StoreOutage::Busy).await;
     fleet.restart(0).expect("the gateway did not start");
     fleet.restart(1).expect("the gateway did not start");
     let ready = fleet.gateways[0].ready;
--- a/crates/swiftshunt/tests/gateway_regions.rs
+++ b/crates/swiftshunt/tests/gateway_regions.rs
@@ -7,7 +7,7 @@
 
 use gateway::{ExclusiveFleet, start};
 use swiftshunt_lab::platform::fleet::{PlatformOptions, STREAM, eventually};
-use swiftshunt_lab::platform::places::Places;
+use swiftshunt_lab::platform::zone_layout::ZoneLayout;
 use swiftshunt_platform::words::{topics, values};
 
 /// Zones and their regions. Gateways and workers are placed in turn: those with even indexes in the north.
@@ -28,8 +28,8 @@
     let fleet = start(PlatformOptions {
         gateways: 4,
         events: 400,
-        event_pause: Duration::from_millis(50),
-        places: Places::new(&PLACES),
+        event_interval: Duration::from_millis(50),
+        zone_layout: ZoneLayout::new(&PLACES),
         ..PlatformOptions::default()
     })
     .await;
@@ -58,7 +58,12 @@
 
 /// Waits until the engines run exactly these numbers of streams; panics after `RUNS_WITHIN`.
 async fn wait_until_running(fleet: &ExclusiveFleet, north: usize, south: usize) {
-    let running = || (fleet.engines[0].running(), fleet.engines[1].running());
+    let running = || {
+        (
+            fleet.engine_workers[0].running(),
+            fleet.engine_workers[1].running(),
+        )
+    };
     let what = format!("{north} run in the north and {south} in the south");
     let is_so = || async { running() == (north, south) };
     let waited = tokio::time::timeout(RUNS_WITHIN, eventually(&what, is_so)).await;
@@ -70,7 +75,7 @@
     let mut sum = 0.0;
     for gateway in gateways {
         let metrics = fleet.gateways[*gateway].metrics;
-        sum += fleet.caller.figure(metrics, CROSSED).await;
+        sum += fleet.caller.metric_value(metrics, CROSSED).await;
     }
     sum
 }
@@ -127,13 +132,15 @@
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         directory: "gateways_per_reader = 2".to_owned(),
-        places: Places::new(&PLACES),
+        zone_layout: ZoneLayout::new(&PLACES),
         ..PlatformOptions::default()
     })
     .await;
     let reads = || -> Vec<u64> {
-        let doors = fleet.gateways.iter().map(|gateway| &gateway.door);
-        doors.map(|door| door.reads(topics::WORKERS)).collect()
+        let listeners = fleet.gateways.iter().map(|gateway| &gateway.store_listener);
+        listeners
+            .map(|listener| listener.read_calls(topics::WORKERS))
+            .collect()
     };
     eventually("two gateways of each region read from the log", || async {
         let before = reads();
--- a/crates/swiftshunt/tests/gateway_requests.rs
+++ b/crates/swiftshunt/tests/gateway_requests.rs
@@ -7,9 +7,10 @@
 use gateway::{assert_all_events, start};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{
-    ASK, ONCE, PlatformOptions, STREAM, STREAM_ONCE, eventually, first_configuration, split,
+    ASK, ONCE, PlatformOptions, STREAM, STREAM_ONCE, eventually, first_configuration,
+    weighted_split,
 };
-use swiftshunt_lab::platform::worker::Manner;
+use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_platform::words::headers;
 use test_case::test_case;
 
@@ -54,8 +55,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_without_a_configuration_is_not_ready_and_answers_503_with_retry_after() {
     let mut fleet = start(PlatformOptions::default()).await;
-    let door = fleet.gateways[0].door.clone();
-    door.set(gateway::down());
+    let listener = fleet.gateways[0].store_listener.clone();
+    listener.set_faults(gateway::down());
     fleet.restart(0).expect("the gateway did not start");
     let gateway = &fleet.gateways[0];
     let answer = fleet.caller.ask(gateway.callers, ASK, "r1", DEADLINE).await;
@@ -66,16 +67,16 @@
     assert!(fleet.runs_of("r1").is_empty());
 }
 
-#[test_case(Manner::LoseAnswer; "lost answers")]
-#[test_case(Manner::Fail; "failed runs")]
-#[test_case(Manner::Unsigned; "answers without a signature")]
-#[test_case(Manner::AnswerAnother; "answers to other requests")]
-#[test_case(Manner::FalseRefusal; "503 without the statement that the request did not run")]
-#[test_case(Manner::Decline; "workers that decline the request")]
+#[test_case(WorkerBehaviour::CloseWithoutAnswer; "lost answers")]
+#[test_case(WorkerBehaviour::Fail; "failed runs")]
+#[test_case(WorkerBehaviour::Unsigned; "answers without a signature")]
+#[test_case(WorkerBehaviour::AnswerOtherRequestId; "answers to other requests")]
+#[test_case(WorkerBehaviour::RunAndAnswer503; "503 without the statement that the request did not run")]
+#[test_case(WorkerBehaviour::Decline; "workers that decline the request")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeatable_request_is_retried_at_another_worker(manner: Manner) {
+async fn a_repeatable_request_is_retried_at_another_worker(behaviour: WorkerBehaviour) {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.whole[0].set(manner);
+    fleet.whole_workers[0].set_behaviour(behaviour);
     for number in 0..12 {
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
@@ -86,16 +87,19 @@
     }
 }
 
-#[test_case(ONCE, Manner::LoseAnswer; "lost answers")]
-#[test_case(ONCE, Manner::AnswerAnother; "answers to other requests")]
-#[test_case(ONCE, Manner::FalseRefusal; "503 without the statement that the request did not run")]
-#[test_case(STREAM_ONCE, Manner::BreakAfter(0); "streams without an event")]
-#[test_case(STREAM_ONCE, Manner::LoseAnswer; "lost streams")]
+#[test_case(ONCE, WorkerBehaviour::CloseWithoutAnswer; "lost answers")]
+#[test_case(ONCE, WorkerBehaviour::AnswerOtherRequestId; "answers to other requests")]
+#[test_case(ONCE, WorkerBehaviour::RunAndAnswer503; "503 without the statement that the request did not run")]
+#[test_case(STREAM_ONCE, WorkerBehaviour::TruncateStreamAfter(0); "streams without an event")]
+#[test_case(STREAM_ONCE, WorkerBehaviour::CloseWithoutAnswer; "lost streams")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_not_be_repeated_runs_once_and_gets_502(path: &str, manner: Manner) {
+async fn a_request_that_may_not_be_repeated_runs_once_and_gets_502(
+    path: &str,
+    behaviour: WorkerBehaviour,
+) {
     let fleet = start(PlatformOptions::default()).await;
-    for worker in fleet.whole.iter().chain(&fleet.engines) {
-        worker.set(manner);
+    for worker in fleet.whole_workers.iter().chain(&fleet.engine_workers) {
+        worker.set_behaviour(behaviour);
     }
     for number in 0..8 {
         let id = format!("r{number}");
@@ -110,8 +114,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_all_workers_decline_gets_503_early_and_never_runs() {
     let fleet = start(PlatformOptions::default()).await;
-    for worker in &fleet.whole {
-        worker.set(Manner::Decline);
+    for worker in &fleet.whole_workers {
+        worker.set_behaviour(WorkerBehaviour::Decline);
     }
     let sent_at = std::time::Instant::now();
     let gateway = fleet.gateways[0].callers;
@@ -126,7 +130,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_resumable_stream_is_resumed_at_another_worker() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.engines[0].set(Manner::BreakAfter(3));
+    fleet.engine_workers[0].set_behaviour(WorkerBehaviour::TruncateStreamAfter(3));
     for number in 0..8 {
         let id = format!("s{number}");
         let gateway = fleet.gateways[0].callers;
@@ -135,7 +139,7 @@
         assert_eq!(answer.status, StatusCode::OK);
         assert_all_events(&answer.body, &id, 8);
     }
-    let resumed = fleet.engines[1].runs();
+    let resumed = fleet.engine_workers[1].runs();
     assert!(
         resumed.iter().any(|run| run.last_event == Some(2)),
         "no stream was resumed: {resumed:?}"
@@ -154,11 +158,12 @@
     fleet.configure(configuration);
     // A configuration takes effect within two seconds.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    fleet.engines[0].set(Manner::BreakAfter(3));
+    fleet.engine_workers[0].set_behaviour(WorkerBehaviour::TruncateStreamAfter(3));
     // Longer than the silence after which a stream is resumed at another worker.
-    fleet.engines[1].set(Manner::Late(Duration::from_millis(1_300)));
+    fleet.engine_workers[1]
+        .set_behaviour(WorkerBehaviour::DelayAnswer(Duration::from_millis(1_300)));
     let is_resumed = |id: &str| {
-        let runs = fleet.engines[1].runs();
+        let runs = fleet.engine_workers[1].runs();
         runs.iter()
             .any(|run| run.id == id && run.last_event == Some(2))
     };
@@ -189,8 +194,8 @@
     let fleet = start(options).await;
     // Longer than the silence after which a request with a short prompt is sent to another engine.
     let reading = Duration::from_millis(1_000);
-    for engine in &fleet.engines {
-        engine.set(Manner::Late(reading));
+    for engine in &fleet.engine_workers {
+        engine.set_behaviour(WorkerBehaviour::DelayAnswer(reading));
     }
     let gateway = fleet.gateways[0].callers;
     let request = fleet.caller.ask_with_prompt(gateway, STREAM, "s1", TOKENS);
@@ -205,8 +210,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_that_may_not_be_resumed_does_not_look_complete() {
     let fleet = start(PlatformOptions::default()).await;
-    for engine in &fleet.engines {
-        engine.set(Manner::BreakAfter(3));
+    for engine in &fleet.engine_workers {
+        engine.set_behaviour(WorkerBehaviour::TruncateStreamAfter(3));
     }
     let gateway = fleet.gateways[0].callers;
     let answer = fleet.caller.ask(gateway, STREAM_ONCE, "s1", DEADLINE).await;
@@ -220,7 +225,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_at_a_worker_that_does_not_answer_are_retried_at_another() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.whole[0].set(Manner::Dark);
+    fleet.whole_workers[0].set_behaviour(WorkerBehaviour::Hang);
     for number in 0..6 {
         let id = format!("r{number}");
         let gateway = fleet.gateways[0].callers;
@@ -235,7 +240,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_hangs_while_later_ones_are_answered_is_retried() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.whole[0].set(Manner::HangSometimes);
+    fleet.whole_workers[0].set_behaviour(WorkerBehaviour::HangEverySecond);
     let gateway = fleet.gateways[0].callers;
     let request = (0..60_u64).map(|number| {
         let caller = fleet.caller.clone();
@@ -255,7 +260,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_fails_immediately_does_not_attract_requests() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.whole[0].set(Manner::Fail);
+    fleet.whole_workers[0].set_behaviour(WorkerBehaviour::Fail);
     let gateway = fleet.gateways[0].callers;
     let mut failed = 0;
     for number in 0..60 {
@@ -271,8 +276,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_fails_with_504_after_the_time_out_of_its_route() {
     let mut fleet = start(PlatformOptions::default()).await;
-    for worker in &fleet.whole {
-        worker.set(Manner::Dark);
+    for worker in &fleet.whole_workers {
+        worker.set_behaviour(WorkerBehaviour::Hang);
     }
     let mut configuration = first_configuration();
     for route in &mut configuration.routes {
@@ -303,13 +308,13 @@
     let leave_after = Duration::from_millis(300);
     fleet
         .caller
-        .ask_and_leave(gateway, STREAM, "s1", leave_after)
+        .ask_and_disconnect(gateway, STREAM, "s1", leave_after)
         .await;
     tokio::time::sleep(Duration::from_secs(6)).await;
     let runs = fleet.runs_of("s1");
     assert_eq!(runs.len(), 1);
     assert!(
-        !runs[0].ended,
+        !runs[0].completed,
         "the worker finished the run after the caller had disconnected"
     );
 }
@@ -318,7 +323,7 @@
 async fn a_split_distributes_requests_by_its_weights() {
     let mut fleet = start(PlatformOptions::default()).await;
     let mut configuration = first_configuration();
-    configuration.routes[0].backends = split(&[("whole", 3), ("engine", 1)]);
+    configuration.routes[0].backends = weighted_split(&[("whole", 3), ("engine", 1)]);
     fleet.configure(configuration);
     let gateway = fleet.gateways[0].callers;
     let shared = &fleet;
@@ -341,10 +346,10 @@
 async fn requests_for_an_ended_incarnation_do_not_run_on_the_worker_now_at_its_address() {
     let fleet = start(PlatformOptions::default()).await;
     // The directory still lists an ended incarnation, at an address that another worker uses now.
-    fleet.unlist(&fleet.whole[0]);
+    fleet.unlist(&fleet.whole_workers[0]);
     let old = swiftshunt_platform::documents::WorkerDocument {
         service: "whole".to_owned(),
-        address: fleet.engines[0].address.to_string(),
+        address: fleet.engine_workers[0].address.to_string(),
         zone: "zone-a".to_owned(),
         slots: 16,
         state: "ready".to_owned(),
@@ -359,7 +364,7 @@
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert!(fleet.engines[0].runs().is_empty());
+    assert!(fleet.engine_workers[0].runs().is_empty());
 }
 
 /// A gateway learns of a long prompt that another gateway has sent before it sends its next requests, and
@@ -372,8 +377,8 @@
     const LONG_TOKENS: u32 = 20_000;
     const READING: Duration = Duration::from_millis(500);
     let fleet = start(PlatformOptions::default()).await;
-    for engine in &fleet.engines {
-        engine.set(Manner::Late(READING));
+    for engine in &fleet.engine_workers {
+        engine.set_behaviour(WorkerBehaviour::DelayAnswer(READING));
     }
     let [one, two] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     let attempts = std::sync::atomic::AtomicUsize::new(0);
@@ -382,7 +387,7 @@
             worker.runs().iter().any(|run| run.id == id)
         };
         let worker = fleet
-            .engines
+            .engine_workers
             .iter()
             .find(ran)
             .expect("no engine ran the request");
--- a/crates/swiftshunt/tests/gateway_residency.rs
+++ b/crates/swiftshunt/tests/gateway_residency.rs
@@ -9,7 +9,7 @@
 use swiftshunt_lab::platform::fleet::{
     ASK, BATCH, PlatformOptions, STREAM, eventually, first_configuration,
 };
-use swiftshunt_lab::platform::places::Places;
+use swiftshunt_lab::platform::zone_layout::ZoneLayout;
 use swiftshunt_platform::documents::ConfigurationDocument;
 use swiftshunt_platform::words::topics;
 
@@ -31,7 +31,7 @@
 ) -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways,
-        places: Places::new(&[("zone-n", "north"), ("zone-s", SOUTH)]),
+        zone_layout: ZoneLayout::new(&[("zone-n", "north"), ("zone-s", SOUTH)]),
         ..PlatformOptions::default()
     })
     .await;
@@ -49,13 +49,13 @@
 }
 
 fn runs_in_the_north(fleet: &ExclusiveFleet) -> usize {
-    fleet.whole[0].runs().len() + fleet.engines[0].runs().len()
+    fleet.whole_workers[0].runs().len() + fleet.engine_workers[0].runs().len()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn restricted_requests_and_jobs_run_only_in_their_region() {
     let fleet = two_regions(2, all_in_the_south).await;
-    let read_before = fleet.gateways[0].door.reads(topics::JOBS);
+    let read_before = fleet.gateways[0].store_listener.read_calls(topics::JOBS);
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let gateway = gateway.callers;
         for request in 0..6 {
@@ -75,7 +75,7 @@
         }
     }
     assert_eq!(runs_in_the_north(&fleet), 0);
-    let read = fleet.gateways[0].door.reads(topics::JOBS);
+    let read = fleet.gateways[0].store_listener.read_calls(topics::JOBS);
     assert_eq!(read, read_before, "a gateway of the north read jobs");
 }
 
@@ -89,10 +89,13 @@
     fleet.gateways[1].process.kill();
     whole_job(&fleet, north, "job", ITEMS).await;
     fleet.gateways[3].process.kill();
-    let read_before = fleet.gateways[0].door.reads(topics::JOBS);
+    let read_before = fleet.gateways[0].store_listener.read_calls(topics::JOBS);
     let answer = fleet.caller.results(north, "job", 0, Duration::ZERO).await;
     assert!(answer.is_err() || answer.is_ok_and(|(status, _)| status != StatusCode::OK));
-    assert_eq!(fleet.gateways[0].door.reads(topics::JOBS), read_before);
+    assert_eq!(
+        fleet.gateways[0].store_listener.read_calls(topics::JOBS),
+        read_before
+    );
     fleet.restart(3).expect("the gateway did not start");
     whole_job(&fleet, north, "job", ITEMS).await;
     assert_eq!(runs_in_the_north(&fleet), 0);
@@ -101,7 +104,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_without_an_allowed_worker_is_refused_immediately() {
     let fleet = two_regions(2, all_in_the_south).await;
-    fleet.unlist(&fleet.whole[1]);
+    fleet.unlist(&fleet.whole_workers[1]);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
         let sent_at = Instant::now();
@@ -115,7 +118,10 @@
             sent_at.elapsed()
         );
         let reason = "swiftshunt_refusals_total{reason=\"OutsideResidency\"}";
-        assert_eq!(fleet.caller.figure(gateway.metrics, reason).await, 1.0);
+        assert_eq!(
+            fleet.caller.metric_value(gateway.metrics, reason).await,
+            1.0
+        );
     }
     assert_eq!(runs_in_the_north(&fleet), 0);
 }
@@ -149,7 +155,7 @@
 async fn jobs_are_appended_only_through_gateways_of_their_regions() {
     let fleet = two_regions(2, all_in_the_south).await;
     let [north, south] = [&fleet.gateways[0], &fleet.gateways[1]];
-    south.door.set(down());
+    south.store_listener.set_faults(down());
     tokio::time::sleep(LEASES_MOVE).await;
     let status = fleet
         .caller
@@ -159,13 +165,13 @@
     assert_eq!(
         fleet
             .caller
-            .figure(south.metrics, "swiftshunt_log_away")
+            .metric_value(south.metrics, "swiftshunt_log_away")
             .await,
         1.0
     );
-    south.door.set(Default::default());
+    south.store_listener.set_faults(Default::default());
     tokio::time::sleep(LEASES_MOVE).await;
-    north.door.set(down());
+    north.store_listener.set_faults(down());
     tokio::time::sleep(LEASES_MOVE).await;
     eventually("the south appends for the north", || async {
         let status = fleet
--- a/crates/swiftshunt/tests/gateway_slots.rs
+++ b/crates/swiftshunt/tests/gateway_slots.rs
@@ -8,7 +8,7 @@
 use gateway::{ExclusiveFleet, start, submit};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{PlatformOptions, STREAM, STREAM_ONCE, eventually};
-use swiftshunt_lab::platform::worker::Manner;
+use swiftshunt_lab::platform::worker::WorkerBehaviour;
 
 /// Number of slots of both engines together.
 const SLOTS: usize = 32;
@@ -30,7 +30,7 @@
     let fleet = start(PlatformOptions {
         gateways: 3,
         events: 400,
-        event_pause: Duration::from_millis(50),
+        event_interval: Duration::from_millis(50),
         ..PlatformOptions::default()
     })
     .await;
@@ -40,7 +40,11 @@
 
 /// Returns the number of streams and items that run at the engines.
 fn running(fleet: &ExclusiveFleet) -> usize {
-    fleet.engines.iter().map(|engine| engine.running()).sum()
+    fleet
+        .engine_workers
+        .iter()
+        .map(|engine| engine.running())
+        .sum()
 }
 
 /// Submits more items than there are slots, in jobs owned by several gateways, and waits until items hold
@@ -265,14 +269,14 @@
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
         workers: 4,
-        event_pause: Duration::from_millis(1),
+        event_interval: Duration::from_millis(1),
         ..PlatformOptions::default()
     })
     .await;
     tokio::time::sleep(SETTLED).await;
     // While items run, each gateway reports to the slot owner.
     submit(&fleet, fleet.gateways[0].callers, "job-1", 4).await;
-    fleet.engines[0].set(Manner::LoseAnswer);
+    fleet.engine_workers[0].set_behaviour(WorkerBehaviour::CloseWithoutAnswer);
     let mut lost = 0;
     let began = Instant::now();
     for number in 0..REQUESTS {
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -8,7 +8,7 @@
 use hyper::StatusCode;
 use swiftshunt_lab::platform::caller::{PlatformCaller, item_id};
 use swiftshunt_lab::platform::fleet::{
-    ASK, BATCH, ONCE, PlatformOptions, STREAM, TenantText, eventually, first_configuration,
+    ASK, BATCH, ONCE, PlatformOptions, PublishedTenant, STREAM, eventually, first_configuration,
 };
 use swiftshunt_lab::platform::store::StoreFaults;
 use swiftshunt_platform::words::headers;
@@ -24,10 +24,10 @@
 const SECOND_KEY_A: &str = "second-key-of-a";
 const KEY_B: &str = "the-key-of-b";
 
-fn tenants() -> Vec<TenantText> {
+fn tenants() -> Vec<PublishedTenant> {
     vec![
-        TenantText::new("a", &[KEY_A, SECOND_KEY_A]),
-        TenantText::new("b", &[KEY_B]),
+        PublishedTenant::new("a", &[KEY_A, SECOND_KEY_A]),
+        PublishedTenant::new("b", &[KEY_B]),
     ]
 }
 
@@ -45,7 +45,7 @@
     fleet
 }
 
-fn configure(fleet: &mut ExclusiveFleet, tenants: &[TenantText]) {
+fn configure(fleet: &mut ExclusiveFleet, tenants: &[PublishedTenant]) {
     let mut configuration = first_configuration();
     for route in &mut configuration.routes {
         route.public = route.path_prefix == ONCE;
@@ -160,7 +160,7 @@
     let [revoked, valid] = [KEY_A, SECOND_KEY_A].map(|key| fleet.caller.with_key(key));
     // The gateways discover each other first, so that one without the log can read through another.
     tokio::time::sleep(SETTLED).await;
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1].store_listener.set_faults(gateway::down());
     tokio::time::sleep(SETTLED).await;
     let mut changed = tenants();
     changed[0].api_keys.remove(0);
@@ -172,7 +172,9 @@
         let served = status(&valid, gateway.callers, ASK, &format!("k{index}")).await;
         assert_eq!(served, StatusCode::OK, "gateway {index}");
     }
-    fleet.gateways[1].door.set(StoreFaults::default());
+    fleet.gateways[1]
+        .store_listener
+        .set_faults(StoreFaults::default());
     for index in 0..3 {
         fleet.restart(index).expect("the gateway did not start");
     }
@@ -251,7 +253,7 @@
 async fn items_of_a_removed_tenant_still_run_on_its_behalf() {
     const ITEMS: usize = 4;
     let mut fleet = fleet_of(PlatformOptions {
-        event_pause: Duration::from_millis(400),
+        event_interval: Duration::from_millis(400),
         ..PlatformOptions::default()
     })
     .await;
@@ -266,7 +268,7 @@
     eventually("all items have run", || async {
         let whole = |item| {
             let runs = fleet.runs_of(&item_id("job", item));
-            runs.iter().any(|run| run.ended)
+            runs.iter().any(|run| run.completed)
         };
         (0..ITEMS).all(whole)
     })
@@ -277,7 +279,7 @@
         }
     }
     // The results are readable with a new key of the same tenant.
-    configure(&mut fleet, &[TenantText::new("a", &["a-later-key"])]);
+    configure(&mut fleet, &[PublishedTenant::new("a", &["a-later-key"])]);
     tokio::time::sleep(APPLIED_WITHIN).await;
     let later = fleet.caller.with_key("a-later-key");
     let (status, page) = later
@@ -305,7 +307,7 @@
     let gateway = fleet.gateways[0].callers;
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
     assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1].store_listener.set_faults(gateway::down());
     configure(&mut fleet, &tenants());
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         status(&caller, gateway.callers, ASK, &format!("r{index}")).await;
@@ -370,7 +372,7 @@
     .await;
     let caller = fleet.caller.with_key(KEY_A);
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway.store_listener.set_faults(gateway::down());
     }
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     let gateway = fleet.gateways[0].callers;
@@ -379,7 +381,9 @@
         status(&fleet.caller, gateway, ONCE, "p1").await,
         StatusCode::OK
     );
-    fleet.gateways[0].door.set(StoreFaults::default());
+    fleet.gateways[0]
+        .store_listener
+        .set_faults(StoreFaults::default());
     eventually("the gateway serves again", || async {
         status(&caller, gateway, ASK, "r2").await == StatusCode::OK
     })
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -9,7 +9,7 @@
 use gateway::{ExclusiveFleet, NO_WAIT, start, whole_job};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{BATCH, PlatformOptions, eventually, first_configuration};
-use swiftshunt_lab::platform::places::Places;
+use swiftshunt_lab::platform::zone_layout::ZoneLayout;
 use swiftshunt_lab::proxy::Width;
 use swiftshunt_platform::words::topics;
 use tokio::task::JoinSet;
@@ -38,9 +38,9 @@
     let options = PlatformOptions {
         gateways: GATEWAYS,
         workers: 3,
-        event_pause: Duration::from_millis(1),
-        places: Places::new(&places),
-        line: Some(Arc::clone(line)),
+        event_interval: Duration::from_millis(1),
+        zone_layout: ZoneLayout::new(&places),
+        store_line: Some(Arc::clone(line)),
         ..PlatformOptions::default()
     };
     let mut fleet = start(options).await;
--- a/crates/swiftshunt/tests/gateway_upgrade.rs
+++ b/crates/swiftshunt/tests/gateway_upgrade.rs
@@ -145,7 +145,7 @@
     let options = PlatformOptions {
         gateways: GATEWAYS,
         programs: vec![before, after.clone()],
-        event_pause: EVENT_PAUSE,
+        event_interval: EVENT_PAUSE,
         ..PlatformOptions::default()
     };
     let mut fleet = start(options).await;
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -6,7 +6,7 @@
 
 use swiftshunt_lab::harness::Binaries;
 use swiftshunt_lab::platform::store::StoreFaults;
-use swiftshunt_lab::platform::worker::Manner;
+use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_lab::soak::history::History;
 use swiftshunt_lab::soak::plan::{ColdStarts, Disruption, Plan, Service, Step, WaitingLimit};
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
@@ -86,13 +86,13 @@
     plan
 }
 
-fn worker_manner(service: Service, manner: Manner) -> Disruption {
+fn worker_manner(service: Service, manner: WorkerBehaviour) -> Disruption {
     Disruption::ServiceManner { service, manner }
 }
 
 fn store_that_loses_records() -> Disruption {
     let faults = StoreFaults {
-        forgotten: 1.0,
+        false_acknowledgement_probability: 1.0,
         ..StoreFaults::default()
     };
     Disruption::Store {
@@ -101,9 +101,9 @@
     }
 }
 
-#[test_case(Promise::OwnAnswer, worker_manner(Service::Whole, Manner::WrongBody); "wrong response bodies")]
-#[test_case(Promise::AtMostOnce, worker_manner(Service::Whole, Manner::TellTwice); "double runs")]
-#[test_case(Promise::NotRun, worker_manner(Service::Whole, Manner::LyingRefusal); "false statements that a request did not run")]
+#[test_case(Promise::OwnAnswer, worker_manner(Service::Whole, WorkerBehaviour::WrongBody); "wrong response bodies")]
+#[test_case(Promise::AtMostOnce, worker_manner(Service::Whole, WorkerBehaviour::ReportRunTwice); "double runs")]
+#[test_case(Promise::NotRun, worker_manner(Service::Whole, WorkerBehaviour::ReportRunAndDecline); "false statements that a request did not run")]
 #[test_case(Promise::ExactlyOnce, store_that_loses_records(); "a log that loses records")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_promise_is_detected(promise: Promise, disruption: Disruption) {
