--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -103,7 +103,7 @@
     scratch: PathBuf,
     version: u64,
     lease: Duration,
-    directory: String,
+    extra_directory_settings: String,
     zone_layout: ZoneLayout,
     store_line: Option<Arc<Width>>,
 }
@@ -126,9 +126,9 @@
     /// Seed of the store's faults.
     pub seed: u64,
     /// More lines of the settings file.
-    pub settings: String,
+    pub extra_settings: String,
     /// More lines of its part on the directory.
-    pub directory: String,
+    pub extra_directory_settings: String,
     /// The body of a request that ends each worker that begins to run it.
     pub crash_workers_on_body: Option<String>,
     /// Whether workers tell when they started, and keep their identifiers when they start again.
@@ -151,8 +151,8 @@
             answer_delay: Duration::from_millis(5),
             lease: Duration::from_secs(1),
             seed: 1,
-            settings: String::new(),
-            directory: String::new(),
+            extra_settings: String::new(),
+            extra_directory_settings: String::new(),
             crash_workers_on_body: None,
             report_start_times: false,
             zone_layout: ZoneLayout::default(),
@@ -175,11 +175,11 @@
         let mut whole_workers = Vec::new();
         let mut engine_workers = Vec::new();
         for index in 0..options.workers {
-            let settings = |name: &str, events, delay| WorkerSettings {
+            let settings = |name: &str, events, answer_delay| WorkerSettings {
                 incarnation: format!("{name}-{index}"),
                 slots: 16,
                 events,
-                answer_delay: delay,
+                answer_delay,
                 crash_on_body: options.crash_workers_on_body.clone(),
                 started_unix_ms: options.report_start_times.then(time_of_day_ms),
                 zone: options.zone_layout.zone(index).to_owned(),
@@ -202,14 +202,14 @@
             scratch,
             version: 0,
             lease: options.lease,
-            directory: options.directory,
+            extra_directory_settings: options.extra_directory_settings,
             zone_layout: options.zone_layout,
             store_line: options.store_line,
         };
         fleet.configure(first_configuration());
         fleet.list_all(values::READY);
         for _ in 0..options.gateways {
-            fleet.add_gateway(&options.settings).await?;
+            fleet.add_gateway(&options.extra_settings).await?;
         }
         for gateway in &fleet.gateways {
             let ready = gateway.ready;
@@ -238,7 +238,7 @@
                 store,
                 partitions: PARTITIONS,
                 lease: self.lease,
-                directory: &self.directory,
+                extra_directory_lines: &self.extra_directory_settings,
                 extra_lines: extra_settings,
             })
         });
--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -36,7 +36,7 @@
 }
 
 /// Times that a gateway is started with other addresses before it is given up.
-const START_ATTEMPTS: usize = 5;
+const MAX_STARTS: usize = 5;
 /// What the log of a gateway says whose address another process took first.
 const ADDRESS_IN_USE: &str = "in use";
 
@@ -55,7 +55,7 @@
         std::fs::write(settings, text(addresses))?;
         match start_gateway(program, settings) {
             Ok(process) => return Ok((process, addresses)),
-            Err(error) if start >= START_ATTEMPTS || !is_address_in_use(settings) => {
+            Err(error) if start >= MAX_STARTS || !is_address_in_use(settings) => {
                 return Err(error);
             }
             Err(_) => eprintln!("an address of {} was taken", settings.display()),
@@ -151,7 +151,7 @@
     pub(crate) partitions: u32,
     pub(crate) lease: Duration,
     /// More lines of its part on the directory.
-    pub(crate) directory: &'t str,
+    pub(crate) extra_directory_lines: &'t str,
     /// More lines.
     pub(crate) extra_lines: &'t str,
 }
@@ -165,7 +165,7 @@
         metrics,
         store,
         partitions,
-        directory,
+        extra_directory_lines,
         extra_lines,
         ..
     } = settings;
@@ -192,7 +192,7 @@
 
 [directory]
 obey_within = "2s"
-{directory}
+{extra_directory_lines}
 
 [batch]
 lease = "{lease}ms"
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -118,7 +118,7 @@
 struct State {
     partitions: HashMap<(String, u32), Partition>,
     groups: HashMap<String, Group>,
-    calls: u64,
+    call_count: u64,
     /// Calls for the newest records, by topic.
     newest_calls: HashMap<String, u64>,
 }
@@ -227,12 +227,12 @@
     }
 
     /// Calls that came so far.
-    pub fn calls(&self) -> u64 {
-        lock(&self.shared.state).calls
+    pub fn call_count(&self) -> u64 {
+        lock(&self.shared.state).call_count
     }
 
     /// Keys that are there, of all partitions of a topic.
-    pub fn keys(&self, topic: &str) -> usize {
+    pub fn key_count(&self, topic: &str) -> usize {
         let state = lock(&self.shared.state);
         let partitions = state.partitions.iter();
         let of_topic = partitions.filter(|((name, _), _)| name == topic);
@@ -240,7 +240,7 @@
     }
 
     /// Bytes of the keys that are there and of their values, of all partitions of a topic.
-    pub fn bytes(&self, topic: &str) -> usize {
+    pub fn byte_count(&self, topic: &str) -> usize {
         let state = lock(&self.shared.state);
         let partitions = state.partitions.iter();
         let of_topic = partitions.filter(|((name, _), _)| name == topic);
@@ -297,7 +297,7 @@
     {
         return control::handle_control_call(&shared, &faults, request).await;
     }
-    lock(&shared.state).calls += 1;
+    lock(&shared.state).call_count += 1;
     let active_faults = lock(&faults).clone();
     tokio::time::sleep(active_faults.delay).await;
     match active_faults.outage {
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -83,7 +83,7 @@
                 store: store.address,
                 partitions: PARTITIONS,
                 lease: LEASE,
-                directory: SHARED_READS,
+                extra_directory_lines: SHARED_READS,
                 extra_lines: &more,
             })
         };
--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -33,7 +33,7 @@
         gateways: 4,
         event_interval: RUN_TIME / 8,
         answer_delay: RUN_TIME,
-        settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
+        extra_settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_evacuation.rs
+++ b/crates/swiftshunt/tests/gateway_evacuation.rs
@@ -268,7 +268,7 @@
         gateways: 1,
         events: EVENTS,
         event_interval: Duration::from_millis(100),
-        settings: "[evacuation]\nobey_within = \"2s\"\nitems_leave_after = \"1s\"".to_owned(),
+        extra_settings: "[evacuation]\nobey_within = \"2s\"\nitems_leave_after = \"1s\"".to_owned(),
         ..two_zones()
     })
     .await;
@@ -339,7 +339,7 @@
     let log = fleet.gateways[0].store_listener.address.to_string();
     let written = publish(&log, "--evacuate");
     assert!(written.status.success(), "{written:?}");
-    assert_eq!(fleet.store.keys(topics::OPERATOR), 2);
+    assert_eq!(fleet.store.key_count(topics::OPERATOR), 2);
     tokio::time::sleep(APPLIED_WITHIN).await;
     assert_zone_a_receives_nothing(&fleet, "written").await;
     let withdrawn = publish(&log, "--withdraw");
--- a/crates/swiftshunt/tests/gateway_quarantine.rs
+++ b/crates/swiftshunt/tests/gateway_quarantine.rs
@@ -175,7 +175,7 @@
     until_refused(&fleet, ONCE).await;
     let ended_first = ended(&fleet);
     eventually("the ends are recorded", || async {
-        fleet.store.keys(topics::QUARANTINE) >= ended_first
+        fleet.store.key_count(topics::QUARANTINE) >= ended_first
     })
     .await;
     for index in 0..GATEWAYS {
@@ -213,7 +213,7 @@
         gateway.store_listener.set_faults(Default::default());
     }
     eventually("the ends are recorded", || async {
-        fleet.store.keys(topics::QUARANTINE) >= MAX_ENDS
+        fleet.store.key_count(topics::QUARANTINE) >= MAX_ENDS
     })
     .await;
 }
--- a/crates/swiftshunt/tests/gateway_rates.rs
+++ b/crates/swiftshunt/tests/gateway_rates.rs
@@ -32,7 +32,7 @@
 async fn limited_fleet() -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways: 3,
-        settings: SETTINGS.to_owned(),
+        extra_settings: SETTINGS.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -28,7 +28,7 @@
 async fn start_sharing() -> ExclusiveFleet {
     let options = PlatformOptions {
         gateways: GATEWAYS,
-        directory: SHARING.to_owned(),
+        extra_directory_settings: SHARING.to_owned(),
         ..PlatformOptions::default()
     };
     let fleet = start(options).await;
@@ -169,7 +169,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn only_readers_answer_calls_for_new_records() {
     let mut fleet = start(PlatformOptions {
-        directory: SHARING.to_owned(),
+        extra_directory_settings: SHARING.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_regions.rs
+++ b/crates/swiftshunt/tests/gateway_regions.rs
@@ -131,7 +131,7 @@
     const GATEWAYS: usize = 8;
     let fleet = start(PlatformOptions {
         gateways: GATEWAYS,
-        directory: "gateways_per_reader = 2".to_owned(),
+        extra_directory_settings: "gateways_per_reader = 2".to_owned(),
         zone_layout: ZoneLayout::new(&PLACES),
         ..PlatformOptions::default()
     })
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -299,7 +299,7 @@
 async fn no_key_appears_in_any_output() {
     let mut fleet = fleet_of(PlatformOptions {
         gateways: 3,
-        directory: "gateways_per_reader = 2".to_owned(),
+        extra_directory_settings: "gateways_per_reader = 2".to_owned(),
         ..PlatformOptions::default()
     })
     .await;
@@ -366,7 +366,7 @@
     expected: StatusCode,
 ) {
     let fleet = fleet_of(PlatformOptions {
-        settings: settings.to_owned(),
+        extra_settings: settings.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -110,7 +110,7 @@
 async fn a_region_behind_a_slow_link_reads_all_jobs_after_all_gateways_were_killed() {
     let line = Arc::new(Width::default());
     let mut fleet = start_with_jobs(&line).await;
-    let stored = fleet.store.bytes(topics::JOBS);
+    let stored = fleet.store.byte_count(topics::JOBS);
     line.limit(LINE_BYTES_PER_S);
     for gateway in &mut fleet.gateways {
         gateway.process.kill();
