--- a/crates/swiftshunt-lab/src/platform/caller.rs
+++ b/crates/swiftshunt-lab/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! A caller in the platform's protocol.
+//! A client that sends requests and batch jobs to gateways in the platform's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 use swiftshunt_platform::documents::{ItemDocument, JobDocument, PageDocument};
 use swiftshunt_platform::words::{headers, paths, queries, values};
 
-/// The host that callers name.
+/// Host header of all requests of callers; routes match on it.
 pub const HOST: &str = "caller.example";
-/// Tokens of each item of a caller's jobs.
+/// Number of tokens that each batch item declares.
 pub const ITEM_TOKENS: u64 = 100;
-/// Time that one call may take.
+/// Time limit of one HTTP exchange.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A caller.
+/// A caller of the gateways, with or without an API key. Clones share their connections.
 #[derive(Clone)]
 pub struct PlatformCaller {
     client: HttpClient,
@@ -36,7 +36,7 @@
 }
 
 impl PlatformCaller {
-    /// The same caller with a key.
+    /// Returns a caller that authenticates with `key` and shares this caller's connections.
     pub fn with_key(&self, key: &str) -> Self {
         Self {
             client: self.client.clone(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Adds the caller's host, and its key if it has one.
+    /// Adds the host header and, if the caller has an API key, the authorization header.
     fn with_caller_headers(&self, request: HttpRequest) -> HttpRequest {
         let request = request.with_header("host", HOST);
         match &self.key {
@@ -79,7 +79,7 @@
             .with_header(headers::DEADLINE, deadline.as_millis().to_string())
     }
 
-    /// Sends a request with headers of the caller's choice.
+    /// Sends a request with additional headers.
     pub async fn ask_with_headers(
         &self,
         gateway: SocketAddr,
@@ -94,7 +94,8 @@
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request on a route and reads the whole answer.
+    /// Sends a request that carries `deadline` in its deadline header, and reads the whole response. The
+    /// exchange itself is limited to 20 s.
     pub async fn ask(
         &self,
         gateway: SocketAddr,
@@ -106,7 +107,7 @@
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request with a body of the caller's choice.
+    /// Sends a request with the given body.
     pub async fn ask_with_body(
         &self,
         gateway: SocketAddr,
@@ -118,7 +119,7 @@
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request whose prompt has `tokens` tokens.
+    /// Sends a request whose prompt consists of one part with `tokens` tokens.
     pub async fn ask_with_prompt(
         &self,
         gateway: SocketAddr,
@@ -130,7 +131,8 @@
         self.ask_with_parts(gateway, path, id, &parts).await
     }
 
-    /// Sends a request whose prompt has these parts, each a name and its tokens.
+    /// Sends a request whose prompt consists of `parts`: pairs of a part's identifier and its number of
+    /// tokens.
     pub async fn ask_with_parts(
         &self,
         gateway: SocketAddr,
@@ -150,7 +152,7 @@
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Asks, and leaves after `patience`.
+    /// Sends a request and closes the connection after `leave_after` if the response is not complete by then.
     pub async fn ask_and_disconnect(
         &self,
         gateway: SocketAddr,
@@ -162,7 +164,7 @@
         drop(tokio::time::timeout(leave_after, asked).await);
     }
 
-    /// Hands a job in.
+    /// Submits a batch job with `items` items whose bodies are those of [`item_body`].
     pub async fn submit(
         &self,
         gateway: SocketAddr,
@@ -174,7 +176,7 @@
         self.submit_bodies(gateway, path, job, bodies).await
     }
 
-    /// Hands a job in whose items have these bodies.
+    /// Submits a batch job with one item for each body.
     pub async fn submit_bodies(
         &self,
         gateway: SocketAddr,
@@ -201,7 +203,8 @@
         Ok(answer.status)
     }
 
-    /// Reads results from a position on.
+    /// Reads a job's results from position `from`; the gateway may delay its response by up to `wait` until
+    /// there is one. The page is empty if the response has none; the status tells why.
     pub async fn results(
         &self,
         gateway: SocketAddr,
@@ -215,7 +218,7 @@
             .with_header(headers::WAIT, wait.as_millis().to_string());
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         let document = serde_json::from_slice(&answer.body);
-        // An answer without a page says so by its status.
+        // Error responses have no page; their status tells why.
         let document = document.unwrap_or(PageDocument {
             total: 0,
             next_token: 0,
@@ -224,7 +227,7 @@
         Ok((answer.status, document))
     }
 
-    /// Reads the body of an item.
+    /// Reads the stored body of a batch item.
     pub async fn item(
         &self,
         gateway: SocketAddr,
@@ -237,7 +240,7 @@
         Ok((answer.status, answer.body))
     }
 
-    /// Ends a job.
+    /// Ends a job by a DELETE request.
     pub async fn end(&self, gateway: SocketAddr, job: &str) -> Result<StatusCode, HttpError> {
         let mut request = HttpRequest::get(gateway, format!("{}{job}", paths::JOBS));
         request.method = Method::DELETE;
@@ -246,7 +249,7 @@
         Ok(answer.status)
     }
 
-    /// All figures that a gateway tells; nothing if it does not answer.
+    /// Returns all metrics of a gateway in text format, or an empty string if it does not respond.
     pub async fn metrics(&self, metrics: SocketAddr) -> String {
         let request = HttpRequest::get(metrics, "/metrics");
         let Ok(answer) = self.client.exchange(request, CALL_TIMEOUT).await else {
@@ -255,7 +258,7 @@
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// A figure that a gateway tells: the value of the line that begins with `name`, 0 without one.
+    /// Returns the value of a gateway's metric, where `name` includes its labels; 0 if there is no such line.
     pub async fn metric_value(&self, metrics: SocketAddr, name: &str) -> f64 {
         let text = self.metrics(metrics).await;
         let mut lines = text.lines();
@@ -263,7 +266,7 @@
         line.and_then(|value| value.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Asks whether a gateway is ready.
+    /// Whether a gateway's readiness endpoint responds with 200.
     pub async fn is_ready(&self, ready: SocketAddr) -> bool {
         let request = HttpRequest::get(ready, "/v1/ready");
         let answer = self.client.exchange(request, CALL_TIMEOUT).await;
@@ -271,12 +274,12 @@
     }
 }
 
-/// Identifier of an item.
+/// Identifier of the item with index `item` in a job.
 pub fn item_id(job: &str, item: usize) -> String {
     format!("{job}-item-{item}")
 }
 
-/// Body of an item.
+/// Body of the item with index `item` in a job that [`PlatformCaller::submit`] submits.
 pub fn item_body(job: &str, item: usize) -> String {
     format!("body of {job}/{item}")
 }
--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! Real gateways before stand-ins of the platform.
+//! A fleet of real gateway processes with stand-ins for the platform's store and workers.
 
 mod configuration;
 mod start;
@@ -29,30 +29,30 @@
     start_gateway_on_free_addresses,
 };
 
-/// Ports that are tried until one is free.
+/// Maximum number of attempts to find a free port, or to bind one that another worker is releasing.
 const PORT_ATTEMPTS: usize = 100;
-/// Partitions of the store's topics.
+/// Number of partitions of each of the store's topics.
 const PARTITIONS: u32 = 4;
-/// Time within which what is waited for must come about.
+/// Time limit of all waits for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between looks.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A gateway process and its door to the store.
+/// A gateway process and its listener at the store.
 pub struct RunningGateway {
-    /// The process.
+    /// The running process.
     pub process: Process,
-    /// Where callers are served.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is told.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where other gateways reach it.
+    /// Address for other gateways.
     pub peers: SocketAddr,
-    /// Where its figures are told.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// Its door.
+    /// The store's listener that this gateway alone uses; its faults affect no other gateway.
     pub store_listener: StoreListener,
-    /// Its way to the door, if that leads over a line.
+    /// Proxy in front of the listener, if the gateway reaches the store over a bandwidth-limited line.
     store_link: Option<Link>,
     settings: PathBuf,
     program: PathBuf,
@@ -86,19 +86,19 @@
     }
 }
 
-/// Gateways, store and workers.
+/// Gateway processes, and the stand-ins that they use. Dropping it stops all of them.
 pub struct PlatformFleet {
-    /// The store.
+    /// The store stand-in of all gateways.
     pub store: Store,
-    /// Workers of the service `whole`.
+    /// Workers of the service `whole`, whose responses are not streamed.
     pub whole_workers: Vec<Worker>,
-    /// Workers of the service `engine`.
+    /// Workers of the service `engine`, whose responses are streamed.
     pub engine_workers: Vec<Worker>,
-    /// Gateways.
+    /// The gateways by index; the index is part of their names.
     pub gateways: Vec<RunningGateway>,
-    /// A caller.
+    /// A caller without an API key.
     pub caller: PlatformCaller,
-    /// What gateways run, by turns.
+    /// Programs of the gateways, assigned in turn by index; at least one.
     programs: Vec<PathBuf>,
     scratch: PathBuf,
     version: u64,
@@ -108,36 +108,39 @@
     store_line: Option<Arc<Width>>,
 }
 
-/// How many there are of each, and how they serve.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Workers of each service.
+    /// Number of workers of each of the two services.
     pub workers: usize,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
-    /// Pause between events.
+    /// Delay of the workers before each event of a stream.
     pub event_interval: Duration,
-    /// Time of a whole answer.
+    /// Delay of the workers before a response that is not streamed.
     pub answer_delay: Duration,
-    /// Lease of partitions.
+    /// Duration of the lease on a partition of batch jobs.
     pub lease: Duration,
-    /// Seed of the store's faults.
+    /// Seed of the store's random faults.
     pub seed: u64,
-    /// More lines of the settings file.
+    /// Lines to append to the gateways' settings files.
     pub extra_settings: String,
-    /// More lines of its part on the directory.
+    /// Lines to append to the `[directory]` table of the gateways' settings files.
     pub extra_directory_settings: String,
-    /// The body of a request that ends each worker that begins to run it.
+    /// A request body that crashes each worker that begins to run it.
     pub crash_workers_on_body: Option<String>,
-    /// Whether workers tell when they started, and keep their identifiers when they start again.
+    /// Whether workers report their start times in the directory, which tells a restarted worker from its
+    /// predecessor under the same identifier.
     pub report_start_times: bool,
-    /// Where gateways and workers stand.
+    /// Zones of the gateways and workers.
     pub zone_layout: ZoneLayout,
-    /// Programs that gateways run by turns in place of the one that the fleet is started with; none for that alone.
+    /// Programs of the gateways, assigned in turn by index. If empty, all gateways run the program passed to
+    /// [`PlatformFleet::start`].
     pub programs: Vec<PathBuf>,
-    /// The line over which gateways outside the first region reach the store.
+    /// Bandwidth-limited line that gateways outside the first region share to reach the store; `None` for
+    /// no limit.
     pub store_line: Option<Arc<Width>>,
 }
 
@@ -163,7 +166,8 @@
 }
 
 impl PlatformFleet {
-    /// Starts a fleet and waits until every gateway is ready.
+    /// Starts a fleet and waits until every gateway is ready. Settings and log files are written to a new
+    /// directory in `scratch`.
     pub async fn start(
         binary: &Path,
         scratch: &Path,
@@ -219,7 +223,7 @@
         Ok(fleet)
     }
 
-    /// Adds a gateway, without waiting until it is ready.
+    /// Starts one more gateway. Does not wait until it is ready.
     pub async fn add_gateway(&mut self, extra_settings: &str) -> Result<(), HarnessError> {
         let store_listener = self.store.open_listener().await?;
         let index = self.gateways.len();
@@ -250,7 +254,7 @@
         Ok(())
     }
 
-    /// The way of a gateway to the store, if it leads over a line.
+    /// Starts the proxy through which the gateway reaches the store, if it is subject to the bandwidth limit.
     async fn link_to(
         &self,
         store_listener: SocketAddr,
@@ -271,7 +275,7 @@
         Ok(Some(link))
     }
 
-    /// Kills a gateway and starts it again, without waiting until it is ready.
+    /// Kills a gateway and starts it again with the same program. Does not wait until it is ready.
     pub fn restart(&mut self, index: usize) -> Result<(), HarnessError> {
         self.gateways[index].process.kill();
         let program = self.gateways[index].program.clone();
@@ -290,7 +294,8 @@
         Ok(())
     }
 
-    /// Stops a gateway as planned, and has another program take its place once it has ended.
+    /// Stops a gateway gracefully, starts `program` with its settings once it has exited, and waits until that
+    /// is ready.
     pub async fn replace(&mut self, index: usize, program: &Path) -> Result<(), HarnessError> {
         let gateway = &mut self.gateways[index];
         gateway.process.terminate();
@@ -300,7 +305,10 @@
             }
         };
         let ended = tokio::time::timeout(CONDITION_TIMEOUT, ends).await;
-        assert!(ended.is_ok(), "gateway {index} does not stop");
+        assert!(
+            ended.is_ok(),
+            "gateway {index} did not exit within {CONDITION_TIMEOUT:?} after SIGTERM"
+        );
         self.start_process(index, program.to_owned())?;
         let ready = self.gateways[index].ready;
         let caller = &self.caller;
@@ -308,7 +316,7 @@
         Ok(())
     }
 
-    /// Adds lines to a gateway's settings file, for its next start.
+    /// Appends lines to a gateway's settings file; they take effect when it restarts.
     pub fn add_settings(&self, index: usize, lines: &str) -> Result<(), HarnessError> {
         let file = &self.gateways[index].settings;
         let text = std::fs::read_to_string(file)?;
@@ -316,12 +324,12 @@
         Ok(())
     }
 
-    /// Publishes a configuration under the next version.
+    /// Publishes a configuration with the next version number; the one in `document` is replaced.
     pub fn configure(&mut self, document: ConfigurationDocument) {
         self.configure_tenants(document, None);
     }
 
-    /// Publishes a configuration with tenants under the next version.
+    /// Publishes a configuration with tenants and the next version number.
     pub fn configure_tenants(
         &mut self,
         mut document: ConfigurationDocument,
@@ -335,19 +343,19 @@
         self.store.put(topics::OPERATOR, &key, body);
     }
 
-    /// Has the operator evacuate a zone.
+    /// Publishes the evacuation of a zone, as an operator does.
     pub fn evacuate(&self, zone: &str) {
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
         self.store.put(topics::OPERATOR, &key, "{}");
     }
 
-    /// Has the operator withdraw the evacuation of a zone.
+    /// Withdraws the evacuation of a zone, as an operator does.
     pub fn withdraw_evacuation(&self, zone: &str) {
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
         self.store.put(topics::OPERATOR, &key, bytes::Bytes::new());
     }
 
-    /// Lists every worker in a state.
+    /// Lists every worker in the directory with the given state.
     pub fn list_all(&self, state: &str) {
         for worker in &self.whole_workers {
             self.list(worker, "whole", state);
@@ -357,14 +365,14 @@
         }
     }
 
-    /// Lists a worker in the directory.
+    /// Lists a worker in the directory as one of `service`, with the given state.
     pub fn list(&self, worker: &Worker, service: &str, state: &str) {
         let document = Self::directory_entry(worker, service, state);
         let body = serde_json::to_vec(&document).unwrap_or_default();
         self.store.put(topics::WORKERS, worker.incarnation(), body);
     }
 
-    /// What a worker says of itself.
+    /// Returns the directory entry of a worker.
     pub fn directory_entry(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
         WorkerDocument {
             service: service.to_owned(),
@@ -379,8 +387,8 @@
         }
     }
 
-    /// Ends a worker of the service `whole` and starts it again, at its address and under its identifier; it
-    /// is listed as ready in its new life.
+    /// Crashes a worker of the service `whole` and restarts it with the same address and identifier. Lists it
+    /// as ready with the new start time.
     pub async fn restart_worker(&mut self, index: usize) -> std::io::Result<()> {
         let old = &self.whole_workers[index];
         old.crash();
@@ -395,27 +403,27 @@
         Ok(())
     }
 
-    /// Takes a worker out of the directory.
+    /// Removes a worker from the directory.
     pub fn unlist(&self, worker: &Worker) {
         let nothing = bytes::Bytes::new();
         self.store
             .put(topics::WORKERS, worker.incarnation(), nothing);
     }
 
-    /// Runs of a request at all workers.
+    /// Returns the runs of a request at all workers.
     pub fn runs_of(&self, id: &str) -> Vec<super::worker::Run> {
         let workers = self.whole_workers.iter().chain(&self.engine_workers);
         let runs = workers.flat_map(Worker::runs);
         runs.filter(|run| run.id == id).collect()
     }
 
-    /// What the gateways logged, for a look at a failure.
+    /// Directory of the gateways' settings and log files.
     pub fn logs(&self) -> &Path {
         &self.scratch
     }
 }
 
-/// Starts a worker at an address that another one may just be leaving.
+/// Starts a worker at an address. Retries while the previous worker has not released it yet.
 async fn start_worker_at(address: SocketAddr, settings: WorkerSettings) -> std::io::Result<Worker> {
     for _ in 0..PORT_ATTEMPTS {
         match Worker::start_watched(address, settings.clone(), Arc::new(|_, _| {})).await {
@@ -426,7 +434,7 @@
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse))
 }
 
-/// Waits until a condition holds; panics if it does not within 20 s.
+/// Waits until `condition` holds. Panics with `what` if it does not within 20 s.
 pub async fn eventually<F, Holds>(what: &str, condition: F)
 where
     F: Fn() -> Holds,
@@ -438,5 +446,8 @@
         }
     };
     let held = tokio::time::timeout(CONDITION_TIMEOUT, waited).await;
-    assert!(held.is_ok(), "not within {CONDITION_TIMEOUT:?}: {what}");
+    assert!(
+        held.is_ok(),
+        "condition not met within {CONDITION_TIMEOUT:?}: {what}"
+    );
 }
--- a/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations as operators of a fleet publish them.
+//! Configurations that the operators of a fleet publish.
 
 use serde::Serialize;
 use swiftshunt_platform::documents::{
@@ -8,18 +8,18 @@
 
 use crate::platform::caller::HOST;
 
-/// Paths of the routes that a fleet begins with.
+/// Path of an idempotent route of the first configuration.
 pub const ASK: &str = "/ask/";
-/// A route whose requests may not be repeated.
+/// Path of a route whose requests must not be repeated.
 pub const ONCE: &str = "/once/";
-/// Streams that may be resumed.
+/// Path of a route of streams that may be resumed at another worker.
 pub const STREAM: &str = "/stream/";
-/// Streams that may not.
+/// Path of a route of streams that must not be resumed.
 pub const STREAM_ONCE: &str = "/stream-once/";
-/// Batch jobs.
+/// Path of a route of batch jobs.
 pub const BATCH: &str = "/batch/";
 
-/// A route of the callers' host.
+/// Returns a route for requests of [`HOST`] under `path`, which the workers of `service` run.
 pub fn route(path: &str, kind: &str, service: &str) -> RouteDocument {
     RouteDocument {
         name: path.trim_matches('/').to_owned(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// The configuration that a fleet begins with.
+/// Returns the configuration with which a fleet starts: the routes above and the two services.
 pub fn first_configuration() -> ConfigurationDocument {
     let mut streams = route(STREAM, values::STREAMING, "engine");
     streams.can_resume = true;
@@ -67,24 +67,24 @@
     }
 }
 
-/// A tenant as operators publish it.
+/// A tenant in a published configuration.
 #[derive(Clone, Debug, Default, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct PublishedTenant {
-    /// Name.
+    /// Name of the tenant.
     pub name: String,
-    /// Keys.
+    /// API keys, all of which authenticate the tenant.
     pub api_keys: Vec<String>,
-    /// Rank.
+    /// Priority among tenants.
     pub priority: u32,
-    /// Requests a second; 0 is no limit.
+    /// Limit of requests per second; 0 for no limit.
     pub rate_per_s: f64,
-    /// Requests on top of that.
+    /// Number of requests above the rate that are admitted at once.
     pub burst: f64,
 }
 
 impl PublishedTenant {
-    /// A tenant without a limit.
+    /// Creates a tenant without a rate limit.
     pub fn new(name: &str, keys: &[&str]) -> Self {
         Self {
             name: name.to_owned(),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The same tenant with a limit.
+    /// Returns the tenant with a limit of requests per second and a burst.
     pub fn with_rate_limit(self, rate_per_s: f64, burst: f64) -> Self {
         Self {
             rate_per_s,
@@ -103,7 +103,7 @@
     }
 }
 
-/// A configuration as operators publish it.
+/// A configuration document with the tenants in the form in which operators publish them.
 #[derive(Serialize)]
 pub(super) struct PublishedConfiguration<'t> {
     #[serde(flatten)]
@@ -112,7 +112,7 @@
     pub(super) tenants: Option<&'t [PublishedTenant]>,
 }
 
-/// A split of a route.
+/// Returns the backends of a route that splits its requests between services by weight.
 pub fn weighted_split(parts: &[(&str, u32)]) -> Option<Vec<BackendDocument>> {
     let parts = parts.iter().map(|(service, weight)| BackendDocument {
         service: (*service).to_owned(),
--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Gateway processes of a fleet: their addresses, their settings files, their start.
+//! Starts the gateway processes of a fleet: allocates addresses and writes settings files.
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::platform::zone_layout::ZoneLayout;
 use crate::stand_in::lock;
 
-/// Starts a gateway by a settings file; its log lies beside that.
+/// Starts a gateway with a settings file. Its log is the file beside that with the extension `log`.
 pub(crate) fn start_gateway(binary: &Path, settings: &Path) -> Result<Process, HarnessError> {
     let arguments = [
         "gateway".to_owned(),
@@ -26,22 +26,22 @@
     Process::start(binary, &arguments, &settings.with_extension("log"))
 }
 
-/// Addresses that a gateway keeps when it starts again: others know it by them.
+/// Addresses that a gateway keeps across restarts, since other processes are configured with them.
 #[derive(Clone, Copy)]
 pub(crate) struct GatewayAddresses {
-    /// Where it listens for other gateways.
+    /// Address to listen on for other gateways.
     pub(crate) peers: SocketAddr,
-    /// Where it listens for who asks for its figures.
+    /// Address to listen on for requests for metrics.
     pub(crate) metrics: SocketAddr,
 }
 
-/// Times that a gateway is started with other addresses before it is given up.
+/// Maximum number of starts of a gateway, each with other addresses.
 const MAX_STARTS: usize = 5;
-/// What the log of a gateway says whose address another process took first.
+/// Text in the log of a gateway that could not bind an address because another process uses it.
 const ADDRESS_IN_USE: &str = "in use";
 
-/// Starts a gateway for the first time, by the settings that `text` makes of its addresses. Another test program may
-/// take one of them between a look at it and the start: then others are drawn.
+/// Starts a gateway for the first time, with the settings that `text` returns for its addresses. If another process
+/// binds one of them between the check that it is free and the start, tries again with other addresses.
 pub(crate) fn start_gateway_on_free_addresses(
     program: &Path,
     settings: &Path,
@@ -58,7 +58,10 @@
             Err(error) if start >= MAX_STARTS || !is_address_in_use(settings) => {
                 return Err(error);
             }
-            Err(_) => eprintln!("an address of {} was taken", settings.display()),
+            Err(_) => eprintln!(
+                "an address in {} is in use by another process; starting the gateway with other addresses",
+                settings.display()
+            ),
         }
     }
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse).into())
@@ -69,18 +72,18 @@
     log.is_ok_and(|log| log.contains(ADDRESS_IN_USE))
 }
 
-/// Ports that the system gives to nobody by itself.
+/// Ports outside the range from which the system assigns ports to sockets bound to port 0.
 const NON_EPHEMERAL_PORTS: Range<u16> = 20_000..30_000;
 
-/// Ports of a block.
+/// Number of ports in a block.
 const PORTS_PER_BLOCK: u16 = 50;
-/// Directory, beside other temporary files, of a file for each block: who holds its lock has the block's ports, also
-/// for gateways that do not listen yet, or are to start again.
+/// Subdirectory of the directory for temporary files, with a lock file for each block. The process that holds the lock
+/// owns the block's ports, also those of gateways that do not listen yet or are about to restart.
 const PORT_LOCK_DIRECTORY: &str = "swiftshunt-lab-ports";
 
-/// The ports of this process, among other test programs that run beside it.
+/// Allocates ports that no other test program uses that runs at the same time.
 struct PortAllocator {
-    /// Those of the newest block that were not given to a gateway yet.
+    /// Ports of the last reserved block that are not allocated yet.
     unused: Range<u16>,
     locks: Vec<File>,
 }
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Takes a block that no other process has, until this process ends.
+    /// Reserves a block that no other process holds, until this process exits.
     fn reserve_block(&mut self) -> std::io::Result<()> {
         let directory = std::env::temp_dir().join(PORT_LOCK_DIRECTORY);
         std::fs::create_dir_all(&directory)?;
@@ -124,7 +127,7 @@
     }
 }
 
-/// An address that nobody listens at, and that no other test program takes.
+/// Returns an address that is free for TCP and UDP, at a port that no other test program allocates.
 fn free_address() -> std::io::Result<SocketAddr> {
     let mut last = std::io::Error::from(std::io::ErrorKind::AddrInUse);
     for _ in 0..PORT_ATTEMPTS {
@@ -139,24 +142,24 @@
     Err(last)
 }
 
-/// What a gateway's settings file says.
+/// Values of a gateway's settings file.
 pub(crate) struct GatewaySettingsText<'t> {
     pub(crate) index: usize,
     pub(crate) zone_layout: &'t ZoneLayout,
-    /// Where it listens for other gateways.
+    /// Address to listen on for other gateways.
     pub(crate) peers: SocketAddr,
-    /// Where it listens for who asks for its figures.
+    /// Address to listen on for requests for metrics.
     pub(crate) metrics: SocketAddr,
     pub(crate) store: SocketAddr,
     pub(crate) partitions: u32,
     pub(crate) lease: Duration,
-    /// More lines of its part on the directory.
+    /// Lines to append to the `[directory]` table.
     pub(crate) extra_directory_lines: &'t str,
-    /// More lines.
+    /// Lines to append to the file.
     pub(crate) extra_lines: &'t str,
 }
 
-/// The settings file of a gateway.
+/// Returns the content of a gateway's settings file.
 pub(crate) fn settings_text(settings: &GatewaySettingsText<'_>) -> String {
     let GatewaySettingsText {
         index,
--- a/crates/swiftshunt-lab/src/platform/groups.rs
+++ b/crates/swiftshunt-lab/src/platform/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of the store's stand-in: members that share partitions.
+//! Groups of the store stand-in: their members share the partitions of a topic.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,19 +7,19 @@
     expires_at: Instant,
 }
 
-/// Members and what they own.
+/// The members of a group and the partitions that each of them owns.
 #[derive(Default)]
 pub(super) struct Group {
     members: BTreeMap<String, Member>,
-    /// Rises with each change.
+    /// Increases by one with each change of the members or owners.
     pub(super) generation: u64,
     /// Owner of each partition.
     pub(super) owners: BTreeMap<u32, String>,
 }
 
 impl Group {
-    /// Removes members that have been silent for too long, and deals partitions evenly if the
-    /// members changed.
+    /// Removes expired members. If that or the caller (`changed`) changed the set of members, assigns the
+    /// partitions to them in turn.
     fn rebalance(&mut self, partitions: u32, changed: bool) {
         let now = Instant::now();
         let before = self.members.len();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A member joins, or stays for `time` more.
+    /// Adds a member, or renews its membership, until `ttl` from now.
     pub(super) fn join(&mut self, member: &str, ttl: Duration, partitions: u32) {
         let expires_at = Instant::now() + ttl;
         let previous = self
@@ -46,13 +46,13 @@
         self.rebalance(partitions, previous.is_none());
     }
 
-    /// A member leaves.
+    /// Removes a member at once.
     pub(super) fn leave(&mut self, member: &str, partitions: u32) {
         let previous = self.members.remove(member);
         self.rebalance(partitions, previous.is_some());
     }
 
-    /// Moves each partition to the member behind its present one.
+    /// Assigns each partition to the member that follows its owner in the order of names.
     pub(super) fn rotate_owners(&mut self) {
         let names: Vec<String> = self.members.keys().cloned().collect();
         let count = names.len().max(1);
--- a/crates/swiftshunt-lab/src/platform/mod.rs
+++ b/crates/swiftshunt-lab/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the users' platform: its store, workers in its protocol, callers, and a fleet of
-//! real gateways before them.
+//! Stand-ins for the users' platform: its log store, workers and callers that speak its protocol, and a
+//! fleet of real gateway processes that use them.
 
 pub mod caller;
 pub mod fleet;
--- a/crates/swiftshunt-lab/src/platform/process.rs
+++ b/crates/swiftshunt-lab/src/platform/process.rs
@@ -1,4 +1,4 @@
-//! The store's and a worker's stand-in as processes of their own.
+//! The stand-ins for the store and for a worker as separate processes.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,64 +13,64 @@
 use super::store::Store;
 use super::worker::{Run, RunEvent, Worker, WorkerSettings};
 
-/// run a stand-in of the platform's store
+/// run a stand-in for the platform's log store
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform-store")]
 pub struct StoreArguments {
-    /// addresses to listen on, each with faults of its own
+    /// number of addresses to listen on; faults are set for each of them separately
     #[argh(option, long = "doors", default = "1")]
     listeners: usize,
-    /// partitions of each topic
+    /// number of partitions of each topic
     #[argh(option, default = "4")]
     partitions: u32,
-    /// decides which answers are lost
+    /// seed of the random faults of appends
     #[argh(option, default = "1")]
     seed: u64,
 }
 
-/// run a stand-in of a worker in the platform's protocol; each run is a line on standard output
+/// run a stand-in for a worker that speaks the platform's protocol; it prints a line for each event of a run
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform-worker")]
 pub struct WorkerArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_port()")]
     listen: SocketAddr,
-    /// its incarnation
+    /// the worker's incarnation
     #[argh(option)]
     incarnation: String,
-    /// requests at once
+    /// number of requests that run at the same time
     #[argh(option, default = "16")]
     slots: usize,
-    /// events of a stream; whole answers if left out
+    /// number of events in a stream; without it, responses are not streamed
     #[argh(option)]
     events: Option<u64>,
-    /// time before a whole answer and between events, in milliseconds
+    /// delay before a response that is not streamed, and before each event of a stream, in milliseconds
     #[argh(option, default = "10")]
     pause_ms: u64,
 }
 
-/// A line about a run.
+/// A line on a worker's standard output about an event of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLine {
-    /// What happened.
+    /// The event.
     pub run: RunEvent,
-    /// The worker.
+    /// Incarnation of the worker.
     pub incarnation: String,
-    /// The request.
+    /// Identifier of the request.
     pub id: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// When, in milliseconds of the time of day.
+    /// Time of the event, in milliseconds since the Unix epoch.
     pub at: u64,
 }
 
-/// Milliseconds of the time of day: the clock that processes of one machine share.
+/// Returns the milliseconds since the Unix epoch: a clock that all processes on one machine share.
 pub fn time_of_day_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
-/// Runs the store until the process is ended.
+/// Runs the store stand-in until the process is ended. Prints its addresses first.
 pub async fn run_store(arguments: &StoreArguments) -> std::io::Result<()> {
     let store = Store::new(arguments.partitions, arguments.seed);
     let mut listeners = Vec::new();
@@ -81,7 +81,7 @@
     std::future::pending().await
 }
 
-/// Runs a worker until the process is ended.
+/// Runs a worker stand-in until the process is ended. Prints its address first, then its runs.
 pub async fn run_worker(arguments: WorkerArguments) -> std::io::Result<()> {
     let incarnation = arguments.incarnation.clone();
     let settings = WorkerSettings {
@@ -108,7 +108,7 @@
     std::future::pending().await
 }
 
-/// Writes a line. Whoever reads it may be gone before this process is.
+/// Prints a line. Ignores errors, since the reader may exit before this process does.
 fn announce(line: &serde_json::Value) {
     let mut output = std::io::stdout().lock();
     drop(writeln!(output, "{line}").and_then(|()| output.flush()));
--- a/crates/swiftshunt-lab/src/platform/quickstart.rs
+++ b/crates/swiftshunt-lab/src/platform/quickstart.rs
@@ -1,4 +1,5 @@
-//! Two gateways before stand-ins of the platform on loopback, with a line to paste for each call.
+//! Runs two gateways with stand-ins for the platform on the loopback interface, and prints a curl command for
+//! each kind of call.
 
 use std::time::Duration;
 
@@ -8,7 +9,7 @@
 use super::fleet::{ASK, BATCH, PlatformFleet, PlatformOptions, STREAM};
 use crate::harness::{Binaries, HarnessError};
 
-/// Runs until the process is interrupted.
+/// Starts the fleet, prints the commands and runs until the process is interrupted (Ctrl-C).
 pub async fn run(binaries: &Binaries) -> Result<(), HarnessError> {
     let options = PlatformOptions {
         event_interval: Duration::from_millis(100),
@@ -21,7 +22,7 @@
     Ok(())
 }
 
-/// What to paste.
+/// Returns the commands to print.
 fn lines(fleet: &PlatformFleet) -> String {
     let [one, two] = [&fleet.gateways[0], &fleet.gateways[1]];
     let (caller, other) = (one.callers, two.callers);
--- a/crates/swiftshunt-lab/src/platform/server.rs
+++ b/crates/swiftshunt-lab/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server whose handler may also break connections off.
+//! A minimal HTTP/1 server whose handler can also close the connection without a response.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,27 +15,28 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Why a connection or body was broken off: because a test wants it.
+/// Error with which a handler or a body closes the connection: a fault that a test injects.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("broken off on purpose")]
+#[display("connection closed by an injected fault")]
 pub(crate) struct BrokenOff;
 
-/// A body that may break off.
+/// A response body that can end early with [`BrokenOff`], which closes the connection.
 pub(crate) type Body = UnsyncBoxBody<Bytes, BrokenOff>;
 
-/// A port of the loopback address that the system chooses.
+/// Returns the loopback address with port 0: the system chooses a free port.
 pub(crate) fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A whole body.
+/// Returns a body of known length that is sent at once.
 pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     http_body_util::Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// Serves at `listen`, until `stop`; port 0 lets the system choose.
+/// Serves at `listen` in background tasks until `stop` is cancelled, which also closes open connections.
+/// Returns the bound address.
 pub(crate) async fn serve<Handler, Answer>(
     listen: SocketAddr,
     stop: CancellationToken,
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the platform's store: a log with keyed topics and groups, and its faults.
+//! A stand-in for the platform's log store, with keyed topics, groups and injected faults.
 //!
-//! Each door is an address with faults of its own, so that some gateways can be refused while
-//! others are served.
+//! The store serves any number of listeners. Faults are set for each listener separately, so that some
+//! gateways can be refused while others are served.
 
 mod control;
 mod wire;
@@ -34,50 +34,52 @@
 use super::server::{Body, BrokenOff, any_port, full_body, serve};
 use crate::stand_in::lock;
 
-/// How a store that is down behaves.
+/// How a store that is down responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreOutage {
-    /// It does not answer.
+    /// It never responds.
     #[serde(rename = "silent")]
     Unresponsive,
-    /// It refuses.
+    /// It responds with 503.
     Busy,
-    /// It closes connections.
+    /// It closes the connection without a response.
     Reset,
 }
 
-/// Faults of one door.
+/// Faults of one listener. Its calls that control the store are not affected.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// The store is down.
+    /// Set while the store is down for this listener. Reads that already wait are closed when they would
+    /// return, whatever the kind of outage.
     #[serde(rename = "down")]
     pub outage: Option<StoreOutage>,
-    /// Each answer takes this much longer.
+    /// Delay before each call is processed.
     pub delay: Duration,
-    /// Reads that come or wait are never answered; everything else is.
+    /// Reads, also those that already wait, get no response; all other calls are served.
     #[serde(rename = "lost_reads")]
     pub hang_reads: bool,
-    /// Share of appends that are done and not answered.
+    /// Probability that an append is performed and its response is lost.
     #[serde(rename = "lost_answers")]
     pub lost_answer_probability: f64,
-    /// A connection that loses an answer stays open and says nothing more.
+    /// Whether the connection of an append whose response is lost stays open without a response. Otherwise
+    /// it is closed.
     #[serde(rename = "lost_in_silence")]
     pub hold_open_on_lost_answer: bool,
-    /// Appends whose answers are lost are done this much later.
+    /// Delay before an append whose response is lost is performed.
     #[serde(rename = "done_late")]
     pub lost_append_delay: Duration,
-    /// Every second call for the newest records of a topic is refused.
+    /// Whether every second call for the newest records of a topic is refused with 429.
     #[serde(rename = "half_of_listings")]
     pub refuse_every_second_newest: bool,
-    /// Share of appends that are acknowledged and not done: no store does that. Shows that a test
-    /// would notice.
+    /// Probability that an append is acknowledged and not performed. No real store does that: it serves to
+    /// verify that a test detects lost records.
     #[serde(rename = "forgotten")]
     pub false_acknowledgement_probability: f64,
 }
 
-/// A record as it lies in the log.
+/// A record in a partition.
 #[derive(Clone, Debug)]
 struct StoredRecord {
     offset: u64,
@@ -119,7 +121,7 @@
     partitions: HashMap<(String, u32), Partition>,
     groups: HashMap<String, Group>,
     call_count: u64,
-    /// Calls for the newest records, by topic.
+    /// Number of calls for the newest records that may be refused, by topic.
     newest_calls: HashMap<String, u64>,
 }
 
@@ -130,23 +132,23 @@
     rng: Mutex<StdRng>,
 }
 
-/// A door of a store.
+/// An address at which the store is served, with faults of its own. Clones share the faults.
 #[derive(Clone)]
 pub struct StoreListener {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     faults: Arc<Mutex<StoreFaults>>,
-    /// Reads that came, by topic.
+    /// Number of read calls received, by topic.
     read_calls: Arc<Mutex<BTreeMap<String, u64>>>,
 }
 
 impl StoreListener {
-    /// Sets the faults.
+    /// Replaces the faults of this listener.
     pub fn set_faults(&self, faults: StoreFaults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Reads of a topic's tail that came so far.
+    /// Returns the number of calls received that read records of a topic by offset.
     pub fn read_calls(&self, topic: &str) -> u64 {
         lock(&self.read_calls)
             .get(topic)
@@ -155,7 +157,7 @@
     }
 }
 
-/// The stand-in.
+/// The store stand-in. Dropping it stops all its listeners.
 pub struct Store {
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -168,7 +170,7 @@
 }
 
 impl Store {
-    /// A store whose topics have `partitions` partitions; `seed` decides which answers are lost.
+    /// Creates an empty store whose groups share `partitions` partitions; `seed` determines the random faults.
     pub fn new(partitions: u32, seed: u64) -> Self {
         let shared = Shared {
             state: Mutex::default(),
@@ -182,7 +184,7 @@
         }
     }
 
-    /// Opens a door.
+    /// Starts to serve the store at one more address, without faults.
     pub async fn open_listener(&self) -> std::io::Result<StoreListener> {
         let faults = Arc::new(Mutex::new(StoreFaults::default()));
         let listener_faults = Arc::clone(&faults);
@@ -210,28 +212,28 @@
         })
     }
 
-    /// Writes a record under a key of a single-partition topic; an empty value drops the key.
+    /// Writes a record to partition 0 of a topic; an empty value deletes the key.
     pub fn put(&self, topic: &str, key: &str, value: impl Into<Bytes>) {
         let records = vec![(key.as_bytes().to_vec(), value.into())];
         self.shared.append(topic, 0, records);
     }
 
-    /// Drops the history of every partition: only the newest record of each key is left.
+    /// Deletes the history of every partition, so that only the newest record of each key can be read.
     pub fn drop_history(&self) {
         self.shared.drop_history();
     }
 
-    /// Deals all partitions of all groups anew, each to the member behind its present one.
+    /// Reassigns each partition of all groups to the member that follows its owner in the order of names.
     pub fn reassign_partitions(&self) {
         self.shared.reassign_partitions();
     }
 
-    /// Calls that came so far.
+    /// Returns the number of calls received by all listeners, without those that control the store.
     pub fn call_count(&self) -> u64 {
         lock(&self.shared.state).call_count
     }
 
-    /// Keys that are there, of all partitions of a topic.
+    /// Returns the number of keys with a value in all partitions of a topic.
     pub fn key_count(&self, topic: &str) -> usize {
         let state = lock(&self.shared.state);
         let partitions = state.partitions.iter();
@@ -239,7 +241,8 @@
         of_topic.map(|(_, partition)| partition.newest.len()).sum()
     }
 
-    /// Bytes of the keys that are there and of their values, of all partitions of a topic.
+    /// Returns the total size in bytes of the keys with a value and of their values, in all partitions of a
+    /// topic.
     pub fn byte_count(&self, topic: &str) -> usize {
         let state = lock(&self.shared.state);
         let partitions = state.partitions.iter();
@@ -387,7 +390,8 @@
     }
 }
 
-/// An answer if there is one now: records, or that they are gone.
+/// Returns the response to a read that need not wait: the records from the requested offset, or 410 if they
+/// are deleted. `None` if the caller is willing to wait and there are no records yet.
 fn read_available(shared: &Shared, query: &Query) -> Option<Response<Body>> {
     let from = query.number(queries::FROM);
     let records = {
@@ -424,7 +428,7 @@
     Response::new(full_body(body.freeze()))
 }
 
-/// Whether a call for the newest records of a topic is the second of two.
+/// Counts a call for the newest records of a topic. Returns true for every second one.
 fn is_second_call(shared: &Shared, query: &Query) -> bool {
     let mut state = lock(&shared.state);
     let topic = query.text(queries::TOPIC).to_owned();
@@ -433,7 +437,7 @@
     calls.is_multiple_of(2)
 }
 
-/// Records of a page.
+/// Maximum number of records in a page of newest records.
 const PAGE_RECORDS: usize = 500;
 
 fn newest(shared: &Shared, query: &Query) -> Response<Body> {
--- a/crates/swiftshunt-lab/src/platform/store/control.rs
+++ b/crates/swiftshunt-lab/src/platform/store/control.rs
@@ -1,4 +1,4 @@
-//! What tests tell the store's stand-in to do.
+//! HTTP calls by which tests control the store stand-in while it runs in another process.
 
 use std::sync::Mutex;
 
@@ -11,17 +11,17 @@
 use crate::platform::server::{Body, BrokenOff};
 use crate::stand_in::lock;
 
-/// Where a test sets the faults of the door that it calls (a body of [`StoreFaults`]).
+/// Path that sets the faults of the listener that receives the call; the body is a [`StoreFaults`] in JSON.
 pub const CONTROL_FAULTS_PATH: &str = "/stand-in/faults";
-/// Where a test has the store drop its history.
+/// Path that deletes the history of every partition; see [`super::Store::drop_history`].
 pub const CONTROL_DROP_HISTORY_PATH: &str = "/stand-in/drop-history";
-/// Where a test has the store deal all partitions anew.
+/// Path that reassigns all partitions; see [`super::Store::reassign_partitions`].
 pub const CONTROL_REASSIGN_PATH: &str = "/stand-in/deal-anew";
 
-/// Beginning of the paths that tests call.
+/// Prefix of the paths above. Calls to it are neither counted nor subject to faults.
 pub(super) const CONTROL_PATH_PREFIX: &str = "/stand-in/";
 
-/// Obeys a test.
+/// Executes a control call. Responds with 400 if the faults cannot be parsed, and with 404 to unknown paths.
 pub(super) async fn handle_control_call(
     shared: &Shared,
     faults: &Mutex<StoreFaults>,
--- a/crates/swiftshunt-lab/src/platform/store/wire.rs
+++ b/crates/swiftshunt-lab/src/platform/store/wire.rs
@@ -1,4 +1,4 @@
-//! How calls and answers of the store's stand-in are written.
+//! Encoding of the calls and responses of the store stand-in.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 
 use crate::platform::server::{Body, full_body};
 
-/// Names and values of a query.
+/// Parameters of a URL's query.
 pub(super) struct Query(HashMap<String, String>);
 
 impl Query {
@@ -33,20 +33,21 @@
     }
 }
 
-/// An answer without a body.
+/// Returns a response without a body.
 pub(super) fn status_answer(status: StatusCode) -> Response<Body> {
     let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer with a document.
+/// Returns a response whose body is `document` in JSON.
 pub(super) fn json_answer(document: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(document).unwrap_or_default();
     Response::new(full_body(body))
 }
 
-/// Records of a body: length, length of the key, key, value.
+/// Decodes the body of an append. Each record is its length (`u32`), the length of its key (`u8`), the key and
+/// the value; the length counts all that follows it. `None` if the body is malformed.
 pub(super) fn decode(mut body: Bytes) -> Option<Vec<(Vec<u8>, Bytes)>> {
     let mut records = Vec::new();
     while body.has_remaining() {
@@ -65,7 +66,7 @@
     Some(records)
 }
 
-/// The topic and partition that a call names.
+/// Returns the topic and partition that the query names.
 pub(super) fn topic_partition(query: &Query) -> (String, u32) {
     (
         query.text(queries::TOPIC).to_owned(),
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker in the platform's protocol, with its faults and a record of what ran.
+//! A stand-in for a worker that speaks the platform's protocol, with injected faults and a record of its runs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -18,107 +18,110 @@
 use super::server::{Body, BrokenOff, any_port, full_body, serve};
 use crate::stand_in::lock;
 
-/// What a worker does with the next requests.
+/// How a worker processes the requests that it receives from then on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkerBehaviour {
-    /// Serves them.
+    /// Runs them and responds.
     #[default]
     #[serde(rename = "sound")]
     Normal,
-    /// Runs them and does not answer.
+    /// Runs them and never responds. Each keeps its slot until the sender closes the connection.
     #[serde(rename = "dark")]
     Hang,
-    /// Runs them, and does not answer every second one.
+    /// Runs them and never responds to those with an even index among all runs of the worker, counted from
+    /// 0. Their slots are released.
     #[serde(rename = "hang_sometimes")]
     HangEverySecond,
-    /// Runs them and is silent for this long first.
+    /// Runs them and delays the response by this time.
     #[serde(rename = "late")]
     DelayAnswer(Duration),
-    /// Runs them and closes the connection.
+    /// Runs them and closes the connection without a response.
     #[serde(rename = "lose_answer")]
     CloseWithoutAnswer,
-    /// Breaks streams off after this many events.
+    /// Runs them and closes the connection of a stream after this many events.
     #[serde(rename = "break_after")]
     TruncateStreamAfter(u64),
-    /// Does not run them and says so.
+    /// Does not run them, and responds with 503 and the header which states that.
     Decline,
-    /// Runs them and answers for another request.
+    /// Runs them and responds with the identifier of another request.
     #[serde(rename = "answer_another")]
     AnswerOtherRequestId,
-    /// Runs them and does not sign.
+    /// Runs them and leaves the signature out of the response.
     Unsigned,
-    /// Runs them and fails.
+    /// Runs them and responds with 500.
     Fail,
-    /// Says that they can never be done.
+    /// Runs them and responds with 422: no worker can run them successfully.
     #[serde(rename = "never")]
     RejectPermanently,
-    /// Runs them and answers 503 without the word that they did not run.
+    /// Runs them and responds with 503, without the header which states that they did not run.
     #[serde(rename = "false_refusal")]
     RunAndAnswer503,
-    /// Runs them and signs another answer as theirs: no gateway can tell. Shows that a test would.
+    /// Runs them and responds with a signed body of another request, which no gateway can detect. It serves
+    /// to verify that a test detects it.
     WrongBody,
-    /// Tells of each run twice. Shows that a test counts runs.
+    /// Reports the arrival of each request twice. It serves to verify that a test counts runs.
     #[serde(rename = "tell_twice")]
     ReportRunTwice,
-    /// Runs them and says that it did not. Shows that a test looks at runs.
+    /// Reports their arrival as if they ran, and states in the response that they did not run. It serves to
+    /// verify that a test checks the runs.
     #[serde(rename = "lying_refusal")]
     ReportRunAndDecline,
 }
 
-/// What it serves.
+/// Settings of a worker stand-in.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Its incarnation.
+    /// The incarnation. Requests that expect another one get 421.
     pub incarnation: String,
-    /// Requests at once.
+    /// Number of requests that run at the same time; more wait.
     pub slots: usize,
-    /// Events of a stream; none for whole answers.
+    /// Number of events in a stream; `None` if responses are not streamed.
     pub events: Option<u64>,
-    /// Time before a whole answer, and between events.
+    /// Delay before a response that is not streamed, and before each event of a stream.
     pub answer_delay: Duration,
-    /// The body of a request that ends it a pause after it began to run.
+    /// A request body that crashes the worker: it stops `answer_delay` after such a request began to run.
     pub crash_on_body: Option<String>,
-    /// When it started, in milliseconds of Unix time, if it tells.
+    /// Start time in milliseconds since the Unix epoch, if the worker reports one in the directory.
     pub started_unix_ms: Option<u64>,
-    /// The zone in which it stands.
+    /// Name of the worker's zone.
     pub zone: String,
 }
 
-/// Where a test sets a worker's manner (a body of [`Manner`]).
+/// Path at which a test sets the behaviour; the body is a [`WorkerBehaviour`] in JSON.
 pub const CONTROL_BEHAVIOUR_PATH: &str = "/stand-in/manner";
 
-/// What is told about a run as it happens.
+/// Events of a run, in the order in which they are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
-    /// The request came; it may wait for a slot.
+    /// The worker received the request, which may have to wait for a slot.
     Arrived,
-    /// It got a slot.
+    /// The request got a slot and runs.
     Began,
-    /// It left its slot.
+    /// The request released its slot, completed or not.
     Ended,
 }
 
-/// Takes what happens to runs, at once and in order.
+/// Callback for events of runs, called synchronously as they happen.
 pub type RunWatcher = Arc<dyn Fn(RunEvent, &Run) + Send + Sync>;
 
-/// One run of a request.
+/// A run of a request at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The request.
+    /// Identifier of the request.
     pub id: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// The last event that the sender had.
+    /// Number of the last event that the sender already has, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Milliseconds that the worker was told.
+    /// Value of the deadline header, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// The tenants that were named to it, one for each header.
+    /// Values of all tenant headers.
     pub tenants: Vec<String>,
-    /// Whether it was shown a caller's credentials.
+    /// Whether the request had an authorization header, which gateways must not forward.
     pub has_credentials: bool,
-    /// Whether it came to its end.
+    /// Whether the run produced its whole response.
     pub completed: bool,
 }
 
@@ -137,7 +140,7 @@
     }
 }
 
-/// A slot, held until this is dropped.
+/// An occupied slot. Dropping it releases the slot and reports the end of the run.
 struct HeldSlot {
     _permit: OwnedSemaphorePermit,
     shared: Arc<Shared>,
@@ -150,9 +153,9 @@
     }
 }
 
-/// The stand-in.
+/// The worker stand-in. Dropping it stops it.
 pub struct Worker {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -165,12 +168,12 @@
 }
 
 impl Worker {
-    /// Starts a worker.
+    /// Starts a worker at a free port of the loopback address.
     pub async fn start(settings: WorkerSettings) -> std::io::Result<Self> {
         Self::start_watched(any_port(), settings, Arc::new(|_, _| {})).await
     }
 
-    /// Starts a worker at an address, and tells `watcher` what happens to its runs.
+    /// Starts a worker at an address; `watcher` is called for each event of its runs.
     pub async fn start_watched(
         listen: SocketAddr,
         settings: WorkerSettings,
@@ -197,42 +200,42 @@
         })
     }
 
-    /// Its incarnation.
+    /// Returns the worker's incarnation.
     pub fn incarnation(&self) -> &str {
         &self.shared.settings.incarnation
     }
 
-    /// What it tells of its start.
+    /// Returns the start time that the worker reports in the directory, in milliseconds since the Unix epoch.
     pub fn started_unix_ms(&self) -> Option<u64> {
         self.shared.settings.started_unix_ms
     }
 
-    /// What it was started with.
+    /// Returns the settings with which the worker was started.
     pub fn settings(&self) -> &WorkerSettings {
         &self.shared.settings
     }
 
-    /// Changes its manner.
+    /// Sets the behaviour for requests received from now on; those that run keep theirs.
     pub fn set_behaviour(&self, behaviour: WorkerBehaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// What ran so far.
+    /// Returns the runs so far, in the order in which they began.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Whether it has ended, and nothing runs on it any more.
+    /// Whether the worker has stopped, by [`Worker::crash`] or by a request body that crashes it.
     pub fn has_crashed(&self) -> bool {
         self.stop.is_cancelled()
     }
 
-    /// Requests that hold a slot now.
+    /// Returns the number of occupied slots.
     pub fn running(&self) -> usize {
         self.shared.running()
     }
 
-    /// Ends at once, with everything that runs.
+    /// Stops the worker at once: all its connections and runs end.
     pub fn crash(&self) {
         self.stop.cancel();
     }
@@ -266,7 +269,7 @@
     answer_with(status, &answer_headers, full_body(Bytes::new()))
 }
 
-/// Obeys a test.
+/// Sets the behaviour. Responds with 400 if the body cannot be parsed.
 async fn handle_control_call(
     shared: &Shared,
     request: Request<Incoming>,
@@ -316,7 +319,6 @@
         has_credentials: request.headers().contains_key(AUTHORIZATION),
         completed: false,
     };
-    // A slot is held for as long as the answer is made; the semaphore is never closed.
     (shared.watcher)(RunEvent::Arrived, &run);
     match behaviour {
         WorkerBehaviour::ReportRunTwice => (shared.watcher)(RunEvent::Arrived, &run),
@@ -325,6 +327,8 @@
         }
         _ => {}
     }
+    // The slot is occupied until the response is returned or, for a stream, until its body ends. Acquiring it
+    // cannot fail, since the semaphore is never closed.
     let slots = Arc::clone(&shared.slots);
     let permit = slots.acquire_owned().await.map_err(|_| BrokenOff)?;
     (shared.watcher)(RunEvent::Began, &run);
@@ -351,7 +355,7 @@
             drop(slot);
             return std::future::pending().await;
         }
-        WorkerBehaviour::DelayAnswer(pause) => tokio::time::sleep(pause).await,
+        WorkerBehaviour::DelayAnswer(delay) => tokio::time::sleep(delay).await,
         WorkerBehaviour::CloseWithoutAnswer => return Err(BrokenOff),
         WorkerBehaviour::Fail => {
             return Ok(signed_answer(
@@ -398,7 +402,7 @@
     Ok(answer)
 }
 
-/// Whether a request's body is `expected`.
+/// Whether the request's body equals `expected`.
 async fn has_body(request: Request<Incoming>, expected: &str) -> bool {
     let body = request.into_body().collect().await;
     body.is_ok_and(|body| body.to_bytes() == expected)
@@ -413,7 +417,8 @@
     answer_with(status, &answer_headers, full_body("the worker's own words"))
 }
 
-/// Data of an event: the same at every worker.
+/// Returns the data of a stream's event. It depends only on its arguments, so that a stream can be resumed at any
+/// worker.
 pub fn event_data(id: &str, event: u64) -> String {
     format!("{id}-piece-{event}")
 }
@@ -430,7 +435,7 @@
     let first = last_event.map_or(0, |last| last + 1);
     let shared = Arc::clone(shared);
     let id = id.to_owned();
-    // The slot is free when the last event was sent, or when the sender closes the connection.
+    // The slot is released after the last event, or when the sender closes the connection.
     let slot = Arc::new(slot);
     let frames = futures_util::stream::iter(first..=events).then(move |event| {
         let shared = Arc::clone(&shared);
@@ -441,7 +446,7 @@
             if let WorkerBehaviour::TruncateStreamAfter(limit) = behaviour
                 && event >= first + limit
             {
-                // What was sent before gets out first.
+                // The delay lets the events sent so far reach the sender before the connection is closed.
                 tokio::time::sleep(shared.settings.answer_delay).await;
                 return Err(BrokenOff);
             }
--- a/crates/swiftshunt-lab/src/platform/zone_layout.rs
+++ b/crates/swiftshunt-lab/src/platform/zone_layout.rs
@@ -1,9 +1,9 @@
-//! The zones of a fleet, in which its gateways and workers stand by turns.
+//! The zones of a fleet. Gateways and workers are assigned to them in turn, by their index.
 
-/// A zone and its region.
+/// Names of a zone and of the region that contains it.
 pub type ZoneAndRegion = (&'static str, &'static str);
 
-/// The zones of a fleet.
+/// The zones of a fleet in the order of assignment; at least one.
 #[derive(Clone, Debug)]
 pub struct ZoneLayout(Vec<ZoneAndRegion>);
 
@@ -14,7 +14,7 @@
 }
 
 impl ZoneLayout {
-    /// These zones; the first one alone where there is one.
+    /// Creates a layout of these zones, or the default of a single zone if `zones` is empty.
     pub fn new(zones: &[ZoneAndRegion]) -> Self {
         if zones.is_empty() {
             return Self::default();
@@ -22,22 +22,22 @@
         Self(zones.to_vec())
     }
 
-    /// The zone of the gateway, or of the worker of a service, with this number.
+    /// Returns the zone of the gateway with this index, or of a service's worker with this index.
     pub fn zone(&self, index: usize) -> &'static str {
         self.0[index % self.0.len()].0
     }
 
-    /// The region of the gateway, or of the worker of a service, with this number.
+    /// Returns the region of the gateway with this index, or of a service's worker with this index.
     pub fn region(&self, index: usize) -> &'static str {
         self.0[index % self.0.len()].1
     }
 
-    /// Whether the gateway with this number stands outside the first region.
+    /// Whether the gateway with this index is outside the region of the first zone.
     pub fn is_outside_first_region(&self, index: usize) -> bool {
         self.0[index % self.0.len()].1 != self.0[0].1
     }
 
-    /// Zones and regions as lines of a gateway's settings; none where there is one zone.
+    /// Returns the `[zones]` table of a gateway's settings file, or an empty string for a single zone.
     pub(crate) fn settings_toml(&self) -> String {
         if self.0.len() < 2 {
             return String::new();
