--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -227,7 +227,7 @@
     pub async fn add_gateway(&mut self, extra_settings: &str) -> Result<(), HarnessError> {
         let store_listener = self.store.open_listener().await?;
         let index = self.gateways.len();
-        let link = self.link_to(store_listener.address, index).await?;
+        let link = self.open_store_link(store_listener.address, index).await?;
         let store = link
             .as_ref()
             .map_or(store_listener.address, |link| link.address);
@@ -255,7 +255,7 @@
     }
 
     /// Starts the proxy through which the gateway reaches the store, if it is subject to the bandwidth limit.
-    async fn link_to(
+    async fn open_store_link(
         &self,
         store_listener: SocketAddr,
         index: usize,
@@ -326,11 +326,11 @@
 
     /// Publishes a configuration with the next version number; the one in `document` is replaced.
     pub fn configure(&mut self, document: ConfigurationDocument) {
-        self.configure_tenants(document, None);
+        self.configure_with_tenants(document, None);
     }
 
     /// Publishes a configuration with tenants and the next version number.
-    pub fn configure_tenants(
+    pub fn configure_with_tenants(
         &mut self,
         mut document: ConfigurationDocument,
         tenants: Option<&[PublishedTenant]>,
@@ -418,7 +418,7 @@
     }
 
     /// Directory of the gateways' settings and log files.
-    pub fn logs(&self) -> &Path {
+    pub fn log_directory(&self) -> &Path {
         &self.scratch
     }
 }
--- a/crates/swiftshunt-lab/src/platform/quickstart.rs
+++ b/crates/swiftshunt-lab/src/platform/quickstart.rs
@@ -39,7 +39,7 @@
          the body of an item:\n  curl -i -H 'Host: {HOST}' 'http://{other}{items_path}{job}?{item}=i1'\n\
          its end:\n  curl -i -X DELETE -H 'Host: {HOST}' http://{other}{jobs}{job}\n\
          readiness:\n  curl -i http://{ready}/v1/ready\n",
-        logs = fleet.logs().display(),
+        logs = fleet.log_directory().display(),
         after = queries::AFTER,
         item = queries::ITEM,
         jobs = paths::JOBS,
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -47,12 +47,12 @@
     Reset,
 }
 
-/// Faults of one listener. Its calls that control the store are not affected.
+/// Faults of one listener. Control calls (see [`CONTROL_FAULTS_PATH`]) are not affected.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Set while the store is down for this listener. Reads that already wait are closed when they would
-    /// return, whatever the kind of outage.
+    /// Set while the store is down for this listener. Reads that already wait end with a closed connection
+    /// when a record arrives or their wait is over, whatever the kind of outage.
     #[serde(rename = "down")]
     pub outage: Option<StoreOutage>,
     /// Delay before each call is processed.
@@ -90,12 +90,16 @@
 #[derive(Default)]
 struct Partition {
     records: Vec<StoredRecord>,
+    /// Offset of the first record that can be read.
     first_offset: u64,
+    /// Offset of the next record to be appended.
     end: u64,
+    /// The newest record of each key, without deleted keys.
     newest: BTreeMap<Vec<u8>, StoredRecord>,
 }
 
 impl Partition {
+    /// Appends records and returns the offset of the first one. An empty value deletes its key.
     fn append(&mut self, records: Vec<(Vec<u8>, Bytes)>) -> u64 {
         let first = self.end;
         for (key, value) in records {
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -119,7 +119,7 @@
     pub deadline_ms: Option<u64>,
     /// Values of all tenant headers.
     pub tenants: Vec<String>,
-    /// Whether the request had an authorization header, which gateways must not forward.
+    /// Whether the request had an authorization header; gateways with tenants must not forward it.
     pub has_credentials: bool,
     /// Whether the run produced its whole response.
     pub completed: bool,
--- a/crates/swiftshunt-lab/tests/engine.rs
+++ b/crates/swiftshunt-lab/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine stand-in: whole answers, resume, priorities, fences.
+//! The engine stand-in: complete and resumed answers, priorities, and fencing of orders.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,8 +26,10 @@
 }
 
 async fn engine(settings: EngineSettings) -> (HttpEngine, SocketAddr) {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (running, _) = start(any, settings).await.expect("an engine");
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let (running, _) = start(any_port, settings)
+        .await
+        .expect("the engine did not start");
     (HttpEngine::new(HttpClient::new(None)), running.address)
 }
 
@@ -39,18 +41,18 @@
     let stream = engine
         .generate(address, request, SendPermit::always(), TIMEOUT)
         .await
-        .expect("a stream");
+        .expect("generate call failed");
     let events: Vec<_> = stream.collect().await;
     events
         .into_iter()
         .collect::<Result<_, _>>()
-        .expect("whole events")
+        .expect("the stream broke off")
 }
 
-#[test_case(0; "from the start")]
-#[test_case(7; "resumed")]
+#[test_case(0; "from the first token")]
+#[test_case(7; "resumed at token 7")]
 #[tokio::test]
-async fn an_answer_is_the_same_wherever_it_starts(resume_from: u32) {
+async fn a_resumed_answer_continues_with_the_same_tokens(resume_from: u32) {
     let (engine, address) = engine(EngineSettings::default()).await;
     let request = request("a", Priority::Online, resume_from);
     let events = read(&engine, address, &request).await;
@@ -60,13 +62,13 @@
         .collect();
     let text: String = events.iter().map(|event| event.text.as_str()).collect();
     assert_eq!(before + &text, expected);
-    let last = events.last().expect("an end");
+    let last = events.last().expect("no token was received");
     assert_eq!(last.finish, Some(finish));
     assert_eq!(last.index, natural_length(&request.prompt));
 }
 
 #[tokio::test]
-async fn online_work_pushes_batch_work_out() {
+async fn an_online_request_preempts_a_batch_request_which_then_completes() {
     let settings = EngineSettings {
         slots: 1,
         ..EngineSettings::default()
@@ -76,19 +78,27 @@
     let mut running = engine
         .generate(address, &batch, SendPermit::always(), TIMEOUT)
         .await
-        .expect("a stream");
-    running.next().await.expect("a token").expect("whole");
+        .expect("generate call failed");
+    running
+        .next()
+        .await
+        .expect("the stream ended without a token")
+        .expect("the stream broke off");
     let online = read(&engine, address, &request("online", Priority::Online, 0)).await;
     assert_eq!(
-        online.last().expect("an end").finish,
+        online.last().expect("no token was received").finish,
         Some(FinishReason::Stop)
     );
     let rest: Vec<_> = running.collect().await;
-    let last = rest.last().expect("an end").as_ref().expect("whole");
+    let last = rest
+        .last()
+        .expect("the preempted stream ended without a token")
+        .as_ref()
+        .expect("the preempted stream broke off");
     assert_eq!(
         last.finish,
         Some(FinishReason::Stop),
-        "the batch request goes on after"
+        "the batch request did not complete after the online request"
     );
 }
 
@@ -106,6 +116,6 @@
     engine
         .order(address, &order(2), TIMEOUT)
         .await
-        .expect("taken");
+        .expect("the first order was refused");
     assert!(engine.order(address, &order(1), TIMEOUT).await.is_err());
 }
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -1,5 +1,5 @@
-//! The soak's checkers: each finds nothing in a history in which all went well, and catches what it
-//! is there for. Plans: the same from the same seed, and readable again.
+//! The checkers of the soak test: each accepts a valid history, and detects the violations that it is
+//! meant for. Plans of faults: reproducible from their seed, and serializable without loss.
 
 use swiftshunt_lab::platform::worker::{RunEvent, event_data};
 use swiftshunt_lab::soak::calm::{Disturbance, Scope};
@@ -11,18 +11,18 @@
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
 use test_case::test_case;
 
-/// When the worker of the good history leaves.
-const LEAVES: u64 = 30_000;
-/// When a gateway is stopped as planned.
-const STOPS: u64 = 50_000;
-/// When the second configuration is acknowledged.
-const CONFIGURED: u64 = 20_000;
-/// When the ended job's end is acknowledged.
-const JOB_ENDED: u64 = 12_000;
+/// Time at which the only worker is reported as leaving. All times of a history are in milliseconds.
+const WORKER_LEAVES_AT: u64 = 30_000;
+/// Time of the planned stop of a gateway.
+const GATEWAY_STOPS_AT: u64 = 50_000;
+/// Time at which the second configuration is acknowledged.
+const CONFIGURED_AT: u64 = 20_000;
+/// Time at which the end of the second job is acknowledged.
+const JOB_ENDED_AT: u64 = 12_000;
 
-/// When the zone of the only worker is evacuated, and when that is withdrawn.
-const EVACUATED: u64 = 31_000;
-const WITHDRAWN: u64 = 45_000;
+/// Times at which the only worker's zone is evacuated, and at which the evacuation is withdrawn.
+const EVACUATED_AT: u64 = 31_000;
+const WITHDRAWN_AT: u64 = 45_000;
 
 fn answered(status: u16, whole: bool) -> Ending {
     Ending::Answered { status, whole }
@@ -102,8 +102,8 @@
     }
 }
 
-/// A round in which every checker has something to check.
-fn good() -> History {
+/// Returns the history of a round without broken promises, in which every checker has something to check.
+fn valid_history() -> History {
     let marker = |id: &str, version, sent| {
         let path = format!("/marker-{version}/");
         call(
@@ -138,19 +138,25 @@
                 6_000,
                 answered(503, false),
             ),
-            call("open", OnlineKind::Ask, "/ask/", STOPS, answered(200, true)),
+            call(
+                "open",
+                OnlineKind::Ask,
+                "/ask/",
+                GATEWAY_STOPS_AT,
+                answered(200, true),
+            ),
             call("left", OnlineKind::Stream, "/stream/", 15_000, Ending::Left),
-            marker("m1", 2, CONFIGURED + 2_500),
-            marker("m2", 2, CONFIGURED + 3_500),
+            marker("m1", 2, CONFIGURED_AT + 2_500),
+            marker("m2", 2, CONFIGURED_AT + 3_500),
         ],
         jobs: vec![job("job"), job("ended")],
         configurations: vec![Configured {
             version: 2,
-            at: CONFIGURED,
+            at: CONFIGURED_AT,
         }],
         leaving: vec![Leaving {
             incarnation: "engine-0-0".to_owned(),
-            at: LEAVES,
+            at: WORKER_LEAVES_AT,
         }],
         places: vec![WorkerPlace {
             incarnation: "engine-0-0".to_owned(),
@@ -165,8 +171,8 @@
         }],
         evacuations: vec![Evacuation {
             zone: "zone-a".to_owned(),
-            at: EVACUATED,
-            withdrawn: Some(WITHDRAWN),
+            at: EVACUATED_AT,
+            withdrawn: Some(WITHDRAWN_AT),
         }],
         residences: vec![Residence {
             path_prefix: "/ask/".to_owned(),
@@ -175,26 +181,26 @@
         waiting_limit: Some(200),
         stops: vec![PlannedStop {
             gateway: 0,
-            at: STOPS,
-            ended: STOPS + 2_000,
+            at: GATEWAY_STOPS_AT,
+            ended: GATEWAY_STOPS_AT + 2_000,
         }],
         disturbances: vec![Disturbance {
             scope: Scope::PlannedStop(0),
-            from: STOPS,
-            to: STOPS + 2_500,
+            from: GATEWAY_STOPS_AT,
+            to: GATEWAY_STOPS_AT + 2_500,
         }],
         ..History::default()
     };
     history.jobs[1].end_asked = true;
-    history.jobs[1].ended = Some(JOB_ENDED);
+    history.jobs[1].ended = Some(JOB_ENDED_AT);
     for (id, path, at) in [
         ("ask", "/ask/", 5_000),
         ("once", "/once/", 5_000),
         ("stream", "/stream/", 6_000),
-        ("open", "/ask/", STOPS),
+        ("open", "/ask/", GATEWAY_STOPS_AT),
         ("left", "/stream/", 15_010),
-        ("m1", "/marker-2/", CONFIGURED + 2_500),
-        ("m2", "/marker-2/", CONFIGURED + 3_500),
+        ("m1", "/marker-2/", CONFIGURED_AT + 2_500),
+        ("m2", "/marker-2/", CONFIGURED_AT + 3_500),
         ("job-a", "/batch/0", 8_100),
         ("job-b", "/batch/1", 8_100),
         ("ended-a", "/batch/0", 8_100),
@@ -207,52 +213,58 @@
 }
 
 #[test]
-fn nothing_is_found_where_all_went_well() {
-    let history = good();
+fn a_valid_history_breaks_no_promise() {
+    let history = valid_history();
     for promise in ALL {
         let verdict = judge(promise, &history);
-        assert!(verdict.checked > 0, "{promise} checks nothing");
-        assert_eq!(verdict.breaks, [], "{promise}");
+        assert!(
+            verdict.checked > 0,
+            "{promise}: the checker checked nothing"
+        );
+        assert_eq!(verdict.breaks, [], "{promise}: reported as broken");
     }
 }
 
-#[test_case(Promise::OwnAnswer, |history| history.online[0].ending = answered(200, false); "the body of another")]
+#[test_case(Promise::OwnAnswer, |history| history.online[0].ending = answered(200, false); "the response body of another request")]
 #[test_case(Promise::NotRun, |history| history.runs.extend(whole_run("refused", "/ask/", 6_010)); "a refused request ran")]
 #[test_case(Promise::NotRun, |history| history.jobs[0].submissions[0].status = Some(429); "items of a refused job ran")]
-#[test_case(Promise::AtMostOnce, |history| history.runs.extend(whole_run("once", "/once/", 5_050)); "it ran twice")]
-#[test_case(Promise::AskedFor, |history| history.runs.extend(whole_run("nobody", "/ask/", 9_000)); "nobody asked")]
-#[test_case(Promise::AskedFor, |history| history.runs[0].path = "/other/".to_owned(); "another path")]
-#[test_case(Promise::Leaving, |history| history.runs.extend(whole_run("ask", "/ask/", LEAVES + 2_500)); "a run after it left")]
-#[test_case(Promise::PlannedStop, |history| history.online[4].ending = Ending::Broken; "cut in a planned stop")]
-#[test_case(Promise::Configuration, |history| history.online[6].ending = answered(404, false); "not in force in time")]
-#[test_case(Promise::Configuration, |history| history.online[7].ending = answered(404, false); "a version reverted")]
-#[test_case(Promise::FinalAnswer, |history| history.online[0].ended += 6_000; "an answer beyond its time")]
-#[test_case(Promise::FinalAnswer, |history| history.online[0].ending = Ending::Unanswered; "no answer")]
-#[test_case(Promise::CallerLeft, |history| history.runs.push(run(RunEvent::Ended, "left", "/stream/", 15_800)); "it ran on")]
-#[test_case(Promise::CallerLeft, |history| history.runs.extend(whole_run("left", "/stream/", 15_700)); "it came to a worker later")]
-#[test_case(Promise::StaysUp, |history| history.own_ends.push(1); "a process ended")]
-#[test_case(Promise::Cancelled, |history| history.runs.extend(whole_run("ended-b", "/batch/1", JOB_ENDED + 3_500)); "an item of an ended job")]
-#[test_case(Promise::ExactlyOnce, |history| drop(history.jobs[0].final_readings[1].results.pop()); "a result is missing at one gateway")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[1].results.swap(0, 1); "positions changed")]
+#[test_case(Promise::AtMostOnce, |history| history.runs.extend(whole_run("once", "/once/", 5_050)); "a request that must not be repeated ran twice")]
+#[test_case(Promise::AskedFor, |history| history.runs.extend(whole_run("nobody", "/ask/", 9_000)); "a run without a request")]
+#[test_case(Promise::AskedFor, |history| history.runs[0].path = "/other/".to_owned(); "a run on another path")]
+#[test_case(Promise::Leaving, |history| history.runs.extend(whole_run("ask", "/ask/", WORKER_LEAVES_AT + 2_500)); "a run at a worker that left")]
+#[test_case(Promise::PlannedStop, |history| history.online[4].ending = Ending::Broken; "a response cut off by a planned stop")]
+#[test_case(Promise::Configuration, |history| history.online[6].ending = answered(404, false); "a configuration not in force in time")]
+#[test_case(Promise::Configuration, |history| history.online[7].ending = answered(404, false); "a gateway reverted to an earlier configuration")]
+#[test_case(Promise::FinalAnswer, |history| history.online[0].ended += 6_000; "a response after the deadline")]
+#[test_case(Promise::FinalAnswer, |history| history.online[0].ending = Ending::Unanswered; "no response")]
+#[test_case(Promise::CallerLeft, |history| history.runs.push(run(RunEvent::Ended, "left", "/stream/", 15_800)); "a run that continued after its caller disconnected")]
+#[test_case(Promise::CallerLeft, |history| history.runs.extend(whole_run("left", "/stream/", 15_700)); "a run that began after its caller disconnected")]
+#[test_case(Promise::StaysUp, |history| history.own_ends.push(1); "a gateway process that exited unexpectedly")]
+#[test_case(Promise::Cancelled, |history| history.runs.extend(whole_run("ended-b", "/batch/1", JOB_ENDED_AT + 3_500)); "an item that ran after its job was ended")]
+#[test_case(Promise::ExactlyOnce, |history| drop(history.jobs[0].final_readings[1].results.pop()); "a result missing at one gateway")]
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[1].results.swap(0, 1); "results at changed positions")]
 #[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[0].results[1] = listed("job-a"); "an item at two positions")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[0].results[1].text.clear(); "another text")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].readings[0].results[0].completed = false; "given up before its time")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].readings[0].status = Some(404); "unknown to a gateway in touch")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[0].status = Some(503); "not readable at the end")]
-#[test_case(Promise::ExactlyOnce, |history| history.jobs[1].final_readings[0].results.clear(); "what was listed of an ended job is gone")]
-#[test_case(Promise::Cold, |history| history.runs.extend(arrivals(9, 7_000)); "more than a cold worker bears")]
-#[test_case(Promise::Evacuated, |history| history.runs.extend(whole_run("ask", "/ask/", EVACUATED + 5_500)); "a run in an evacuated zone")]
-#[test_case(Promise::WaitingLimit, |history| history.waiting_limit = Some(199); "more waits than may")]
-#[test_case(Promise::Residency, |history| history.places[0].region = "region-b".to_owned(); "another region")]
-fn what_breaks_a_promise_is_caught(promise: Promise, spoil: impl Fn(&mut History)) {
-    let mut history = good();
-    spoil(&mut history);
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[0].results[1].text.clear(); "a result with a wrong text")]
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].readings[0].results[0].completed = false; "an item given up before its deadline")]
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].readings[0].status = Some(404); "a job unknown to a connected gateway")]
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[0].status = Some(503); "results unreadable at the end")]
+#[test_case(Promise::ExactlyOnce, |history| history.jobs[1].final_readings[0].results.clear(); "results of an ended job that disappeared")]
+#[test_case(Promise::Cold, |history| history.runs.extend(arrivals(9, 7_000)); "more requests than the bound of a cold worker")]
+#[test_case(Promise::Evacuated, |history| history.runs.extend(whole_run("ask", "/ask/", EVACUATED_AT + 5_500)); "a run in an evacuated zone")]
+#[test_case(Promise::WaitingLimit, |history| history.waiting_limit = Some(199); "more queued tokens than the limit")]
+#[test_case(Promise::Residency, |history| history.places[0].region = "region-b".to_owned(); "a run outside the allowed regions")]
+fn each_kind_of_broken_promise_is_detected(promise: Promise, corrupt: impl Fn(&mut History)) {
+    let mut history = valid_history();
+    corrupt(&mut history);
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(promise, &history);
-    assert!(!verdict.breaks.is_empty(), "{promise} found nothing");
+    assert!(
+        !verdict.breaks.is_empty(),
+        "{promise}: the violation was not detected"
+    );
 }
 
-/// Requests that come to a worker within half a second.
+/// Returns the arrivals of `count` requests at the worker, spread evenly over half a second.
 fn arrivals(count: u64, from: u64) -> Vec<RunRecord> {
     let arrival = |number| {
         run(
@@ -265,23 +277,27 @@
     (0..count).map(arrival).collect()
 }
 
-#[test_case(8, 7_000, true; "as many as the bound allows")]
-#[test_case(9, 7_000, false; "one more")]
-#[test_case(9, 9_500, true; "no longer cold")]
-fn a_cold_worker_is_held_to_its_bound(count: u64, from: u64, is_kept: bool) {
-    let mut history = good();
+#[test_case(8, 7_000, true; "as many requests as the bound allows")]
+#[test_case(9, 7_000, false; "one request above the bound")]
+#[test_case(9, 9_500, true; "after the cold start")]
+fn requests_above_the_bound_of_a_cold_worker_are_detected(count: u64, from: u64, is_kept: bool) {
+    let mut history = valid_history();
     history.runs.extend(arrivals(count, from));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Cold, &history);
     assert_eq!(verdict.breaks.is_empty(), is_kept, "{verdict:?}");
 }
 
-/// A fault of a gateway excuses nothing; what came late over a way that was struck may come together.
-#[test_case(Scope::Gateway(0), false; "a gateway was struck")]
-#[test_case(Scope::Store, false; "the store was struck")]
-#[test_case(Scope::Worker("engine-0-0".to_owned()), true; "the way to it was struck")]
-fn a_cold_worker_is_excused_by_its_own_way_alone(scope: Scope, is_excused: bool) {
-    let mut history = good();
+/// Faults of gateways or of the store do not excuse requests above the bound. A fault of the link to the worker
+/// does, since requests that it delays can arrive together.
+#[test_case(Scope::Gateway(0), false; "fault of a gateway")]
+#[test_case(Scope::Store, false; "fault of the store")]
+#[test_case(Scope::Worker("engine-0-0".to_owned()), true; "fault of the link to the worker")]
+fn only_faults_of_its_own_link_excuse_requests_above_the_bound_of_a_cold_worker(
+    scope: Scope,
+    is_excused: bool,
+) {
+    let mut history = valid_history();
     history.runs.extend(arrivals(20, 7_000));
     let (from, to) = (6_000, 7_100);
     history.disturbances.push(Disturbance { scope, from, to });
@@ -290,11 +306,14 @@
     assert_eq!(verdict.breaks.is_empty(), is_excused, "{verdict:?}");
 }
 
-#[test_case(EVACUATED + 4_900, true; "in the time to obey")]
-#[test_case(WITHDRAWN + 10, true; "after the withdrawal")]
-#[test_case(WITHDRAWN - 10, false; "just before the withdrawal")]
-fn a_zone_is_free_until_its_evacuation_is_withdrawn(at: u64, is_kept: bool) {
-    let mut history = good();
+#[test_case(EVACUATED_AT + 4_900, true; "within the time limit for the evacuation")]
+#[test_case(WITHDRAWN_AT + 10, true; "after the withdrawal")]
+#[test_case(WITHDRAWN_AT - 10, false; "just before the withdrawal")]
+fn runs_in_an_evacuated_zone_are_detected_until_the_evacuation_is_withdrawn(
+    at: u64,
+    is_kept: bool,
+) {
+    let mut history = valid_history();
     history.runs.extend(whole_run("ask", "/ask/", at));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Evacuated, &history);
@@ -302,8 +321,8 @@
 }
 
 #[test]
-fn a_stream_behind_an_item_is_caught() {
-    let mut history = good();
+fn a_stream_that_waits_for_a_batch_item_is_detected() {
+    let mut history = valid_history();
     history.runs.extend([
         run(RunEvent::Arrived, "job-a", "/batch/0", 70_000),
         run(RunEvent::Began, "job-a", "/batch/0", 70_000),
@@ -314,8 +333,8 @@
 }
 
 #[test]
-fn an_item_may_be_given_up_once_its_time_is_over() {
-    let mut history = good();
+fn an_item_may_be_given_up_only_after_its_deadline() {
+    let mut history = valid_history();
     for reading in &mut history.jobs[0].final_readings {
         reading.results[1].completed = false;
     }
@@ -325,12 +344,17 @@
     assert!(!judge(Promise::ExactlyOnce, &history).breaks.is_empty());
 }
 
-/// What is struck is not held to a time, and no longer than it takes to recover.
-#[test_case(Promise::FinalAnswer, 3_000, 4_900, false; "just after a fault")]
+/// A gateway is exempt from deadlines during a fault and for the recovery time after it.
+#[test_case(Promise::FinalAnswer, 3_000, 4_900, false; "shortly after a fault")]
 #[test_case(Promise::FinalAnswer, 500, 1_500, true; "long after a fault")]
 #[test_case(Promise::FinalAnswer, 5_050, 5_060, false; "during a fault")]
-fn times_hold_where_nothing_was_struck(promise: Promise, from: u64, to: u64, is_held: bool) {
-    let mut history = good();
+fn deadlines_are_checked_except_during_and_shortly_after_a_fault(
+    promise: Promise,
+    from: u64,
+    to: u64,
+    is_held: bool,
+) {
+    let mut history = valid_history();
     history.online[0].ending = Ending::Unanswered;
     let scope = Scope::Gateway(0);
     history.disturbances.push(Disturbance { scope, from, to });
@@ -338,12 +362,12 @@
 }
 
 #[test]
-fn a_plan_is_the_same_from_the_same_seed_and_can_be_read_again() {
+fn a_plan_depends_only_on_its_seed_and_survives_serialization() {
     for seed in 0..500 {
         let plan = Plan::draw(seed, 0.75);
         assert_eq!(plan, Plan::draw(seed, 0.75));
-        let text = serde_json::to_string(&plan).expect("a plan");
-        let read: Plan = serde_json::from_str(&text).expect("the same plan");
+        let text = serde_json::to_string(&plan).expect("the plan was not serialized");
+        let read: Plan = serde_json::from_str(&text).expect("the serialized plan was not read");
         assert_eq!(read, plan);
         assert!(!plan.faults.is_empty());
         assert!(plan.faults.iter().all(|step| step.at_ms < plan.load_ms));
@@ -351,10 +375,13 @@
 }
 
 #[test]
-fn every_promise_has_a_name_that_is_read_again() {
+fn every_promise_is_parsed_from_its_name() {
     for promise in ALL {
         assert_eq!(
-            promise.to_string().parse::<Promise>().expect("a name"),
+            promise
+                .to_string()
+                .parse::<Promise>()
+                .expect("the name was not parsed"),
             promise
         );
     }
--- a/crates/swiftshunt/tests/gateway/mod.rs
+++ b/crates/swiftshunt/tests/gateway/mod.rs
@@ -46,7 +46,7 @@
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let fleet = PlatformFleet::start(binary, scratch, options).await;
     let fleet = fleet.expect("the fleet did not start");
-    println!("logs: {}", fleet.logs().display());
+    println!("logs: {}", fleet.log_directory().display());
     ExclusiveFleet {
         fleet,
         _guard: guard,
--- a/crates/swiftshunt/tests/gateway_changes.rs
+++ b/crates/swiftshunt/tests/gateway_changes.rs
@@ -335,7 +335,7 @@
     // Longer than the interval at which the gateway checks its clock plus the tolerated delay.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     fleet.gateways[0].process.resume();
-    let logs = fleet.logs().to_owned();
+    let logs = fleet.log_directory().to_owned();
     eventually("the line is written", || async {
         let log = std::fs::read_to_string(logs.join("gateway-0.log"));
         log.is_ok_and(|log| log.contains("this process stood still"))
--- a/crates/swiftshunt/tests/gateway_directory.rs
+++ b/crates/swiftshunt/tests/gateway_directory.rs
@@ -160,7 +160,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(unlisted.runs().len(), before, "a malformed entry was used");
-    let logs = std::fs::read_to_string(fleet.logs().join("gateway-0.log"))
+    let logs = std::fs::read_to_string(fleet.log_directory().join("gateway-0.log"))
         .expect("the log file is unreadable");
     let lines = logs
         .lines()
--- a/crates/swiftshunt/tests/gateway_foreign.rs
+++ b/crates/swiftshunt/tests/gateway_foreign.rs
@@ -164,7 +164,7 @@
 /// Asserts that no log has a panic or more than `MAX_LINES` lines about unreadable records.
 fn assert_logs_are_short(fleet: &ExclusiveFleet) {
     for index in 0..fleet.gateways.len() {
-        let log = fleet.logs().join(format!("gateway-{index}.log"));
+        let log = fleet.log_directory().join(format!("gateway-{index}.log"));
         let log = std::fs::read_to_string(log).expect("the log file is unreadable");
         let panics: Vec<&str> = log
             .lines()
--- a/crates/swiftshunt/tests/gateway_metrics.rs
+++ b/crates/swiftshunt/tests/gateway_metrics.rs
@@ -104,7 +104,7 @@
 
 /// Waits for a log line about a request whose message begins with `message`, and returns it.
 async fn line_of(fleet: &ExclusiveFleet, request: &str, message: &str) -> serde_json::Value {
-    let file = fleet.logs().join("gateway-0.log");
+    let file = fleet.log_directory().join("gateway-0.log");
     let find = || {
         let text = std::fs::read_to_string(&file).unwrap_or_default();
         let lines = text.lines();
--- a/crates/swiftshunt/tests/gateway_rates.rs
+++ b/crates/swiftshunt/tests/gateway_rates.rs
@@ -40,7 +40,7 @@
         PublishedTenant::new("limited", &[LIMITED]).with_rate_limit(RATE, BURST),
         PublishedTenant::new("free", &[FREE]),
     ];
-    fleet.configure_tenants(first_configuration(), Some(&tenants));
+    fleet.configure_with_tenants(first_configuration(), Some(&tenants));
     tokio::time::sleep(SETTLED).await;
     let free = fleet.caller.with_key(FREE);
     for gateway in &fleet.gateways {
--- a/crates/swiftshunt/tests/gateway_slots.rs
+++ b/crates/swiftshunt/tests/gateway_slots.rs
@@ -83,7 +83,7 @@
 
 /// Returns, for each gateway, the number of its log lines that contain `text`.
 fn lines(fleet: &ExclusiveFleet, text: &str) -> Vec<usize> {
-    let logs = fleet.logs().to_owned();
+    let logs = fleet.log_directory().to_owned();
     let count_lines = |number| {
         let log = std::fs::read_to_string(logs.join(format!("gateway-{number}.log")));
         let log = log.expect("the log file is unreadable");
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -50,7 +50,7 @@
     for route in &mut configuration.routes {
         route.public = route.path_prefix == ONCE;
     }
-    fleet.configure_tenants(configuration, Some(tenants));
+    fleet.configure_with_tenants(configuration, Some(tenants));
 }
 
 async fn status(
@@ -320,7 +320,7 @@
         assert_contains_no_key(&metrics);
     }
     wait_for_two_results(&fleet, &caller).await;
-    let logs = std::fs::read_dir(fleet.logs()).expect("logs");
+    let logs = std::fs::read_dir(fleet.log_directory()).expect("logs");
     let mut read = 0;
     for file in logs {
         let path = file.expect("a file").path();
