--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -55,9 +55,7 @@
         std::fs::write(settings, text(addresses))?;
         match start_gateway(program, settings) {
             Ok(process) => return Ok((process, addresses)),
-            Err(error) if start >= MAX_STARTS || !is_address_in_use(settings) => {
-                return Err(error);
-            }
+            Err(error) if start >= MAX_STARTS || !is_address_in_use(settings) => return Err(error),
             Err(_) => eprintln!(
                 "an address in {} is in use by another process; starting the gateway with other addresses",
                 settings.display()
--- a/crates/swiftshunt-lab/src/platform/server.rs
+++ b/crates/swiftshunt-lab/src/platform/server.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Error with which a handler or a body closes the connection: a fault that a test injects.
+/// Error with which a handler or a body closes the connection, usually because a test injected a fault.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("connection closed by an injected fault")]
 pub(crate) struct BrokenOff;
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -73,8 +73,8 @@
     /// Whether every second call for the newest records of a topic is refused with 429.
     #[serde(rename = "half_of_listings")]
     pub refuse_every_second_newest: bool,
-    /// Probability that an append is acknowledged and not performed. No real store does that: it serves to
-    /// verify that a test detects lost records.
+    /// Probability that an append is acknowledged and not performed. No real store does that: used to verify
+    /// that a test detects lost records.
     #[serde(rename = "forgotten")]
     pub false_acknowledgement_probability: f64,
 }
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -29,8 +29,8 @@
     /// Runs them and never responds. Each keeps its slot until the sender closes the connection.
     #[serde(rename = "dark")]
     Hang,
-    /// Runs them and never responds to those with an even index among all runs of the worker, counted from
-    /// 0. Their slots are released.
+    /// Runs them and never responds to every second one, beginning with the worker's first run. These release
+    /// their slots.
     #[serde(rename = "hang_sometimes")]
     HangEverySecond,
     /// Runs them and delays the response by this time.
@@ -51,20 +51,21 @@
     Unsigned,
     /// Runs them and responds with 500.
     Fail,
-    /// Runs them and responds with 422: no worker can run them successfully.
+    /// Runs them and responds with 422, which states that no worker can run them successfully.
     #[serde(rename = "never")]
     RejectPermanently,
     /// Runs them and responds with 503, without the header which states that they did not run.
     #[serde(rename = "false_refusal")]
     RunAndAnswer503,
-    /// Runs them and responds with a signed body of another request, which no gateway can detect. It serves
-    /// to verify that a test detects it.
+    /// Runs them and responds with a signed body of another request, which no gateway can detect. Used to
+    /// verify that a test detects it.
     WrongBody,
-    /// Reports the arrival of each request twice. It serves to verify that a test counts runs.
+    /// Runs them, responds, and reports the arrival of each request twice. Used to verify that a test counts
+    /// runs.
     #[serde(rename = "tell_twice")]
     ReportRunTwice,
-    /// Reports their arrival as if they ran, and states in the response that they did not run. It serves to
-    /// verify that a test checks the runs.
+    /// Reports their arrival as if they ran, and states in the response that they did not run. Used to verify
+    /// that a test checks the reported runs.
     #[serde(rename = "lying_refusal")]
     ReportRunAndDecline,
 }
@@ -91,7 +92,7 @@
 /// Path at which a test sets the behaviour; the body is a [`WorkerBehaviour`] in JSON.
 pub const CONTROL_BEHAVIOUR_PATH: &str = "/stand-in/manner";
 
-/// Events of a run, in the order in which they are reported.
+/// Events of a request at a worker, in the order in which they are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -52,6 +52,7 @@
     }
 }
 
+/// Returns the events of a request that runs at once, for 90 ms.
 fn whole_run(id: &str, path: &str, at: u64) -> [RunRecord; 3] {
     [
         run(RunEvent::Arrived, id, path, at),
@@ -60,6 +61,7 @@
     ]
 }
 
+/// Returns the listed result of an item that completed with its whole output.
 fn listed(item: &str) -> Listed {
     let pieces: Vec<String> = (0..12).map(|event| event_data(item, event)).collect();
     Listed {
