--- a/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
@@ -75,7 +75,7 @@
     pub name: String,
     /// API keys, all of which authenticate the tenant.
     pub api_keys: Vec<String>,
-    /// Priority among tenants.
+    /// Priority, which takes precedence over that of routes; 0 is the highest.
     pub priority: u32,
     /// Limit of requests per second; 0 for no limit.
     pub rate_per_s: f64,
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -354,13 +354,13 @@
     promise: Promise,
     from: u64,
     to: u64,
-    is_held: bool,
+    is_detected: bool,
 ) {
     let mut history = valid_history();
     history.online[0].ending = Ending::Unanswered;
     let scope = Scope::Gateway(0);
     history.disturbances.push(Disturbance { scope, from, to });
-    assert_eq!(!judge(promise, &history).breaks.is_empty(), is_held);
+    assert_eq!(!judge(promise, &history).breaks.is_empty(), is_detected);
 }
 
 #[test]
