--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -12,7 +12,7 @@
 use swiftshunt_platform::words::{topics, values};
 
 use super::caller::PlatformCaller;
-use super::process::time_of_day_ms;
+use super::process::unix_ms;
 use super::server::any_port;
 use super::store::{Store, StoreListener};
 use super::worker::{Worker, WorkerSettings};
@@ -185,7 +185,7 @@
                 events,
                 answer_delay,
                 crash_on_body: options.crash_workers_on_body.clone(),
-                started_unix_ms: options.report_start_times.then(time_of_day_ms),
+                started_unix_ms: options.report_start_times.then(unix_ms),
                 zone: options.zone_layout.zone(index).to_owned(),
             };
             let whole_settings = settings("whole", None, options.answer_delay);
@@ -394,7 +394,7 @@
         old.crash();
         let address = old.address;
         let settings = WorkerSettings {
-            started_unix_ms: Some(time_of_day_ms()),
+            started_unix_ms: Some(unix_ms()),
             ..old.settings().clone()
         };
         let worker = start_worker_at(address, settings).await?;
--- a/crates/swiftshunt-lab/src/platform/process.rs
+++ b/crates/swiftshunt-lab/src/platform/process.rs
@@ -64,8 +64,9 @@
     pub at: u64,
 }
 
-/// Returns the milliseconds since the Unix epoch: a clock that all processes on one machine share.
-pub fn time_of_day_ms() -> u64 {
+/// Returns Unix time in milliseconds, so that times from several processes on one machine can be compared.
+/// Returns 0 if the system clock is set before the epoch.
+pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
@@ -99,7 +100,7 @@
             incarnation: incarnation.clone(),
             id: run.id.clone(),
             path: run.path.clone(),
-            at: time_of_day_ms(),
+            at: unix_ms(),
         };
         announce(&json!(line));
     };
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -21,7 +21,7 @@
 use super::plan::{Disruption, LinkEnd, Moment, Plan, Service, Step, ZONES};
 use super::{SoakError, journal};
 use crate::harness::{Binaries, Process};
-use crate::platform::process::time_of_day_ms;
+use crate::platform::process::unix_ms;
 use crate::platform::store::{
     CONTROL_DROP_HISTORY_PATH, CONTROL_FAULTS_PATH, CONTROL_REASSIGN_PATH, StoreFaults,
 };
@@ -75,7 +75,7 @@
             return Err(SoakError::NoDoor);
         };
         let mut testbed = Self {
-            began: time_of_day_ms(),
+            began: unix_ms(),
             client: HttpClient::new(None),
             facts: Mutex::default(),
             failures: Mutex::default(),
@@ -133,7 +133,7 @@
 
     /// Milliseconds since the round began.
     pub(super) fn now(&self) -> u64 {
-        time_of_day_ms().saturating_sub(self.began)
+        unix_ms().saturating_sub(self.began)
     }
 
     /// Tells what follows moments that one has come.
