--- a/crates/swiftshunt-lab/src/platform/caller.rs
+++ b/crates/swiftshunt-lab/src/platform/caller.rs
@@ -79,7 +79,7 @@
             .with_header(headers::DEADLINE, deadline.as_millis().to_string())
     }
 
-    /// Sends a request with additional headers.
+    /// Sends a request with additional headers and a deadline of 20 s.
     pub async fn ask_with_headers(
         &self,
         gateway: SocketAddr,
@@ -107,7 +107,7 @@
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request with the given body.
+    /// Sends a request with the given body and a deadline of 20 s.
     pub async fn ask_with_body(
         &self,
         gateway: SocketAddr,
@@ -204,7 +204,7 @@
     }
 
     /// Reads a job's results from position `from`; the gateway may delay its response by up to `wait` until
-    /// there is one. The page is empty if the response has none; the status tells why.
+    /// there is one. If the response contains no page, as error responses do, the returned page is empty.
     pub async fn results(
         &self,
         gateway: SocketAddr,
@@ -240,7 +240,7 @@
         Ok((answer.status, answer.body))
     }
 
-    /// Ends a job by a DELETE request.
+    /// Ends a job by a DELETE request and returns the status of the response.
     pub async fn end(&self, gateway: SocketAddr, job: &str) -> Result<StatusCode, HttpError> {
         let mut request = HttpRequest::get(gateway, format!("{}{job}", paths::JOBS));
         request.method = Method::DELETE;
@@ -258,7 +258,7 @@
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// Returns the value of a gateway's metric, where `name` includes its labels; 0 if there is no such line.
+    /// Returns the value of a gateway's metric, where `name` includes its labels; 0 if the gateway does not report it.
     pub async fn metric_value(&self, metrics: SocketAddr, name: &str) -> f64 {
         let text = self.metrics(metrics).await;
         let mut lines = text.lines();
--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -167,7 +167,7 @@
 
 impl PlatformFleet {
     /// Starts a fleet and waits until every gateway is ready. Settings and log files are written to a new
-    /// directory in `scratch`.
+    /// directory in `scratch`. Panics if a gateway is not ready within 20 s.
     pub async fn start(
         binary: &Path,
         scratch: &Path,
@@ -294,8 +294,8 @@
         Ok(())
     }
 
-    /// Stops a gateway gracefully, starts `program` with its settings once it has exited, and waits until that
-    /// is ready.
+    /// Stops a gateway gracefully, starts `program` with the same settings once it has exited, and waits until the
+    /// new process is ready. Panics if the exit or the start takes more than 20 s.
     pub async fn replace(&mut self, index: usize, program: &Path) -> Result<(), HarnessError> {
         let gateway = &mut self.gateways[index];
         gateway.process.terminate();
@@ -324,7 +324,7 @@
         Ok(())
     }
 
-    /// Publishes a configuration with the next version number; the one in `document` is replaced.
+    /// Publishes a configuration with the next version number, which replaces the version in `document`.
     pub fn configure(&mut self, document: ConfigurationDocument) {
         self.configure_with_tenants(document, None);
     }
@@ -372,7 +372,7 @@
         self.store.put(topics::WORKERS, worker.incarnation(), body);
     }
 
-    /// Returns the directory entry of a worker.
+    /// Returns the directory entry of a worker. It states 16 slots, whatever the worker's settings.
     pub fn directory_entry(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
         WorkerDocument {
             service: service.to_owned(),
@@ -423,7 +423,8 @@
     }
 }
 
-/// Starts a worker at an address. Retries while the previous worker has not released it yet.
+/// Starts a worker at an address. Retries while the previous worker has not released it yet, and fails with
+/// `AddrInUse` after [`PORT_ATTEMPTS`] attempts.
 async fn start_worker_at(address: SocketAddr, settings: WorkerSettings) -> std::io::Result<Worker> {
     for _ in 0..PORT_ATTEMPTS {
         match Worker::start_watched(address, settings.clone(), Arc::new(|_, _| {})).await {
--- a/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/configuration.rs
@@ -112,7 +112,8 @@
     pub(super) tenants: Option<&'t [PublishedTenant]>,
 }
 
-/// Returns the backends of a route that splits its requests between services by weight.
+/// Returns the backends of a route that splits its requests between services by weight. Always `Some`, as the
+/// route's field requires.
 pub fn weighted_split(parts: &[(&str, u32)]) -> Option<Vec<BackendDocument>> {
     let parts = parts.iter().map(|(service, weight)| BackendDocument {
         service: (*service).to_owned(),
--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// Returns an address that is free for TCP and UDP, at a port that no other test program allocates.
+/// Returns an address that was free for TCP and UDP when checked, at a port that no other test program allocates.
 fn free_address() -> std::io::Result<SocketAddr> {
     let mut last = std::io::Error::from(std::io::ErrorKind::AddrInUse);
     for _ in 0..PORT_ATTEMPTS {
--- a/crates/swiftshunt-lab/src/platform/groups.rs
+++ b/crates/swiftshunt-lab/src/platform/groups.rs
@@ -4,6 +4,7 @@
 use std::time::{Duration, Instant};
 
 struct Member {
+    /// Time after which the next join or leave of any member removes this one.
     expires_at: Instant,
 }
 
--- a/crates/swiftshunt-lab/src/platform/quickstart.rs
+++ b/crates/swiftshunt-lab/src/platform/quickstart.rs
@@ -17,13 +17,13 @@
     };
     let scratch = std::env::temp_dir().join("swiftshunt-quickstart");
     let fleet = PlatformFleet::start(&binaries.node, &scratch, options).await?;
-    print!("{}", lines(&fleet));
+    print!("{}", commands(&fleet));
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
 
 /// Returns the commands to print.
-fn lines(fleet: &PlatformFleet) -> String {
+fn commands(fleet: &PlatformFleet) -> String {
     let [one, two] = [&fleet.gateways[0], &fleet.gateways[1]];
     let (caller, other) = (one.callers, two.callers);
     let request_id = headers::REQUEST_ID;
--- a/crates/swiftshunt-lab/src/platform/server.rs
+++ b/crates/swiftshunt-lab/src/platform/server.rs
@@ -15,7 +15,8 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Error with which a handler or a body closes the connection, usually because a test injected a fault.
+/// Error with which a handler or a body closes the connection: because a test injected a fault, or because the
+/// request's body could not be read.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("connection closed by an injected fault")]
 pub(crate) struct BrokenOff;
@@ -36,7 +37,7 @@
 }
 
 /// Serves at `listen` in background tasks until `stop` is cancelled, which also closes open connections.
-/// Returns the bound address.
+/// Returns the bound address, or an error if `listen` cannot be bound.
 pub(crate) async fn serve<Handler, Answer>(
     listen: SocketAddr,
     stop: CancellationToken,
--- a/crates/swiftshunt-lab/src/platform/store.rs
+++ b/crates/swiftshunt-lab/src/platform/store.rs
@@ -52,7 +52,7 @@
 #[serde(default)]
 pub struct StoreFaults {
     /// Set while the store is down for this listener. Reads that already wait end with a closed connection
-    /// when a record arrives or their wait is over, whatever the kind of outage.
+    /// when the content of any partition changes or their wait is over, whatever the kind of outage.
     #[serde(rename = "down")]
     pub outage: Option<StoreOutage>,
     /// Delay before each call is processed.
@@ -60,7 +60,7 @@
     /// Reads, also those that already wait, get no response; all other calls are served.
     #[serde(rename = "lost_reads")]
     pub hang_reads: bool,
-    /// Probability that an append is performed and its response is lost.
+    /// Probability, from 0 to 1, that an append is performed and its response is lost.
     #[serde(rename = "lost_answers")]
     pub lost_answer_probability: f64,
     /// Whether the connection of an append whose response is lost stays open without a response. Otherwise
@@ -73,8 +73,8 @@
     /// Whether every second call for the newest records of a topic is refused with 429.
     #[serde(rename = "half_of_listings")]
     pub refuse_every_second_newest: bool,
-    /// Probability that an append is acknowledged and not performed. No real store does that: used to verify
-    /// that a test detects lost records.
+    /// Probability, from 0 to 1, that an append is acknowledged and not performed. No real store does that: used
+    /// to verify that a test detects lost records. Applies to appends whose response is not lost.
     #[serde(rename = "forgotten")]
     pub false_acknowledgement_probability: f64,
 }
@@ -125,7 +125,8 @@
     partitions: HashMap<(String, u32), Partition>,
     groups: HashMap<String, Group>,
     call_count: u64,
-    /// Number of calls for the newest records that may be refused, by topic.
+    /// Number of calls for the newest records received while [`StoreFaults::refuse_every_second_newest`] was set,
+    /// by topic.
     newest_calls: HashMap<String, u64>,
 }
 
@@ -395,7 +396,8 @@
 }
 
 /// Returns the response to a read that need not wait: the records from the requested offset, or 410 if they
-/// are deleted. `None` if the caller is willing to wait and there are no records yet.
+/// are deleted. `None` if there are no such records yet and the caller is willing to wait, or if nothing was ever
+/// appended to the partition.
 fn read_available(shared: &Shared, query: &Query) -> Option<Response<Body>> {
     let from = query.number(queries::FROM);
     let records = {
--- a/crates/swiftshunt-lab/src/platform/store/wire.rs
+++ b/crates/swiftshunt-lab/src/platform/store/wire.rs
@@ -10,7 +10,7 @@
 
 use crate::platform::server::{Body, full_body};
 
-/// Parameters of a URL's query.
+/// Parameters of a URL's query, without percent-decoding.
 pub(super) struct Query(HashMap<String, String>);
 
 impl Query {
@@ -24,10 +24,12 @@
         )
     }
 
+    /// Returns a parameter, or an empty string if it is absent.
     pub(super) fn text(&self, name: &str) -> &str {
         self.0.get(name).map_or("", String::as_str)
     }
 
+    /// Returns a parameter as a number, or 0 if it is absent or not a number.
     pub(super) fn number(&self, name: &str) -> u64 {
         self.text(name).parse().unwrap_or(0)
     }
@@ -46,8 +48,9 @@
     Response::new(full_body(body))
 }
 
-/// Decodes the body of an append. Each record is its length (`u32`), the length of its key (`u8`), the key and
-/// the value; the length counts all that follows it. `None` if the body is malformed.
+/// Decodes the body of an append into keys and values. Each record is its length (`u32`, big-endian), the length of
+/// its key (`u8`), the key and the value; the record's length counts all that follows it. `None` if the body is
+/// malformed.
 pub(super) fn decode(mut body: Bytes) -> Option<Vec<(Vec<u8>, Bytes)>> {
     let mut records = Vec::new();
     while body.has_remaining() {
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -33,18 +33,19 @@
     /// their slots.
     #[serde(rename = "hang_sometimes")]
     HangEverySecond,
-    /// Runs them and delays the response by this time.
+    /// Runs them and delays the response by this time, in addition to [`WorkerSettings::answer_delay`].
     #[serde(rename = "late")]
     DelayAnswer(Duration),
     /// Runs them and closes the connection without a response.
     #[serde(rename = "lose_answer")]
     CloseWithoutAnswer,
-    /// Runs them and closes the connection of a stream after this many events.
+    /// Runs them and closes the connection of a stream after this many events, not counting those before the
+    /// event at which it was resumed. Other responses are not affected.
     #[serde(rename = "break_after")]
     TruncateStreamAfter(u64),
     /// Does not run them, and responds with 503 and the header which states that.
     Decline,
-    /// Runs them and responds with the identifier of another request.
+    /// Runs them and sends a signed response with status 200 and the identifier of another request.
     #[serde(rename = "answer_another")]
     AnswerOtherRequestId,
     /// Runs them and leaves the signature out of the response.
@@ -58,7 +59,7 @@
     #[serde(rename = "false_refusal")]
     RunAndAnswer503,
     /// Runs them and responds with a signed body of another request, which no gateway can detect. Used to
-    /// verify that a test detects it.
+    /// verify that a test detects it. Streams are not affected.
     WrongBody,
     /// Runs them, responds, and reports the arrival of each request twice. Used to verify that a test counts
     /// runs.
@@ -110,19 +111,20 @@
 /// A run of a request at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// Identifier of the request.
+    /// Identifier of the request; empty if it has none.
     pub id: String,
     /// Path of the request.
     pub path: String,
     /// Number of the last event that the sender already has, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Value of the deadline header, in milliseconds.
+    /// Value of the deadline header, in milliseconds; `None` if it is absent or not a number.
     pub deadline_ms: Option<u64>,
     /// Values of all tenant headers.
     pub tenants: Vec<String>,
     /// Whether the request had an authorization header; gateways with tenants must not forward it.
     pub has_credentials: bool,
-    /// Whether the run produced its whole response.
+    /// Whether the run produced its whole result. False if the worker closed the connection or sent a substitute
+    /// response, such as a failure status. Says nothing about whether the sender received the result.
     pub completed: bool,
 }
 
@@ -174,7 +176,8 @@
         Self::start_watched(any_port(), settings, Arc::new(|_, _| {})).await
     }
 
-    /// Starts a worker at an address; `watcher` is called for each event of its runs.
+    /// Starts a worker at an address; `watcher` is called for each event of its runs. Fails if the address cannot
+    /// be bound.
     pub async fn start_watched(
         listen: SocketAddr,
         settings: WorkerSettings,
@@ -270,7 +273,7 @@
     answer_with(status, &answer_headers, full_body(Bytes::new()))
 }
 
-/// Sets the behaviour. Responds with 400 if the body cannot be parsed.
+/// Sets the behaviour to that in the request's body. Responds with 400 if the body cannot be parsed.
 async fn handle_control_call(
     shared: &Shared,
     request: Request<Incoming>,
--- a/crates/swiftshunt-lab/tests/engine.rs
+++ b/crates/swiftshunt-lab/tests/engine.rs
@@ -46,7 +46,7 @@
     events
         .into_iter()
         .collect::<Result<_, _>>()
-        .expect("the stream broke off")
+        .expect("the stream failed before its last token")
 }
 
 #[test_case(0; "from the first token")]
@@ -83,7 +83,7 @@
         .next()
         .await
         .expect("the stream ended without a token")
-        .expect("the stream broke off");
+        .expect("the stream failed before its first token");
     let online = read(&engine, address, &request("online", Priority::Online, 0)).await;
     assert_eq!(
         online.last().expect("no token was received").finish,
@@ -94,7 +94,7 @@
         .last()
         .expect("the preempted stream ended without a token")
         .as_ref()
-        .expect("the preempted stream broke off");
+        .expect("the preempted stream failed before its last token");
     assert_eq!(
         last.finish,
         Some(FinishReason::Stop),
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -282,12 +282,16 @@
 #[test_case(8, 7_000, true; "as many requests as the bound allows")]
 #[test_case(9, 7_000, false; "one request above the bound")]
 #[test_case(9, 9_500, true; "after the cold start")]
-fn requests_above_the_bound_of_a_cold_worker_are_detected(count: u64, from: u64, is_kept: bool) {
+fn requests_above_the_bound_of_a_cold_worker_are_detected(
+    count: u64,
+    from: u64,
+    keeps_promise: bool,
+) {
     let mut history = valid_history();
     history.runs.extend(arrivals(count, from));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Cold, &history);
-    assert_eq!(verdict.breaks.is_empty(), is_kept, "{verdict:?}");
+    assert_eq!(verdict.breaks.is_empty(), keeps_promise, "{verdict:?}");
 }
 
 /// Faults of gateways or of the store do not excuse requests above the bound. A fault of the link to the worker
@@ -313,13 +317,13 @@
 #[test_case(WITHDRAWN_AT - 10, false; "just before the withdrawal")]
 fn runs_in_an_evacuated_zone_are_detected_until_the_evacuation_is_withdrawn(
     at: u64,
-    is_kept: bool,
+    keeps_promise: bool,
 ) {
     let mut history = valid_history();
     history.runs.extend(whole_run("ask", "/ask/", at));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Evacuated, &history);
-    assert_eq!(verdict.breaks.is_empty(), is_kept, "{verdict:?}");
+    assert_eq!(verdict.breaks.is_empty(), keeps_promise, "{verdict:?}");
 }
 
 #[test]
