--- a/crates/swiftshunt-backends/src/engine.rs
+++ b/crates/swiftshunt-backends/src/engine.rs
@@ -64,7 +64,7 @@
     Cancelled,
 }
 
-/// A worker's load.
+/// A worker's load, as reported at [`LOAD_PATH`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// Number of requests that are running.
@@ -143,7 +143,7 @@
         timeout: Duration,
     ) -> BoxFuture<'a, Result<TokenStream, EngineError>>;
 
-    /// Cancels a request.
+    /// Cancels a request. A status other than success yields [`HttpError::Status`].
     fn cancel<'a>(
         &'a self,
         engine: SocketAddr,
@@ -158,7 +158,7 @@
         timeout: Duration,
     ) -> BoxFuture<'_, Result<EngineLoad, HttpError>>;
 
-    /// Gives an engine an order to load a model.
+    /// Gives an engine an order to load a model. An engine that refuses the order yields [`HttpError::Status`].
     fn order<'a>(
         &'a self,
         engine: SocketAddr,
--- a/crates/swiftshunt-http/src/acceptor.rs
+++ b/crates/swiftshunt-http/src/acceptor.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 /// Time between dropping new handshakes and closing the listener, in which pending handshakes complete.
-/// Many times the round-trip time within a region.
+/// It is many times the round-trip time within a region.
 const HANDSHAKE_GRACE: Duration = Duration::from_millis(50);
 
 /// Accepts connections until the token is cancelled, then accepts the connections whose handshakes have
@@ -46,7 +46,7 @@
         fuse_policy: Option<ArcFusePolicy>,
     ) -> IoResult<Accepted<Self::Coupler, Self::Stream>> {
         while let Some(acceptor) = &mut self.listener {
-            let closes = async {
+            let close_due = async {
                 match self.closes_at {
                     Some(at) => tokio::time::sleep_until(at).await,
                     None => self.closing.cancelled().await,
@@ -56,7 +56,7 @@
             tokio::select! {
                 biased;
                 accepted = acceptor.accept(fuse_policy.clone()) => return accepted,
-                () = closes => {}
+                () = close_due => {}
             }
             if self.closes_at.is_some() {
                 self.listener = None;
@@ -87,16 +87,17 @@
     const JUMP_IF_EQUAL: u16 = 0x15;
     const RETURN: u16 = 0x06;
     /// Offset of the flags in a TCP header, and flags as defined in RFC 9293.
-    const FLAGS: u32 = 13;
+    const FLAGS_OFFSET: u32 = 13;
     const SYN: u32 = 0x02;
     const ACK: u32 = 0x10;
+    /// Results of the filter: the number of bytes of the packet that the socket receives.
     const DROP: u32 = 0;
     const KEEP: u32 = u32::MAX;
 
     /// Attaches a socket filter that drops the packets that begin a handshake (SYN without ACK).
     pub(super) fn drop_new(listener: &TcpListener) {
         let filter = [
-            SockFilter::new(LOAD_BYTE, 0, 0, FLAGS),
+            SockFilter::new(LOAD_BYTE, 0, 0, FLAGS_OFFSET),
             SockFilter::new(AND, 0, 0, SYN | ACK),
             SockFilter::new(JUMP_IF_EQUAL, 0, 1, SYN),
             SockFilter::new(RETURN, 0, 0, DROP),
--- a/crates/swiftshunt-http/src/client.rs
+++ b/crates/swiftshunt-http/src/client.rs
@@ -154,7 +154,7 @@
 /// Time limit for establishing a connection within the fleet's network.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest number of idle connections kept to one address.
-const IDLE_PER_ADDRESS: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -174,7 +174,7 @@
         connector.set_local_address(source.filter(|address| !address.is_unspecified()));
         let inner = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_max_idle_per_host(IDLE_PER_ADDRESS)
+            .pool_max_idle_per_host(MAX_IDLE_PER_ADDRESS)
             .pool_idle_timeout(IDLE_TIMEOUT)
             .build(connector);
         Self { inner }
@@ -209,7 +209,7 @@
         timeout: Duration,
     ) -> Result<HttpAnswer, HttpError> {
         let address = request.address;
-        let whole = async {
+        let complete_exchange = async {
             let response = self.open(request, timeout).await?;
             let (head, body) = response.into_parts();
             let collected = body.collect().await;
@@ -223,7 +223,7 @@
                 body: body.to_bytes(),
             })
         };
-        let answer = tokio::time::timeout(timeout, whole).await;
+        let answer = tokio::time::timeout(timeout, complete_exchange).await;
         answer.unwrap_or(Err(HttpError::TimedOut { address }))
     }
 
--- a/crates/swiftshunt-http/src/endpoint.rs
+++ b/crates/swiftshunt-http/src/endpoint.rs
@@ -27,7 +27,7 @@
         self.request.query(name)
     }
 
-    /// Returns the remote address of the connection, if it is known.
+    /// Returns the remote address of the connection; `None` if it is not an IP address.
     pub fn remote(&self) -> Option<std::net::SocketAddr> {
         self.request.remote_addr().clone().into_std()
     }
@@ -46,6 +46,10 @@
     ///
     /// Data beyond the limit is read and discarded, up to [`DISCARD_LIMIT`]: a client that is still
     /// writing would otherwise see a broken connection instead of the response.
+    ///
+    /// # Errors
+    ///
+    /// `TooLarge` beyond the limit, `InvalidRequest` if the body breaks off.
     pub async fn body(&mut self, limit: usize) -> Result<Bytes, Failure> {
         let mut body = self.request.take_body();
         let mut read = BytesMut::new();
@@ -70,6 +74,10 @@
     }
 
     /// Reads the body, of at most `limit` bytes, as JSON.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Call::body`], and `InvalidRequest` if the body cannot be decoded.
     pub async fn json<T: DeserializeOwned>(&mut self, limit: usize) -> Result<T, Failure> {
         let body = self.body(limit).await?;
         serde_json::from_slice(&body).map_err(|error| {
@@ -111,7 +119,7 @@
         }
     }
 
-    /// Creates a response with status 200 and a JSON body.
+    /// Creates a response with status 200 and a JSON body, which is empty if `value` cannot be encoded.
     pub fn json(value: &impl Serialize) -> Self {
         let body = serde_json::to_vec(value).unwrap_or_default();
         Self::bytes("application/json", body)
--- a/crates/swiftshunt-http/src/serve.rs
+++ b/crates/swiftshunt-http/src/serve.rs
@@ -15,11 +15,11 @@
 
 use crate::acceptor::ClosableAcceptor;
 
-/// Time in which the first request on the connections accepted last must be read. It includes the time
-/// until the listener closes.
+/// Time from the start of a stop within which the first request on each of the connections accepted last must
+/// be read. It includes the time until the listener closes.
 const LAST_REQUEST_WAIT: Duration = Duration::from_millis(300);
 
-/// Why an address cannot be listened on.
+/// The reason why an address cannot be listened on.
 #[derive(Debug, Display, Error)]
 #[display("cannot listen on {address}: {reason}")]
 pub struct BindError {
--- a/crates/swiftshunt-jobs/src/fold.rs
+++ b/crates/swiftshunt-jobs/src/fold.rs
@@ -13,14 +13,15 @@
 pub struct Job {
     /// The job as its caller submitted it.
     pub spec: Arc<JobSpec>,
-    /// Results in the order of their positions in the job's list.
+    /// The first result of each item that has one, in the order in which they were recorded; the index of a result
+    /// is its position.
     pub results: Vec<Settled>,
     settled: Vec<bool>,
     progress: BTreeMap<u32, Progress>,
     /// Whether the caller ended the job; unsettled items of an ended job do not run.
     pub ended: bool,
-    /// When this process first read the job's acceptance, by its own monotonic clock; never earlier than the
-    /// caller submitted the job.
+    /// When this process first read the job's acceptance, by its own monotonic clock; this is never before
+    /// the caller submitted the job.
     pub first_seen: Duration,
     /// Keys of the frames of all records of the job, for dropping them from the log.
     keys: Vec<Vec<u8>>,
@@ -58,7 +59,7 @@
         self.settled.get(item).copied().unwrap_or(true)
     }
 
-    /// Returns the progress that an earlier runner recorded for an unsettled item.
+    /// Returns the progress that an earlier runner recorded for an unsettled item; `None` if there is none.
     pub fn progress(&self, item: u32) -> Option<&Progress> {
         self.progress.get(&item)
     }
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Returns the job with this identifier.
+    /// Returns the job with this identifier; `None` if it is unknown or was forgotten.
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
@@ -221,7 +222,8 @@
         })
     }
 
-    /// Returns the identifiers of closed jobs that were first seen before `horizon`.
+    /// Returns the identifiers of closed jobs that were first seen before `horizon`, a time of the
+    /// process's monotonic clock.
     pub fn expired(&self, horizon: Duration) -> Vec<String> {
         let old = self.jobs.values().filter(|job| job.is_closed());
         let old = old.filter(|job| job.first_seen < horizon);
--- a/crates/swiftshunt-journal/src/assembly.rs
+++ b/crates/swiftshunt-journal/src/assembly.rs
@@ -60,29 +60,31 @@
 
 /// Splits a logical record into frames of at most `limit` bytes each, and returns them with their keys. `name`
 /// identifies the subject of the record in the keys; `nonce` must be unique to the record.
+///
+/// Fails if the record cannot be encoded.
 pub fn frames(
     name: &str,
     nonce: u64,
     record: &impl Serialize,
     limit: usize,
 ) -> Result<Vec<(Vec<u8>, Bytes)>, FramingError> {
-    let mut whole = Vec::new();
+    let mut cbor = Vec::new();
     let failed = |error: ciborium::ser::Error<std::io::Error>| FramingError {
         reason: error.to_string(),
     };
-    ciborium::into_writer(record, &mut whole).map_err(failed)?;
-    let whole = Bytes::from(whole);
+    ciborium::into_writer(record, &mut cbor).map_err(failed)?;
+    let cbor = Bytes::from(cbor);
     let size = limit.saturating_sub(FRAME_OVERHEAD).max(1);
-    let count = whole.len().div_ceil(size).max(1);
+    let count = cbor.len().div_ceil(size).max(1);
     let mut framed = Vec::with_capacity(count);
     let name = key_name(name);
     for index in 0..count {
-        let end = ((index + 1) * size).min(whole.len());
+        let end = ((index + 1) * size).min(cbor.len());
         let frame = Frame {
             nonce,
             index: index as u32,
             count: count as u32,
-            bytes: whole.slice(index * size..end),
+            bytes: cbor.slice(index * size..end),
         };
         let mut value = Vec::with_capacity(end - index * size + FRAME_OVERHEAD);
         ciborium::into_writer(&frame, &mut value).map_err(failed)?;
@@ -143,12 +145,12 @@
             return Ok(None);
         };
         self.complete.insert(frame.nonce);
-        let whole: Vec<u8> = partial
+        let cbor: Vec<u8> = partial
             .parts
             .into_values()
             .flat_map(|part| part.to_vec())
             .collect();
-        let record = ciborium::from_reader(whole.as_slice()).map_err(failed)?;
+        let record = ciborium::from_reader(cbor.as_slice()).map_err(failed)?;
         Ok(Some(LogicalRecord {
             nonce: frame.nonce,
             keys: partial.keys,
--- a/crates/swiftshunt-journal/src/bulk_window.rs
+++ b/crates/swiftshunt-journal/src/bulk_window.rs
@@ -1,5 +1,5 @@
-//! A limit of concurrent bulk reads of the log that adapts to their duration. Without I/O: the caller measures the
-//! durations.
+//! A limit of concurrent bulk reads of the log that adapts to their duration. This module does no I/O: the caller
+//! measures the durations.
 
 use std::time::Duration;
 
--- a/crates/swiftshunt-journal/src/keyed_view.rs
+++ b/crates/swiftshunt-journal/src/keyed_view.rs
@@ -1,5 +1,5 @@
-//! A view of a keyed partition: applies listings and tails in any order and ignores records older than those it has
-//! seen.
+//! A view of a keyed partition. It applies listings (the newest record of each key) and records of the tail (in the
+//! order of their offsets), and ignores records older than those it has seen.
 
 use std::collections::BTreeMap;
 
--- a/crates/swiftshunt-journal/src/log.rs
+++ b/crates/swiftshunt-journal/src/log.rs
@@ -44,7 +44,7 @@
         /// End offset of the partition after the append.
         end: u64,
     },
-    /// The log rejected the append; no record was appended.
+    /// No record was appended or will be: the log rejected the append or could not be reached.
     Refused,
     /// The log did not answer: the records may have been appended, may still be appended later, or never.
     Unknown,
@@ -135,7 +135,7 @@
     ) -> BoxFuture<'_, Result<NewestPage, LogError>>;
 
     /// Joins the group that shares a topic's partitions, or renews the membership for `ttl`; returns the partitions
-    /// that the member holds.
+    /// that the member holds. `generation` is the newest generation that the member has received.
     fn renew<'a>(
         &'a self,
         topic: Topic,
@@ -144,7 +144,8 @@
         generation: u64,
     ) -> BoxFuture<'a, Result<Lease, LogError>>;
 
-    /// Returns the member of the group that holds each partition of a topic.
+    /// Returns the member of the group that holds each partition of a topic; partitions that no member holds are
+    /// missing.
     fn owners(&self, topic: Topic) -> BoxFuture<'_, Result<BTreeMap<u32, String>, LogError>>;
 
     /// Leaves the group that shares a topic's partitions.
--- a/crates/swiftshunt-journal/src/tail_window.rs
+++ b/crates/swiftshunt-journal/src/tail_window.rs
@@ -1,5 +1,5 @@
-//! The newest part of a tail, which one gateway reads from the log and passes on to its followers: gateways that
-//! follow the tail through this reader.
+//! A window of the newest records at the end of a partition, its tail. One gateway, the reader, reads the tail from
+//! the log and sends the relevant records to other gateways, its followers, which need not read the log themselves.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
--- a/crates/swiftshunt-query/src/parse.rs
+++ b/crates/swiftshunt-query/src/parse.rs
@@ -21,7 +21,7 @@
 
 use grammar::{Rule, StatementParser};
 
-/// A statement is not valid.
+/// The reason why a statement cannot be parsed, and its column.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("column {column}: {message}")]
 pub struct ParseError {
--- a/crates/swiftshunt-query/src/select.rs
+++ b/crates/swiftshunt-query/src/select.rs
@@ -14,7 +14,8 @@
     pub known: Vec<String>,
 }
 
-/// Applies the conditions, ordering and limit of `show` to the rows of `table`.
+/// Applies the conditions, ordering and limit of `show` to the rows of `table`. Fails if a clause names a column that
+/// the table does not have.
 pub fn select(show: &Show, mut table: Table) -> Result<Table, SelectError> {
     for condition in &show.conditions {
         let index = column_index(&table, &condition.column)?;
@@ -45,6 +46,8 @@
     })
 }
 
+/// Whether a cell satisfies a condition. If the cell is a number and the value of the condition is not, the cell
+/// satisfies only `!=` and, by its text, `contains`.
 fn satisfies(cell: &Value, condition: &Condition) -> bool {
     if condition.comparison == Comparison::Contains {
         return cell.to_string().contains(&condition.value);
@@ -67,6 +70,7 @@
     }
 }
 
+/// Compares two numbers by value, and any other two values by their text.
 fn compare(one: &Value, other: &Value) -> std::cmp::Ordering {
     match (as_number(one), as_number(other)) {
         (Some(one), Some(other)) => one.total_cmp(&other),
--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -72,7 +72,8 @@
     pub completion_target: Option<Duration>,
     /// Age from which an item of a batch job may be given up; `None` if items are never too old.
     pub give_up_after: Option<Duration>,
-    /// Limit of the tokens of a batch route's items that wait at the same time; `None` if there is no limit.
+    /// Limit of the tokens of a batch route's accepted items without a result, whether they wait or run; `None`
+    /// if there is no limit.
     pub waiting_tokens: Option<u64>,
     /// Regions in which requests of the route may be handled.
     pub residency: Residency,
@@ -101,7 +102,7 @@
 pub struct Service {
     /// Maximum number of connections that one worker accepts from all clients together.
     pub connection_cap: u32,
-    /// Capacity of the workers if they are model engines.
+    /// Capacity of each worker; `None` if the workers are not known to be model engines.
     pub engine: Option<EngineSpec>,
     /// Limit for cold workers; `None` if a worker bears full load from its start.
     pub cold: Option<ColdSpec>,
@@ -249,10 +250,10 @@
         })
     }
 
-    /// Identifies the caller of a request about an existing batch job, which names no route.
+    /// Identifies the caller of a request about an existing batch job; such a request names no route.
     ///
     /// A caller without a key is accepted if any batch route is public, because jobs can be submitted there
-    /// without a key. A key that is shown must be valid in any case.
+    /// without a key. A request that carries a key is rejected unless the key is known.
     pub fn job_caller(&self, credentials: &Credentials) -> Result<Caller, Rejected> {
         let Some(tenants) = &self.tenants else {
             return Ok(Caller::Unchecked);
@@ -266,12 +267,12 @@
         }
     }
 
-    /// Returns the route with this name.
+    /// Returns the route with this name; `None` if there is none.
     pub fn route_named(&self, name: &str) -> Option<&Arc<Route>> {
         self.routes.iter().find(|route| route.name == name)
     }
 
-    /// Returns the route of `host` with the longest prefix of `path`.
+    /// Returns the route of `host` with the longest prefix of `path`; `None` if no route matches.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let of_host = self
             .routes
--- a/crates/swiftshunt-routing/src/split.rs
+++ b/crates/swiftshunt-routing/src/split.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Returns the credit of a service; adds one of 0 if the service has none.
 fn credit_of<'c>(credits: &'c mut Vec<(String, i64)>, service: &str) -> &'c mut i64 {
     let position = credits.iter().position(|(name, _)| name == service);
     let position = position.unwrap_or_else(|| {
--- a/crates/swiftshunt-routing/src/tenants.rs
+++ b/crates/swiftshunt-routing/src/tenants.rs
@@ -37,7 +37,7 @@
         hex::encode(self.0)
     }
 
-    /// Parses hexadecimal digits; returns `None` if they are not a digest.
+    /// Parses hexadecimal digits; returns `None` unless there are exactly 32 of them.
     pub fn from_hex(digits: &str) -> Option<Self> {
         let mut digest = [0; DIGEST_BYTES];
         hex::decode_to_slice(digits, &mut digest).ok()?;
@@ -180,8 +180,8 @@
         let mut names = BTreeSet::new();
         for tenant in &self.all {
             let name = &tenant.name;
-            let has_no_control_chars = !name.as_str().chars().any(char::is_control);
-            if name.as_str().is_empty() || !has_no_control_chars {
+            let is_printable = !name.as_str().chars().any(char::is_control);
+            if name.as_str().is_empty() || !is_printable {
                 return Err(TenantError::Name);
             }
             if !names.insert(name) {
