--- a/crates/swiftshunt-config/src/fleet.rs
+++ b/crates/swiftshunt-config/src/fleet.rs
@@ -39,11 +39,12 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TenantLimits {
-    /// Rate limit of each node for online requests and submissions, per second. Zero or more.
+    /// Rate limit of each node for online requests and submissions, per second. Zero or more; with zero, each node
+    /// accepts only the first `burst` requests.
     pub requests_per_second: f64,
     /// Number of requests that each node accepts at once after an idle period. At least 1.
     pub burst: f64,
-    /// Weight of this tenant's batch work relative to other tenants.
+    /// Weight of this tenant's batch work relative to other tenants. Accepted and published, but not evaluated.
     pub batch_share: u32,
 }
 
--- a/crates/swiftshunt-http/src/send_permit.rs
+++ b/crates/swiftshunt-http/src/send_permit.rs
@@ -63,6 +63,7 @@
 /// A request body in one frame, which is only yielded if its permit is valid at that time. The HTTP library
 /// writes the head together with the first frame, so that an expired permit withholds the whole request.
 pub struct PermittedBody {
+    /// The content of the body; `None` if it is empty or has been yielded.
     piece: Option<Bytes>,
     permit: SendPermit,
 }
--- a/crates/swiftshunt-jobs/src/fold.rs
+++ b/crates/swiftshunt-jobs/src/fold.rs
@@ -91,6 +91,7 @@
         }
     }
 
+    /// Adds a result; returns false if the item has one, the job was ended, or the job has no such item.
     fn settle(&mut self, result: Settled) -> bool {
         let Some(settled) = self.settled.get_mut(result.item as usize) else {
             return false;
--- a/crates/swiftshunt-journal/src/assembly.rs
+++ b/crates/swiftshunt-journal/src/assembly.rs
@@ -49,7 +49,7 @@
 const MAX_NAME_BYTES: usize = 128;
 
 /// Returns the form of a name that is used in keys. The log lists keys as text and in URLs, so a name that is long or
-/// contains other than plain characters is replaced by its digest.
+/// contains characters other than ASCII letters, digits and `-._~:` is replaced by its digest.
 fn key_name(name: &str) -> Cow<'_, str> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
     if name.len() <= MAX_NAME_BYTES && name.bytes().all(is_plain) {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Extracts the nonce from a frame's key.
+/// Extracts the nonce from a frame's key; `None` if the key is not that of a frame.
 fn nonce_of(key: &[u8]) -> Option<u64> {
     let key = std::str::from_utf8(key).ok()?;
     let nonce = key.rsplit(':').nth(1)?;
--- a/crates/swiftshunt-journal/tests/journal.rs
+++ b/crates/swiftshunt-journal/tests/journal.rs
@@ -81,10 +81,10 @@
 
 #[test_case(10, 600, 1; "one frame")]
 #[test_case(5_000, 1_024, 10; "many frames")]
-fn records_of_any_size_are_reassembled_once(size: usize, limit: usize, least: usize) {
+fn records_of_any_size_are_reassembled_once(size: usize, limit: usize, min_frames: usize) {
     let text = "x".repeat(size);
     let framed = frames("job", 7, &text, limit).expect("the record cannot be framed");
-    assert!(framed.len() >= least);
+    assert!(framed.len() >= min_frames);
     assert!(framed.iter().all(|(_, value)| value.len() <= limit));
     let mut assembly = Assembly::default();
     let mut reassembled = Vec::new();
--- a/crates/swiftshunt-membership/src/membership.rs
+++ b/crates/swiftshunt-membership/src/membership.rs
@@ -236,6 +236,7 @@
         change
     }
 
+    /// Stores the own record with a higher incarnation if `update` would replace it, unless this node has left.
     fn refute(&mut self, update: &MemberRecord, now: Monotonic) {
         let Some(own) = self.members.get(&self.own_id) else {
             return;
--- a/crates/swiftshunt-routing/src/configuration.rs
+++ b/crates/swiftshunt-routing/src/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations of routes, services and tenants, and the one in force, whose version only rises.
+//! Configurations of routes, services and tenants. The version of the configuration in force never decreases.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -315,11 +315,11 @@
 
     /// Puts a configuration into force if its version is higher than the one in force.
     pub fn install(&mut self, offered: Configuration) -> Installed {
-        let newer = self
+        let is_newer = self
             .current
             .as_ref()
             .is_none_or(|current| offered.version > current.version);
-        if !newer {
+        if !is_newer {
             return Installed::NotNewer;
         }
         self.current = Some(Arc::new(offered));
--- a/crates/swiftshunt-types/src/digest.rs
+++ b/crates/swiftshunt-types/src/digest.rs
@@ -1,4 +1,4 @@
-//! Content digests: request bodies are compared by them, and bearer tokens are stored as them.
+//! Content digests. Request bodies are compared by their digests, and only the digests of bearer tokens are stored.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
     }
 
     /// Whether the text has the length and characters of a digest. Deserialization does not check this, so values
-    /// read from a file need this call.
+    /// read from a file need this call. Upper-case digits pass, but such a digest equals no computed one.
     pub fn is_well_formed(&self) -> bool {
         self.0.len() == Self::HEX_LENGTH && self.0.bytes().all(|b| b.is_ascii_hexdigit())
     }
--- a/crates/swiftshunt-types/src/identifiers.rs
+++ b/crates/swiftshunt-types/src/identifiers.rs
@@ -117,7 +117,7 @@
     format!("{prefix}{}", &hasher.finalize().to_hex()[..DERIVED_LENGTH])
 }
 
-/// Returns the partition that owns `identifier`, out of `partitions` partitions.
+/// Returns the partition that owns `identifier`, out of `partitions` partitions; 0 counts as 1.
 pub fn partition_of(identifier: &str, partitions: u16) -> PartitionId {
     let hash = blake3::hash(identifier.as_bytes());
     let mut prefix = [0_u8; 8];
