--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -74,20 +74,20 @@
     let first = arguments
         .seed
         .unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    let (mut broken, mut played) = (0, 0);
-    while played == 0 || std::time::Instant::now() < until {
-        let mut plan = Plan::draw(first + played as u64, ROUND_MINUTES);
+    let (mut broken, mut rounds_played) = (0, 0);
+    while rounds_played == 0 || std::time::Instant::now() < until {
+        let mut plan = Plan::draw(first + rounds_played as u64, ROUND_MINUTES);
         if arguments.regions {
             plan = plan.in_two_regions();
         }
         broken += usize::from(!soak.round(plan).await?);
-        played += 1;
+        rounds_played += 1;
     }
-    Ok(verdict(broken, played))
+    Ok(verdict(broken, rounds_played))
 }
 
-fn verdict(broken: usize, played: usize) -> ExitCode {
-    println!("{played} rounds, {broken} with a broken promise");
+fn verdict(broken: usize, rounds_played: usize) -> ExitCode {
+    println!("{rounds_played} rounds, {broken} with a broken promise");
     if broken == 0 {
         ExitCode::SUCCESS
     } else {
@@ -158,10 +158,10 @@
                 && path.extension().is_some_and(|it| it == "log")
         };
         let logs: Vec<PathBuf> = paths.filter(is_log).collect();
-        for one in verdicts.iter().filter_map(|verdict| verdict.breaks.first()) {
-            let subject = one.subject.split(' ').next().unwrap_or_default();
+        for violation in verdicts.iter().filter_map(|verdict| verdict.breaks.first()) {
+            let subject = violation.subject.split(' ').next().unwrap_or_default();
             let timeline = report::explain(&self.binaries.node, subject, &logs);
-            println!("  {} {}:\n{timeline}", one.promise, one.subject);
+            println!("  {} {}:\n{timeline}", violation.promise, violation.subject);
         }
     }
 
@@ -175,15 +175,15 @@
         let mut plays = 0;
         let mut index = 0;
         while index < plan.faults.len() && plays < self.shrink {
-            let mut smaller = plan.clone();
-            smaller.faults.remove(index);
-            let verdicts = self.play_in(&smaller, &folder.join("shrink")).await?;
+            let mut candidate = plan.clone();
+            candidate.faults.remove(index);
+            let verdicts = self.play_in(&candidate, &folder.join("shrink")).await?;
             plays += 1;
-            let still = verdicts
+            let is_still_broken = verdicts
                 .iter()
                 .any(|it| broken.contains(&it.promise) && !it.breaks.is_empty());
-            if still {
-                plan = smaller;
+            if is_still_broken {
+                plan = candidate;
             } else {
                 index += 1;
             }
--- a/crates/swiftshunt-lab/src/soak/history.rs
+++ b/crates/swiftshunt-lab/src/soak/history.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::calm::Disturbance;
+use super::disturbances::Disturbance;
 use crate::platform::worker::RunEvent;
 
 /// Kinds of online requests.
@@ -65,7 +65,8 @@
     /// The gateway that it was sent to.
     pub gateway: usize,
     /// The start of that gateway's process, counted from 0, when it was sent.
-    pub life: usize,
+    #[serde(rename = "life")]
+    pub generation: usize,
     /// When it was sent.
     pub sent: u64,
     /// When it ended.
@@ -91,7 +92,7 @@
 
 /// A result as it was listed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedResult {
     /// The item.
     pub item: String,
     /// Whether it completed.
@@ -116,7 +117,7 @@
     /// Items of the job, as told.
     pub total: usize,
     /// The results from that position on.
-    pub results: Vec<Listed>,
+    pub results: Vec<ListedResult>,
 }
 
 /// A batch job.
@@ -129,9 +130,11 @@
     /// Tries to hand it in.
     pub submissions: Vec<Submission>,
     /// When an end of it was acknowledged first.
-    pub ended: Option<u64>,
+    #[serde(rename = "ended")]
+    pub cancelled_at: Option<u64>,
     /// Whether an end of it was asked for.
-    pub end_asked: bool,
+    #[serde(rename = "end_asked")]
+    pub cancel_requested: bool,
     /// What was listed.
     pub readings: Vec<Reading>,
     /// What every gateway listed when all was over.
@@ -163,7 +166,7 @@
 
 /// A configuration that was acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Configured {
+pub struct PublishedConfiguration {
     /// Its version; there is a route of that number from this version on.
     pub version: u64,
     /// When the store acknowledged it.
@@ -172,7 +175,7 @@
 
 /// A worker whose leaving was acknowledged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct WorkerDrain {
     /// The worker.
     pub incarnation: String,
     /// When the store acknowledged it.
@@ -192,7 +195,7 @@
 
 /// Where a worker stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WorkerPlace {
+pub struct WorkerLocation {
     /// The worker.
     pub incarnation: String,
     /// Its zone.
@@ -203,7 +206,7 @@
 
 /// A time for which a worker is cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ColdSpell {
+pub struct ColdPeriod {
     /// The worker.
     pub incarnation: String,
     /// Requests that it bears a second.
@@ -227,7 +230,7 @@
 
 /// A path whose requests may be served in some regions alone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Residence {
+pub struct ResidencyRule {
     /// How paths of the route begin.
     pub path_prefix: String,
     /// The regions.
@@ -244,28 +247,34 @@
     /// Runs, in the order in which workers told of them.
     pub runs: Vec<RunRecord>,
     /// Configurations.
-    pub configurations: Vec<Configured>,
+    pub configurations: Vec<PublishedConfiguration>,
     /// Workers that left.
-    pub leaving: Vec<Leaving>,
+    #[serde(rename = "leaving")]
+    pub drains: Vec<WorkerDrain>,
     /// Where workers stand; none in a round of one zone.
     #[serde(default)]
-    pub places: Vec<WorkerPlace>,
+    #[serde(rename = "places")]
+    pub worker_locations: Vec<WorkerLocation>,
     /// When workers were cold.
     #[serde(default)]
-    pub cold: Vec<ColdSpell>,
+    #[serde(rename = "cold")]
+    pub cold_periods: Vec<ColdPeriod>,
     /// Evacuations.
     #[serde(default)]
     pub evacuations: Vec<Evacuation>,
     /// Where requests may be served.
     #[serde(default)]
-    pub residences: Vec<Residence>,
+    #[serde(rename = "residences")]
+    pub residency_rules: Vec<ResidencyRule>,
     /// Tokens of unfinished items that may wait on the batch route, if there is a limit.
     #[serde(default)]
-    pub waiting_limit: Option<u64>,
+    #[serde(rename = "waiting_limit")]
+    pub queue_limit: Option<u64>,
     /// Planned stops.
     pub stops: Vec<PlannedStop>,
     /// Gateways whose process ended without being told to.
-    pub own_ends: Vec<usize>,
+    #[serde(rename = "own_ends")]
+    pub unexpected_exits: Vec<usize>,
     /// What was disturbed, and when.
     pub disturbances: Vec<Disturbance>,
 }
--- a/crates/swiftshunt-lab/src/soak/load.rs
+++ b/crates/swiftshunt-lab/src/soak/load.rs
@@ -17,14 +17,14 @@
 use crate::stand_in::lock;
 
 /// Pause between requests on routes that configurations brought.
-const MARKER_PAUSE: Duration = Duration::from_millis(60);
+const MARKER_INTERVAL: Duration = Duration::from_millis(60);
 /// Time without a new result, once nothing is disturbed any more, after which jobs that are open stay
 /// so: several times what an item takes, a lease, and the pauses of items that failed.
-const STALL: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What callers saw.
 #[derive(Default)]
-struct Seen {
+struct CallerRecords {
     online: Vec<OnlineCall>,
     jobs: Vec<JobHistory>,
 }
@@ -33,12 +33,12 @@
 pub(super) struct Load {
     testbed: Arc<Testbed>,
     caller: PlatformCaller,
-    seen: Mutex<Seen>,
+    records: Mutex<CallerRecords>,
     tasks: TaskTracker,
     /// When the load and the faults were over.
-    over: Mutex<Option<Instant>>,
+    load_end: Mutex<Option<Instant>>,
     /// When a new result was listed last.
-    progress: Mutex<Instant>,
+    last_progress: Mutex<Instant>,
 }
 
 impl Load {
@@ -46,10 +46,10 @@
         Arc::new(Self {
             testbed,
             caller: PlatformCaller::default(),
-            seen: Mutex::default(),
+            records: Mutex::default(),
             tasks: TaskTracker::new(),
-            over: Mutex::default(),
-            progress: Mutex::new(Instant::now()),
+            load_end: Mutex::default(),
+            last_progress: Mutex::new(Instant::now()),
         })
     }
 
@@ -74,23 +74,25 @@
             let uniform: f64 = rand::rng().random_range(f64::EPSILON..1.0);
             tokio::time::sleep(Duration::from_secs_f64(-uniform.ln() / rate)).await;
             let load = Arc::clone(self);
-            self.tasks.spawn(async move { load.ask_something().await });
+            self.tasks
+                .spawn(async move { load.send_random_request().await });
         }
     }
 
     /// Requests a second, in waves.
     fn rate(&self, at: Duration) -> f64 {
         let plan = &self.testbed.plan;
-        let turns = at.as_millis() as f64 / plan.wave_ms as f64;
-        let height = (turns * std::f64::consts::TAU).sin().max(0.0);
+        let phase = at.as_millis() as f64 / plan.wave_ms as f64;
+        let height = (phase * std::f64::consts::TAU).sin().max(0.0);
         plan.requests_per_s * (1.0 + plan.wave_height * height)
     }
 
     async fn send_markers(self: &Arc<Self>) {
         loop {
-            tokio::time::sleep(MARKER_PAUSE).await;
+            tokio::time::sleep(MARKER_INTERVAL).await;
             let load = Arc::clone(self);
-            self.tasks.spawn(async move { load.ask_marker().await });
+            self.tasks
+                .spawn(async move { load.send_marker_request().await });
         }
     }
 
@@ -108,34 +110,34 @@
 
     /// Waits until every call and every job is over; jobs that make no progress stay open.
     pub(super) async fn finish(&self) {
-        *lock(&self.over) = Some(Instant::now());
+        *lock(&self.load_end) = Some(Instant::now());
         self.tasks.close();
         self.tasks.wait().await;
     }
 
     /// Whether load and faults are over.
-    fn is_over(&self) -> bool {
-        lock(&self.over).is_some()
+    fn has_load_ended(&self) -> bool {
+        lock(&self.load_end).is_some()
     }
 
     /// Whether open jobs make no progress though nothing is disturbed any more.
     fn is_stalled(&self) -> bool {
-        let Some(over) = *lock(&self.over) else {
+        let Some(load_end) = *lock(&self.load_end) else {
             return false;
         };
-        let last = over.max(*lock(&self.progress));
-        last.elapsed() >= STALL
+        let last = load_end.max(*lock(&self.last_progress));
+        last.elapsed() >= STALL_TIMEOUT
     }
 
     /// What callers saw.
-    pub(super) fn seen(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
-        let seen = std::mem::take(&mut *lock(&self.seen));
-        (seen.online, seen.jobs)
+    pub(super) fn records(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
+        let records = std::mem::take(&mut *lock(&self.records));
+        (records.online, records.jobs)
     }
 }
 
 /// How a failed call ended.
-fn failure(error: &HttpError) -> Ending {
+fn ending_of_error(error: &HttpError) -> Ending {
     match error {
         HttpError::TimedOut { .. } => Ending::Unanswered,
         _ => Ending::Broken,
--- a/crates/swiftshunt-lab/src/soak/load/jobs.rs
+++ b/crates/swiftshunt-lab/src/soak/load/jobs.rs
@@ -11,28 +11,28 @@
 use super::Load;
 use crate::platform::caller::item_id;
 use crate::platform::fleet::BATCH;
-use crate::soak::history::{JobHistory, Listed, Reading, Submission};
-use crate::soak::plan::Moment;
+use crate::soak::history::{JobHistory, ListedResult, Reading, Submission};
+use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
 /// Pause before a job is handed in again.
-const AGAIN_AFTER: Duration = Duration::from_millis(700);
+const SUBMISSION_RETRY_DELAY: Duration = Duration::from_millis(700);
 /// Tries to hand a job in.
-const MOST_TRIES: usize = 25;
+const MAX_SUBMISSION_ATTEMPTS: usize = 25;
 /// Longest wait for an answer to a job that is handed in.
-const SUBMISSION_PATIENCE: Duration = Duration::from_secs(4);
+const SUBMISSION_TIMEOUT: Duration = Duration::from_secs(4);
 /// Pause between questions for results.
-const READ_PAUSE: Duration = Duration::from_millis(500);
+const READ_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for an answer to such a question.
-const READ_PATIENCE: Duration = Duration::from_millis(1_500);
+const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Share of jobs that are ended by their sender.
-const ENDED_SHARE: f64 = 0.25;
+const CANCELLED_SHARE: f64 = 0.25;
 /// Rounds of questions after which such a job is ended at the latest.
-const ENDED_WITHIN: u32 = 8;
+const MAX_READS_BEFORE_CANCEL: u32 = 8;
 /// Share of questions that begin at an earlier position.
-const EARLIER_SHARE: f64 = 0.2;
+const REREAD_SHARE: f64 = 0.2;
 /// Tries to read the whole job from one gateway at the end.
-const FINAL_TRIES: usize = 10;
+const MAX_FINAL_READ_ATTEMPTS: usize = 10;
 
 impl Load {
     /// Follows a job from its first submission to its end.
@@ -43,21 +43,21 @@
             id,
             ..JobHistory::default()
         };
-        self.hand_in(&mut job, count).await;
+        self.submit_job(&mut job, count).await;
         if job.accepted().is_some() {
-            self.read_until_over(&mut job).await;
-            self.read_everywhere(&mut job).await;
+            self.read_until_complete(&mut job).await;
+            self.read_from_every_gateway(&mut job).await;
         }
-        lock(&self.seen).jobs.push(job);
+        lock(&self.records).jobs.push(job);
     }
 
-    async fn hand_in(&self, job: &mut JobHistory, count: usize) {
-        for _ in 0..MOST_TRIES {
+    async fn submit_job(&self, job: &mut JobHistory, count: usize) {
+        for _ in 0..MAX_SUBMISSION_ATTEMPTS {
             let gateway = self.testbed.pick_gateway();
             let sent = self.testbed.now();
             let address = self.testbed.callers(gateway);
             let asked = self.caller.submit(address, BATCH, &job.id, count);
-            let answer = tokio::time::timeout(SUBMISSION_PATIENCE, asked).await;
+            let answer = tokio::time::timeout(SUBMISSION_TIMEOUT, asked).await;
             let status = match answer {
                 Ok(Ok(status)) => Some(status.as_u16()),
                 Ok(Err(_)) | Err(_) => None,
@@ -69,48 +69,48 @@
                 status,
             });
             if status == Some(202) {
-                return self.testbed.reached(Moment::JobAccepted);
+                return self.testbed.notify_trigger(Trigger::JobAccepted);
             }
-            tokio::time::sleep(AGAIN_AFTER).await;
+            tokio::time::sleep(SUBMISSION_RETRY_DELAY).await;
         }
     }
 
-    async fn read_until_over(&self, job: &mut JobHistory) {
-        let ends = rand::rng().random_bool(ENDED_SHARE);
-        let mut rounds_left = rand::rng().random_range(0..ENDED_WITHIN);
+    async fn read_until_complete(&self, job: &mut JobHistory) {
+        let cancels = rand::rng().random_bool(CANCELLED_SHARE);
+        let mut reads_before_cancel = rand::rng().random_range(0..MAX_READS_BEFORE_CANCEL);
         let mut listed = 0;
         while listed < job.items.len() && !self.is_stalled() {
-            if ends && rounds_left == 0 {
-                self.end(job).await;
-                if job.ended.is_some() {
+            if cancels && reads_before_cancel == 0 {
+                self.cancel(job).await;
+                if job.cancelled_at.is_some() {
                     return;
                 }
             }
-            rounds_left = rounds_left.saturating_sub(1);
-            let from = if rand::rng().random_bool(EARLIER_SHARE) {
+            reads_before_cancel = reads_before_cancel.saturating_sub(1);
+            let from = if rand::rng().random_bool(REREAD_SHARE) {
                 rand::rng().random_range(0..=listed)
             } else {
                 listed
             };
             let reading = self.read(self.testbed.pick_gateway(), &job.id, from).await;
-            let known = from + reading.results.len();
-            if known > listed {
-                listed = known;
-                *lock(&self.progress) = Instant::now();
+            let end_position = from + reading.results.len();
+            if end_position > listed {
+                listed = end_position;
+                *lock(&self.last_progress) = Instant::now();
             }
             job.readings.push(reading);
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(READ_INTERVAL).await;
         }
     }
 
-    async fn end(&self, job: &mut JobHistory) {
+    async fn cancel(&self, job: &mut JobHistory) {
         let gateway = self.testbed.pick_gateway();
-        job.end_asked = true;
+        job.cancel_requested = true;
         let asked = self.caller.end(self.testbed.callers(gateway), &job.id);
-        let answer = tokio::time::timeout(READ_PATIENCE, asked).await;
+        let answer = tokio::time::timeout(READ_TIMEOUT, asked).await;
         if matches!(answer, Ok(Ok(status)) if status.is_success()) {
-            job.ended = Some(self.testbed.now());
-            self.testbed.reached(Moment::JobEnded);
+            job.cancelled_at = Some(self.testbed.now());
+            self.testbed.notify_trigger(Trigger::JobCancelled);
         }
     }
 
@@ -118,7 +118,7 @@
         let sent = self.testbed.now();
         let address = self.testbed.callers(gateway);
         let asked = self.caller.results(address, job, from, Duration::ZERO);
-        let answer = tokio::time::timeout(READ_PATIENCE, asked).await;
+        let answer = tokio::time::timeout(READ_TIMEOUT, asked).await;
         let (status, page) = match answer {
             Ok(Ok((status, page))) => (Some(status.as_u16()), Some(page)),
             Ok(Err(_)) | Err(_) => (None, None),
@@ -135,23 +135,23 @@
     }
 
     /// Reads the job from its beginning at every gateway, once nothing is disturbed any more.
-    async fn read_everywhere(&self, job: &mut JobHistory) {
-        while !self.is_over() {
-            tokio::time::sleep(READ_PAUSE).await;
+    async fn read_from_every_gateway(&self, job: &mut JobHistory) {
+        while !self.has_load_ended() {
+            tokio::time::sleep(READ_INTERVAL).await;
         }
         for gateway in 0..self.testbed.gateway_count() {
-            let reading = self.read_whole(gateway, job).await;
+            let reading = self.read_all_results(gateway, job).await;
             job.final_readings.push(reading);
         }
     }
 
-    async fn read_whole(&self, gateway: usize, job: &JobHistory) -> Reading {
+    async fn read_all_results(&self, gateway: usize, job: &JobHistory) -> Reading {
         let mut reading = self.read(gateway, &job.id, 0).await;
-        for _ in 1..FINAL_TRIES {
+        for _ in 1..MAX_FINAL_READ_ATTEMPTS {
             if reading.status == Some(200) {
                 break;
             }
-            tokio::time::sleep(READ_PAUSE).await;
+            tokio::time::sleep(READ_INTERVAL).await;
             reading = self.read(gateway, &job.id, 0).await;
         }
         // Pages are short only where results are large.
@@ -166,8 +166,8 @@
     }
 }
 
-fn results(page: PageDocument) -> Vec<Listed> {
-    let results = page.results.into_iter().map(|result| Listed {
+fn results(page: PageDocument) -> Vec<ListedResult> {
+    let results = page.results.into_iter().map(|result| ListedResult {
         item: result.id,
         completed: result.state == values::COMPLETED,
         text: result.text,
--- a/crates/swiftshunt-lab/src/soak/load/online.rs
+++ b/crates/swiftshunt-lab/src/soak/load/online.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 use swiftshunt_http::HttpAnswer;
 
-use super::{Load, failure};
+use super::{Load, ending_of_error};
 use crate::platform::fleet::{ASK, ONCE, STREAM, STREAM_ONCE};
 use crate::platform::worker::event_data;
 use crate::soak::history::{Ending, OnlineCall, OnlineKind};
@@ -14,16 +14,16 @@
 use crate::stand_in::lock;
 
 /// Times that callers allow, in milliseconds.
-const DEADLINES: std::ops::Range<u64> = 1_500..7_000;
+const DEADLINE_MS: std::ops::Range<u64> = 1_500..7_000;
 /// Share of callers that leave without waiting for their answers, and when, in milliseconds.
-const LEAVING_SHARE: f64 = 0.08;
-const LEAVING_MS: std::ops::Range<u64> = 5..400;
+const DISCONNECT_SHARE: f64 = 0.08;
+const DISCONNECT_DELAY_MS: std::ops::Range<u64> = 5..400;
 /// How much longer a caller listens: an answer that comes late is still seen.
-const LISTENS_ON: Duration = Duration::from_secs(3);
+const LATE_RESPONSE_GRACE: Duration = Duration::from_secs(3);
 
 impl Load {
     /// One request of a kind that is drawn.
-    pub(super) async fn ask_something(self: &Arc<Self>) {
+    pub(super) async fn send_random_request(self: &Arc<Self>) {
         let (kind, path) = match rand::rng().random_range(0..10) {
             0..=2 => (OnlineKind::Ask, ASK),
             3..=4 => (OnlineKind::Once, ONCE),
@@ -34,7 +34,7 @@
     }
 
     /// One request on the route that the newest configuration brought.
-    pub(super) async fn ask_marker(self: &Arc<Self>) {
+    pub(super) async fn send_marker_request(self: &Arc<Self>) {
         let Some(configured) = self.testbed.configured() else {
             return;
         };
@@ -46,22 +46,22 @@
     async fn ask(&self, kind: OnlineKind, path: String) {
         let gateway = self.testbed.pick_gateway();
         let id = format!("r-{:016x}", rand::random::<u64>());
-        let deadline = rand::rng().random_range(DEADLINES);
-        let allowed = Duration::from_millis(deadline);
-        let (life, sent) = (self.testbed.life(gateway), self.testbed.now());
+        let deadline = rand::rng().random_range(DEADLINE_MS);
+        let timeout = Duration::from_millis(deadline);
+        let (generation, sent) = (self.testbed.generation(gateway), self.testbed.now());
         let asked = self
             .caller
-            .ask(self.testbed.callers(gateway), &path, &id, allowed);
-        let leaves_after = draw_leaving(kind);
-        let patience = leaves_after.unwrap_or(allowed + LISTENS_ON);
-        let answer = tokio::time::timeout(patience, asked).await;
+            .ask(self.testbed.callers(gateway), &path, &id, timeout);
+        let disconnect_delay = draw_disconnect_delay(kind);
+        let wait_limit = disconnect_delay.unwrap_or(timeout + LATE_RESPONSE_GRACE);
+        let answer = tokio::time::timeout(wait_limit, asked).await;
         let ending = match answer {
-            Err(_) if leaves_after.is_some() => Ending::Left,
+            Err(_) if disconnect_delay.is_some() => Ending::Left,
             Err(_) => Ending::Unanswered,
-            Ok(Err(error)) => failure(&error),
+            Ok(Err(error)) => ending_of_error(&error),
             Ok(Ok(answer)) => Ending::Answered {
                 status: answer.status.as_u16(),
-                whole: answer.body == expected(kind, &id) && is_signed(&answer),
+                whole: answer.body == expected_body(kind, &id) && is_signed(&answer),
             },
         };
         let call = OnlineCall {
@@ -69,21 +69,22 @@
             path,
             kind,
             gateway,
-            life,
+            generation,
             sent,
             ended: self.testbed.now(),
             deadline,
             ending,
         };
-        lock(&self.seen).online.push(call);
+        lock(&self.records).online.push(call);
     }
 }
 
 /// When a caller leaves without waiting for its answer, if it does.
-fn draw_leaving(kind: OnlineKind) -> Option<Duration> {
+fn draw_disconnect_delay(kind: OnlineKind) -> Option<Duration> {
     let mut random = rand::rng();
-    let leaves = !matches!(kind, OnlineKind::Marker { .. }) && random.random_bool(LEAVING_SHARE);
-    leaves.then(|| Duration::from_millis(random.random_range(LEAVING_MS)))
+    let disconnects =
+        !matches!(kind, OnlineKind::Marker { .. }) && random.random_bool(DISCONNECT_SHARE);
+    disconnects.then(|| Duration::from_millis(random.random_range(DISCONNECT_DELAY_MS)))
 }
 
 fn is_signed(answer: &HttpAnswer) -> bool {
@@ -92,7 +93,7 @@
 }
 
 /// The worker's whole answer.
-fn expected(kind: OnlineKind, id: &str) -> String {
+fn expected_body(kind: OnlineKind, id: &str) -> String {
     match kind {
         OnlineKind::Ask | OnlineKind::Once | OnlineKind::Marker { .. } => {
             format!("answer to {id}")
--- a/crates/swiftshunt-lab/src/soak/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/mod.rs
@@ -4,15 +4,16 @@
 //! [`plan`] draws load and faults; [`testbed`] starts the processes and applies the faults; [`load`]
 //! plays callers and job senders into a [`history`]; [`promises`] judges it; [`report`] tells.
 
-pub mod calm;
 pub mod command;
+pub mod disturbances;
 pub mod history;
-mod journal;
+
 mod load;
 pub mod plan;
 pub mod promises;
 mod report;
 mod round;
+mod run_log;
 mod testbed;
 
 pub use round::{SoakError, play};
--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -15,30 +15,30 @@
 /// Time without faults at the beginning: gateways hear of each other.
 const WARM_UP: Duration = Duration::from_secs(4);
 /// Time without faults before the load ends.
-const CALM_END: Duration = Duration::from_secs(7);
+const FAULT_FREE_END: Duration = Duration::from_secs(7);
 /// Faults of a round, a minute.
-const FAULTS_A_MINUTE: std::ops::Range<u32> = 12..36;
+const FAULTS_PER_MINUTE: std::ops::Range<u32> = 12..36;
 /// Shortest and longest fault, in milliseconds: from less than a time-out to more than a lease.
-const FAULT_MS: std::ops::Range<u64> = 150..6_000;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 150..6_000;
 /// Delay after an acknowledgement of faults that come at the worst moment, in milliseconds.
-const WORST_MOMENT_MS: std::ops::Range<u64> = 0..12;
+const TRIGGER_DELAY_MS: std::ops::Range<u64> = 0..12;
 
 /// Zones of a round in two regions.
 pub const ZONES: usize = 2;
 /// Keeps what is drawn for two regions apart from the rest of a round.
-const REGIONS_SEED: u64 = 0x7265_6769_6f6e_7321;
+const REGIONS_SEED_MASK: u64 = 0x7265_6769_6f6e_7321;
 /// The same for limits, which do not change what else is drawn from a seed.
-const LIMIT_SEED: u64 = 0x6c69_6d69_7473;
+const QUEUE_LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
 /// Delay of the link between regions, one way, in milliseconds.
 const LINK_DELAY_MS: std::ops::Range<u64> = 5..60;
 /// Its width, in bytes a second.
 const LINK_BYTES_PER_S: std::ops::Range<u64> = 500_000..8_000_000;
 /// How long a worker is cold, in milliseconds.
-const COLD_MS: std::ops::Range<u64> = 3_000..8_000;
+const COLD_DURATION_MS: std::ops::Range<u64> = 3_000..8_000;
 /// Evacuations of a round.
-const EVACUATIONS: usize = 2;
+const EVACUATION_COUNT: usize = 2;
 /// How long one lasts, in milliseconds: beyond the time to obey it.
-const EVACUATED_MS: std::ops::Range<u64> = 6_000..12_000;
+const EVACUATION_DURATION_MS: std::ops::Range<u64> = 6_000..12_000;
 
 /// A round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     /// Items of a job.
     pub job_items: usize,
     /// What goes wrong.
-    pub faults: Vec<Step>,
+    pub faults: Vec<ScheduledFault>,
     /// Two regions; all stands in one zone without.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub regions: Option<TwoRegions>,
@@ -75,16 +75,18 @@
     pub cold: Option<ColdStarts>,
     /// The limit of what may wait on the batch route; none without.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waiting_limit: Option<WaitingLimit>,
+    #[serde(rename = "waiting_limit")]
+    pub queue_limit: Option<QueueLimit>,
 }
 
 /// A limit of what may wait on the batch route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WaitingLimit {
+pub struct QueueLimit {
     /// Tokens of unfinished items.
     pub tokens: u64,
     /// Whether the configuration tells of it. Shows that a check looks.
-    pub is_told: bool,
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
 /// Two regions and the link between the store and the gateways of the other region.
@@ -95,7 +97,8 @@
     /// Bytes a second, for all gateways together.
     pub bytes_per_s: u64,
     /// Whether entries of workers tell where they stand; else each names the first zone. Shows that a check looks.
-    pub is_told: bool,
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
 /// Workers that start during the load are cold.
@@ -104,21 +107,24 @@
     /// Requests that such a worker bears a second.
     pub per_second: f64,
     /// For how long.
-    pub lasts_ms: u64,
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
     /// Whether their entries and the configuration tell of it. Shows that a check looks.
-    pub is_told: bool,
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
 /// A fault and its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub struct ScheduledFault {
     /// When, from the start of the load.
     pub at_ms: u64,
     /// Waits, from then on, for the next of these, and comes this much later.
     #[serde(default)]
-    pub after: Option<(Moment, u64)>,
+    pub after: Option<(Trigger, u64)>,
     /// How long it lasts.
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
     /// What.
     pub disruption: Disruption,
 }
@@ -126,15 +132,17 @@
 /// What a fault may follow at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Moment {
+pub enum Trigger {
     /// A job was accepted.
     JobAccepted,
     /// The end of a job was acknowledged.
-    JobEnded,
+    #[serde(rename = "job_ended")]
+    JobCancelled,
     /// A configuration was acknowledged.
-    Configured,
+    PublishedConfiguration,
     /// Partitions were dealt anew.
-    DealtAnew,
+    #[serde(rename = "dealt_anew")]
+    Rebalanced,
     /// A gateway was told to stop.
     PlannedStop,
 }
@@ -142,7 +150,7 @@
 /// The end of a link behind the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkEnd {
+pub enum ProxiedLink {
     /// From a gateway to the store.
     Store(usize),
     /// From callers to a gateway.
@@ -231,11 +239,12 @@
     /// The store drops its history.
     DropHistory,
     /// The store deals the partitions anew.
-    DealAnew,
+    #[serde(rename = "deal_anew")]
+    Rebalance,
     /// A link misbehaves.
     Link {
         /// Which.
-        link: LinkEnd,
+        link: ProxiedLink,
         /// How.
         fault: Fault,
     },
@@ -270,12 +279,12 @@
             faults: Vec::new(),
             regions: None,
             cold: None,
-            waiting_limit: None,
+            queue_limit: None,
         };
-        plan.waiting_limit = plan.draw_limit();
-        let count = f64::from(random.random_range(FAULTS_A_MINUTE)) * minutes;
+        plan.queue_limit = plan.draw_queue_limit();
+        let count = f64::from(random.random_range(FAULTS_PER_MINUTE)) * minutes;
         plan.faults = (0..count.ceil() as u32)
-            .map(|_| plan.draw_step(&mut random))
+            .map(|_| plan.draw_scheduled_fault(&mut random))
             .collect();
         plan.faults.sort_by_key(|step| step.at_ms);
         plan
@@ -284,36 +293,36 @@
     /// The same round in two regions with a thin, slow link between them, with workers that start cold, and zones
     /// that are evacuated.
     pub fn in_two_regions(mut self) -> Self {
-        let mut random = StdRng::seed_from_u64(self.seed ^ REGIONS_SEED);
+        let mut random = StdRng::seed_from_u64(self.seed ^ REGIONS_SEED_MASK);
         self.regions = Some(TwoRegions {
             delay_ms: random.random_range(LINK_DELAY_MS),
             bytes_per_s: random.random_range(LINK_BYTES_PER_S),
-            is_told: true,
+            is_announced: true,
         });
         self.cold = Some(ColdStarts {
             per_second: hundredths(200..1_000, &mut random),
-            lasts_ms: random.random_range(COLD_MS),
-            is_told: true,
+            duration_ms: random.random_range(COLD_DURATION_MS),
+            is_announced: true,
         });
         let first = random.random_range(0..ZONES);
         // Of different zones: the withdrawal of one ends all evacuations of its zone.
-        let evacuations = (0..EVACUATIONS.min(ZONES)).map(|number| Step {
+        let evacuations = (0..EVACUATION_COUNT.min(ZONES)).map(|number| ScheduledFault {
             disruption: Disruption::Evacuate {
                 zone: (first + number) % ZONES,
             },
-            for_ms: random.random_range(EVACUATED_MS),
+            duration_ms: random.random_range(EVACUATION_DURATION_MS),
             after: None,
             at_ms: random.random_range(WARM_UP.as_millis() as u64..self.load_ms),
         });
         self.faults.extend(evacuations);
         for service in [Service::Whole, Service::Engine] {
-            self.faults.push(Step {
+            self.faults.push(ScheduledFault {
                 disruption: Disruption::CrashWorker {
                     service,
                     index: random.random_range(0..self.workers),
                     same_address: false,
                 },
-                for_ms: random.random_range(FAULT_MS),
+                duration_ms: random.random_range(FAULT_DURATION_MS),
                 after: None,
                 at_ms: random.random_range(WARM_UP.as_millis() as u64..self.load_ms / 2),
             });
@@ -323,38 +332,41 @@
     }
 
     /// In half of the rounds a limit near the load: of a job up to two bursts.
-    fn draw_limit(&self) -> Option<WaitingLimit> {
-        let mut random = StdRng::seed_from_u64(self.seed ^ LIMIT_SEED);
+    fn draw_queue_limit(&self) -> Option<QueueLimit> {
+        let mut random = StdRng::seed_from_u64(self.seed ^ QUEUE_LIMIT_SEED_MASK);
         let jobs = random.random_range(1..=2 * self.jobs_per_burst);
-        random.random_bool(0.5).then(|| WaitingLimit {
+        random.random_bool(0.5).then(|| QueueLimit {
             tokens: ITEM_TOKENS * (self.job_items * jobs) as u64,
-            is_told: true,
+            is_announced: true,
         })
     }
 
-    fn draw_step(&self, random: &mut StdRng) -> Step {
+    fn draw_scheduled_fault(&self, random: &mut StdRng) -> ScheduledFault {
         let first = WARM_UP.as_millis() as u64;
         let last = self
             .load_ms
-            .saturating_sub(CALM_END.as_millis() as u64)
+            .saturating_sub(FAULT_FREE_END.as_millis() as u64)
             .max(first + 1);
         let at_ms = random.random_range(first..last);
-        let longest = FAULT_MS.end.min(last - at_ms).max(FAULT_MS.start + 1);
-        let moments = [
-            Moment::JobAccepted,
-            Moment::JobEnded,
-            Moment::Configured,
-            Moment::DealtAnew,
-            Moment::PlannedStop,
+        let max_duration = FAULT_DURATION_MS
+            .end
+            .min(last - at_ms)
+            .max(FAULT_DURATION_MS.start + 1);
+        let triggers = [
+            Trigger::JobAccepted,
+            Trigger::JobCancelled,
+            Trigger::PublishedConfiguration,
+            Trigger::Rebalanced,
+            Trigger::PlannedStop,
         ];
         let after = random.random_bool(0.3).then(|| {
-            let moment = *moments.choose(random).unwrap_or(&Moment::JobAccepted);
-            (moment, random.random_range(WORST_MOMENT_MS))
+            let trigger = *triggers.choose(random).unwrap_or(&Trigger::JobAccepted);
+            (trigger, random.random_range(TRIGGER_DELAY_MS))
         });
-        Step {
+        ScheduledFault {
             at_ms,
             after,
-            for_ms: random.random_range(FAULT_MS.start..longest),
+            duration_ms: random.random_range(FAULT_DURATION_MS.start..max_duration),
             disruption: self.draw_disruption(random),
         }
     }
@@ -393,7 +405,7 @@
                 faults: draw_store_faults(random),
             },
             18 => Disruption::DropHistory,
-            19 => Disruption::DealAnew,
+            19 => Disruption::Rebalance,
             20..=21 => Disruption::Link {
                 link: draw_link(gateway, index, random),
                 fault: draw_link_fault(random),
@@ -423,12 +435,12 @@
 }
 
 fn draw_manner(service: Service, random: &mut StdRng) -> WorkerBehaviour {
-    let late = WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
-    let broken = WorkerBehaviour::TruncateStreamAfter(random.random_range(0..6));
+    let delayed = WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
+    let truncated = WorkerBehaviour::TruncateStreamAfter(random.random_range(0..6));
     let common = [
         WorkerBehaviour::Hang,
         WorkerBehaviour::HangEverySecond,
-        late,
+        delayed,
         WorkerBehaviour::CloseWithoutAnswer,
         WorkerBehaviour::Decline,
         WorkerBehaviour::AnswerOtherRequestId,
@@ -437,7 +449,7 @@
     ];
     match service {
         // Engines do not fail items: then giving one up is a fault of the gateways.
-        Service::Engine if random.random_bool(0.3) => broken,
+        Service::Engine if random.random_bool(0.3) => truncated,
         Service::Whole if random.random_bool(0.2) => WorkerBehaviour::Fail,
         _ => *common.choose(random).unwrap_or(&WorkerBehaviour::Hang),
     }
@@ -459,12 +471,12 @@
     faults
 }
 
-fn draw_link(gateway: usize, index: usize, random: &mut StdRng) -> LinkEnd {
+fn draw_link(gateway: usize, index: usize, random: &mut StdRng) -> ProxiedLink {
     match random.random_range(0..4) {
-        0 => LinkEnd::Store(gateway),
-        1 => LinkEnd::Callers(gateway),
-        2 => LinkEnd::Whole(index),
-        _ => LinkEnd::Engine(index),
+        0 => ProxiedLink::Store(gateway),
+        1 => ProxiedLink::Callers(gateway),
+        2 => ProxiedLink::Whole(index),
+        _ => ProxiedLink::Engine(index),
     }
 }
 
--- a/crates/swiftshunt-lab/src/soak/promises/answers.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/answers.rs
@@ -1,15 +1,15 @@
 //! What callers of online requests get.
 
 use super::Verdict;
-use crate::soak::calm::Calm;
+use crate::soak::disturbances::DisturbanceLog;
 use crate::soak::history::{Ending, History, OnlineCall};
 
 /// Time beyond a request's own within which the final answer must be there, in milliseconds.
-const ANSWER_SLACK_MS: u64 = 700;
+const RESPONSE_SLACK_MS: u64 = 700;
 /// The time of every route, in milliseconds.
-const ROUTE_MS: u64 = 8_000;
+const ROUTE_TIMEOUT_MS: u64 = 8_000;
 /// Time before a planned stop from which requests may be open when it begins, in milliseconds.
-const OPEN_BEFORE_MS: u64 = 8_000;
+const MAX_OPEN_BEFORE_STOP_MS: u64 = 8_000;
 
 /// A success is whole and the request's own.
 pub(super) fn own_answer(history: &History, verdict: &mut Verdict) {
@@ -25,11 +25,12 @@
 
 /// At gateways that are left alone, a request gets its answer within the time that it has.
 pub(super) fn final_answer(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
+    let disturbances = DisturbanceLog(&history.disturbances);
     for call in &history.online {
-        let due = call.sent + call.deadline.min(ROUTE_MS) + ANSWER_SLACK_MS;
-        let is_calm = calm.gateway(call.gateway, call.sent, call.ended.max(due));
-        if call.ending == Ending::Left || !is_calm {
+        let due = call.sent + call.deadline.min(ROUTE_TIMEOUT_MS) + RESPONSE_SLACK_MS;
+        let is_undisturbed =
+            disturbances.is_gateway_undisturbed(call.gateway, call.sent, call.ended.max(due));
+        if call.ending == Ending::Left || !is_undisturbed {
             continue;
         }
         let is_late = call.ended > due || call.ending == Ending::Unanswered;
@@ -47,16 +48,16 @@
 
 /// A gateway that stops as planned, with nothing else going on, answers whatever reached it.
 pub(super) fn planned_stop(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
+    let disturbances = DisturbanceLog(&history.disturbances);
     for stop in &history.stops {
-        let open = |call: &&OnlineCall| {
+        let is_open_during_stop = |call: &&OnlineCall| {
             call.gateway == stop.gateway
                 && call.ended >= stop.at
                 && call.sent < stop.ended
-                && call.sent + OPEN_BEFORE_MS > stop.at
+                && call.sent + MAX_OPEN_BEFORE_STOP_MS > stop.at
         };
-        for call in history.online.iter().filter(open) {
-            if calm.all_but_planned(call.sent, call.ended) {
+        for call in history.online.iter().filter(is_open_during_stop) {
+            if disturbances.has_only_planned_stops(call.sent, call.ended) {
                 let is_cut = matches!(call.ending, Ending::Broken | Ending::Unanswered);
                 let seen = is_cut.then(|| {
                     let sent = call.sent as i64 - stop.at as i64;
--- a/crates/swiftshunt-lab/src/soak/promises/changes.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/configuration.rs
@@ -3,15 +3,15 @@
 use std::collections::HashMap;
 
 use super::Verdict;
-use crate::soak::calm::Calm;
+use crate::soak::disturbances::DisturbanceLog;
 use crate::soak::history::{Ending, History, OnlineCall, OnlineKind};
 
 /// Time within which a configuration is in force everywhere, in milliseconds.
-const IN_FORCE_WITHIN_MS: u64 = 2_000;
+const CONFIGURATION_EFFECTIVE_WITHIN_MS: u64 = 2_000;
 /// A little more, for what is on its way.
-const ON_ITS_WAY_MS: u64 = 300;
+const IN_FLIGHT_MS: u64 = 300;
 /// Time after an answer by a configuration from which no older one may be in force, in milliseconds.
-const REVERTS_AFTER_MS: u64 = 250;
+const REVERT_GRACE_MS: u64 = 250;
 
 fn marker_calls(history: &History) -> impl Iterator<Item = (u64, &OnlineCall)> {
     history.online.iter().filter_map(|call| match call.kind {
@@ -26,12 +26,12 @@
 
 /// A configuration is in force at every gateway in time, and no process goes back behind it.
 pub(super) fn configuration(history: &History, verdict: &mut Verdict) {
-    in_force(history, verdict);
-    stays(history, verdict);
+    check_in_force(history, verdict);
+    check_no_revert(history, verdict);
 }
 
-fn in_force(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
+fn check_in_force(history: &History, verdict: &mut Verdict) {
+    let disturbances = DisturbanceLog(&history.disturbances);
     let acknowledged: HashMap<u64, u64> = history
         .configurations
         .iter()
@@ -41,8 +41,8 @@
         let Some(at) = acknowledged.get(&version) else {
             continue;
         };
-        let due = at + IN_FORCE_WITHIN_MS + ON_ITS_WAY_MS;
-        if call.sent < due || !calm.gateway(call.gateway, *at, call.ended) {
+        let due = at + CONFIGURATION_EFFECTIVE_WITHIN_MS + IN_FLIGHT_MS;
+        if call.sent < due || !disturbances.is_gateway_undisturbed(call.gateway, *at, call.ended) {
             continue;
         }
         let seen = is_unknown(call).then(|| {
@@ -56,21 +56,23 @@
     }
 }
 
-fn stays(history: &History, verdict: &mut Verdict) {
+fn check_no_revert(history: &History, verdict: &mut Verdict) {
     // When a process first answered by a version, and the newest of these.
-    let mut known: HashMap<(usize, usize), Vec<(u64, u64)>> = HashMap::new();
+    let mut versions_by_process: HashMap<(usize, usize), Vec<(u64, u64)>> = HashMap::new();
     for (version, call) in marker_calls(history) {
         if matches!(call.ending, Ending::Answered { status: 200, .. }) {
-            let process = known.entry((call.gateway, call.life)).or_default();
-            process.push((call.ended, version));
+            let versions = versions_by_process
+                .entry((call.gateway, call.generation))
+                .or_default();
+            versions.push((call.ended, version));
         }
     }
     for (version, call) in marker_calls(history) {
-        let process = known.get(&(call.gateway, call.life));
-        let before = process
+        let versions = versions_by_process.get(&(call.gateway, call.generation));
+        let before = versions
             .into_iter()
             .flatten()
-            .find(|(ended, by)| *by >= version && ended + REVERTS_AFTER_MS < call.sent);
+            .find(|(ended, by)| *by >= version && ended + REVERT_GRACE_MS < call.sent);
         if let Some((_, by)) = before {
             let seen = is_unknown(call).then(|| {
                 format!(
@@ -86,7 +88,7 @@
 /// No gateway's process ended without being told to.
 pub(super) fn stays_up(history: &History, verdict: &mut Verdict) {
     verdict.checked += 1;
-    for gateway in &history.own_ends {
+    for gateway in &history.unexpected_exits {
         let seen = Some("its process has ended by itself".to_owned());
         verdict.check(0, &format!("gateway-{gateway}"), seen);
     }
--- a/crates/swiftshunt-lab/src/soak/promises/limits.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/limits.rs
@@ -9,19 +9,19 @@
 
 /// At each 202 the items of accepted jobs that surely wait hold no more tokens than the limit: those of which no
 /// run has ended, of jobs whose end nobody asked for.
-pub(super) fn waiting_limit(history: &History, verdict: &mut Verdict) {
-    let Some(limit) = history.waiting_limit else {
+pub(super) fn queue_limit(history: &History, verdict: &mut Verdict) {
+    let Some(limit) = history.queue_limit else {
         return;
     };
     let first_ends = first_ends(history);
-    let jobs = history.jobs.iter().filter(|job| !job.end_asked);
+    let jobs = history.jobs.iter().filter(|job| !job.cancel_requested);
     let accepted = jobs.filter_map(|job| Some((job, job.accepted()?)));
     let accepted: Vec<(&JobHistory, u64)> = accepted.collect();
     for (job, at) in &accepted {
         let before = accepted.iter().filter(|(_, accepted)| accepted <= at);
         let items = before.flat_map(|(job, _)| &job.items);
-        let waits = |item: &&String| first_ends.get(item.as_str()).is_none_or(|end| end > at);
-        let tokens = items.filter(waits).count() as u64 * ITEM_TOKENS;
+        let is_waiting = |item: &&String| first_ends.get(item.as_str()).is_none_or(|end| end > at);
+        let tokens = items.filter(is_waiting).count() as u64 * ITEM_TOKENS;
         let seen = (tokens > limit).then(|| format!("{tokens} tokens wait, {limit} may"));
         verdict.check(*at, &job.id, seen);
     }
--- a/crates/swiftshunt-lab/src/soak/promises/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/mod.rs
@@ -2,9 +2,9 @@
 
 mod answers;
 mod batch;
-mod changes;
+mod configuration;
 mod limits;
-mod places;
+mod placement;
 mod runs;
 
 use derive_more::{Display, Error};
@@ -41,7 +41,8 @@
     AskedFor,
     /// A leaving worker gets nothing new.
     #[display("leaving")]
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// A planned stop cuts nothing.
     #[display("planned-stop")]
     PlannedStop,
@@ -68,7 +69,8 @@
     Residency,
     /// No more waits on a batch route than its limit allows.
     #[display("waiting-limit")]
-    WaitingLimit,
+    #[serde(rename = "waiting-limit")]
+    QueueLimit,
 }
 
 /// All promises.
@@ -80,7 +82,7 @@
     Promise::NotRun,
     Promise::AtMostOnce,
     Promise::AskedFor,
-    Promise::Leaving,
+    Promise::Draining,
     Promise::PlannedStop,
     Promise::Configuration,
     Promise::FinalAnswer,
@@ -89,7 +91,7 @@
     Promise::Cold,
     Promise::Evacuated,
     Promise::Residency,
-    Promise::WaitingLimit,
+    Promise::QueueLimit,
 ];
 
 /// A word that names no promise.
@@ -112,7 +114,7 @@
 
 /// A promise that was not kept.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Break {
+pub struct Violation {
     /// The promise.
     pub promise: Promise,
     /// When, in milliseconds from the start of the round.
@@ -131,7 +133,7 @@
     /// Occasions on which it was checked.
     pub checked: usize,
     /// Where it was not kept.
-    pub breaks: Vec<Break>,
+    pub breaks: Vec<Violation>,
 }
 
 impl Verdict {
@@ -147,7 +149,7 @@
     fn check(&mut self, at: u64, subject: &str, seen: Option<String>) {
         self.checked += 1;
         if let Some(seen) = seen {
-            self.breaks.push(Break {
+            self.breaks.push(Violation {
                 promise: self.promise,
                 at,
                 subject: subject.to_owned(),
@@ -168,16 +170,16 @@
         Promise::NotRun => runs::not_run(history, &mut verdict),
         Promise::AtMostOnce => runs::at_most_once(history, &mut verdict),
         Promise::AskedFor => runs::asked_for(history, &mut verdict),
-        Promise::Leaving => runs::leaving(history, &mut verdict),
+        Promise::Draining => runs::draining(history, &mut verdict),
         Promise::PlannedStop => answers::planned_stop(history, &mut verdict),
-        Promise::Configuration => changes::configuration(history, &mut verdict),
+        Promise::Configuration => configuration::configuration(history, &mut verdict),
         Promise::FinalAnswer => answers::final_answer(history, &mut verdict),
         Promise::CallerLeft => runs::caller_left(history, &mut verdict),
-        Promise::StaysUp => changes::stays_up(history, &mut verdict),
-        Promise::Cold => places::cold(history, &mut verdict),
-        Promise::Evacuated => places::evacuated(history, &mut verdict),
-        Promise::Residency => places::residency(history, &mut verdict),
-        Promise::WaitingLimit => limits::waiting_limit(history, &mut verdict),
+        Promise::StaysUp => configuration::stays_up(history, &mut verdict),
+        Promise::Cold => placement::cold(history, &mut verdict),
+        Promise::Evacuated => placement::evacuated(history, &mut verdict),
+        Promise::Residency => placement::residency(history, &mut verdict),
+        Promise::QueueLimit => limits::queue_limit(history, &mut verdict),
     }
     verdict
 }
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -5,19 +5,19 @@
 use super::Verdict;
 use crate::platform::fleet::{BATCH, STREAM, STREAM_ONCE};
 use crate::platform::worker::RunEvent;
-use crate::soak::calm::Calm;
+use crate::soak::disturbances::DisturbanceLog;
 use crate::soak::history::{Ending, History, OnlineCall, OnlineKind, RunRecord};
 
 /// Statuses that say that a request has not run.
-const REFUSALS: [u16; 4] = [408, 421, 429, 503];
+const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Time within which every gateway obeys a worker's leaving, in milliseconds.
-const LEAVES_WITHIN_MS: u64 = 2_000;
+const DRAIN_EFFECTIVE_WITHIN_MS: u64 = 2_000;
 /// A little more, for what is on its way.
-pub(super) const ON_ITS_WAY_MS: u64 = 400;
+pub(super) const IN_FLIGHT_MS: u64 = 400;
 /// Time within which a request is gone from its worker once its caller has left, in milliseconds.
-const GONE_WITHIN_MS: u64 = 500;
+const ABORT_WITHIN_MS: u64 = 500;
 /// Wait for a slot from which a stream counts as one that waits behind others, in milliseconds.
-const WAITS_MS: u64 = 1_500;
+const MAX_STREAM_WAIT_MS: u64 = 1_500;
 
 pub(super) fn arrivals(history: &History) -> impl Iterator<Item = &RunRecord> {
     let runs = history.runs.iter();
@@ -25,44 +25,54 @@
 }
 
 /// How often each request came to a worker.
-fn counts(history: &History) -> HashMap<&str, usize> {
-    let mut counts = HashMap::new();
+fn arrival_counts(history: &History) -> HashMap<&str, usize> {
+    let mut arrival_counts = HashMap::new();
     for run in arrivals(history) {
-        *counts.entry(run.id.as_str()).or_default() += 1;
+        *arrival_counts.entry(run.id.as_str()).or_default() += 1;
     }
-    counts
+    arrival_counts
 }
 
 /// What was refused with a word that says so has not run.
 pub(super) fn not_run(history: &History, verdict: &mut Verdict) {
-    let counts = counts(history);
-    let ran = |id: &str| counts.get(id).copied().unwrap_or(0);
+    let arrival_counts = arrival_counts(history);
+    let run_count = |id: &str| arrival_counts.get(id).copied().unwrap_or(0);
     for call in &history.online {
-        if let Some(status) = call.ending.status().filter(|it| REFUSALS.contains(it)) {
-            let times = ran(&call.id);
+        if let Some(status) = call
+            .ending
+            .status()
+            .filter(|it| REFUSAL_STATUSES.contains(it))
+        {
+            let times = run_count(&call.id);
             let seen = (times > 0).then(|| format!("status {status}, and {times} runs"));
             verdict.check(call.ended, &call.id, seen);
         }
     }
     for job in &history.jobs {
-        let is_refusal = |status: Option<u16>| status.is_some_and(|it| REFUSALS.contains(&it));
-        let tries = &job.submissions;
-        if tries.is_empty() || !tries.iter().all(|it| is_refusal(it.status)) {
+        let is_refusal =
+            |status: Option<u16>| status.is_some_and(|it| REFUSAL_STATUSES.contains(&it));
+        let submissions = &job.submissions;
+        if submissions.is_empty() || !submissions.iter().all(|it| is_refusal(it.status)) {
             continue;
         }
-        let times: usize = job.items.iter().map(|item| ran(item)).sum();
+        let times: usize = job.items.iter().map(|item| run_count(item)).sum();
         let seen = (times > 0).then(|| format!("refused each time, and {times} runs of items"));
-        let at = tries.iter().map(|it| it.ended).max().unwrap_or(0);
+        let at = submissions.iter().map(|it| it.ended).max().unwrap_or(0);
         verdict.check(at, &job.id, seen);
     }
 }
 
 /// What may not be repeated ran once at most.
 pub(super) fn at_most_once(history: &History, verdict: &mut Verdict) {
-    let counts = counts(history);
-    let once = |kind: OnlineKind| matches!(kind, OnlineKind::Once | OnlineKind::StreamOnce);
-    for call in history.online.iter().filter(|call| once(call.kind)) {
-        let times = counts.get(call.id.as_str()).copied().unwrap_or(0);
+    let arrival_counts = arrival_counts(history);
+    let is_non_repeatable =
+        |kind: OnlineKind| matches!(kind, OnlineKind::Once | OnlineKind::StreamOnce);
+    for call in history
+        .online
+        .iter()
+        .filter(|call| is_non_repeatable(call.kind))
+    {
+        let times = arrival_counts.get(call.id.as_str()).copied().unwrap_or(0);
         let seen = (times > 1).then(|| format!("{times} runs on {}", call.path));
         verdict.check(call.ended, &call.id, seen);
     }
@@ -86,35 +96,35 @@
 }
 
 /// A worker whose leaving was acknowledged gets nothing new from gateways that are left alone.
-pub(super) fn leaving(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    for left in &history.leaving {
-        let from = left.at + LEAVES_WITHIN_MS + ON_ITS_WAY_MS;
+pub(super) fn draining(history: &History, verdict: &mut Verdict) {
+    let disturbances = DisturbanceLog(&history.disturbances);
+    for drain in &history.drains {
+        let from = drain.at + DRAIN_EFFECTIVE_WITHIN_MS + IN_FLIGHT_MS;
         let late: Vec<&RunRecord> = arrivals(history)
-            .filter(|run| run.incarnation == left.incarnation && run.at >= from)
-            .filter(|run| calm.all_gateways(left.at, run.at))
+            .filter(|run| run.incarnation == drain.incarnation && run.at >= from)
+            .filter(|run| disturbances.are_gateways_undisturbed(drain.at, run.at))
             .collect();
         let seen = late.first().map(|run| {
-            let after = run.at - left.at;
+            let after = run.at - drain.at;
             format!("{} came {after} ms after; {} in all", run.id, late.len())
         });
-        verdict.check(from, &left.incarnation, seen);
+        verdict.check(from, &drain.incarnation, seen);
     }
 }
 
 /// While nothing is disturbed, a stream or a request that may be repeated leaves its worker soon after
 /// its caller has left, and does not come to one any more.
 pub(super) fn caller_left(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    let left = |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
-    for call in history.online.iter().filter(left) {
-        let gone_by = call.ended + GONE_WITHIN_MS;
-        if !calm.everything(call.sent, gone_by) {
+    let disturbances = DisturbanceLog(&history.disturbances);
+    let drain = |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
+    for call in history.online.iter().filter(drain) {
+        let abort_deadline = call.ended + ABORT_WITHIN_MS;
+        if !disturbances.is_undisturbed(call.sent, abort_deadline) {
             continue;
         }
         let of_call = || history.runs.iter().filter(|run| run.id == call.id);
-        let came = of_call().find(|run| run.event == RunEvent::Arrived && run.at > gone_by);
-        let stayed = of_call().find(|run| run.event == RunEvent::Ended && run.at > gone_by);
+        let came = of_call().find(|run| run.event == RunEvent::Arrived && run.at > abort_deadline);
+        let stayed = of_call().find(|run| run.event == RunEvent::Ended && run.at > abort_deadline);
         let seen = came.or(stayed).map(|run| {
             let after = run.at - call.ended;
             format!(
@@ -127,7 +137,7 @@
 }
 
 /// Slots of one worker over time.
-struct Slots<'h> {
+struct SlotUsage<'h> {
     /// Runs that hold a slot: request, path, since when.
     held: HashMap<&'h str, (&'h str, u64)>,
     /// Requests that wait for one, and since when.
@@ -137,28 +147,32 @@
 /// While nothing is disturbed, no stream waits for long at an engine where a batch item holds a slot
 /// all the while.
 pub(super) fn online_first(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    let mut workers: HashMap<&str, Slots> = HashMap::new();
+    let disturbances = DisturbanceLog(&history.disturbances);
+    let mut workers: HashMap<&str, SlotUsage> = HashMap::new();
     for run in &history.runs {
-        let slots = workers.entry(&run.incarnation).or_insert_with(|| Slots {
-            held: HashMap::new(),
-            waiting: HashMap::new(),
-        });
+        let slots = workers
+            .entry(&run.incarnation)
+            .or_insert_with(|| SlotUsage {
+                held: HashMap::new(),
+                waiting: HashMap::new(),
+            });
         match run.event {
             RunEvent::Arrived => drop(slots.waiting.insert(&run.id, run.at)),
             RunEvent::Ended => drop(slots.held.remove(run.id.as_str())),
             RunEvent::Began => {
                 let arrived = slots.waiting.remove(run.id.as_str()).unwrap_or(run.at);
                 let is_stream = run.path == STREAM || run.path == STREAM_ONCE;
-                if is_stream && calm.everything(arrived, run.at) {
+                if is_stream && disturbances.is_undisturbed(arrived, run.at) {
                     let item = slots
                         .held
                         .values()
                         .find(|(path, since)| path.starts_with(BATCH) && *since <= arrived);
                     let waited = run.at - arrived;
-                    let seen = item.filter(|_| waited > WAITS_MS).map(|(path, _)| {
-                        format!("waited {waited} ms at {} behind {path}", run.incarnation)
-                    });
+                    let seen = item
+                        .filter(|_| waited > MAX_STREAM_WAIT_MS)
+                        .map(|(path, _)| {
+                            format!("waited {waited} ms at {} behind {path}", run.incarnation)
+                        });
                     verdict.check(run.at, &run.id, seen);
                 }
                 slots.held.insert(&run.id, (&run.path, run.at));
--- a/crates/swiftshunt-lab/src/soak/report.rs
+++ b/crates/swiftshunt-lab/src/soak/report.rs
@@ -7,15 +7,15 @@
 use plotters::prelude::*;
 use serde::Serialize;
 
-use super::calm::Scope;
+use super::disturbances::Scope;
 use super::history::{Ending, History};
 use super::plan::Plan;
 use super::promises::Verdict;
 
 /// Breaks of one promise that are told with their timeline.
-const TOLD_BREAKS: usize = 3;
+const MAX_PRINTED_VIOLATIONS: usize = 3;
 /// Lines of a timeline.
-const TOLD_LINES: usize = 30;
+const MAX_TIMELINE_LINES: usize = 30;
 
 /// A round's report.
 #[derive(Debug, Serialize)]
@@ -67,8 +67,11 @@
                 "  {}: {} checked, {broken} broken\n",
                 verdict.promise, verdict.checked
             );
-            for one in verdict.breaks.iter().take(TOLD_BREAKS) {
-                text += &format!("    at {} ms, {}: {}\n", one.at, one.subject, one.seen);
+            for violation in verdict.breaks.iter().take(MAX_PRINTED_VIOLATIONS) {
+                text += &format!(
+                    "    at {} ms, {}: {}\n",
+                    violation.at, violation.subject, violation.seen
+                );
             }
         }
         text
@@ -94,25 +97,25 @@
     match command.output() {
         Ok(output) => {
             let text = String::from_utf8_lossy(&output.stdout).into_owned();
-            let lines: Vec<&str> = text.lines().take(TOLD_LINES).collect();
+            let lines: Vec<&str> = text.lines().take(MAX_TIMELINE_LINES).collect();
             lines.join("\n")
         }
         Err(error) => format!("explain does not run: {error}"),
     }
 }
 
-const SIZE: (u32, u32) = (1_100, 420);
-const GOOD: RGBColor = RGBColor(30, 130, 80);
-const REFUSED: RGBColor = RGBColor(220, 150, 30);
-const FAILED: RGBColor = RGBColor(200, 50, 40);
-const FAULT: RGBColor = RGBColor(120, 120, 140);
+const PLOT_SIZE: (u32, u32) = (1_100, 420);
+const SUCCESS_COLOUR: RGBColor = RGBColor(30, 130, 80);
+const REFUSED_COLOUR: RGBColor = RGBColor(220, 150, 30);
+const FAILED_COLOUR: RGBColor = RGBColor(200, 50, 40);
+const FAULT_COLOUR: RGBColor = RGBColor(120, 120, 140);
 
 fn colour(ending: Ending) -> (RGBColor, f64) {
     match ending {
-        Ending::Answered { status: 200, .. } => (GOOD, 1.0),
-        Ending::Answered { .. } => (REFUSED, 2.0),
-        Ending::Left => (FAULT, 1.5),
-        Ending::Broken | Ending::Unanswered => (FAILED, 3.0),
+        Ending::Answered { status: 200, .. } => (SUCCESS_COLOUR, 1.0),
+        Ending::Answered { .. } => (REFUSED_COLOUR, 2.0),
+        Ending::Left => (FAULT_COLOUR, 1.5),
+        Ending::Broken | Ending::Unanswered => (FAILED_COLOUR, 3.0),
     }
 }
 
@@ -124,7 +127,7 @@
         .map(|call| call.ended)
         .max()
         .unwrap_or(1);
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
@@ -152,7 +155,7 @@
         let (from, to) = (it.from as f64 / 1e3, it.to as f64 / 1e3 + 0.05);
         Rectangle::new(
             [(from, height), (to, height + 0.7)],
-            FAULT.mix(0.4).filled(),
+            FAULT_COLOUR.mix(0.4).filled(),
         )
     });
     chart.draw_series(bars)?;
--- a/crates/swiftshunt-lab/src/soak/round.rs
+++ b/crates/swiftshunt-lab/src/soak/round.rs
@@ -9,12 +9,12 @@
 
 use super::history::History;
 use super::load::Load;
-use super::plan::{Plan, Step};
+use super::plan::{Plan, ScheduledFault};
 use super::testbed::Testbed;
 use crate::harness::{Binaries, HarnessError};
 
 /// How long a fault waits for the moment that it is to follow; then it comes all the same.
-const MOMENT_PATIENCE: Duration = Duration::from_secs(8);
+const TRIGGER_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Why a round was not played.
 #[derive(Debug, Display, Error, From)]
@@ -36,51 +36,54 @@
     /// A stand-in did not say where it listens.
     #[display("a process did not tell its address")]
     #[from(ignore)]
-    NoDoor,
+    MissingAddress,
 }
 
 /// Plays a round; logs, settings and workers' outputs stay in `scratch`.
 pub async fn play(plan: Plan, binaries: Binaries, scratch: PathBuf) -> Result<History, SoakError> {
     let testbed = Arc::new(Testbed::start(plan, binaries, scratch).await?);
     let load = Load::new(Arc::clone(&testbed));
-    let mut asking = JoinSet::new();
+    let mut readiness_polls = JoinSet::new();
     for gateway in 0..testbed.gateway_count() {
         let testbed = Arc::clone(&testbed);
-        asking.spawn(async move { testbed.poll_readiness(gateway).await });
+        readiness_polls.spawn(async move { testbed.poll_readiness(gateway).await });
     }
     let mut faults = JoinSet::new();
-    for step in testbed.plan.faults.clone() {
+    for fault in testbed.plan.faults.clone() {
         let testbed = Arc::clone(&testbed);
-        faults.spawn(async move { disturb(&testbed, &step).await });
+        faults.spawn(async move { inject_fault(&testbed, &fault).await });
     }
     load.send().await;
     while faults.join_next().await.is_some() {}
     load.finish().await;
-    asking.shutdown().await;
+    readiness_polls.shutdown().await;
     let failures = testbed.failures();
     if !failures.is_empty() {
         return Err(SoakError::NotPlayed { failures });
     }
-    let mut history = testbed.facts()?;
-    (history.online, history.jobs) = load.seen();
+    let mut history = testbed.history()?;
+    (history.online, history.jobs) = load.records();
     Ok(history)
 }
 
 /// Applies a fault at its time.
-async fn disturb(testbed: &Testbed, step: &Step) {
-    tokio::time::sleep(Duration::from_millis(step.at_ms)).await;
-    if let Some((moment, delay)) = step.after {
-        let mut moments = testbed.moments();
-        let comes = async {
-            while let Ok(reached) = moments.recv().await {
-                if reached == moment {
+async fn inject_fault(testbed: &Testbed, fault: &ScheduledFault) {
+    tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
+    if let Some((trigger, delay)) = fault.after {
+        let mut subscribe_triggers = testbed.subscribe_triggers();
+        let triggered = async {
+            while let Ok(notify_trigger) = subscribe_triggers.recv().await {
+                if notify_trigger == trigger {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(MOMENT_PATIENCE, comes).await.is_ok() {
+        if tokio::time::timeout(TRIGGER_TIMEOUT, triggered)
+            .await
+            .is_ok()
+        {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
-    testbed.apply(step).await;
+    testbed.apply(fault).await;
 }
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -16,10 +16,10 @@
 pub(super) use self::operator::marker;
 pub(super) use self::workers::EVENTS;
 use self::workers::WorkerSlot;
-use super::calm::{Disturbance, Scope};
+use super::disturbances::{Disturbance, Scope};
 use super::history::{History, RunRecord};
-use super::plan::{Disruption, LinkEnd, Moment, Plan, Service, Step, ZONES};
-use super::{SoakError, journal};
+use super::plan::{Disruption, Plan, ProxiedLink, ScheduledFault, Service, Trigger, ZONES};
+use super::{SoakError, run_log};
 use crate::harness::{Binaries, Process};
 use crate::platform::process::unix_ms;
 use crate::platform::store::{
@@ -36,9 +36,9 @@
 /// The zones of a round in two regions.
 const TWO_REGIONS: [ZoneAndRegion; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
 /// The zone in which the store stands, by its number.
-const STORE_STANDS: usize = 0;
+const STORE_ZONE: usize = 0;
 /// Moments that a slow follower may miss.
-const MOMENTS_KEPT: usize = 256;
+const TRIGGER_CHANNEL_CAPACITY: usize = 256;
 
 /// A round's processes.
 pub(super) struct Testbed {
@@ -49,9 +49,9 @@
     began: u64,
     client: HttpClient,
     /// What operators did and what was struck.
-    facts: Mutex<History>,
+    history: Mutex<History>,
     failures: Mutex<Vec<String>>,
-    moments: broadcast::Sender<Moment>,
+    subscribe_triggers: broadcast::Sender<Trigger>,
     gateways: Vec<GatewaySlot>,
     whole: Vec<WorkerSlot>,
     engines: Vec<WorkerSlot>,
@@ -70,20 +70,20 @@
     ) -> Result<Self, SoakError> {
         std::fs::create_dir_all(&scratch)?;
         let store = start_store(&plan, &binaries, &scratch)?;
-        let doors = addresses(store.announced("doors"))?;
-        let Some((operators_door, doors)) = doors.split_last() else {
-            return Err(SoakError::NoDoor);
+        let store_addresses = addresses(store.announced("doors"))?;
+        let Some((operator_address, store_addresses)) = store_addresses.split_last() else {
+            return Err(SoakError::MissingAddress);
         };
         let mut testbed = Self {
             began: unix_ms(),
             client: HttpClient::new(None),
-            facts: Mutex::default(),
+            history: Mutex::default(),
             failures: Mutex::default(),
-            moments: broadcast::channel(MOMENTS_KEPT).0,
+            subscribe_triggers: broadcast::channel(TRIGGER_CHANNEL_CAPACITY).0,
             gateways: Vec::new(),
             whole: Vec::new(),
             engines: Vec::new(),
-            operator: Operator::new(*operators_door),
+            operator: Operator::new(*operator_address),
             width: plan
                 .regions
                 .map(|regions| Arc::new(Width::new(regions.bytes_per_s))),
@@ -99,12 +99,12 @@
             testbed.engines.push(engine);
         }
         testbed.configure().await;
-        for (index, door) in doors.iter().enumerate() {
-            let gateway = testbed.new_gateway(index, *door).await?;
+        for (index, store_address) in store_addresses.iter().enumerate() {
+            let gateway = testbed.new_gateway(index, *store_address).await?;
             testbed.gateways.push(gateway);
         }
         for index in 0..testbed.gateways.len() {
-            testbed.until_ready(index).await;
+            testbed.wait_until_ready(index).await;
         }
         Ok(testbed)
     }
@@ -118,11 +118,11 @@
     }
 
     /// The way from the store to a gateway: thin and slow to those of the other region.
-    fn way_to_store(&self, gateway: usize) -> Way {
+    fn store_link_way(&self, gateway: usize) -> Way {
         let Some(regions) = self.plan.regions else {
             return Way::default();
         };
-        if self.places().region(gateway) == self.places().region(STORE_STANDS) {
+        if self.places().region(gateway) == self.places().region(STORE_ZONE) {
             return Way::default();
         }
         Way {
@@ -137,13 +137,13 @@
     }
 
     /// Tells what follows moments that one has come.
-    pub(super) fn reached(&self, moment: Moment) {
+    pub(super) fn notify_trigger(&self, trigger: Trigger) {
         // Nobody may be waiting for one.
-        drop(self.moments.send(moment));
+        drop(self.subscribe_triggers.send(trigger));
     }
 
-    pub(super) fn moments(&self) -> broadcast::Receiver<Moment> {
-        self.moments.subscribe()
+    pub(super) fn subscribe_triggers(&self) -> broadcast::Receiver<Trigger> {
+        self.subscribe_triggers.subscribe()
     }
 
     /// Something of the round's own did not work: what it would show is not what the plan says.
@@ -158,17 +158,17 @@
 
     fn record(&self, scope: Scope, from: u64) {
         let to = self.now();
-        lock(&self.facts)
+        lock(&self.history)
             .disturbances
             .push(Disturbance { scope, from, to });
     }
 
     /// What operators did and what was struck, and what workers told.
-    pub(super) fn facts(&self) -> Result<History, SoakError> {
-        let mut facts = lock(&self.facts).clone();
-        facts.own_ends = self.own_ends();
-        facts.runs = self.runs()?;
-        Ok(facts)
+    pub(super) fn history(&self) -> Result<History, SoakError> {
+        let mut history = lock(&self.history).clone();
+        history.unexpected_exits = self.unexpected_exits();
+        history.runs = self.runs()?;
+        Ok(history)
     }
 
     fn runs(&self) -> Result<Vec<RunRecord>, SoakError> {
@@ -181,7 +181,7 @@
                 .to_string_lossy()
                 .into_owned();
             if name.starts_with("worker-") {
-                runs.extend(journal::read(&file, self.began)?);
+                runs.extend(run_log::read(&file, self.began)?);
             }
         }
         runs.sort_by_key(|run: &RunRecord| run.at);
@@ -196,8 +196,8 @@
     }
 
     /// Applies a fault for its time. What it names and is not there is passed over.
-    pub(super) async fn apply(&self, step: &Step) {
-        let time = Duration::from_millis(step.for_ms);
+    pub(super) async fn apply(&self, step: &ScheduledFault) {
+        let time = Duration::from_millis(step.duration_ms);
         match &step.disruption {
             Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, time).await,
             Disruption::KillAllGateways => {
@@ -244,9 +244,9 @@
                 self.command_store(CONTROL_DROP_HISTORY_PATH).await;
                 self.record(Scope::Store, from);
             }
-            Disruption::DealAnew => {
+            Disruption::Rebalance => {
                 self.command_store(CONTROL_REASSIGN_PATH).await;
-                self.reached(Moment::DealtAnew);
+                self.notify_trigger(Trigger::Rebalanced);
             }
             Disruption::Link { link, fault } => self.disturb_link(*link, *fault, time).await,
             Disruption::Configure => self.configure().await,
@@ -255,7 +255,7 @@
     }
 
     async fn command_store(&self, path: &str) {
-        let request = HttpRequest::post(self.operator.door, path, "application/json", "");
+        let request = HttpRequest::post(self.operator.store_address, path, "application/json", "");
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
                 "the store's stand-in does not obey {path}: {error}"
@@ -268,7 +268,8 @@
             return;
         };
         let body = serde_json::to_vec(faults).unwrap_or_default();
-        let request = HttpRequest::post(slot.door, CONTROL_FAULTS_PATH, "application/json", body);
+        let request =
+            HttpRequest::post(slot.store_address, CONTROL_FAULTS_PATH, "application/json", body);
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
                 "the store's stand-in does not take faults: {error}"
@@ -279,12 +280,12 @@
     async fn disturb_store(&self, gateways: &[usize], faults: &StoreFaults, time: Duration) {
         let from = self.now();
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let struck = if gateways.is_empty() { &all } else { gateways };
-        for gateway in struck {
+        let affected = if gateways.is_empty() { &all } else { gateways };
+        for gateway in affected {
             self.set_store_faults(*gateway, faults).await;
         }
         tokio::time::sleep(time).await;
-        for gateway in struck {
+        for gateway in affected {
             self.set_store_faults(*gateway, &StoreFaults::default())
                 .await;
         }
@@ -298,19 +299,19 @@
         }
     }
 
-    async fn disturb_link(&self, end: LinkEnd, fault: Fault, time: Duration) {
+    async fn disturb_link(&self, end: ProxiedLink, fault: Fault, time: Duration) {
         let from = self.now();
         let (link, scope) = match end {
-            LinkEnd::Store(gateway) | LinkEnd::Callers(gateway) => {
+            ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
                 let Some(slot) = self.gateways.get(gateway) else {
                     return;
                 };
-                let is_store = matches!(end, LinkEnd::Store(_));
+                let is_store = matches!(end, ProxiedLink::Store(_));
                 let link = if is_store { &slot.store } else { &slot.callers };
                 (std::sync::Arc::clone(link), Scope::Gateway(gateway))
             }
-            LinkEnd::Whole(index) | LinkEnd::Engine(index) => {
-                let is_whole = matches!(end, LinkEnd::Whole(_));
+            ProxiedLink::Whole(index) | ProxiedLink::Engine(index) => {
+                let is_whole = matches!(end, ProxiedLink::Whole(_));
                 let service = if is_whole {
                     Service::Whole
                 } else {
@@ -352,6 +353,6 @@
 fn addresses(text: &str) -> Result<Vec<std::net::SocketAddr>, SoakError> {
     let parsed = text
         .split(',')
-        .map(|one| one.parse().map_err(|_| SoakError::NoDoor));
+        .map(|one| one.parse().map_err(|_| SoakError::MissingAddress));
     parsed.collect()
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -18,9 +18,9 @@
 };
 use crate::proxy::Link;
 use crate::soak::SoakError;
-use crate::soak::calm::Scope;
+use crate::soak::disturbances::Scope;
 use crate::soak::history::PlannedStop;
-use crate::soak::plan::Moment;
+use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
 /// Two gateways read the directory and the configuration for the others.
@@ -28,17 +28,17 @@
 /// Lease of a partition.
 const LEASE: Duration = Duration::from_secs(1);
 /// Gateways that a later one is told of.
-const SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 /// Pause between questions whether a gateway is ready; two misses in a row take it out.
-const READY_LOOK: Duration = Duration::from_millis(500);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Misses after which callers are no longer sent to a gateway.
-const MISSES: u32 = 2;
+const MAX_READY_FAILURES: u32 = 2;
 /// Longest time that a started gateway is waited for: the log may be away.
-const READY_PATIENCE: Duration = Duration::from_secs(10);
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time of a planned stop, well beyond its grace period.
-const STOP_PATIENCE: Duration = Duration::from_secs(15);
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 /// Pause between looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A gateway's process, links and state.
 pub(super) struct GatewaySlot {
@@ -46,32 +46,32 @@
     pub(super) callers: Arc<Link>,
     pub(super) store: Arc<Link>,
     /// Its door of the store, behind the link.
-    pub(super) door: SocketAddr,
+    pub(super) store_address: SocketAddr,
     /// Where other gateways reach it.
     peers: SocketAddr,
     ready: StdMutex<SocketAddr>,
     settings: PathBuf,
     program: StdMutex<PathBuf>,
     /// Starts of the process so far.
-    life: AtomicUsize,
-    is_in: AtomicBool,
+    generation: AtomicUsize,
+    is_in_rotation: AtomicBool,
     /// Whether the process has ended without being told to.
-    ended_itself: AtomicBool,
+    has_exited_unexpectedly: AtomicBool,
 }
 
 impl Testbed {
     pub(super) async fn new_gateway(
         &self,
         index: usize,
-        door: SocketAddr,
+        store_address: SocketAddr,
     ) -> Result<GatewaySlot, SoakError> {
         let any = ([127, 0, 0, 1], 0).into();
-        let store = Link::open(any, Some(door)).await?;
+        let store = Link::open(any, Some(store_address)).await?;
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
-        let seeds = self.gateways.iter().take(SEEDS);
+        let seeds = self.gateways.iter().take(MAX_SEEDS);
         let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peers)).collect();
         let more = format!("[gateways]\nseeds = [{}]\n", seeds.join(", "));
-        store.set_way(self.way_to_store(index));
+        store.set_way(self.store_link_way(index));
         let program = self.program(index);
         let places = self.places();
         let text = |addresses: GatewayAddresses| {
@@ -96,14 +96,14 @@
         Ok(GatewaySlot {
             callers: Arc::new(callers.await?),
             store: Arc::new(store),
-            door,
+            store_address,
             peers: addresses.peers,
             ready: StdMutex::new(super::addresses(process.announced("ready"))?[0]),
             settings,
             program: StdMutex::new(program),
-            life: AtomicUsize::new(0),
-            is_in: AtomicBool::new(true),
-            ended_itself: AtomicBool::new(false),
+            generation: AtomicUsize::new(0),
+            is_in_rotation: AtomicBool::new(true),
+            has_exited_unexpectedly: AtomicBool::new(false),
             process: Mutex::new(process),
         })
     }
@@ -121,7 +121,7 @@
     }
 
     /// Starts a gateway whose process has ended, and waits until it is ready.
-    async fn start_again(&self, index: usize, process: &mut Process) {
+    async fn restart_gateway(&self, index: usize, process: &mut Process) {
         let slot = &self.gateways[index];
         let program = lock(&slot.program).clone();
         let started = self.start_gateway(&program, &slot.settings);
@@ -133,31 +133,31 @@
         });
         match addresses {
             Ok((callers, ready)) => {
-                slot.life.fetch_add(1, Ordering::SeqCst);
+                slot.generation.fetch_add(1, Ordering::SeqCst);
                 slot.callers.set_target(callers);
                 *lock(&slot.ready) = ready;
             }
             Err(error) => self.record_failure(format!("a gateway does not start: {error}")),
         }
-        self.until_ready(index).await;
+        self.wait_until_ready(index).await;
     }
 
     /// Waits until a gateway is ready, or for as long as it is worth.
-    pub(super) async fn until_ready(&self, index: usize) {
+    pub(super) async fn wait_until_ready(&self, index: usize) {
         let caller = PlatformCaller::default();
         let ready = *lock(&self.gateways[index].ready);
         let waited = async {
             while !caller.is_ready(ready).await {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        drop(tokio::time::timeout(READY_PATIENCE, waited).await);
+        drop(tokio::time::timeout(READY_TIMEOUT, waited).await);
     }
 
-    fn note_own_end(&self, index: usize, process: &mut Process) {
+    fn detect_unexpected_exit(&self, index: usize, process: &mut Process) {
         if !process.is_running() {
             let slot = &self.gateways[index];
-            slot.ended_itself.store(true, Ordering::SeqCst);
+            slot.has_exited_unexpectedly.store(true, Ordering::SeqCst);
         }
     }
 
@@ -167,10 +167,10 @@
         };
         let mut process = slot.process.lock().await;
         let from = self.now();
-        self.note_own_end(index, &mut process);
+        self.detect_unexpected_exit(index, &mut process);
         tokio::task::block_in_place(|| process.kill());
         tokio::time::sleep(time).await;
-        self.start_again(index, &mut process).await;
+        self.restart_gateway(index, &mut process).await;
         self.record(Scope::Gateway(index), from);
     }
 
@@ -191,16 +191,16 @@
             return;
         };
         let mut process = slot.process.lock().await;
-        self.note_own_end(index, &mut process);
+        self.detect_unexpected_exit(index, &mut process);
         let at = self.now();
         process.terminate();
-        self.reached(Moment::PlannedStop);
+        self.notify_trigger(Trigger::PlannedStop);
         let ends = async {
             while process.is_running() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_PATIENCE, ends).await.is_err() {
+        if tokio::time::timeout(STOP_TIMEOUT, ends).await.is_err() {
             self.record_failure(format!("gateway {index} does not stop"));
             tokio::task::block_in_place(|| process.kill());
         }
@@ -210,10 +210,10 @@
             at,
             ended,
         };
-        lock(&self.facts).stops.push(stop);
+        lock(&self.history).stops.push(stop);
         // A planned stop is how a gateway comes to the newest build.
         lock(&slot.program).clone_from(&self.binaries.node);
-        self.start_again(index, &mut process).await;
+        self.restart_gateway(index, &mut process).await;
         self.record(Scope::PlannedStop(index), at);
     }
 
@@ -240,13 +240,13 @@
     }
 
     /// Gateways whose process ended without being told to.
-    pub(super) fn own_ends(&self) -> Vec<usize> {
+    pub(super) fn unexpected_exits(&self) -> Vec<usize> {
         let ended = |index: &usize| {
             let slot = &self.gateways[*index];
             if let Ok(mut process) = slot.process.try_lock() {
-                self.note_own_end(*index, &mut process);
+                self.detect_unexpected_exit(*index, &mut process);
             }
-            slot.ended_itself.load(Ordering::SeqCst)
+            slot.has_exited_unexpectedly.load(Ordering::SeqCst)
         };
         (0..self.gateways.len()).filter(ended).collect()
     }
@@ -254,28 +254,31 @@
     /// Asks a gateway from time to time whether it is ready, as a platform does.
     pub(in crate::soak) async fn poll_readiness(&self, index: usize) {
         let caller = PlatformCaller::default();
-        let mut misses = 0;
+        let mut failures_in_a_row = 0;
         loop {
             let ready = *lock(&self.gateways[index].ready);
-            let answer = tokio::time::timeout(READY_LOOK, caller.is_ready(ready)).await;
-            misses = if answer.unwrap_or(false) {
+            let answer = tokio::time::timeout(READY_POLL_INTERVAL, caller.is_ready(ready)).await;
+            failures_in_a_row = if answer.unwrap_or(false) {
                 0
             } else {
-                misses + 1
+                failures_in_a_row + 1
             };
-            let is_in = misses < MISSES;
-            self.gateways[index].is_in.store(is_in, Ordering::SeqCst);
-            tokio::time::sleep(READY_LOOK).await;
+            let is_in_rotation = failures_in_a_row < MAX_READY_FAILURES;
+            self.gateways[index]
+                .is_in_rotation
+                .store(is_in_rotation, Ordering::SeqCst);
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
     /// A gateway that a caller is sent to: one that is in, or any if too few are.
     pub(in crate::soak) fn pick_gateway(&self) -> usize {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let is_in = |index: &usize| self.gateways[*index].is_in.load(Ordering::SeqCst);
-        let there: Vec<usize> = all.iter().copied().filter(is_in).collect();
-        let few = there.len() * 2 < all.len();
-        let choice = if few { &all } else { &there };
+        let is_in_rotation =
+            |index: &usize| self.gateways[*index].is_in_rotation.load(Ordering::SeqCst);
+        let in_rotation: Vec<usize> = all.iter().copied().filter(is_in_rotation).collect();
+        let are_too_few = in_rotation.len() * 2 < all.len();
+        let choice = if are_too_few { &all } else { &in_rotation };
         choice.choose(&mut rand::rng()).copied().unwrap_or(0)
     }
 
@@ -290,7 +293,7 @@
     }
 
     /// The start of a gateway's process that runs, counted from 0.
-    pub(in crate::soak) fn life(&self, index: usize) -> usize {
-        self.gateways[index].life.load(Ordering::SeqCst)
+    pub(in crate::soak) fn generation(&self, index: usize) -> usize {
+        self.gateways[index].generation.load(Ordering::SeqCst)
     }
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -11,27 +11,27 @@
 
 use super::{CONTROL_TIMEOUT, Testbed};
 use crate::platform::fleet::{BATCH, STREAM_ONCE, first_configuration, route};
-use crate::soak::history::{Configured, Evacuation, Residence};
-use crate::soak::plan::Moment;
+use crate::soak::history::{Evacuation, PublishedConfiguration, ResidencyRule};
+use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
 /// Routes of earlier versions that a configuration keeps.
-const MARKERS_KEPT: u64 = 4;
+const MAX_EARLIER_MARKERS: u64 = 4;
 
 /// The zone to whose region a route is bound, by its number.
-const BOUND_TO: usize = 0;
+const RESIDENCY_ZONE: usize = 0;
 
 /// The operator.
 pub(super) struct Operator {
     /// A door of the store without faults.
-    pub(super) door: SocketAddr,
+    pub(super) store_address: SocketAddr,
     version: AtomicU64,
 }
 
 impl Operator {
-    pub(super) fn new(door: SocketAddr) -> Self {
+    pub(super) fn new(store_address: SocketAddr) -> Self {
         Self {
-            door,
+            store_address,
             version: AtomicU64::new(0),
         }
     }
@@ -52,7 +52,12 @@
             queries::PARTITION
         );
         let body = record(key, value);
-        let request = HttpRequest::post(self.operator.door, path, "application/octet-stream", body);
+        let request = HttpRequest::post(
+            self.operator.store_address,
+            path,
+            "application/octet-stream",
+            body,
+        );
         let answer = self.client.expect_success(request, CONTROL_TIMEOUT).await;
         if let Err(error) = &answer {
             self.record_failure(format!(
@@ -67,9 +72,9 @@
         let version = self.operator.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut document = first_configuration();
         document.version = version;
-        self.bind(&mut document);
-        self.limit(&mut document);
-        let oldest = version.saturating_sub(MARKERS_KEPT).max(1);
+        self.apply_regions(&mut document);
+        self.apply_queue_limit(&mut document);
+        let oldest = version.saturating_sub(MAX_EARLIER_MARKERS).max(1);
         for marked in oldest..=version {
             let marker = route(&marker(marked), values::IDEMPOTENT, "whole");
             document.routes.push(marker);
@@ -80,41 +85,41 @@
             .await
         {
             let at = self.now();
-            let configured = Configured { version, at };
-            lock(&self.facts).configurations.push(configured);
-            self.reached(Moment::Configured);
+            let published = PublishedConfiguration { version, at };
+            lock(&self.history).configurations.push(published);
+            self.notify_trigger(Trigger::PublishedConfiguration);
         }
     }
 
     /// Limits what may wait on the batch route.
-    fn limit(&self, document: &mut ConfigurationDocument) {
-        let Some(limit) = self.plan.waiting_limit else {
+    fn apply_queue_limit(&self, document: &mut ConfigurationDocument) {
+        let Some(limit) = self.plan.queue_limit else {
             return;
         };
-        lock(&self.facts).waiting_limit = Some(limit.tokens);
+        lock(&self.history).queue_limit = Some(limit.tokens);
         let batch = document.routes.iter_mut();
-        for route in batch.filter(|route| route.path_prefix == BATCH && limit.is_told) {
+        for route in batch.filter(|route| route.path_prefix == BATCH && limit.is_announced) {
             route.max_queued_tokens = Some(limit.tokens as f64);
         }
     }
 
     /// Binds a route to one region, and tells how workers start.
-    fn bind(&self, document: &mut ConfigurationDocument) {
+    fn apply_regions(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
-            let region = self.places().region(BOUND_TO);
+            let region = self.places().region(RESIDENCY_ZONE);
             let bound = document.routes.iter_mut();
             for route in bound.filter(|route| route.path_prefix == STREAM_ONCE) {
                 route.allowed_regions = vec![region.to_owned()];
             }
-            let residence = Residence {
+            let residence = ResidencyRule {
                 path_prefix: STREAM_ONCE.to_owned(),
                 regions: vec![region.to_owned()],
             };
-            lock(&self.facts).residences = vec![residence];
+            lock(&self.history).residency_rules = vec![residence];
         }
-        if let Some(cold) = self.plan.cold.filter(|cold| cold.is_told) {
+        if let Some(cold) = self.plan.cold.filter(|cold| cold.is_announced) {
             for service in &mut document.services {
-                service.cold_s = cold.lasts_ms as f64 / 1e3;
+                service.cold_s = cold.duration_ms as f64 / 1e3;
                 service.cold_per_s = cold.per_second;
             }
         }
@@ -137,14 +142,14 @@
         };
         tokio::time::sleep(time).await;
         evacuation.withdrawn = Some(self.now());
-        lock(&self.facts).evacuations.push(evacuation);
+        lock(&self.history).evacuations.push(evacuation);
         self.put(topics::OPERATOR, key.as_bytes(), &[]).await;
     }
 
     /// The newest configuration that was acknowledged.
-    pub(in crate::soak) fn configured(&self) -> Option<Configured> {
-        let facts = lock(&self.facts);
-        facts
+    pub(in crate::soak) fn configured(&self) -> Option<PublishedConfiguration> {
+        let history = lock(&self.history);
+        history
             .configurations
             .iter()
             .max_by_key(|it| it.version)
@@ -152,14 +157,14 @@
     }
 
     /// Lists a worker in a state.
-    pub(super) async fn list(&self, incarnation: &str, document: &WorkerDocument) -> bool {
+    pub(super) async fn put_worker(&self, incarnation: &str, document: &WorkerDocument) -> bool {
         let body = serde_json::to_vec(document).unwrap_or_default();
         self.put(topics::WORKERS, incarnation.as_bytes(), &body)
             .await
     }
 
     /// Takes a worker out of the directory.
-    pub(super) async fn unlist(&self, incarnation: &str) {
+    pub(super) async fn remove_worker(&self, incarnation: &str) {
         self.put(topics::WORKERS, incarnation.as_bytes(), &[]).await;
     }
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -13,8 +13,8 @@
 use crate::platform::worker::{CONTROL_BEHAVIOUR_PATH, WorkerBehaviour};
 use crate::proxy::Link;
 use crate::soak::SoakError;
-use crate::soak::calm::Scope;
-use crate::soak::history::{ColdSpell, Leaving, WorkerPlace};
+use crate::soak::disturbances::Scope;
+use crate::soak::history::{ColdPeriod, WorkerDrain, WorkerLocation};
 use crate::soak::plan::{ColdStarts, Service};
 use crate::stand_in::lock;
 
@@ -23,10 +23,10 @@
 /// Time before a whole answer and between events, in milliseconds.
 const PAUSE_MS: u64 = 15;
 /// Silence after which the entry of a worker goes: three heartbeats of a second.
-const ENTRY_GOES_AFTER: Duration = Duration::from_secs(3);
+const ENTRY_TTL: Duration = Duration::from_secs(3);
 /// Time for which a leaving worker serves on: what it has may take, and twice the time within which
 /// gateways must obey.
-const SERVES_ON: Duration = Duration::from_secs(5);
+const DRAIN_TIME: Duration = Duration::from_secs(5);
 
 /// A worker and those that take its place.
 pub(super) struct WorkerSlot {
@@ -44,7 +44,7 @@
     started: u64,
 }
 
-fn name(service: Service) -> &'static str {
+fn service_name(service: Service) -> &'static str {
     match service {
         Service::Whole => "whole",
         Service::Engine => "engine",
@@ -70,7 +70,7 @@
         generation: u32,
         link: Option<Arc<Link>>,
     ) -> Result<WorkerState, SoakError> {
-        let incarnation = format!("{}-{index}-{generation}", name(service));
+        let incarnation = format!("{}-{index}-{generation}", service_name(service));
         let mut arguments = vec!["platform-worker".to_owned()];
         let mut option = |name: &str, value: String| {
             arguments.extend([format!("--{name}"), value]);
@@ -100,16 +100,16 @@
             link,
             generation,
         };
-        self.note_start(index, &state);
-        self.list_worker(service, &state, values::READY).await;
+        self.record_worker_start(index, &state);
+        self.publish_worker(service, &state, values::READY).await;
         Ok(state)
     }
 
     /// The zone that a worker's entry names.
-    fn told_zone(&self, worker: &WorkerState) -> String {
+    fn announced_zone(&self, worker: &WorkerState) -> String {
         let regions = self.plan.regions;
-        let is_told = regions.is_none_or(|regions| regions.is_told);
-        let zone = if is_told {
+        let is_announced = regions.is_none_or(|regions| regions.is_announced);
+        let zone = if is_announced {
             worker.zone
         } else {
             self.places().zone(0)
@@ -120,17 +120,17 @@
     /// For how long a worker tells that it is cold.
     fn cold_left_ms(&self, worker: &WorkerState) -> f64 {
         let cold = self.cold_start(worker.generation);
-        let told = cold.filter(|cold| cold.is_told);
-        let until = told.map_or(0, |cold| worker.started + cold.lasts_ms);
+        let announced = cold.filter(|cold| cold.is_announced);
+        let until = announced.map_or(0, |cold| worker.started + cold.duration_ms);
         until.saturating_sub(self.now()) as f64
     }
 
     /// What is to be known of a worker that starts.
-    fn note_start(&self, index: usize, worker: &WorkerState) {
-        let mut facts = lock(&self.facts);
+    fn record_worker_start(&self, index: usize, worker: &WorkerState) {
+        let mut history = lock(&self.history);
         if self.plan.regions.is_some() {
             let places = self.places();
-            facts.places.push(WorkerPlace {
+            history.worker_locations.push(WorkerLocation {
                 incarnation: worker.incarnation.clone(),
                 zone: places.zone(index).to_owned(),
                 region: places.region(index).to_owned(),
@@ -138,11 +138,11 @@
         }
         if let Some(cold) = self.cold_start(worker.generation) {
             let from = self.now();
-            facts.cold.push(ColdSpell {
+            history.cold_periods.push(ColdPeriod {
                 incarnation: worker.incarnation.clone(),
                 per_second: cold.per_second,
                 from,
-                to: from + cold.lasts_ms,
+                to: from + cold.duration_ms,
             });
         }
     }
@@ -152,11 +152,11 @@
         self.plan.cold.filter(|_| generation > 0)
     }
 
-    async fn list_worker(&self, service: Service, worker: &WorkerState, state: &str) -> bool {
+    async fn publish_worker(&self, service: Service, worker: &WorkerState, state: &str) -> bool {
         let document = WorkerDocument {
-            service: name(service).to_owned(),
+            service: service_name(service).to_owned(),
             address: worker.link.address.to_string(),
-            zone: self.told_zone(worker),
+            zone: self.announced_zone(worker),
             version: "v1".to_owned(),
             slots: self.plan.slots as u32,
             state: state.to_owned(),
@@ -164,7 +164,7 @@
             call_seq: 1,
             born: None,
         };
-        self.list(&worker.incarnation, &document).await
+        self.put_worker(&worker.incarnation, &document).await
     }
 
     /// Puts another worker in the place of one that has gone.
@@ -195,9 +195,9 @@
         let mut worker = slot.state.lock().await;
         let from = self.now();
         worker.process.kill();
-        tokio::time::sleep(time.min(ENTRY_GOES_AFTER)).await;
-        self.unlist(&worker.incarnation).await;
-        tokio::time::sleep(time.saturating_sub(ENTRY_GOES_AFTER)).await;
+        tokio::time::sleep(time.min(ENTRY_TTL)).await;
+        self.remove_worker(&worker.incarnation).await;
+        tokio::time::sleep(time.saturating_sub(ENTRY_TTL)).await;
         self.record(Scope::Worker(worker.incarnation.clone()), from);
         let link = same_address.then(|| Arc::clone(&worker.link));
         self.replace(service, index, &mut worker, link).await;
@@ -220,15 +220,18 @@
             return;
         };
         let mut worker = slot.state.lock().await;
-        if self.list_worker(service, &worker, values::DRAINING).await {
-            let leaving = Leaving {
+        if self
+            .publish_worker(service, &worker, values::DRAINING)
+            .await
+        {
+            let drain = WorkerDrain {
                 incarnation: worker.incarnation.clone(),
                 at: self.now(),
             };
-            lock(&self.facts).leaving.push(leaving);
+            lock(&self.history).drains.push(drain);
         }
-        tokio::time::sleep(SERVES_ON + time / 4).await;
-        self.unlist(&worker.incarnation).await;
+        tokio::time::sleep(DRAIN_TIME + time / 4).await;
+        self.remove_worker(&worker.incarnation).await;
         let from = self.now();
         worker.process.kill();
         self.record(Scope::Worker(worker.incarnation.clone()), from);
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -2,10 +2,11 @@
 //! meant for. Plans of faults: reproducible from their seed, and serializable without loss.
 
 use swiftshunt_lab::platform::worker::{RunEvent, event_data};
-use swiftshunt_lab::soak::calm::{Disturbance, Scope};
+use swiftshunt_lab::soak::disturbances::{Disturbance, Scope};
 use swiftshunt_lab::soak::history::{
-    ColdSpell, Configured, Ending, Evacuation, History, JobHistory, Leaving, Listed, OnlineCall,
-    OnlineKind, PlannedStop, Reading, Residence, RunRecord, Submission, WorkerPlace,
+    ColdPeriod, Ending, Evacuation, History, JobHistory, ListedResult, OnlineCall, OnlineKind,
+    PlannedStop, PublishedConfiguration, Reading, ResidencyRule, RunRecord, Submission,
+    WorkerDrain, WorkerLocation,
 };
 use swiftshunt_lab::soak::plan::Plan;
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
@@ -34,7 +35,7 @@
         path: path.to_owned(),
         kind,
         gateway: 0,
-        life: 0,
+        generation: 0,
         sent,
         ended: sent + 100,
         deadline: 5_000,
@@ -62,16 +63,16 @@
 }
 
 /// Returns the listed result of an item that completed with its whole output.
-fn listed(item: &str) -> Listed {
+fn listed(item: &str) -> ListedResult {
     let pieces: Vec<String> = (0..12).map(|event| event_data(item, event)).collect();
-    Listed {
+    ListedResult {
         item: item.to_owned(),
         completed: true,
         text: pieces.join("\n"),
     }
 }
 
-fn reading(gateway: usize, sent: u64, results: Vec<Listed>) -> Reading {
+fn reading(gateway: usize, sent: u64, results: Vec<ListedResult>) -> Reading {
     Reading {
         gateway,
         sent,
@@ -85,7 +86,7 @@
 
 fn job(id: &str) -> JobHistory {
     let items = [format!("{id}-a"), format!("{id}-b")];
-    let results: Vec<Listed> = items.iter().map(|item| listed(item)).collect();
+    let results: Vec<ListedResult> = items.iter().map(|item| listed(item)).collect();
     JobHistory {
         id: id.to_owned(),
         items: items.to_vec(),
@@ -152,20 +153,20 @@
             marker("m2", 2, CONFIGURED_AT + 3_500),
         ],
         jobs: vec![job("job"), job("ended")],
-        configurations: vec![Configured {
+        configurations: vec![PublishedConfiguration {
             version: 2,
             at: CONFIGURED_AT,
         }],
-        leaving: vec![Leaving {
+        drains: vec![WorkerDrain {
             incarnation: "engine-0-0".to_owned(),
             at: WORKER_LEAVES_AT,
         }],
-        places: vec![WorkerPlace {
+        worker_locations: vec![WorkerLocation {
             incarnation: "engine-0-0".to_owned(),
             zone: "zone-a".to_owned(),
             region: "region-a".to_owned(),
         }],
-        cold: vec![ColdSpell {
+        cold_periods: vec![ColdPeriod {
             incarnation: "engine-0-0".to_owned(),
             per_second: 2.0,
             from: 4_000,
@@ -176,11 +177,11 @@
             at: EVACUATED_AT,
             withdrawn: Some(WITHDRAWN_AT),
         }],
-        residences: vec![Residence {
+        residency_rules: vec![ResidencyRule {
             path_prefix: "/ask/".to_owned(),
             regions: vec!["region-a".to_owned()],
         }],
-        waiting_limit: Some(200),
+        queue_limit: Some(200),
         stops: vec![PlannedStop {
             gateway: 0,
             at: GATEWAY_STOPS_AT,
@@ -193,8 +194,8 @@
         }],
         ..History::default()
     };
-    history.jobs[1].end_asked = true;
-    history.jobs[1].ended = Some(JOB_ENDED_AT);
+    history.jobs[1].cancel_requested = true;
+    history.jobs[1].cancelled_at = Some(JOB_ENDED_AT);
     for (id, path, at) in [
         ("ask", "/ask/", 5_000),
         ("once", "/once/", 5_000),
@@ -233,7 +234,7 @@
 #[test_case(Promise::AtMostOnce, |history| history.runs.extend(whole_run("once", "/once/", 5_050)); "a request that must not be repeated ran twice")]
 #[test_case(Promise::AskedFor, |history| history.runs.extend(whole_run("nobody", "/ask/", 9_000)); "a run without a request")]
 #[test_case(Promise::AskedFor, |history| history.runs[0].path = "/other/".to_owned(); "a run on another path")]
-#[test_case(Promise::Leaving, |history| history.runs.extend(whole_run("ask", "/ask/", WORKER_LEAVES_AT + 2_500)); "a run at a worker that left")]
+#[test_case(Promise::Draining, |history| history.runs.extend(whole_run("ask", "/ask/", WORKER_LEAVES_AT + 2_500)); "a run at a worker that left")]
 #[test_case(Promise::PlannedStop, |history| history.online[4].ending = Ending::Broken; "a response cut off by a planned stop")]
 #[test_case(Promise::Configuration, |history| history.online[6].ending = answered(404, false); "a configuration not in force in time")]
 #[test_case(Promise::Configuration, |history| history.online[7].ending = answered(404, false); "a gateway reverted to an earlier configuration")]
@@ -241,7 +242,7 @@
 #[test_case(Promise::FinalAnswer, |history| history.online[0].ending = Ending::Unanswered; "no response")]
 #[test_case(Promise::CallerLeft, |history| history.runs.push(run(RunEvent::Ended, "left", "/stream/", 15_800)); "a run that continued after its caller disconnected")]
 #[test_case(Promise::CallerLeft, |history| history.runs.extend(whole_run("left", "/stream/", 15_700)); "a run that began after its caller disconnected")]
-#[test_case(Promise::StaysUp, |history| history.own_ends.push(1); "a gateway process that exited unexpectedly")]
+#[test_case(Promise::StaysUp, |history| history.unexpected_exits.push(1); "a gateway process that exited unexpectedly")]
 #[test_case(Promise::Cancelled, |history| history.runs.extend(whole_run("ended-b", "/batch/1", JOB_ENDED_AT + 3_500)); "an item that ran after its job was ended")]
 #[test_case(Promise::ExactlyOnce, |history| drop(history.jobs[0].final_readings[1].results.pop()); "a result missing at one gateway")]
 #[test_case(Promise::ExactlyOnce, |history| history.jobs[0].final_readings[1].results.swap(0, 1); "results at changed positions")]
@@ -253,8 +254,8 @@
 #[test_case(Promise::ExactlyOnce, |history| history.jobs[1].final_readings[0].results.clear(); "results of an ended job that disappeared")]
 #[test_case(Promise::Cold, |history| history.runs.extend(arrivals(9, 7_000)); "more requests than the bound of a cold worker")]
 #[test_case(Promise::Evacuated, |history| history.runs.extend(whole_run("ask", "/ask/", EVACUATED_AT + 5_500)); "a run in an evacuated zone")]
-#[test_case(Promise::WaitingLimit, |history| history.waiting_limit = Some(199); "more queued tokens than the limit")]
-#[test_case(Promise::Residency, |history| history.places[0].region = "region-b".to_owned(); "a run outside the allowed regions")]
+#[test_case(Promise::QueueLimit, |history| history.queue_limit = Some(199); "more queued tokens than the limit")]
+#[test_case(Promise::Residency, |history| history.worker_locations[0].region = "region-b".to_owned(); "a run outside the allowed regions")]
 fn each_kind_of_broken_promise_is_detected(promise: Promise, corrupt: impl Fn(&mut History)) {
     let mut history = valid_history();
     corrupt(&mut history);
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -8,7 +8,9 @@
 use swiftshunt_lab::platform::store::StoreFaults;
 use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_lab::soak::history::History;
-use swiftshunt_lab::soak::plan::{ColdStarts, Disruption, Plan, Service, Step, WaitingLimit};
+use swiftshunt_lab::soak::plan::{
+    ColdStarts, Disruption, Plan, QueueLimit, ScheduledFault, Service,
+};
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
 use test_case::test_case;
 use tokio::sync::Mutex;
@@ -77,10 +79,10 @@
 fn plan_with(disruption: Disruption) -> Plan {
     let mut plan = Plan::draw(1, SHORT_MINUTES);
     plan.job_burst_interval_ms = 1_000;
-    plan.faults = vec![Step {
+    plan.faults = vec![ScheduledFault {
         at_ms: 1_000,
         after: None,
-        for_ms: plan.load_ms,
+        duration_ms: plan.load_ms,
         disruption,
     }];
     plan
@@ -123,7 +125,7 @@
     plan.faults = single.faults;
     plan.cold = None;
     if let Some(regions) = &mut plan.regions {
-        regions.is_told = false;
+        regions.is_announced = false;
     }
     let history = play(plan).await;
     let verdict = judge(promise, &history);
@@ -133,12 +135,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queue_limit_missing_from_the_configuration_is_detected() {
     let mut plan = plan_with(Disruption::Configure);
-    plan.waiting_limit = Some(WaitingLimit {
+    plan.queue_limit = Some(QueueLimit {
         tokens: 1,
-        is_told: false,
+        is_announced: false,
     });
     let history = play(plan).await;
-    let verdict = judge(Promise::WaitingLimit, &history);
+    let verdict = judge(Promise::QueueLimit, &history);
     assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
 }
 
@@ -149,13 +151,13 @@
         index: 0,
         same_address: false,
     });
-    plan.faults[0].for_ms = 500;
+    plan.faults[0].duration_ms = 500;
     plan.workers = 2;
     plan.requests_per_s = 100.0;
     plan.cold = Some(ColdStarts {
         per_second: 1.0,
-        lasts_ms: plan.load_ms,
-        is_told: false,
+        duration_ms: plan.load_ms,
+        is_announced: false,
     });
     let history = play(plan).await;
     let verdict = judge(Promise::Cold, &history);
