--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -50,7 +50,7 @@
 
 /// Runs the soak; fails if a promise was broken.
 pub async fn run(arguments: SoakArguments) -> Result<ExitCode, SoakError> {
-    let soak = Soak {
+    let runner = Runner {
         binaries: Binaries {
             earlier: arguments.earlier,
             ..Binaries::own()?
@@ -61,32 +61,32 @@
             arguments.only
         },
         output: arguments.output,
-        shrink: arguments.shrink,
+        max_shrink_rounds: arguments.shrink,
     };
     if let Some(file) = arguments.replay {
         let text = std::fs::read_to_string(file)?;
         let plan = serde_json::from_str(&text).map_err(std::io::Error::other)?;
-        let is_kept = soak.round(plan).await?;
-        return Ok(verdict(usize::from(!is_kept), 1));
+        let all_kept = runner.run_plan(plan).await?;
+        return Ok(exit_code(usize::from(!all_kept), 1));
     }
-    let until =
+    let deadline =
         std::time::Instant::now() + std::time::Duration::from_secs_f64(arguments.minutes * 60.0);
     let first = arguments
         .seed
         .unwrap_or_else(|| u64::from(rand::random::<u32>()));
     let (mut broken, mut rounds_played) = (0, 0);
-    while rounds_played == 0 || std::time::Instant::now() < until {
+    while rounds_played == 0 || std::time::Instant::now() < deadline {
         let mut plan = Plan::draw(first + rounds_played as u64, ROUND_MINUTES);
         if arguments.regions {
             plan = plan.in_two_regions();
         }
-        broken += usize::from(!soak.round(plan).await?);
+        broken += usize::from(!runner.run_plan(plan).await?);
         rounds_played += 1;
     }
-    Ok(verdict(broken, rounds_played))
+    Ok(exit_code(broken, rounds_played))
 }
 
-fn verdict(broken: usize, rounds_played: usize) -> ExitCode {
+fn exit_code(broken: usize, rounds_played: usize) -> ExitCode {
     println!("{rounds_played} rounds, {broken} with a broken promise");
     if broken == 0 {
         ExitCode::SUCCESS
@@ -95,18 +95,18 @@
     }
 }
 
-struct Soak {
+struct Runner {
     binaries: Binaries,
     promises: Vec<Promise>,
     output: PathBuf,
-    shrink: usize,
+    max_shrink_rounds: usize,
 }
 
-impl Soak {
+impl Runner {
     /// Plays a plan and tells what came of it; whether everything held.
-    async fn round(&self, plan: Plan) -> Result<bool, SoakError> {
+    async fn run_plan(&self, plan: Plan) -> Result<bool, SoakError> {
         let folder = self.output.join(plan.seed.to_string());
-        let verdicts = self.play_in(&plan, &folder).await?;
+        let verdicts = self.play_into(&plan, &folder).await?;
         let broken: Vec<Promise> = verdicts
             .iter()
             .filter(|verdict| !verdict.breaks.is_empty())
@@ -115,7 +115,7 @@
         if broken.is_empty() {
             return Ok(true);
         }
-        self.explain(&verdicts, &folder);
+        self.print_timelines(&verdicts, &folder);
         let shrunk = self.shrink(plan, &broken, &folder).await?;
         write_json(&folder.join("shrunk.json"), &shrunk)?;
         println!(
@@ -126,7 +126,7 @@
         Ok(false)
     }
 
-    async fn play_in(&self, plan: &Plan, folder: &Path) -> Result<Vec<Verdict>, SoakError> {
+    async fn play_into(&self, plan: &Plan, folder: &Path) -> Result<Vec<Verdict>, SoakError> {
         if folder.exists() {
             std::fs::remove_dir_all(folder)?;
         }
@@ -134,7 +134,7 @@
         write_json(&folder.join("plan.json"), plan)?;
         let history = play(plan.clone(), self.binaries.clone(), folder.join("logs")).await?;
         write_json(&folder.join("history.json"), &history)?;
-        let verdicts = self.judge(&history);
+        let verdicts = self.judge_all(&history);
         let report = report::Report::new(plan, &history, &verdicts);
         print!("{}", report.text());
         write_json(&folder.join("report.json"), &report)?;
@@ -144,13 +144,13 @@
         Ok(verdicts)
     }
 
-    fn judge(&self, history: &History) -> Vec<Verdict> {
+    fn judge_all(&self, history: &History) -> Vec<Verdict> {
         let promises = self.promises.iter();
         promises.map(|promise| judge(*promise, history)).collect()
     }
 
     /// Writes the timeline of the first thing that broke of each promise.
-    fn explain(&self, verdicts: &[Verdict], folder: &Path) {
+    fn print_timelines(&self, verdicts: &[Verdict], folder: &Path) {
         let files = std::fs::read_dir(folder.join("logs")).into_iter().flatten();
         let paths = files.filter_map(|file| Some(file.ok()?.path()));
         let is_log = |path: &PathBuf| {
@@ -174,10 +174,10 @@
     ) -> Result<Plan, SoakError> {
         let mut plays = 0;
         let mut index = 0;
-        while index < plan.faults.len() && plays < self.shrink {
+        while index < plan.faults.len() && plays < self.max_shrink_rounds {
             let mut candidate = plan.clone();
             candidate.faults.remove(index);
-            let verdicts = self.play_in(&candidate, &folder.join("shrink")).await?;
+            let verdicts = self.play_into(&candidate, &folder.join("shrink")).await?;
             plays += 1;
             let is_still_broken = verdicts
                 .iter()
--- a/crates/swiftshunt-lab/src/soak/load/jobs.rs
+++ b/crates/swiftshunt-lab/src/soak/load/jobs.rs
@@ -55,9 +55,9 @@
         for _ in 0..MAX_SUBMISSION_ATTEMPTS {
             let gateway = self.testbed.pick_gateway();
             let sent = self.testbed.now();
-            let address = self.testbed.callers(gateway);
-            let asked = self.caller.submit(address, BATCH, &job.id, count);
-            let answer = tokio::time::timeout(SUBMISSION_TIMEOUT, asked).await;
+            let address = self.testbed.caller_address(gateway);
+            let call = self.caller.submit(address, BATCH, &job.id, count);
+            let answer = tokio::time::timeout(SUBMISSION_TIMEOUT, call).await;
             let status = match answer {
                 Ok(Ok(status)) => Some(status.as_u16()),
                 Ok(Err(_)) | Err(_) => None,
@@ -106,8 +106,10 @@
     async fn cancel(&self, job: &mut JobHistory) {
         let gateway = self.testbed.pick_gateway();
         job.cancel_requested = true;
-        let asked = self.caller.end(self.testbed.callers(gateway), &job.id);
-        let answer = tokio::time::timeout(READ_TIMEOUT, asked).await;
+        let call = self
+            .caller
+            .end(self.testbed.caller_address(gateway), &job.id);
+        let answer = tokio::time::timeout(READ_TIMEOUT, call).await;
         if matches!(answer, Ok(Ok(status)) if status.is_success()) {
             job.cancelled_at = Some(self.testbed.now());
             self.testbed.notify_trigger(Trigger::JobCancelled);
@@ -116,9 +118,9 @@
 
     async fn read(&self, gateway: usize, job: &str, from: usize) -> Reading {
         let sent = self.testbed.now();
-        let address = self.testbed.callers(gateway);
-        let asked = self.caller.results(address, job, from, Duration::ZERO);
-        let answer = tokio::time::timeout(READ_TIMEOUT, asked).await;
+        let address = self.testbed.caller_address(gateway);
+        let call = self.caller.results(address, job, from, Duration::ZERO);
+        let answer = tokio::time::timeout(READ_TIMEOUT, call).await;
         let (status, page) = match answer {
             Ok(Ok((status, page))) => (Some(status.as_u16()), Some(page)),
             Ok(Err(_)) | Err(_) => (None, None),
--- a/crates/swiftshunt-lab/src/soak/load/online.rs
+++ b/crates/swiftshunt-lab/src/soak/load/online.rs
@@ -30,31 +30,31 @@
             5..=7 => (OnlineKind::Stream, STREAM),
             _ => (OnlineKind::StreamOnce, STREAM_ONCE),
         };
-        self.ask(kind, path.to_owned()).await;
+        self.send_request(kind, path.to_owned()).await;
     }
 
     /// One request on the route that the newest configuration brought.
     pub(super) async fn send_marker_request(self: &Arc<Self>) {
-        let Some(configured) = self.testbed.configured() else {
+        let Some(configuration) = self.testbed.latest_configuration() else {
             return;
         };
-        let version = configured.version;
-        self.ask(OnlineKind::Marker { version }, marker(version))
+        let version = configuration.version;
+        self.send_request(OnlineKind::Marker { version }, marker(version))
             .await;
     }
 
-    async fn ask(&self, kind: OnlineKind, path: String) {
+    async fn send_request(&self, kind: OnlineKind, path: String) {
         let gateway = self.testbed.pick_gateway();
         let id = format!("r-{:016x}", rand::random::<u64>());
         let deadline = rand::rng().random_range(DEADLINE_MS);
         let timeout = Duration::from_millis(deadline);
         let (generation, sent) = (self.testbed.generation(gateway), self.testbed.now());
-        let asked = self
+        let call = self
             .caller
-            .ask(self.testbed.callers(gateway), &path, &id, timeout);
+            .ask(self.testbed.caller_address(gateway), &path, &id, timeout);
         let disconnect_delay = draw_disconnect_delay(kind);
         let wait_limit = disconnect_delay.unwrap_or(timeout + LATE_RESPONSE_GRACE);
-        let answer = tokio::time::timeout(wait_limit, asked).await;
+        let answer = tokio::time::timeout(wait_limit, call).await;
         let ending = match answer {
             Err(_) if disconnect_delay.is_some() => Ending::Left,
             Err(_) => Ending::Unanswered,
--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -139,7 +139,7 @@
     #[serde(rename = "job_ended")]
     JobCancelled,
     /// A configuration was acknowledged.
-    PublishedConfiguration,
+    Configured,
     /// Partitions were dealt anew.
     #[serde(rename = "dealt_anew")]
     Rebalanced,
@@ -355,7 +355,7 @@
         let triggers = [
             Trigger::JobAccepted,
             Trigger::JobCancelled,
-            Trigger::PublishedConfiguration,
+            Trigger::Configured,
             Trigger::Rebalanced,
             Trigger::PlannedStop,
         ];
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -116,8 +116,9 @@
 /// its caller has left, and does not come to one any more.
 pub(super) fn caller_left(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
-    let drain = |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
-    for call in history.online.iter().filter(drain) {
+    let has_left =
+        |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
+    for call in history.online.iter().filter(has_left) {
         let abort_deadline = call.ended + ABORT_WITHIN_MS;
         if !disturbances.is_undisturbed(call.sent, abort_deadline) {
             continue;
--- a/crates/swiftshunt-lab/src/soak/round.rs
+++ b/crates/swiftshunt-lab/src/soak/round.rs
@@ -70,18 +70,15 @@
 async fn inject_fault(testbed: &Testbed, fault: &ScheduledFault) {
     tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
     if let Some((trigger, delay)) = fault.after {
-        let mut subscribe_triggers = testbed.subscribe_triggers();
-        let triggered = async {
-            while let Ok(notify_trigger) = subscribe_triggers.recv().await {
-                if notify_trigger == trigger {
+        let mut triggers = testbed.subscribe_triggers();
+        let wait = async {
+            while let Ok(fired) = triggers.recv().await {
+                if fired == trigger {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(TRIGGER_TIMEOUT, triggered)
-            .await
-            .is_ok()
-        {
+        if tokio::time::timeout(TRIGGER_TIMEOUT, wait).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
--- a/crates/swiftshunt-lab/src/soak/run_log.rs
+++ b/crates/swiftshunt-lab/src/soak/run_log.rs
@@ -6,7 +6,7 @@
 use crate::platform::process::RunLine;
 
 /// Reads the runs in a worker's output; lines that are something else are passed over.
-pub(super) fn read(file: &Path, round_began: u64) -> std::io::Result<Vec<RunRecord>> {
+pub(super) fn read(file: &Path, round_start_ms: u64) -> std::io::Result<Vec<RunRecord>> {
     let text = std::fs::read_to_string(file)?;
     let lines = text.lines().filter_map(|line| {
         let line: RunLine = serde_json::from_str(line).ok()?;
@@ -15,7 +15,7 @@
             incarnation: line.incarnation,
             id: line.id,
             path: line.path,
-            at: line.at.saturating_sub(round_began),
+            at: line.at.saturating_sub(round_start_ms),
         })
     });
     Ok(lines.collect())
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -46,18 +46,18 @@
     pub(super) scratch: PathBuf,
     binaries: Binaries,
     /// The time of day when the round began, in milliseconds.
-    began: u64,
+    start_ms: u64,
     client: HttpClient,
     /// What operators did and what was struck.
     history: Mutex<History>,
     failures: Mutex<Vec<String>>,
-    subscribe_triggers: broadcast::Sender<Trigger>,
+    triggers: broadcast::Sender<Trigger>,
     gateways: Vec<GatewaySlot>,
-    whole: Vec<WorkerSlot>,
-    engines: Vec<WorkerSlot>,
+    whole_workers: Vec<WorkerSlot>,
+    engine_workers: Vec<WorkerSlot>,
     operator: Operator,
     /// How wide the link between the regions is.
-    width: Option<Arc<Width>>,
+    region_link_width: Option<Arc<Width>>,
     _store: Process,
 }
 
@@ -70,21 +70,21 @@
     ) -> Result<Self, SoakError> {
         std::fs::create_dir_all(&scratch)?;
         let store = start_store(&plan, &binaries, &scratch)?;
-        let store_addresses = addresses(store.announced("doors"))?;
+        let store_addresses = parse_addresses(store.announced("doors"))?;
         let Some((operator_address, store_addresses)) = store_addresses.split_last() else {
             return Err(SoakError::MissingAddress);
         };
         let mut testbed = Self {
-            began: unix_ms(),
+            start_ms: unix_ms(),
             client: HttpClient::new(None),
             history: Mutex::default(),
             failures: Mutex::default(),
-            subscribe_triggers: broadcast::channel(TRIGGER_CHANNEL_CAPACITY).0,
+            triggers: broadcast::channel(TRIGGER_CHANNEL_CAPACITY).0,
             gateways: Vec::new(),
-            whole: Vec::new(),
-            engines: Vec::new(),
+            whole_workers: Vec::new(),
+            engine_workers: Vec::new(),
             operator: Operator::new(*operator_address),
-            width: plan
+            region_link_width: plan
                 .regions
                 .map(|regions| Arc::new(Width::new(regions.bytes_per_s))),
             _store: store,
@@ -94,9 +94,9 @@
         };
         for index in 0..testbed.plan.workers {
             let whole = testbed.new_worker(Service::Whole, index).await?;
-            testbed.whole.push(whole);
+            testbed.whole_workers.push(whole);
             let engine = testbed.new_worker(Service::Engine, index).await?;
-            testbed.engines.push(engine);
+            testbed.engine_workers.push(engine);
         }
         testbed.configure().await;
         for (index, store_address) in store_addresses.iter().enumerate() {
@@ -110,7 +110,7 @@
     }
 
     /// The zones of the round.
-    fn places(&self) -> ZoneLayout {
+    fn zones(&self) -> ZoneLayout {
         match self.plan.regions {
             Some(_) => ZoneLayout::new(&TWO_REGIONS),
             None => ZoneLayout::default(),
@@ -122,28 +122,28 @@
         let Some(regions) = self.plan.regions else {
             return Way::default();
         };
-        if self.places().region(gateway) == self.places().region(STORE_ZONE) {
+        if self.zones().region(gateway) == self.zones().region(STORE_ZONE) {
             return Way::default();
         }
         Way {
             delay: Duration::from_millis(regions.delay_ms),
-            width: self.width.clone(),
+            width: self.region_link_width.clone(),
         }
     }
 
     /// Milliseconds since the round began.
     pub(super) fn now(&self) -> u64 {
-        unix_ms().saturating_sub(self.began)
+        unix_ms().saturating_sub(self.start_ms)
     }
 
     /// Tells what follows moments that one has come.
     pub(super) fn notify_trigger(&self, trigger: Trigger) {
         // Nobody may be waiting for one.
-        drop(self.subscribe_triggers.send(trigger));
+        drop(self.triggers.send(trigger));
     }
 
     pub(super) fn subscribe_triggers(&self) -> broadcast::Receiver<Trigger> {
-        self.subscribe_triggers.subscribe()
+        self.triggers.subscribe()
     }
 
     /// Something of the round's own did not work: what it would show is not what the plan says.
@@ -156,7 +156,7 @@
         lock(&self.failures).clone()
     }
 
-    fn record(&self, scope: Scope, from: u64) {
+    fn record_disturbance(&self, scope: Scope, from: u64) {
         let to = self.now();
         lock(&self.history)
             .disturbances
@@ -181,7 +181,7 @@
                 .to_string_lossy()
                 .into_owned();
             if name.starts_with("worker-") {
-                runs.extend(run_log::read(&file, self.began)?);
+                runs.extend(run_log::read(&file, self.start_ms)?);
             }
         }
         runs.sort_by_key(|run: &RunRecord| run.at);
@@ -190,15 +190,15 @@
 
     fn worker(&self, service: Service, index: usize) -> Option<&WorkerSlot> {
         match service {
-            Service::Whole => self.whole.get(index),
-            Service::Engine => self.engines.get(index),
+            Service::Whole => self.whole_workers.get(index),
+            Service::Engine => self.engine_workers.get(index),
         }
     }
 
     /// Applies a fault for its time. What it names and is not there is passed over.
-    pub(super) async fn apply(&self, step: &ScheduledFault) {
-        let time = Duration::from_millis(step.duration_ms);
-        match &step.disruption {
+    pub(super) async fn apply(&self, fault: &ScheduledFault) {
+        let time = Duration::from_millis(fault.duration_ms);
+        match &fault.disruption {
             Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, time).await,
             Disruption::KillAllGateways => {
                 let all = (0..self.gateways.len()).map(|gateway| self.kill_gateway(gateway, time));
@@ -237,24 +237,24 @@
                 futures_util::future::join_all(all).await;
             }
             Disruption::Store { gateways, faults } => {
-                self.disturb_store(gateways, faults, time).await;
+                self.inject_store_faults(gateways, faults, time).await;
             }
             Disruption::DropHistory => {
                 let from = self.now();
-                self.command_store(CONTROL_DROP_HISTORY_PATH).await;
-                self.record(Scope::Store, from);
+                self.send_store_command(CONTROL_DROP_HISTORY_PATH).await;
+                self.record_disturbance(Scope::Store, from);
             }
             Disruption::Rebalance => {
-                self.command_store(CONTROL_REASSIGN_PATH).await;
+                self.send_store_command(CONTROL_REASSIGN_PATH).await;
                 self.notify_trigger(Trigger::Rebalanced);
             }
-            Disruption::Link { link, fault } => self.disturb_link(*link, *fault, time).await,
+            Disruption::Link { link, fault } => self.inject_link_fault(*link, *fault, time).await,
             Disruption::Configure => self.configure().await,
             Disruption::Evacuate { zone } => self.evacuate(*zone, time).await,
         }
     }
 
-    async fn command_store(&self, path: &str) {
+    async fn send_store_command(&self, path: &str) {
         let request = HttpRequest::post(self.operator.store_address, path, "application/json", "");
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
@@ -277,7 +277,7 @@
         }
     }
 
-    async fn disturb_store(&self, gateways: &[usize], faults: &StoreFaults, time: Duration) {
+    async fn inject_store_faults(&self, gateways: &[usize], faults: &StoreFaults, time: Duration) {
         let from = self.now();
         let all: Vec<usize> = (0..self.gateways.len()).collect();
         let affected = if gateways.is_empty() { &all } else { gateways };
@@ -292,14 +292,14 @@
         // What was done late may come this much after the fault.
         tokio::time::sleep(faults.lost_append_delay).await;
         if gateways.is_empty() {
-            return self.record(Scope::Store, from);
+            return self.record_disturbance(Scope::Store, from);
         }
         for gateway in gateways {
-            self.record(Scope::Gateway(*gateway), from);
+            self.record_disturbance(Scope::Gateway(*gateway), from);
         }
     }
 
-    async fn disturb_link(&self, end: ProxiedLink, fault: Fault, time: Duration) {
+    async fn inject_link_fault(&self, end: ProxiedLink, fault: Fault, time: Duration) {
         let from = self.now();
         let (link, scope) = match end {
             ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
@@ -307,7 +307,11 @@
                     return;
                 };
                 let is_store = matches!(end, ProxiedLink::Store(_));
-                let link = if is_store { &slot.store } else { &slot.callers };
+                let link = if is_store {
+                    &slot.store_link
+                } else {
+                    &slot.caller_link
+                };
                 (std::sync::Arc::clone(link), Scope::Gateway(gateway))
             }
             ProxiedLink::Whole(index) | ProxiedLink::Engine(index) => {
@@ -328,7 +332,7 @@
         link.set_fault(fault);
         tokio::time::sleep(time).await;
         link.set_fault(Fault::None);
-        self.record(scope, from);
+        self.record_disturbance(scope, from);
     }
 }
 
@@ -350,7 +354,7 @@
     Ok(Process::start(&binaries.lab, &arguments, &log)?)
 }
 
-fn addresses(text: &str) -> Result<Vec<std::net::SocketAddr>, SoakError> {
+fn parse_addresses(text: &str) -> Result<Vec<std::net::SocketAddr>, SoakError> {
     let parsed = text
         .split(',')
         .map(|one| one.parse().map_err(|_| SoakError::MissingAddress));
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -43,13 +43,13 @@
 /// A gateway's process, links and state.
 pub(super) struct GatewaySlot {
     process: Mutex<Process>,
-    pub(super) callers: Arc<Link>,
-    pub(super) store: Arc<Link>,
+    pub(super) caller_link: Arc<Link>,
+    pub(super) store_link: Arc<Link>,
     /// Its door of the store, behind the link.
     pub(super) store_address: SocketAddr,
     /// Where other gateways reach it.
-    peers: SocketAddr,
-    ready: StdMutex<SocketAddr>,
+    peer_address: SocketAddr,
+    readiness_address: StdMutex<SocketAddr>,
     settings: PathBuf,
     program: StdMutex<PathBuf>,
     /// Starts of the process so far.
@@ -69,11 +69,11 @@
         let store = Link::open(any, Some(store_address)).await?;
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
         let seeds = self.gateways.iter().take(MAX_SEEDS);
-        let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peers)).collect();
+        let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peer_address)).collect();
         let more = format!("[gateways]\nseeds = [{}]\n", seeds.join(", "));
         store.set_way(self.store_link_way(index));
-        let program = self.program(index);
-        let places = self.places();
+        let program = self.initial_program(index);
+        let places = self.zones();
         let text = |addresses: GatewayAddresses| {
             settings_text(&GatewaySettingsText {
                 index,
@@ -91,14 +91,16 @@
         let (process, addresses) = tokio::task::block_in_place(start)?;
         let callers = Link::open(
             any,
-            Some(super::addresses(process.announced("callers"))?[0]),
+            Some(super::parse_addresses(process.announced("callers"))?[0]),
         );
         Ok(GatewaySlot {
-            callers: Arc::new(callers.await?),
-            store: Arc::new(store),
+            caller_link: Arc::new(callers.await?),
+            store_link: Arc::new(store),
             store_address,
-            peers: addresses.peers,
-            ready: StdMutex::new(super::addresses(process.announced("ready"))?[0]),
+            peer_address: addresses.peers,
+            readiness_address: StdMutex::new(
+                super::parse_addresses(process.announced("ready"))?[0],
+            ),
             settings,
             program: StdMutex::new(program),
             generation: AtomicUsize::new(0),
@@ -109,7 +111,7 @@
     }
 
     /// The program of a gateway at the beginning: half of them run an earlier build, if there is one.
-    fn program(&self, index: usize) -> PathBuf {
+    fn initial_program(&self, index: usize) -> PathBuf {
         let earlier = self.binaries.earlier.as_ref();
         let earlier = earlier.filter(|_| index % 2 == 1);
         earlier.unwrap_or(&self.binaries.node).clone()
@@ -126,16 +128,16 @@
         let program = lock(&slot.program).clone();
         let started = self.start_gateway(&program, &slot.settings);
         let addresses = started.and_then(|started| {
-            let callers = super::addresses(started.announced("callers"))?[0];
-            let ready = super::addresses(started.announced("ready"))?[0];
+            let callers = super::parse_addresses(started.announced("callers"))?[0];
+            let ready = super::parse_addresses(started.announced("ready"))?[0];
             *process = started;
             Ok((callers, ready))
         });
         match addresses {
             Ok((callers, ready)) => {
                 slot.generation.fetch_add(1, Ordering::SeqCst);
-                slot.callers.set_target(callers);
-                *lock(&slot.ready) = ready;
+                slot.caller_link.set_target(callers);
+                *lock(&slot.readiness_address) = ready;
             }
             Err(error) => self.record_failure(format!("a gateway does not start: {error}")),
         }
@@ -145,7 +147,7 @@
     /// Waits until a gateway is ready, or for as long as it is worth.
     pub(super) async fn wait_until_ready(&self, index: usize) {
         let caller = PlatformCaller::default();
-        let ready = *lock(&self.gateways[index].ready);
+        let ready = *lock(&self.gateways[index].readiness_address);
         let waited = async {
             while !caller.is_ready(ready).await {
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -171,7 +173,7 @@
         tokio::task::block_in_place(|| process.kill());
         tokio::time::sleep(time).await;
         self.restart_gateway(index, &mut process).await;
-        self.record(Scope::Gateway(index), from);
+        self.record_disturbance(Scope::Gateway(index), from);
     }
 
     pub(super) async fn pause_gateway(&self, index: usize, time: Duration) {
@@ -183,7 +185,7 @@
         process.pause();
         tokio::time::sleep(time).await;
         process.resume();
-        self.record(Scope::Gateway(index), from);
+        self.record_disturbance(Scope::Gateway(index), from);
     }
 
     pub(super) async fn stop_gateway(&self, index: usize) {
@@ -214,7 +216,7 @@
         // A planned stop is how a gateway comes to the newest build.
         lock(&slot.program).clone_from(&self.binaries.node);
         self.restart_gateway(index, &mut process).await;
-        self.record(Scope::PlannedStop(index), at);
+        self.record_disturbance(Scope::PlannedStop(index), at);
     }
 
     /// SIGHUP with the settings as they are, or with a file that cannot be read.
@@ -256,7 +258,7 @@
         let caller = PlatformCaller::default();
         let mut failures_in_a_row = 0;
         loop {
-            let ready = *lock(&self.gateways[index].ready);
+            let ready = *lock(&self.gateways[index].readiness_address);
             let answer = tokio::time::timeout(READY_POLL_INTERVAL, caller.is_ready(ready)).await;
             failures_in_a_row = if answer.unwrap_or(false) {
                 0
@@ -288,8 +290,8 @@
     }
 
     /// Where callers reach a gateway.
-    pub(in crate::soak) fn callers(&self, index: usize) -> SocketAddr {
-        self.gateways[index].callers.address
+    pub(in crate::soak) fn caller_address(&self, index: usize) -> SocketAddr {
+        self.gateways[index].caller_link.address
     }
 
     /// The start of a gateway's process that runs, counted from 0.
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -44,14 +44,14 @@
 
 impl Testbed {
     /// Writes a record under a key; gives whether the store acknowledged it.
-    pub(super) async fn put(&self, topic: &str, key: &[u8], value: &[u8]) -> bool {
+    pub(super) async fn put_record(&self, topic: &str, key: &[u8], value: &[u8]) -> bool {
         let path = format!(
             "{}?{}={topic}&{}=0",
             paths::APPEND,
             queries::TOPIC,
             queries::PARTITION
         );
-        let body = record(key, value);
+        let body = encode_record(key, value);
         let request = HttpRequest::post(
             self.operator.store_address,
             path,
@@ -81,13 +81,13 @@
         }
         let body = serde_json::to_vec(&document).unwrap_or_default();
         if self
-            .put(topics::OPERATOR, topics::CONFIGURATION_KEY, &body)
+            .put_record(topics::OPERATOR, topics::CONFIGURATION_KEY, &body)
             .await
         {
             let at = self.now();
             let published = PublishedConfiguration { version, at };
             lock(&self.history).configurations.push(published);
-            self.notify_trigger(Trigger::PublishedConfiguration);
+            self.notify_trigger(Trigger::Configured);
         }
     }
 
@@ -106,16 +106,16 @@
     /// Binds a route to one region, and tells how workers start.
     fn apply_regions(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
-            let region = self.places().region(RESIDENCY_ZONE);
+            let region = self.zones().region(RESIDENCY_ZONE);
             let bound = document.routes.iter_mut();
             for route in bound.filter(|route| route.path_prefix == STREAM_ONCE) {
                 route.allowed_regions = vec![region.to_owned()];
             }
-            let residence = ResidencyRule {
+            let rule = ResidencyRule {
                 path_prefix: STREAM_ONCE.to_owned(),
                 regions: vec![region.to_owned()],
             };
-            lock(&self.history).residency_rules = vec![residence];
+            lock(&self.history).residency_rules = vec![rule];
         }
         if let Some(cold) = self.plan.cold.filter(|cold| cold.is_announced) {
             for service in &mut document.services {
@@ -130,9 +130,12 @@
         if self.plan.regions.is_none() {
             return;
         }
-        let zone = self.places().zone(zone).to_owned();
+        let zone = self.zones().zone(zone).to_owned();
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
-        if !self.put(topics::OPERATOR, key.as_bytes(), b"{}").await {
+        if !self
+            .put_record(topics::OPERATOR, key.as_bytes(), b"{}")
+            .await
+        {
             return;
         }
         let mut evacuation = Evacuation {
@@ -143,11 +146,11 @@
         tokio::time::sleep(time).await;
         evacuation.withdrawn = Some(self.now());
         lock(&self.history).evacuations.push(evacuation);
-        self.put(topics::OPERATOR, key.as_bytes(), &[]).await;
+        self.put_record(topics::OPERATOR, key.as_bytes(), &[]).await;
     }
 
     /// The newest configuration that was acknowledged.
-    pub(in crate::soak) fn configured(&self) -> Option<PublishedConfiguration> {
+    pub(in crate::soak) fn latest_configuration(&self) -> Option<PublishedConfiguration> {
         let history = lock(&self.history);
         history
             .configurations
@@ -159,18 +162,19 @@
     /// Lists a worker in a state.
     pub(super) async fn put_worker(&self, incarnation: &str, document: &WorkerDocument) -> bool {
         let body = serde_json::to_vec(document).unwrap_or_default();
-        self.put(topics::WORKERS, incarnation.as_bytes(), &body)
+        self.put_record(topics::WORKERS, incarnation.as_bytes(), &body)
             .await
     }
 
     /// Takes a worker out of the directory.
     pub(super) async fn remove_worker(&self, incarnation: &str) {
-        self.put(topics::WORKERS, incarnation.as_bytes(), &[]).await;
+        self.put_record(topics::WORKERS, incarnation.as_bytes(), &[])
+            .await;
     }
 }
 
 /// A record of a keyed topic as it is appended.
-fn record(key: &[u8], value: &[u8]) -> Bytes {
+fn encode_record(key: &[u8], value: &[u8]) -> Bytes {
     let mut body = BytesMut::new();
     body.put_u32((1 + key.len() + value.len()) as u32);
     body.put_u8(key.len() as u8);
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -84,7 +84,7 @@
         let log = self.scratch.join(format!("worker-{incarnation}.log"));
         let process =
             tokio::task::block_in_place(|| Process::start(&self.binaries.lab, &arguments, &log))?;
-        let target = super::addresses(process.announced("address"))?[0];
+        let target = super::parse_addresses(process.announced("address"))?[0];
         let link = match link {
             Some(link) => {
                 link.set_target(target);
@@ -93,7 +93,7 @@
             None => Arc::new(Link::open(([127, 0, 0, 1], 0).into(), Some(target)).await?),
         };
         let state = WorkerState {
-            zone: self.places().zone(index),
+            zone: self.zones().zone(index),
             started: self.now(),
             process,
             incarnation,
@@ -112,7 +112,7 @@
         let zone = if is_announced {
             worker.zone
         } else {
-            self.places().zone(0)
+            self.zones().zone(0)
         };
         zone.to_owned()
     }
@@ -129,7 +129,7 @@
     fn record_worker_start(&self, index: usize, worker: &WorkerState) {
         let mut history = lock(&self.history);
         if self.plan.regions.is_some() {
-            let places = self.places();
+            let places = self.zones();
             history.worker_locations.push(WorkerLocation {
                 incarnation: worker.incarnation.clone(),
                 zone: places.zone(index).to_owned(),
@@ -168,7 +168,7 @@
     }
 
     /// Puts another worker in the place of one that has gone.
-    async fn replace(
+    async fn replace_worker(
         &self,
         service: Service,
         index: usize,
@@ -198,9 +198,9 @@
         tokio::time::sleep(time.min(ENTRY_TTL)).await;
         self.remove_worker(&worker.incarnation).await;
         tokio::time::sleep(time.saturating_sub(ENTRY_TTL)).await;
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
         let link = same_address.then(|| Arc::clone(&worker.link));
-        self.replace(service, index, &mut worker, link).await;
+        self.replace_worker(service, index, &mut worker, link).await;
     }
 
     pub(super) async fn pause_worker(&self, service: Service, index: usize, time: Duration) {
@@ -212,7 +212,7 @@
         worker.process.pause();
         tokio::time::sleep(time).await;
         worker.process.resume();
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
     pub(super) async fn drain_worker(&self, service: Service, index: usize, time: Duration) {
@@ -234,8 +234,8 @@
         self.remove_worker(&worker.incarnation).await;
         let from = self.now();
         worker.process.kill();
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
-        self.replace(service, index, &mut worker, None).await;
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
+        self.replace_worker(service, index, &mut worker, None).await;
     }
 
     pub(super) async fn set_worker_manner(
@@ -250,15 +250,15 @@
         };
         let worker = slot.state.lock().await;
         let from = self.now();
-        self.set_manner(&worker, manner).await;
+        self.send_manner(&worker, manner).await;
         tokio::time::sleep(time).await;
-        self.set_manner(&worker, WorkerBehaviour::Normal).await;
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        self.send_manner(&worker, WorkerBehaviour::Normal).await;
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
-    async fn set_manner(&self, worker: &WorkerState, manner: WorkerBehaviour) {
+    async fn send_manner(&self, worker: &WorkerState, manner: WorkerBehaviour) {
         let body = serde_json::to_vec(&manner).unwrap_or_default();
-        let Ok(addresses) = super::addresses(worker.process.announced("address")) else {
+        let Ok(addresses) = super::parse_addresses(worker.process.announced("address")) else {
             return;
         };
         let request = HttpRequest::post(
