--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `swiftshunt-lab soak`.
+//! The command `swiftshunt-lab soak`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 /// Length of a round, in minutes.
 const ROUND_MINUTES: f64 = 0.75;
 
-/// run real gateways under a random plan of faults and check what must hold
+/// run real gateways under a random plan of faults and check the promises
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -22,33 +22,33 @@
     example = "{command_name} --minutes 10\n{command_name} --seed 42 --only not-run\n{command_name} --replay target/soak/42/shrunk.json"
 )]
 pub struct SoakArguments {
-    /// seed of the first round; each round after it has the next one. Drawn if left out
+    /// seed of the first round, increased by one for each further round; random by default
     #[argh(option)]
     seed: Option<u64>,
-    /// how long to go on, in minutes; a round is begun as long as time is left
+    /// total time in minutes; a new round starts as long as time is left, and at least one is run
     #[argh(option, default = "1.0")]
     minutes: f64,
-    /// a promise to check; may be given more than once, all are if it is left out
+    /// promise to check; can be repeated; all promises by default
     #[argh(option)]
     only: Vec<Promise>,
-    /// play a written plan instead
+    /// run the plan in this file instead of drawing one
     #[argh(option)]
     replay: Option<PathBuf>,
-    /// two regions with a thin, slow link between them, cold workers, evacuations
+    /// use two regions with a narrow, slow link between them, workers that start cold, and zone evacuations
     #[argh(switch)]
     regions: bool,
-    /// program of an earlier build: every second gateway runs it until its first planned stop
+    /// executable of an earlier build, which every second gateway runs until its first planned stop
     #[argh(option)]
     earlier: Option<PathBuf>,
-    /// where plans, histories, logs and plots are written
+    /// directory for plans, histories, logs and plots
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     output: PathBuf,
-    /// plays at most to make the plan of a broken round smaller; 0 for none
+    /// maximum number of rounds played to reduce the faults of a failing plan; 0 disables this
     #[argh(option, default = "8")]
     shrink: usize,
 }
 
-/// Runs the soak; fails if a promise was broken.
+/// Runs the soak test. The exit code reports a failure if a promise was broken in any round.
 pub async fn run(arguments: SoakArguments) -> Result<ExitCode, SoakError> {
     let runner = Runner {
         binaries: Binaries {
@@ -87,7 +87,7 @@
 }
 
 fn exit_code(broken: usize, rounds_played: usize) -> ExitCode {
-    println!("{rounds_played} rounds, {broken} with a broken promise");
+    println!("played {rounds_played} rounds, {broken} of them with a broken promise");
     if broken == 0 {
         ExitCode::SUCCESS
     } else {
@@ -103,7 +103,8 @@
 }
 
 impl Runner {
-    /// Plays a plan and tells what came of it; whether everything held.
+    /// Plays a plan and prints the report. Returns whether all checked promises were kept; otherwise also prints
+    /// timelines and writes a plan with fewer faults.
     async fn run_plan(&self, plan: Plan) -> Result<bool, SoakError> {
         let folder = self.output.join(plan.seed.to_string());
         let verdicts = self.play_into(&plan, &folder).await?;
@@ -119,7 +120,7 @@
         let shrunk = self.shrink(plan, &broken, &folder).await?;
         write_json(&folder.join("shrunk.json"), &shrunk)?;
         println!(
-            "  {} faults are enough: {}",
+            "  reduced to {} faults: {}",
             shrunk.faults.len(),
             folder.join("shrunk.json").display()
         );
@@ -139,7 +140,7 @@
         print!("{}", report.text());
         write_json(&folder.join("report.json"), &report)?;
         if let Err(error) = report::plot(&history, &folder.join("outcomes.svg")) {
-            eprintln!("the plot is not drawn: {error}");
+            eprintln!("cannot draw the plot of outcomes: {error}");
         }
         Ok(verdicts)
     }
@@ -149,7 +150,7 @@
         promises.map(|promise| judge(*promise, history)).collect()
     }
 
-    /// Writes the timeline of the first thing that broke of each promise.
+    /// Prints the timeline of the first violation of each promise.
     fn print_timelines(&self, verdicts: &[Verdict], folder: &Path) {
         let files = std::fs::read_dir(folder.join("logs")).into_iter().flatten();
         let paths = files.filter_map(|file| Some(file.ok()?.path()));
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Leaves faults out one by one for as long as one of the promises still breaks.
+    /// Removes faults one by one; a fault stays out if one of the broken promises is broken without it too.
     async fn shrink(
         &self,
         mut plan: Plan,
--- a/crates/swiftshunt-lab/src/soak/disturbances.rs
+++ b/crates/swiftshunt-lab/src/soak/disturbances.rs
@@ -1,37 +1,37 @@
-//! When a gateway, the store or a worker was left alone: promises with a time hold only then.
+//! Periods of faults. Promises with a time limit are checked only for components without a fault in that period.
 
 use serde::{Deserialize, Serialize};
 
-/// Time after a fault for which what it affected is not held to a time: connections are made anew,
-/// beliefs catch up, leases move.
+/// Time after a fault during which the affected component is excused from time limits, in milliseconds: it
+/// reconnects, refreshes outdated state, and leases move to other gateways.
 pub const RECOVERY_MS: u64 = 3_000;
 
-/// What a fault matches_scope.
+/// The component that a fault affects.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// A gateway, or what it alone reaches.
+    /// A gateway by its index, or a link that only this gateway uses.
     Gateway(usize),
-    /// The store, for all.
+    /// The store, for all gateways.
     Store,
-    /// A worker.
+    /// A worker by its incarnation, or the link to it.
     Worker(String),
-    /// A gateway that is being stopped as planned.
+    /// A gateway by its index, from SIGTERM until its new process is ready.
     PlannedStop(usize),
 }
 
-/// A fault, as it was applied.
+/// The period in which a fault was in force. Times are milliseconds since the start of the round.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Disturbance {
-    /// What it affected.
+    /// The affected component.
     pub scope: Scope,
-    /// From when.
+    /// Start of the fault.
     pub from: u64,
-    /// Until when.
+    /// End of the fault, without the time to recover from it.
     pub to: u64,
 }
 
-/// Answers whether something was left alone.
+/// Queries for the absence of faults in a period. A fault also counts for [`RECOVERY_MS`] after its end.
 pub struct DisturbanceLog<'h>(pub &'h [Disturbance]);
 
 impl DisturbanceLog<'_> {
@@ -40,7 +40,7 @@
         affected.all(|it| it.to + RECOVERY_MS < from || it.from > to)
     }
 
-    /// A gateway and its way to the store were left alone.
+    /// Whether neither a gateway, nor its links, nor the store had a fault.
     pub fn is_gateway_undisturbed(&self, gateway: usize, from: u64, to: u64) -> bool {
         self.has_none(from, to, |scope| match scope {
             Scope::Gateway(affected) | Scope::PlannedStop(affected) => *affected == gateway,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// A worker and the way to it were left alone.
+    /// Whether neither a worker nor the link to it had a fault. Faults of gateways and of the store do not count.
     pub fn is_worker_undisturbed(&self, incarnation: &str, from: u64, to: u64) -> bool {
         self.has_none(
             from,
@@ -58,17 +58,17 @@
         )
     }
 
-    /// All gateways and the store were left alone.
+    /// Whether no gateway, none of their links and not the store had a fault. Faults of workers do not count.
     pub fn are_gateways_undisturbed(&self, from: u64, to: u64) -> bool {
         self.has_none(from, to, |scope| !matches!(scope, Scope::Worker(_)))
     }
 
-    /// Nothing was affected but by planned stops.
+    /// Whether there were no faults other than planned stops.
     pub fn has_only_planned_stops(&self, from: u64, to: u64) -> bool {
         self.has_none(from, to, |scope| !matches!(scope, Scope::PlannedStop(_)))
     }
 
-    /// Nothing at all was affected.
+    /// Whether there were no faults at all.
     pub fn is_undisturbed(&self, from: u64, to: u64) -> bool {
         self.has_none(from, to, |_| true)
     }
--- a/crates/swiftshunt-lab/src/soak/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/mod.rs
@@ -1,8 +1,9 @@
-//! A randomized soak: real gateways, stand-ins and links as a plan from a seed disturbs them, and the
-//! promises checked from what callers, workers and operators saw.
+//! A randomized soak test: runs real gateways with stand-ins for the platform, injects faults according to a plan
+//! drawn from a seed, and checks promises against what callers, workers and operators observed.
 //!
-//! [`plan`] draws load and faults; [`testbed`] starts the processes and applies the faults; [`load`]
-//! plays callers and job senders into a [`history`]; [`promises`] judges it; [`report`] tells.
+//! [`plan`] draws load and faults; [`testbed`] starts the processes and injects the faults; [`load`] sends requests
+//! and jobs and records the responses in a [`history`]; [`promises`] checks the history; [`report`] prints and plots
+//! the result.
 
 pub mod command;
 pub mod disturbances;
--- a/crates/swiftshunt-lab/src/soak/report.rs
+++ b/crates/swiftshunt-lab/src/soak/report.rs
@@ -1,4 +1,4 @@
-//! What a round came to: counts, breaks with the timeline of what broke, and a plot.
+//! Report of a round: counts, violations with timelines, and a plot of the outcomes.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,23 +12,21 @@
 use super::plan::Plan;
 use super::promises::Verdict;
 
-/// Breaks of one promise that are told with their timeline.
+/// Maximum number of violations printed for each promise.
 const MAX_PRINTED_VIOLATIONS: usize = 3;
-/// Lines of a timeline.
+/// Maximum number of lines printed of a timeline.
 const MAX_TIMELINE_LINES: usize = 30;
 
-/// A round's report.
+/// The report of a round, written to `report.json`.
 #[derive(Debug, Serialize)]
 pub(super) struct Report<'r> {
-    /// What was played.
     pub(super) plan: &'r Plan,
-    /// What it came to.
     pub(super) verdicts: &'r [Verdict],
-    /// Outcomes of online requests.
+    /// Number of online requests for each status or other outcome.
     pub(super) outcomes: BTreeMap<String, usize>,
-    /// Jobs that were accepted, and others.
+    /// Number of accepted jobs, and of jobs that were never accepted.
     pub(super) jobs: (usize, usize),
-    /// Runs at workers.
+    /// Number of run events reported by workers.
     pub(super) runs: usize,
 }
 
@@ -49,10 +47,10 @@
         }
     }
 
-    /// A few lines for a terminal.
+    /// Formats the summary for the terminal.
     pub(super) fn text(&self) -> String {
         let mut text = format!(
-            "seed {}: {} gateways, {} workers a service, {} faults; jobs accepted {}, not {}\n  online: {:?}\n",
+            "seed {}: {} gateways, {} workers per service, {} faults; jobs accepted: {}, not accepted: {}\n  online: {:?}\n",
             self.plan.seed,
             self.plan.gateways,
             self.plan.workers,
@@ -87,7 +85,7 @@
     }
 }
 
-/// What `swiftshunt explain` says about what broke.
+/// Runs `swiftshunt explain` for the subject of a violation and returns the first lines of its output.
 pub(super) fn explain(program: &Path, subject: &str, logs: &[std::path::PathBuf]) -> String {
     let mut command = Command::new(program);
     command.arg("explain").arg(subject);
@@ -100,7 +98,7 @@
             let lines: Vec<&str> = text.lines().take(MAX_TIMELINE_LINES).collect();
             lines.join("\n")
         }
-        Err(error) => format!("explain does not run: {error}"),
+        Err(error) => format!("cannot run `swiftshunt explain`: {error}"),
     }
 }
 
@@ -119,7 +117,7 @@
     }
 }
 
-/// Draws outcomes over time, and above them what was struck.
+/// Draws the outcomes of online requests over time, and above them the periods of faults.
 pub(super) fn plot(history: &History, file: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let end = history
         .online
--- a/crates/swiftshunt-lab/src/soak/round.rs
+++ b/crates/swiftshunt-lab/src/soak/round.rs
@@ -1,4 +1,4 @@
-//! One round: the processes are started, load and faults run, and what was seen is gathered.
+//! Plays one round: starts the processes, runs load and faults, and collects the history.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -13,33 +13,33 @@
 use super::testbed::Testbed;
 use crate::harness::{Binaries, HarnessError};
 
-/// How long a fault waits for the moment that it is to follow; then it comes all the same.
+/// Time that a fault waits for its trigger; after that it is injected without the trigger.
 const TRIGGER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Why a round was not played.
+/// Errors that prevent a round from being played, or make its history unusable.
 #[derive(Debug, Display, Error, From)]
 pub enum SoakError {
-    /// A process did not start.
+    /// A process could not be started.
     #[display("{_0}")]
     Harness(HarnessError),
-    /// The system refused.
+    /// A file or socket operation failed.
     #[display("{_0}")]
     System(std::io::Error),
-    /// A process or a stand-in did not do what the plan says.
-    #[display("the plan was not played: {}", failures.join("; "))]
+    /// A process or a stand-in did not carry out a step of the plan, so the history does not show what was planned.
+    #[display("could not carry out the plan: {}", failures.join("; "))]
     #[from(ignore)]
     NotPlayed {
-        /// What did not work.
+        /// Description of each failed step.
         #[error(not(source))]
         failures: Vec<String>,
     },
-    /// A stand-in did not say where it listens.
-    #[display("a process did not tell its address")]
+    /// A process did not print an address on which it listens, or printed one that cannot be parsed.
+    #[display("a process did not print a valid listen address")]
     #[from(ignore)]
     MissingAddress,
 }
 
-/// Plays a round; logs, settings and workers' outputs stay in `scratch`.
+/// Plays a round. Logs, settings and the output of workers remain in the directory `scratch`.
 pub async fn play(plan: Plan, binaries: Binaries, scratch: PathBuf) -> Result<History, SoakError> {
     let testbed = Arc::new(Testbed::start(plan, binaries, scratch).await?);
     let load = Load::new(Arc::clone(&testbed));
@@ -66,7 +66,7 @@
     Ok(history)
 }
 
-/// Applies a fault at its time.
+/// Waits for the time and the trigger of a fault, then injects it.
 async fn inject_fault(testbed: &Testbed, fault: &ScheduledFault) {
     tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
     if let Some((trigger, delay)) = fault.after {
