--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -1,4 +1,4 @@
-//! The processes of a round, the links between them, and the faults that are applied to them.
+//! The processes of a round, the links between them, and the injection of faults.
 
 mod gateways;
 mod operator;
@@ -11,11 +11,11 @@
 use swiftshunt_http::{HttpClient, HttpRequest};
 use tokio::sync::broadcast;
 
-use self::gateways::GatewaySlot;
+use self::gateways::GatewayHandle;
 use self::operator::Operator;
 pub(super) use self::operator::marker;
 pub(super) use self::workers::EVENTS;
-use self::workers::WorkerSlot;
+use self::workers::WorkerHandle;
 use super::disturbances::{Disturbance, Scope};
 use super::history::{History, RunRecord};
 use super::plan::{Disruption, Plan, ProxiedLink, ScheduledFault, Service, Trigger, ZONES};
@@ -29,40 +29,40 @@
 use crate::proxy::{Fault, Way, Width};
 use crate::stand_in::lock;
 
-/// Partitions of the store's topics.
+/// Number of partitions of the store's topics.
 const PARTITIONS: u32 = 6;
-/// Time that a call to a stand-in may take.
+/// Time-out of a control request to a stand-in.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The zones of a round in two regions.
+/// Zones of a round in two regions, each with its region.
 const TWO_REGIONS: [ZoneAndRegion; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
-/// The zone in which the store stands, by its number.
+/// Index of the zone in which the store runs.
 const STORE_ZONE: usize = 0;
-/// Moments that a slow follower may miss.
+/// Number of triggers that the channel keeps for a slow receiver. Older ones are lost.
 const TRIGGER_CHANNEL_CAPACITY: usize = 256;
 
-/// A round's processes.
+/// The processes of a round and the history recorded so far.
 pub(super) struct Testbed {
     pub(super) plan: Plan,
     pub(super) scratch: PathBuf,
     binaries: Binaries,
-    /// The time of day when the round began, in milliseconds.
+    /// Start of the round as time of day in milliseconds.
     start_ms: u64,
     client: HttpClient,
-    /// What operators did and what was struck.
+    /// History without online requests, jobs, runs and unexpected exits, which are added at the end.
     history: Mutex<History>,
     failures: Mutex<Vec<String>>,
     triggers: broadcast::Sender<Trigger>,
-    gateways: Vec<GatewaySlot>,
-    whole_workers: Vec<WorkerSlot>,
-    engine_workers: Vec<WorkerSlot>,
+    gateways: Vec<GatewayHandle>,
+    whole_workers: Vec<WorkerHandle>,
+    engine_workers: Vec<WorkerHandle>,
     operator: Operator,
-    /// How wide the link between the regions is.
+    /// Bandwidth of the link between the regions, shared by all gateways; `None` in a round with a single zone.
     region_link_width: Option<Arc<Width>>,
     _store: Process,
 }
 
 impl Testbed {
-    /// Starts everything and waits until the gateways are ready.
+    /// Starts the store, workers and gateways, publishes a configuration, and waits until the gateways are ready.
     pub(super) async fn start(
         plan: Plan,
         binaries: Binaries,
@@ -109,7 +109,7 @@
         Ok(testbed)
     }
 
-    /// The zones of the round.
+    /// Returns the zones of the round.
     fn zones(&self) -> ZoneLayout {
         match self.plan.regions {
             Some(_) => ZoneLayout::new(&TWO_REGIONS),
@@ -117,7 +117,8 @@
         }
     }
 
-    /// The way from the store to a gateway: thin and slow to those of the other region.
+    /// Returns the delay and bandwidth of the link from a gateway to the store. Only links to the other region are
+    /// restricted.
     fn store_link_way(&self, gateway: usize) -> Way {
         let Some(regions) = self.plan.regions else {
             return Way::default();
@@ -131,14 +132,14 @@
         }
     }
 
-    /// Milliseconds since the round began.
+    /// Returns the milliseconds since the start of the round.
     pub(super) fn now(&self) -> u64 {
         unix_ms().saturating_sub(self.start_ms)
     }
 
-    /// Tells what follows moments that one has come.
+    /// Notifies the faults that wait for a trigger.
     pub(super) fn notify_trigger(&self, trigger: Trigger) {
-        // Nobody may be waiting for one.
+        // Sending fails if no fault is waiting for a trigger, which is not an error.
         drop(self.triggers.send(trigger));
     }
 
@@ -146,12 +147,13 @@
         self.triggers.subscribe()
     }
 
-    /// Something of the round's own did not work: what it would show is not what the plan says.
+    /// Records a failure of the test setup. The history of the round is then discarded, since the plan was not carried
+    /// out.
     fn record_failure(&self, failure: String) {
         lock(&self.failures).push(failure);
     }
 
-    /// What of the round's own did not work.
+    /// Returns the failures of the test setup.
     pub(super) fn failures(&self) -> Vec<String> {
         lock(&self.failures).clone()
     }
@@ -163,7 +165,7 @@
             .push(Disturbance { scope, from, to });
     }
 
-    /// What operators did and what was struck, and what workers told.
+    /// Returns the history so far, with the runs that workers reported and the unexpected exits of gateways.
     pub(super) fn history(&self) -> Result<History, SoakError> {
         let mut history = lock(&self.history).clone();
         history.unexpected_exits = self.unexpected_exits();
@@ -188,14 +190,15 @@
         Ok(runs)
     }
 
-    fn worker(&self, service: Service, index: usize) -> Option<&WorkerSlot> {
+    fn worker(&self, service: Service, index: usize) -> Option<&WorkerHandle> {
         match service {
             Service::Whole => self.whole_workers.get(index),
             Service::Engine => self.engine_workers.get(index),
         }
     }
 
-    /// Applies a fault for its time. What it names and is not there is passed over.
+    /// Injects a fault and withdraws it after its duration. A fault of a gateway or worker that does not exist has no
+    /// effect.
     pub(super) async fn apply(&self, fault: &ScheduledFault) {
         let time = Duration::from_millis(fault.duration_ms);
         match &fault.disruption {
@@ -258,22 +261,23 @@
         let request = HttpRequest::post(self.operator.store_address, path, "application/json", "");
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
-                "the store's stand-in does not obey {path}: {error}"
+                "the store stand-in did not carry out {path}: {error}"
             ));
         }
     }
 
     async fn set_store_faults(&self, gateway: usize, faults: &StoreFaults) {
-        let Some(slot) = self.gateways.get(gateway) else {
+        let Some(handle) = self.gateways.get(gateway) else {
             return;
         };
         let body = serde_json::to_vec(faults).unwrap_or_default();
-        let request =
-            HttpRequest::post(slot.store_address, CONTROL_FAULTS_PATH, "application/json", body);
+        let request = HttpRequest::post(
+            handle.store_address, CONTROL_FAULTS_PATH,
+            "application/json",
+            body,
+        );
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
-            self.record_failure(format!(
-                "the store's stand-in does not take faults: {error}"
-            ));
+            self.record_failure(format!("the store stand-in did not accept faults: {error}"));
         }
     }
 
@@ -289,7 +293,7 @@
             self.set_store_faults(*gateway, &StoreFaults::default())
                 .await;
         }
-        // What was done late may come this much after the fault.
+        // Appends whose responses were lost may be carried out this much after the end of the fault.
         tokio::time::sleep(faults.lost_append_delay).await;
         if gateways.is_empty() {
             return self.record_disturbance(Scope::Store, from);
@@ -303,14 +307,14 @@
         let from = self.now();
         let (link, scope) = match end {
             ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
-                let Some(slot) = self.gateways.get(gateway) else {
+                let Some(handle) = self.gateways.get(gateway) else {
                     return;
                 };
                 let is_store = matches!(end, ProxiedLink::Store(_));
                 let link = if is_store {
-                    &slot.store_link
+                    &handle.store_link
                 } else {
-                    &slot.caller_link
+                    &handle.caller_link
                 };
                 (std::sync::Arc::clone(link), Scope::Gateway(gateway))
             }
@@ -321,10 +325,10 @@
                 } else {
                     Service::Engine
                 };
-                let Some(slot) = self.worker(service, index) else {
+                let Some(handle) = self.worker(service, index) else {
                     return;
                 };
-                let worker = slot.state.lock().await;
+                let worker = handle.state.lock().await;
                 let scope = Scope::Worker(worker.incarnation.clone());
                 (std::sync::Arc::clone(&worker.link), scope)
             }
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateway processes: started, killed, paused, stopped, and taken in or out by callers.
+//! Gateway processes: start, faults, planned stops, and the readiness checks that decide which gateways get requests.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,39 +23,39 @@
 use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
-/// Two gateways read the directory and the configuration for the others.
+/// Setting for shared reads: one gateway in two reads the directory and the configuration for the others.
 const SHARED_READS: &str = "gateways_per_reader = 2";
-/// Lease of a partition.
+/// Duration of a partition lease.
 const LEASE: Duration = Duration::from_secs(1);
-/// Gateways that a later one is told of.
+/// Maximum number of earlier gateways in the seed list of a gateway.
 const MAX_SEEDS: usize = 3;
-/// Pause between questions whether a gateway is ready; two misses in a row take it out.
+/// Interval between readiness checks of a gateway, and time-out of each check.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Misses after which callers are no longer sent to a gateway.
+/// Number of consecutive failed readiness checks after which a gateway gets no more requests.
 const MAX_READY_FAILURES: u32 = 2;
-/// Longest time that a started gateway is waited for: the log may be away.
+/// Maximum wait for a started gateway to become ready. It is limited because the store may be unavailable.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time of a planned stop, well beyond its grace period.
+/// Time-out of a planned stop, well beyond the grace period of a gateway.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
-/// Pause between looks at a process.
+/// Interval at which the state of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A gateway's process, links and state.
-pub(super) struct GatewaySlot {
+/// The process, links and state of a gateway.
+pub(super) struct GatewayHandle {
     process: Mutex<Process>,
     pub(super) caller_link: Arc<Link>,
     pub(super) store_link: Arc<Link>,
-    /// Its door of the store, behind the link.
+    /// Address at which the store serves this gateway, behind `store_link`.
     pub(super) store_address: SocketAddr,
-    /// Where other gateways reach it.
+    /// Address at which other gateways reach this one.
     peer_address: SocketAddr,
     readiness_address: StdMutex<SocketAddr>,
     settings: PathBuf,
     program: StdMutex<PathBuf>,
-    /// Starts of the process so far.
+    /// Number of restarts of the process so far.
     generation: AtomicUsize,
     is_in_rotation: AtomicBool,
-    /// Whether the process has ended without being told to.
+    /// Whether the process has exited without a signal to do so.
     has_exited_unexpectedly: AtomicBool,
 }
 
@@ -64,7 +64,7 @@
         &self,
         index: usize,
         store_address: SocketAddr,
-    ) -> Result<GatewaySlot, SoakError> {
+    ) -> Result<GatewayHandle, SoakError> {
         let any = ([127, 0, 0, 1], 0).into();
         let store = Link::open(any, Some(store_address)).await?;
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
@@ -93,7 +93,7 @@
             any,
             Some(super::parse_addresses(process.announced("callers"))?[0]),
         );
-        Ok(GatewaySlot {
+        Ok(GatewayHandle {
             caller_link: Arc::new(callers.await?),
             store_link: Arc::new(store),
             store_address,
@@ -110,7 +110,8 @@
         })
     }
 
-    /// The program of a gateway at the beginning: half of them run an earlier build, if there is one.
+    /// Returns the executable for the first start of a gateway: every second gateway runs the earlier build, if one is
+    /// given.
     fn initial_program(&self, index: usize) -> PathBuf {
         let earlier = self.binaries.earlier.as_ref();
         let earlier = earlier.filter(|_| index % 2 == 1);
@@ -122,11 +123,11 @@
         Ok(tokio::task::block_in_place(start)?)
     }
 
-    /// Starts a gateway whose process has ended, and waits until it is ready.
+    /// Starts a gateway whose process has exited, and waits until it is ready.
     async fn restart_gateway(&self, index: usize, process: &mut Process) {
-        let slot = &self.gateways[index];
-        let program = lock(&slot.program).clone();
-        let started = self.start_gateway(&program, &slot.settings);
+        let handle = &self.gateways[index];
+        let program = lock(&handle.program).clone();
+        let started = self.start_gateway(&program, &handle.settings);
         let addresses = started.and_then(|started| {
             let callers = super::parse_addresses(started.announced("callers"))?[0];
             let ready = super::parse_addresses(started.announced("ready"))?[0];
@@ -135,16 +136,16 @@
         });
         match addresses {
             Ok((callers, ready)) => {
-                slot.generation.fetch_add(1, Ordering::SeqCst);
-                slot.caller_link.set_target(callers);
-                *lock(&slot.readiness_address) = ready;
+                handle.generation.fetch_add(1, Ordering::SeqCst);
+                handle.caller_link.set_target(callers);
+                *lock(&handle.readiness_address) = ready;
             }
-            Err(error) => self.record_failure(format!("a gateway does not start: {error}")),
+            Err(error) => self.record_failure(format!("cannot restart gateway {index}: {error}")),
         }
         self.wait_until_ready(index).await;
     }
 
-    /// Waits until a gateway is ready, or for as long as it is worth.
+    /// Waits until a gateway is ready, at most for [`READY_TIMEOUT`].
     pub(super) async fn wait_until_ready(&self, index: usize) {
         let caller = PlatformCaller::default();
         let ready = *lock(&self.gateways[index].readiness_address);
@@ -158,16 +159,16 @@
 
     fn detect_unexpected_exit(&self, index: usize, process: &mut Process) {
         if !process.is_running() {
-            let slot = &self.gateways[index];
-            slot.has_exited_unexpectedly.store(true, Ordering::SeqCst);
+            let handle = &self.gateways[index];
+            handle.has_exited_unexpectedly.store(true, Ordering::SeqCst);
         }
     }
 
     pub(super) async fn kill_gateway(&self, index: usize, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let mut process = slot.process.lock().await;
+        let mut process = handle.process.lock().await;
         let from = self.now();
         self.detect_unexpected_exit(index, &mut process);
         tokio::task::block_in_place(|| process.kill());
@@ -177,10 +178,10 @@
     }
 
     pub(super) async fn pause_gateway(&self, index: usize, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let process = slot.process.lock().await;
+        let process = handle.process.lock().await;
         let from = self.now();
         process.pause();
         tokio::time::sleep(time).await;
@@ -189,10 +190,10 @@
     }
 
     pub(super) async fn stop_gateway(&self, index: usize) {
-        let Some(slot) = self.gateways.get(index) else {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let mut process = slot.process.lock().await;
+        let mut process = handle.process.lock().await;
         self.detect_unexpected_exit(index, &mut process);
         let at = self.now();
         process.terminate();
@@ -203,7 +204,9 @@
             }
         };
         if tokio::time::timeout(STOP_TIMEOUT, ends).await.is_err() {
-            self.record_failure(format!("gateway {index} does not stop"));
+            self.record_failure(format!(
+                "gateway {index} did not exit in time after SIGTERM"
+            ));
             tokio::task::block_in_place(|| process.kill());
         }
         let ended = self.now();
@@ -213,47 +216,52 @@
             ended,
         };
         lock(&self.history).stops.push(stop);
-        // A planned stop is how a gateway comes to the newest build.
-        lock(&slot.program).clone_from(&self.binaries.node);
+        // A gateway with the earlier build is upgraded to the current one by its planned stop.
+        lock(&handle.program).clone_from(&self.binaries.node);
         self.restart_gateway(index, &mut process).await;
         self.record_disturbance(Scope::PlannedStop(index), at);
     }
 
-    /// SIGHUP with the settings as they are, or with a file that cannot be read.
+    /// Sends SIGHUP with the unchanged settings file or with an invalid one, which is restored after `time`.
     pub(super) async fn hang_up(&self, index: usize, readable: bool, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let process = slot.process.lock().await;
-        let text = std::fs::read_to_string(&slot.settings).unwrap_or_default();
+        let process = handle.process.lock().await;
+        let text = std::fs::read_to_string(&handle.settings).unwrap_or_default();
         let changed = if readable {
             text.clone()
         } else {
             format!("{text}\nnot = [settings")
         };
-        if let Err(error) = std::fs::write(&slot.settings, changed) {
-            self.record_failure(format!("settings are not written: {error}"));
+        if let Err(error) = std::fs::write(&handle.settings, changed) {
+            self.record_failure(format!(
+                "cannot write the settings of gateway {index}: {error}"
+            ));
         }
         process.hang_up();
         tokio::time::sleep(time).await;
-        if let Err(error) = std::fs::write(&slot.settings, text) {
-            self.record_failure(format!("settings are not written: {error}"));
+        if let Err(error) = std::fs::write(&handle.settings, text) {
+            self.record_failure(format!(
+                "cannot write the settings of gateway {index}: {error}"
+            ));
         }
     }
 
-    /// Gateways whose process ended without being told to.
+    /// Returns the indexes of gateways whose process exited without a signal to do so.
     pub(super) fn unexpected_exits(&self) -> Vec<usize> {
         let ended = |index: &usize| {
-            let slot = &self.gateways[*index];
-            if let Ok(mut process) = slot.process.try_lock() {
+            let handle = &self.gateways[*index];
+            if let Ok(mut process) = handle.process.try_lock() {
                 self.detect_unexpected_exit(*index, &mut process);
             }
-            slot.has_exited_unexpectedly.load(Ordering::SeqCst)
+            handle.has_exited_unexpectedly.load(Ordering::SeqCst)
         };
         (0..self.gateways.len()).filter(ended).collect()
     }
 
-    /// Asks a gateway from time to time whether it is ready, as a platform does.
+    /// Checks the readiness of a gateway periodically, as a platform does, and takes it out of rotation or back in.
+    /// Never returns.
     pub(in crate::soak) async fn poll_readiness(&self, index: usize) {
         let caller = PlatformCaller::default();
         let mut failures_in_a_row = 0;
@@ -273,7 +281,7 @@
         }
     }
 
-    /// A gateway that a caller is sent to: one that is in, or any if too few are.
+    /// Returns a random gateway for a request: one in rotation, or any if fewer than half are in rotation.
     pub(in crate::soak) fn pick_gateway(&self) -> usize {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
         let is_in_rotation =
@@ -284,17 +292,17 @@
         choice.choose(&mut rand::rng()).copied().unwrap_or(0)
     }
 
-    /// How many gateways there are.
+    /// Returns the number of gateways.
     pub(in crate::soak) fn gateway_count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// Where callers reach a gateway.
+    /// Returns the address at which callers reach a gateway.
     pub(in crate::soak) fn caller_address(&self, index: usize) -> SocketAddr {
         self.gateways[index].caller_link.address
     }
 
-    /// The start of a gateway's process that runs, counted from 0.
+    /// Returns the number of restarts of a gateway's process so far.
     pub(in crate::soak) fn generation(&self, index: usize) -> usize {
         self.gateways[index].generation.load(Ordering::SeqCst)
     }
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator and the directory write to the store.
+//! Records that the operator and the directory write to the store.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -15,15 +15,15 @@
 use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
-/// Routes of earlier versions that a configuration keeps.
+/// Number of marker routes of earlier versions that a configuration keeps.
 const MAX_EARLIER_MARKERS: u64 = 4;
 
-/// The zone to whose region a route is bound, by its number.
+/// Index of the zone whose region is the only allowed one of a route.
 const RESIDENCY_ZONE: usize = 0;
 
-/// The operator.
+/// The state of the operator.
 pub(super) struct Operator {
-    /// A door of the store without faults.
+    /// Address at which the store serves the operator, without faults.
     pub(super) store_address: SocketAddr,
     version: AtomicU64,
 }
@@ -37,13 +37,13 @@
     }
 }
 
-/// The path of the route that version `version` brought.
+/// Returns the path of the marker route of a configuration version.
 pub(in crate::soak) fn marker(version: u64) -> String {
     format!("/marker-{version}/")
 }
 
 impl Testbed {
-    /// Writes a record under a key; gives whether the store acknowledged it.
+    /// Writes a record under a key and returns whether the store acknowledged it.
     pub(super) async fn put_record(&self, topic: &str, key: &[u8], value: &[u8]) -> bool {
         let path = format!(
             "{}?{}={topic}&{}=0",
@@ -61,13 +61,13 @@
         let answer = self.client.expect_success(request, CONTROL_TIMEOUT).await;
         if let Err(error) = &answer {
             self.record_failure(format!(
-                "the store's stand-in does not take a record: {error}"
+                "the store stand-in did not accept a record: {error}"
             ));
         }
         answer.is_ok()
     }
 
-    /// Publishes a configuration under the next version, with a route of its number.
+    /// Publishes a configuration with the next version and a marker route for it.
     pub(super) async fn configure(&self) {
         let version = self.operator.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut document = first_configuration();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Limits what may wait on the batch route.
+    /// Sets the queue limit of the batch route.
     fn apply_queue_limit(&self, document: &mut ConfigurationDocument) {
         let Some(limit) = self.plan.queue_limit else {
             return;
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Binds a route to one region, and tells how workers start.
+    /// Restricts a route to one region, and sets the limits of cold workers.
     fn apply_regions(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
             let region = self.zones().region(RESIDENCY_ZONE);
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Evacuates a zone for a while. Without two regions there is none that could be spared.
+    /// Evacuates a zone for a time. Has no effect in a round with a single zone, which has to keep serving.
     pub(super) async fn evacuate(&self, zone: usize, time: Duration) {
         if self.plan.regions.is_none() {
             return;
@@ -149,7 +149,7 @@
         self.put_record(topics::OPERATOR, key.as_bytes(), &[]).await;
     }
 
-    /// The newest configuration that was acknowledged.
+    /// Returns the acknowledged configuration with the highest version.
     pub(in crate::soak) fn latest_configuration(&self) -> Option<PublishedConfiguration> {
         let history = lock(&self.history);
         history
@@ -159,21 +159,21 @@
             .copied()
     }
 
-    /// Lists a worker in a state.
+    /// Writes the directory entry of a worker and returns whether the store acknowledged it.
     pub(super) async fn put_worker(&self, incarnation: &str, document: &WorkerDocument) -> bool {
         let body = serde_json::to_vec(document).unwrap_or_default();
         self.put_record(topics::WORKERS, incarnation.as_bytes(), &body)
             .await
     }
 
-    /// Takes a worker out of the directory.
+    /// Deletes the directory entry of a worker.
     pub(super) async fn remove_worker(&self, incarnation: &str) {
         self.put_record(topics::WORKERS, incarnation.as_bytes(), &[])
             .await;
     }
 }
 
-/// A record of a keyed topic as it is appended.
+/// Encodes a record of a keyed topic for an append request.
 fn encode_record(key: &[u8], value: &[u8]) -> Bytes {
     let mut body = BytesMut::new();
     body.put_u32((1 + key.len() + value.len()) as u32);
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -1,4 +1,4 @@
-//! Worker processes behind their links.
+//! Worker processes behind proxied links: start, directory entries and faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,29 +18,29 @@
 use crate::soak::plan::{ColdStarts, Service};
 use crate::stand_in::lock;
 
-/// Events of a stream.
+/// Number of events of a stream.
 pub(in crate::soak) const EVENTS: u64 = 12;
-/// Time before a whole answer and between events, in milliseconds.
+/// Delay before a unary response and between the events of a stream, in milliseconds.
 const PAUSE_MS: u64 = 15;
-/// Silence after which the entry of a worker goes: three heartbeats of a second.
+/// Time after a crash until the directory entry of a worker is removed: three missed heartbeats at intervals of 1 s.
 const ENTRY_TTL: Duration = Duration::from_secs(3);
-/// Time for which a leaving worker serves on: what it has may take, and twice the time within which
-/// gateways must obey.
+/// Time for which a draining worker continues to serve: the time for its open requests, and twice the time within
+/// which the drain must take effect at the gateways.
 const DRAIN_TIME: Duration = Duration::from_secs(5);
 
-/// A worker and those that take its place.
-pub(super) struct WorkerSlot {
+/// A position in the fleet, held by a worker and its successive replacements.
+pub(super) struct WorkerHandle {
     pub(super) state: Mutex<WorkerState>,
 }
 
-/// The present worker of a slot.
+/// The current worker of a [`WorkerHandle`].
 pub(super) struct WorkerState {
     process: Process,
     pub(super) incarnation: String,
     pub(super) link: Arc<Link>,
     generation: u32,
     zone: &'static str,
-    /// When it started.
+    /// Start time in milliseconds since the start of the round.
     started: u64,
 }
 
@@ -56,13 +56,13 @@
         &self,
         service: Service,
         index: usize,
-    ) -> Result<WorkerSlot, SoakError> {
+    ) -> Result<WorkerHandle, SoakError> {
         let state = self.start_worker(service, index, 0, None).await?;
         let state = Mutex::new(state);
-        Ok(WorkerSlot { state })
+        Ok(WorkerHandle { state })
     }
 
-    /// Starts a worker behind `link`, or a new one, and lists it.
+    /// Starts a worker and lists it in the directory. Opens a new link if `link` is `None`.
     async fn start_worker(
         &self,
         service: Service,
@@ -105,7 +105,7 @@
         Ok(state)
     }
 
-    /// The zone that a worker's entry names.
+    /// Returns the zone in the directory entry of a worker.
     fn announced_zone(&self, worker: &WorkerState) -> String {
         let regions = self.plan.regions;
         let is_announced = regions.is_none_or(|regions| regions.is_announced);
@@ -117,7 +117,7 @@
         zone.to_owned()
     }
 
-    /// For how long a worker tells that it is cold.
+    /// Returns the remaining cold time in the directory entry of a worker, in milliseconds; 0 if none is announced.
     fn cold_left_ms(&self, worker: &WorkerState) -> f64 {
         let cold = self.cold_start(worker.generation);
         let announced = cold.filter(|cold| cold.is_announced);
@@ -125,7 +125,7 @@
         until.saturating_sub(self.now()) as f64
     }
 
-    /// What is to be known of a worker that starts.
+    /// Records the location and the cold period of a worker that starts.
     fn record_worker_start(&self, index: usize, worker: &WorkerState) {
         let mut history = lock(&self.history);
         if self.plan.regions.is_some() {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How a worker starts, if it is cold: one that takes the place of another is.
+    /// Returns the limits of a cold start; `None` if the worker is not cold. Only replacements start cold.
     fn cold_start(&self, generation: u32) -> Option<ColdStarts> {
         self.plan.cold.filter(|_| generation > 0)
     }
@@ -167,7 +167,7 @@
         self.put_worker(&worker.incarnation, &document).await
     }
 
-    /// Puts another worker in the place of one that has gone.
+    /// Starts a replacement for a worker that has been killed.
     async fn replace_worker(
         &self,
         service: Service,
@@ -178,7 +178,9 @@
         let generation = worker.generation + 1;
         match self.start_worker(service, index, generation, link).await {
             Ok(state) => *worker = state,
-            Err(error) => self.record_failure(format!("a worker does not start: {error}")),
+            Err(error) => {
+                self.record_failure(format!("cannot start a replacement worker: {error}"))
+            }
         }
     }
 
@@ -189,10 +191,10 @@
         same_address: bool,
         time: Duration,
     ) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let mut worker = slot.state.lock().await;
+        let mut worker = handle.state.lock().await;
         let from = self.now();
         worker.process.kill();
         tokio::time::sleep(time.min(ENTRY_TTL)).await;
@@ -204,10 +206,10 @@
     }
 
     pub(super) async fn pause_worker(&self, service: Service, index: usize, time: Duration) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let worker = slot.state.lock().await;
+        let worker = handle.state.lock().await;
         let from = self.now();
         worker.process.pause();
         tokio::time::sleep(time).await;
@@ -216,10 +218,10 @@
     }
 
     pub(super) async fn drain_worker(&self, service: Service, index: usize, time: Duration) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let mut worker = slot.state.lock().await;
+        let mut worker = handle.state.lock().await;
         if self
             .publish_worker(service, &worker, values::DRAINING)
             .await
@@ -245,10 +247,10 @@
         manner: WorkerBehaviour,
         time: Duration,
     ) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let worker = slot.state.lock().await;
+        let worker = handle.state.lock().await;
         let from = self.now();
         self.send_manner(&worker, manner).await;
         tokio::time::sleep(time).await;
@@ -268,7 +270,9 @@
             body,
         );
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
-            self.record_failure(format!("a worker's stand-in does not obey: {error}"));
+            self.record_failure(format!(
+                "the worker stand-in did not accept a behaviour: {error}"
+            ));
         }
     }
 }
