--- a/crates/swiftshunt-lab/src/soak/disturbances.rs
+++ b/crates/swiftshunt-lab/src/soak/disturbances.rs
@@ -58,7 +58,7 @@
         )
     }
 
-    /// Whether no gateway, none of their links and not the store had a fault. Faults of workers do not count.
+    /// Whether neither the gateways, nor their links, nor the store had a fault. Faults of workers do not count.
     pub fn are_gateways_undisturbed(&self, from: u64, to: u64) -> bool {
         self.has_none(from, to, |scope| !matches!(scope, Scope::Worker(_)))
     }
--- a/crates/swiftshunt-lab/src/soak/load.rs
+++ b/crates/swiftshunt-lab/src/soak/load.rs
@@ -68,9 +68,9 @@
     }
 
     async fn send_requests(self: &Arc<Self>) {
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            let rate = self.rate(began.elapsed());
+            let rate = self.rate(start.elapsed());
             let uniform: f64 = rand::rng().random_range(f64::EPSILON..1.0);
             tokio::time::sleep(Duration::from_secs_f64(-uniform.ln() / rate)).await;
             let load = Arc::clone(self);
--- a/crates/swiftshunt-lab/src/soak/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/mod.rs
@@ -8,7 +8,6 @@
 pub mod command;
 pub mod disturbances;
 pub mod history;
-
 mod load;
 pub mod plan;
 pub mod promises;
--- a/crates/swiftshunt-lab/src/soak/promises/answers.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/answers.rs
@@ -17,7 +17,7 @@
         if let Ending::Answered { status, whole } = call.ending
             && (200..300).contains(&status)
         {
-            let seen = (!whole).then(|| format!("status {status} with another body"));
+            let seen = (!whole).then(|| format!("status {status} with a wrong or unsigned body"));
             verdict.check(call.ended, &call.id, seen);
         }
     }
@@ -59,8 +59,8 @@
         };
         for call in history.online.iter().filter(is_open_during_stop) {
             if disturbances.has_only_planned_stops(call.sent, call.ended) {
-                let is_cut = matches!(call.ending, Ending::Broken | Ending::Unanswered);
-                let seen = is_cut.then(|| {
+                let is_interrupted = matches!(call.ending, Ending::Broken | Ending::Unanswered);
+                let seen = is_interrupted.then(|| {
                     let sent = call.sent as i64 - stop.at as i64;
                     format!("{:?}, sent {sent} ms after SIGTERM", call.ending)
                 });
--- a/crates/swiftshunt-lab/src/soak/promises/batch.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/batch.rs
@@ -44,7 +44,11 @@
     let mut positions_by_item: HashMap<&str, usize> = HashMap::new();
     for reading in job.readings.iter().chain(&job.final_readings) {
         if reading.status == Some(200) && reading.total != job.items.len() {
-            let seen = format!("{} items of {}", reading.total, job.items.len());
+            let seen = format!(
+                "the response counts {} items, the job has {}",
+                reading.total,
+                job.items.len()
+            );
             verdict.check(reading.ended, &job.id, Some(seen));
         }
         for (position, listed) in (reading.from..).zip(&reading.results) {
@@ -129,8 +133,8 @@
     missing.map(|item| format!("{item} has no result"))
 }
 
-/// Checks that no item of a job starts once the acknowledged cancellation of the job has taken effect, if no gateway
-/// and not the store has a fault.
+/// Checks that no item of a job starts once the acknowledged cancellation of the job has taken effect, if neither
+/// the gateways nor the store have a fault.
 pub(super) fn cancelled(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
     for job in &history.jobs {
--- a/crates/swiftshunt-lab/src/soak/promises/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/mod.rs
@@ -96,18 +96,18 @@
 
 /// The error for a name that is not the name of a promise.
 #[derive(Clone, Debug, Display, Error)]
-#[display("there is no promise with the name `{word}`")]
+#[display("there is no promise with the name `{name}`")]
 pub struct UnknownPromise {
-    word: String,
+    name: String,
 }
 
 impl std::str::FromStr for Promise {
     type Err = UnknownPromise;
 
-    fn from_str(word: &str) -> Result<Self, UnknownPromise> {
-        let found = ALL.into_iter().find(|promise| promise.to_string() == word);
+    fn from_str(name: &str) -> Result<Self, UnknownPromise> {
+        let found = ALL.into_iter().find(|promise| promise.to_string() == name);
         found.ok_or_else(|| UnknownPromise {
-            word: word.to_owned(),
+            name: name.to_owned(),
         })
     }
 }
--- a/crates/swiftshunt-lab/src/soak/promises/placement.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/placement.rs
@@ -50,8 +50,8 @@
     run.incarnation == period.incarnation && (period.from..period.to).contains(&run.at)
 }
 
-/// Checks that workers in an evacuated zone get no requests until the withdrawal of the evacuation, if no gateway and
-/// not the store has a fault.
+/// Checks that workers in an evacuated zone get no requests until the withdrawal of the evacuation, if neither the
+/// gateways nor the store have a fault.
 pub(super) fn evacuated(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
     for evacuation in &history.evacuations {
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -83,21 +83,21 @@
 /// Checks that every run belongs to a request or item that was sent, and has its path.
 pub(super) fn asked_for(history: &History, verdict: &mut Verdict) {
     let online = history.online.iter();
-    let mut asked: HashSet<(&str, String)> = online
+    let mut expected_runs: HashSet<(&str, String)> = online
         .map(|call| (call.id.as_str(), call.path.clone()))
         .collect();
     for job in &history.jobs {
         let paths = job.items.iter().enumerate();
-        asked.extend(paths.map(|(index, id)| (id.as_str(), format!("{BATCH}{index}"))));
+        expected_runs.extend(paths.map(|(index, id)| (id.as_str(), format!("{BATCH}{index}"))));
     }
     for run in arrivals(history) {
-        let is_asked = asked.contains(&(run.id.as_str(), run.path.clone()));
-        let seen = (!is_asked).then(|| format!("{} ran {}", run.incarnation, run.path));
+        let is_expected = expected_runs.contains(&(run.id.as_str(), run.path.clone()));
+        let seen = (!is_expected).then(|| format!("{} ran {}", run.incarnation, run.path));
         verdict.check(run.at, &run.id, seen);
     }
 }
 
-/// Checks that a draining worker gets no new requests, if no gateway and not the store has a fault.
+/// Checks that a draining worker gets no new requests, if neither the gateways nor the store have a fault.
 pub(super) fn draining(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
     for drain in &history.drains {
@@ -130,9 +130,11 @@
             continue;
         }
         let of_call = || history.runs.iter().filter(|run| run.id == call.id);
-        let came = of_call().find(|run| run.event == RunEvent::Arrived && run.at > abort_deadline);
-        let stayed = of_call().find(|run| run.event == RunEvent::Ended && run.at > abort_deadline);
-        let seen = came.or(stayed).map(|run| {
+        let late_arrival =
+            of_call().find(|run| run.event == RunEvent::Arrived && run.at > abort_deadline);
+        let late_end =
+            of_call().find(|run| run.event == RunEvent::Ended && run.at > abort_deadline);
+        let seen = late_arrival.or(late_end).map(|run| {
             let after = run.at - call.ended;
             format!(
                 "{:?} at {} {after} ms after the caller closed the connection",
--- a/crates/swiftshunt-lab/src/soak/report.rs
+++ b/crates/swiftshunt-lab/src/soak/report.rs
@@ -134,7 +134,7 @@
         .build_cartesian_2d(0.0..end as f64 / 1e3, 0.0..8.0)?;
     chart
         .configure_mesh()
-        .x_desc("seconds: faults above; below served, refused, broken")
+        .x_desc("time in seconds; above: faults; below: served, refused and failed requests")
         .disable_y_mesh()
         .disable_y_axis()
         .draw()?;
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -200,47 +200,48 @@
     /// Injects a fault and withdraws it after its duration. A fault of a gateway or worker that does not exist has no
     /// effect.
     pub(super) async fn apply(&self, fault: &ScheduledFault) {
-        let time = Duration::from_millis(fault.duration_ms);
+        let duration = Duration::from_millis(fault.duration_ms);
         match &fault.disruption {
-            Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, time).await,
+            Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, duration).await,
             Disruption::KillAllGateways => {
-                let all = (0..self.gateways.len()).map(|gateway| self.kill_gateway(gateway, time));
+                let all =
+                    (0..self.gateways.len()).map(|gateway| self.kill_gateway(gateway, duration));
                 futures_util::future::join_all(all).await;
             }
-            Disruption::PauseGateway(gateway) => self.pause_gateway(*gateway, time).await,
+            Disruption::PauseGateway(gateway) => self.pause_gateway(*gateway, duration).await,
             Disruption::StopGateway(gateway) => self.stop_gateway(*gateway).await,
             Disruption::HangUp { gateway, readable } => {
-                self.hang_up(*gateway, *readable, time).await;
+                self.hang_up(*gateway, *readable, duration).await;
             }
             Disruption::CrashWorker {
                 service,
                 index,
                 same_address,
             } => {
-                self.crash_worker(*service, *index, *same_address, time)
+                self.crash_worker(*service, *index, *same_address, duration)
                     .await
             }
             Disruption::PauseWorker { service, index } => {
-                self.pause_worker(*service, *index, time).await;
+                self.pause_worker(*service, *index, duration).await;
             }
             Disruption::DrainWorker { service, index } => {
-                self.drain_worker(*service, *index, time).await;
+                self.drain_worker(*service, *index, duration).await;
             }
             Disruption::WorkerManner {
                 service,
                 index,
                 manner,
             } => {
-                self.set_worker_manner(*service, *index, *manner, time)
+                self.set_worker_manner(*service, *index, *manner, duration)
                     .await
             }
             Disruption::ServiceManner { service, manner } => {
                 let all = (0..self.plan.workers)
-                    .map(|index| self.set_worker_manner(*service, index, *manner, time));
+                    .map(|index| self.set_worker_manner(*service, index, *manner, duration));
                 futures_util::future::join_all(all).await;
             }
             Disruption::Store { gateways, faults } => {
-                self.inject_store_faults(gateways, faults, time).await;
+                self.inject_store_faults(gateways, faults, duration).await;
             }
             Disruption::DropHistory => {
                 let from = self.now();
@@ -251,9 +252,11 @@
                 self.send_store_command(CONTROL_REASSIGN_PATH).await;
                 self.notify_trigger(Trigger::Rebalanced);
             }
-            Disruption::Link { link, fault } => self.inject_link_fault(*link, *fault, time).await,
+            Disruption::Link { link, fault } => {
+                self.inject_link_fault(*link, *fault, duration).await
+            }
             Disruption::Configure => self.configure().await,
-            Disruption::Evacuate { zone } => self.evacuate(*zone, time).await,
+            Disruption::Evacuate { zone } => self.evacuate(*zone, duration).await,
         }
     }
 
@@ -281,14 +284,19 @@
         }
     }
 
-    async fn inject_store_faults(&self, gateways: &[usize], faults: &StoreFaults, time: Duration) {
+    async fn inject_store_faults(
+        &self,
+        gateways: &[usize],
+        faults: &StoreFaults,
+        duration: Duration,
+    ) {
         let from = self.now();
         let all: Vec<usize> = (0..self.gateways.len()).collect();
         let affected = if gateways.is_empty() { &all } else { gateways };
         for gateway in affected {
             self.set_store_faults(*gateway, faults).await;
         }
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         for gateway in affected {
             self.set_store_faults(*gateway, &StoreFaults::default())
                 .await;
@@ -303,7 +311,7 @@
         }
     }
 
-    async fn inject_link_fault(&self, end: ProxiedLink, fault: Fault, time: Duration) {
+    async fn inject_link_fault(&self, end: ProxiedLink, fault: Fault, duration: Duration) {
         let from = self.now();
         let (link, scope) = match end {
             ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
@@ -334,7 +342,7 @@
             }
         };
         link.set_fault(fault);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         link.set_fault(Fault::None);
         self.record_disturbance(scope, from);
     }
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -65,8 +65,8 @@
         index: usize,
         store_address: SocketAddr,
     ) -> Result<GatewayHandle, SoakError> {
-        let any = ([127, 0, 0, 1], 0).into();
-        let store = Link::open(any, Some(store_address)).await?;
+        let any_port = ([127, 0, 0, 1], 0).into();
+        let store = Link::open(any_port, Some(store_address)).await?;
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
         let seeds = self.gateways.iter().take(MAX_SEEDS);
         let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peer_address)).collect();
@@ -90,7 +90,7 @@
         let start = || start_gateway_on_free_addresses(&program, &settings, text);
         let (process, addresses) = tokio::task::block_in_place(start)?;
         let callers = Link::open(
-            any,
+            any_port,
             Some(super::parse_addresses(process.announced("callers"))?[0]),
         );
         Ok(GatewayHandle {
@@ -164,7 +164,7 @@
         }
     }
 
-    pub(super) async fn kill_gateway(&self, index: usize, time: Duration) {
+    pub(super) async fn kill_gateway(&self, index: usize, duration: Duration) {
         let Some(handle) = self.gateways.get(index) else {
             return;
         };
@@ -172,19 +172,19 @@
         let from = self.now();
         self.detect_unexpected_exit(index, &mut process);
         tokio::task::block_in_place(|| process.kill());
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         self.restart_gateway(index, &mut process).await;
         self.record_disturbance(Scope::Gateway(index), from);
     }
 
-    pub(super) async fn pause_gateway(&self, index: usize, time: Duration) {
+    pub(super) async fn pause_gateway(&self, index: usize, duration: Duration) {
         let Some(handle) = self.gateways.get(index) else {
             return;
         };
         let process = handle.process.lock().await;
         let from = self.now();
         process.pause();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         process.resume();
         self.record_disturbance(Scope::Gateway(index), from);
     }
@@ -205,7 +205,7 @@
         };
         if tokio::time::timeout(STOP_TIMEOUT, ends).await.is_err() {
             self.record_failure(format!(
-                "gateway {index} did not exit in time after SIGTERM"
+                "gateway {index} did not exit within {STOP_TIMEOUT:?} after SIGTERM"
             ));
             tokio::task::block_in_place(|| process.kill());
         }
@@ -222,8 +222,8 @@
         self.record_disturbance(Scope::PlannedStop(index), at);
     }
 
-    /// Sends SIGHUP with the unchanged settings file or with an invalid one, which is restored after `time`.
-    pub(super) async fn hang_up(&self, index: usize, readable: bool, time: Duration) {
+    /// Sends SIGHUP with the unchanged settings file or with an invalid one, which is restored after `duration`.
+    pub(super) async fn hang_up(&self, index: usize, readable: bool, duration: Duration) {
         let Some(handle) = self.gateways.get(index) else {
             return;
         };
@@ -240,7 +240,7 @@
             ));
         }
         process.hang_up();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         if let Err(error) = std::fs::write(&handle.settings, text) {
             self.record_failure(format!(
                 "cannot write the settings of gateway {index}: {error}"
@@ -250,30 +250,30 @@
 
     /// Returns the indexes of gateways whose process exited without a signal to do so.
     pub(super) fn unexpected_exits(&self) -> Vec<usize> {
-        let ended = |index: &usize| {
+        let has_exited = |index: &usize| {
             let handle = &self.gateways[*index];
             if let Ok(mut process) = handle.process.try_lock() {
                 self.detect_unexpected_exit(*index, &mut process);
             }
             handle.has_exited_unexpectedly.load(Ordering::SeqCst)
         };
-        (0..self.gateways.len()).filter(ended).collect()
+        (0..self.gateways.len()).filter(has_exited).collect()
     }
 
     /// Checks the readiness of a gateway periodically, as a platform does, and takes it out of rotation or back in.
     /// Never returns.
     pub(in crate::soak) async fn poll_readiness(&self, index: usize) {
         let caller = PlatformCaller::default();
-        let mut failures_in_a_row = 0;
+        let mut consecutive_failures = 0;
         loop {
             let ready = *lock(&self.gateways[index].readiness_address);
             let answer = tokio::time::timeout(READY_POLL_INTERVAL, caller.is_ready(ready)).await;
-            failures_in_a_row = if answer.unwrap_or(false) {
+            consecutive_failures = if answer.unwrap_or(false) {
                 0
             } else {
-                failures_in_a_row + 1
+                consecutive_failures + 1
             };
-            let is_in_rotation = failures_in_a_row < MAX_READY_FAILURES;
+            let is_in_rotation = consecutive_failures < MAX_READY_FAILURES;
             self.gateways[index]
                 .is_in_rotation
                 .store(is_in_rotation, Ordering::SeqCst);
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -18,7 +18,7 @@
 /// Number of marker routes of earlier versions that a configuration keeps.
 const MAX_EARLIER_MARKERS: u64 = 4;
 
-/// Index of the zone whose region is the only allowed one of a route.
+/// Index of the zone whose region is the only region allowed for the route of non-resumable streams.
 const RESIDENCY_ZONE: usize = 0;
 
 /// The state of the operator.
@@ -72,7 +72,7 @@
         let version = self.operator.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut document = first_configuration();
         document.version = version;
-        self.apply_regions(&mut document);
+        self.apply_regions_and_cold_limits(&mut document);
         self.apply_queue_limit(&mut document);
         let oldest = version.saturating_sub(MAX_EARLIER_MARKERS).max(1);
         for marked in oldest..=version {
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Restricts a route to one region, and sets the limits of cold workers.
-    fn apply_regions(&self, document: &mut ConfigurationDocument) {
+    /// Restricts the route of non-resumable streams to one region, and sets the limits of cold workers.
+    fn apply_regions_and_cold_limits(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
             let region = self.zones().region(RESIDENCY_ZONE);
             let bound = document.routes.iter_mut();
@@ -126,7 +126,7 @@
     }
 
     /// Evacuates a zone for a time. Has no effect in a round with a single zone, which has to keep serving.
-    pub(super) async fn evacuate(&self, zone: usize, time: Duration) {
+    pub(super) async fn evacuate(&self, zone: usize, duration: Duration) {
         if self.plan.regions.is_none() {
             return;
         }
@@ -143,7 +143,7 @@
             at: self.now(),
             withdrawn: None,
         };
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         evacuation.withdrawn = Some(self.now());
         lock(&self.history).evacuations.push(evacuation);
         self.put_record(topics::OPERATOR, key.as_bytes(), &[]).await;
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -26,7 +26,7 @@
 const ENTRY_TTL: Duration = Duration::from_secs(3);
 /// Time for which a draining worker continues to serve: the time for its open requests, and twice the time within
 /// which the drain must take effect at the gateways.
-const DRAIN_TIME: Duration = Duration::from_secs(5);
+const DRAIN_DURATION: Duration = Duration::from_secs(5);
 
 /// A position in the fleet, held by a worker and its successive replacements.
 pub(super) struct WorkerHandle {
@@ -189,7 +189,7 @@
         service: Service,
         index: usize,
         same_address: bool,
-        time: Duration,
+        duration: Duration,
     ) {
         let Some(handle) = self.worker(service, index) else {
             return;
@@ -197,27 +197,27 @@
         let mut worker = handle.state.lock().await;
         let from = self.now();
         worker.process.kill();
-        tokio::time::sleep(time.min(ENTRY_TTL)).await;
+        tokio::time::sleep(duration.min(ENTRY_TTL)).await;
         self.remove_worker(&worker.incarnation).await;
-        tokio::time::sleep(time.saturating_sub(ENTRY_TTL)).await;
+        tokio::time::sleep(duration.saturating_sub(ENTRY_TTL)).await;
         self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
         let link = same_address.then(|| Arc::clone(&worker.link));
         self.replace_worker(service, index, &mut worker, link).await;
     }
 
-    pub(super) async fn pause_worker(&self, service: Service, index: usize, time: Duration) {
+    pub(super) async fn pause_worker(&self, service: Service, index: usize, duration: Duration) {
         let Some(handle) = self.worker(service, index) else {
             return;
         };
         let worker = handle.state.lock().await;
         let from = self.now();
         worker.process.pause();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         worker.process.resume();
         self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
-    pub(super) async fn drain_worker(&self, service: Service, index: usize, time: Duration) {
+    pub(super) async fn drain_worker(&self, service: Service, index: usize, duration: Duration) {
         let Some(handle) = self.worker(service, index) else {
             return;
         };
@@ -232,7 +232,7 @@
             };
             lock(&self.history).drains.push(drain);
         }
-        tokio::time::sleep(DRAIN_TIME + time / 4).await;
+        tokio::time::sleep(DRAIN_DURATION + duration / 4).await;
         self.remove_worker(&worker.incarnation).await;
         let from = self.now();
         worker.process.kill();
@@ -245,7 +245,7 @@
         service: Service,
         index: usize,
         manner: WorkerBehaviour,
-        time: Duration,
+        duration: Duration,
     ) {
         let Some(handle) = self.worker(service, index) else {
             return;
@@ -253,7 +253,7 @@
         let worker = handle.state.lock().await;
         let from = self.now();
         self.send_manner(&worker, manner).await;
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         self.send_manner(&worker, WorkerBehaviour::Normal).await;
         self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
