--- a/crates/swiftshunt-lab/src/soak/history.rs
+++ b/crates/swiftshunt-lab/src/soak/history.rs
@@ -266,10 +266,10 @@
     #[serde(default)]
     #[serde(rename = "residences")]
     pub residency_rules: Vec<ResidencyRule>,
-    /// Maximum number of tokens of unfinished items in the queue of the batch route; `None` for no limit.
+    /// Limit of waiting tokens on the batch route, checked even if the configuration does not contain it; `None` for no
+    /// limit.
     #[serde(default)]
-    #[serde(rename = "waiting_limit")]
-    pub queue_limit: Option<u64>,
+    pub waiting_limit: Option<u64>,
     /// Planned stops of gateways.
     pub stops: Vec<PlannedStop>,
     /// Indexes of gateways whose process exited without a signal to do so.
--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -28,8 +28,8 @@
 pub const ZONES: usize = 2;
 /// Mask of the seed for the options of two regions, so that they do not change what else is drawn from a seed.
 const REGIONS_SEED_MASK: u64 = 0x7265_6769_6f6e_7321;
-/// Mask of the seed for the queue limit, so that it does not change what else is drawn from a seed.
-const QUEUE_LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
+/// XORed with the seed to draw the waiting limit, so that drawing it does not change the rest of the plan.
+const WAITING_LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
 /// One-way delay of the link between the regions, in milliseconds.
 const LINK_DELAY_MS: std::ops::Range<u64> = 5..60;
 /// Bandwidth of the link between the regions, in bytes per second.
@@ -74,16 +74,15 @@
     /// Limits for workers that start during the load; `None` if they can serve at full rate from their start.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<ColdStarts>,
-    /// Limit of the queue of the batch route; `None` for no limit.
+    /// Limit of waiting tokens on the batch route; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "waiting_limit")]
-    pub queue_limit: Option<QueueLimit>,
+    pub waiting_limit: Option<WaitingLimit>,
 }
 
-/// A limit of the queue of the batch route.
+/// A limit of the tokens that may wait on the batch route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QueueLimit {
-    /// Maximum number of tokens of unfinished items.
+pub struct WaitingLimit {
+    /// Maximum number of tokens of unfinished items of accepted jobs.
     pub tokens: u64,
     /// Whether the configuration contains the limit. If it does not, the check must detect violations.
     #[serde(rename = "is_told")]
@@ -282,9 +281,9 @@
             faults: Vec::new(),
             regions: None,
             cold: None,
-            queue_limit: None,
+            waiting_limit: None,
         };
-        plan.queue_limit = plan.draw_queue_limit();
+        plan.waiting_limit = plan.draw_waiting_limit();
         let count = f64::from(random.random_range(FAULTS_PER_MINUTE)) * minutes;
         plan.faults = (0..count.ceil() as u32)
             .map(|_| plan.draw_scheduled_fault(&mut random))
@@ -334,11 +333,11 @@
         self
     }
 
-    /// Draws a queue limit for half of the seeds. The limit is close to the load: between one job and two bursts.
-    fn draw_queue_limit(&self) -> Option<QueueLimit> {
-        let mut random = StdRng::seed_from_u64(self.seed ^ QUEUE_LIMIT_SEED_MASK);
+    /// Draws a waiting limit for half of the seeds. The limit is close to the load: between one job and two bursts.
+    fn draw_waiting_limit(&self) -> Option<WaitingLimit> {
+        let mut random = StdRng::seed_from_u64(self.seed ^ WAITING_LIMIT_SEED_MASK);
         let jobs = random.random_range(1..=2 * self.jobs_per_burst);
-        random.random_bool(0.5).then(|| QueueLimit {
+        random.random_bool(0.5).then(|| WaitingLimit {
             tokens: ITEM_TOKENS * (self.job_items * jobs) as u64,
             is_announced: true,
         })
--- a/crates/swiftshunt-lab/src/soak/promises/limits.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/limits.rs
@@ -1,4 +1,4 @@
-//! Promise about the queue limit of the batch route.
+//! Promise about the limit of waiting tokens on the batch route.
 
 use std::collections::HashMap;
 
@@ -10,8 +10,8 @@
 /// Checks at each response 202 that the unfinished items of accepted jobs have no more tokens than the limit. Only
 /// items that are certainly unfinished count: no run of the item has ended and nobody has requested a cancellation of
 /// the job.
-pub(super) fn queue_limit(history: &History, verdict: &mut Verdict) {
-    let Some(limit) = history.queue_limit else {
+pub(super) fn waiting_limit(history: &History, verdict: &mut Verdict) {
+    let Some(limit) = history.waiting_limit else {
         return;
     };
     let first_ends = first_ends(history);
@@ -24,7 +24,7 @@
         let is_waiting = |item: &&String| first_ends.get(item.as_str()).is_none_or(|end| end > at);
         let tokens = items.filter(is_waiting).count() as u64 * ITEM_TOKENS;
         let seen =
-            (tokens > limit).then(|| format!("{tokens} tokens are queued, the limit is {limit}"));
+            (tokens > limit).then(|| format!("{tokens} tokens are waiting, the limit is {limit}"));
         verdict.check(*at, &job.id, seen);
     }
 }
--- a/crates/swiftshunt-lab/src/soak/promises/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/mod.rs
@@ -67,10 +67,9 @@
     /// Requests of a route with allowed regions run only in these regions.
     #[display("residency")]
     Residency,
-    /// The accepted jobs of a batch route hold no more unfinished tokens than its limit allows.
+    /// The unfinished items of accepted jobs hold no more tokens than the waiting limit of their batch route.
     #[display("waiting-limit")]
-    #[serde(rename = "waiting-limit")]
-    QueueLimit,
+    WaitingLimit,
 }
 
 /// All promises.
@@ -91,7 +90,7 @@
     Promise::Cold,
     Promise::Evacuated,
     Promise::Residency,
-    Promise::QueueLimit,
+    Promise::WaitingLimit,
 ];
 
 /// The error for a name that is not the name of a promise.
@@ -179,7 +178,7 @@
         Promise::Cold => placement::cold(history, &mut verdict),
         Promise::Evacuated => placement::evacuated(history, &mut verdict),
         Promise::Residency => placement::residency(history, &mut verdict),
-        Promise::QueueLimit => limits::queue_limit(history, &mut verdict),
+        Promise::WaitingLimit => limits::waiting_limit(history, &mut verdict),
     }
     verdict
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -73,7 +73,7 @@
         let mut document = first_configuration();
         document.version = version;
         self.apply_regions_and_cold_limits(&mut document);
-        self.apply_queue_limit(&mut document);
+        self.apply_waiting_limit(&mut document);
         let oldest = version.saturating_sub(MAX_EARLIER_MARKERS).max(1);
         for marked in oldest..=version {
             let marker = route(&marker(marked), values::IDEMPOTENT, "whole");
@@ -91,12 +91,13 @@
         }
     }
 
-    /// Sets the queue limit of the batch route.
-    fn apply_queue_limit(&self, document: &mut ConfigurationDocument) {
-        let Some(limit) = self.plan.queue_limit else {
+    /// Sets the waiting limit of the batch route, unless the plan keeps it out of the configuration. The history gets the
+    /// limit in both cases.
+    fn apply_waiting_limit(&self, document: &mut ConfigurationDocument) {
+        let Some(limit) = self.plan.waiting_limit else {
             return;
         };
-        lock(&self.history).queue_limit = Some(limit.tokens);
+        lock(&self.history).waiting_limit = Some(limit.tokens);
         let batch = document.routes.iter_mut();
         for route in batch.filter(|route| route.path_prefix == BATCH && limit.is_announced) {
             route.max_queued_tokens = Some(limit.tokens as f64);
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -181,7 +181,7 @@
             path_prefix: "/ask/".to_owned(),
             regions: vec!["region-a".to_owned()],
         }],
-        queue_limit: Some(200),
+        waiting_limit: Some(200),
         stops: vec![PlannedStop {
             gateway: 0,
             at: GATEWAY_STOPS_AT,
@@ -254,7 +254,7 @@
 #[test_case(Promise::ExactlyOnce, |history| history.jobs[1].final_readings[0].results.clear(); "results of an ended job that disappeared")]
 #[test_case(Promise::Cold, |history| history.runs.extend(arrivals(9, 7_000)); "more requests than the bound of a cold worker")]
 #[test_case(Promise::Evacuated, |history| history.runs.extend(whole_run("ask", "/ask/", EVACUATED_AT + 5_500)); "a run in an evacuated zone")]
-#[test_case(Promise::QueueLimit, |history| history.queue_limit = Some(199); "more queued tokens than the limit")]
+#[test_case(Promise::WaitingLimit, |history| history.waiting_limit = Some(199); "more queued tokens than the limit")]
 #[test_case(Promise::Residency, |history| history.worker_locations[0].region = "region-b".to_owned(); "a run outside the allowed regions")]
 fn each_kind_of_broken_promise_is_detected(promise: Promise, corrupt: impl Fn(&mut History)) {
     let mut history = valid_history();
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -9,7 +9,7 @@
 use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_lab::soak::history::History;
 use swiftshunt_lab::soak::plan::{
-    ColdStarts, Disruption, Plan, QueueLimit, ScheduledFault, Service,
+    ColdStarts, Disruption, Plan, ScheduledFault, Service, WaitingLimit,
 };
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
 use test_case::test_case;
@@ -133,14 +133,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_queue_limit_missing_from_the_configuration_is_detected() {
+async fn a_waiting_limit_missing_from_the_configuration_is_detected() {
     let mut plan = plan_with(Disruption::Configure);
-    plan.queue_limit = Some(QueueLimit {
+    plan.waiting_limit = Some(WaitingLimit {
         tokens: 1,
         is_announced: false,
     });
     let history = play(plan).await;
-    let verdict = judge(Promise::QueueLimit, &history);
+    let verdict = judge(Promise::WaitingLimit, &history);
     assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
 }
 
