--- a/crates/swiftshunt-lab/src/soak/history.rs
+++ b/crates/swiftshunt-lab/src/soak/history.rs
@@ -27,7 +27,7 @@
 /// The outcome of an online request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ending {
+pub enum Outcome {
     /// The caller received a complete HTTP response.
     Answered {
         /// HTTP status.
@@ -43,7 +43,7 @@
     Left,
 }
 
-impl Ending {
+impl Outcome {
     /// Returns the HTTP status; `None` without a complete response.
     pub fn status(self) -> Option<u16> {
         match self {
@@ -73,8 +73,9 @@
     pub ended: u64,
     /// Deadline of the request, in milliseconds after `sent`.
     pub deadline: u64,
-    /// Outcome.
-    pub ending: Ending,
+    /// Outcome for the caller.
+    #[serde(rename = "ending")]
+    pub outcome: Outcome,
 }
 
 /// An attempt to submit a job.
--- a/crates/swiftshunt-lab/src/soak/load.rs
+++ b/crates/swiftshunt-lab/src/soak/load.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use super::history::{Ending, JobHistory, OnlineCall};
+use super::history::{JobHistory, OnlineCall, Outcome};
 use super::testbed::Testbed;
 use crate::platform::caller::PlatformCaller;
 use crate::stand_in::lock;
@@ -139,9 +139,9 @@
 }
 
 /// Maps the error of a failed call to its outcome.
-fn ending_of_error(error: &HttpError) -> Ending {
+fn outcome_of_error(error: &HttpError) -> Outcome {
     match error {
-        HttpError::TimedOut { .. } => Ending::Unanswered,
-        _ => Ending::Broken,
+        HttpError::TimedOut { .. } => Outcome::Unanswered,
+        _ => Outcome::Broken,
     }
 }
--- a/crates/swiftshunt-lab/src/soak/load/online.rs
+++ b/crates/swiftshunt-lab/src/soak/load/online.rs
@@ -6,10 +6,10 @@
 use rand::Rng;
 use swiftshunt_http::HttpAnswer;
 
-use super::{Load, ending_of_error};
+use super::{Load, outcome_of_error};
 use crate::platform::fleet::{ASK, ONCE, STREAM, STREAM_ONCE};
 use crate::platform::worker::event_data;
-use crate::soak::history::{Ending, OnlineCall, OnlineKind};
+use crate::soak::history::{OnlineCall, OnlineKind, Outcome};
 use crate::soak::testbed::{EVENTS, marker};
 use crate::stand_in::lock;
 
@@ -56,11 +56,11 @@
         let disconnect_delay = draw_disconnect_delay(kind);
         let wait_limit = disconnect_delay.unwrap_or(timeout + LATE_RESPONSE_GRACE);
         let answer = tokio::time::timeout(wait_limit, call).await;
-        let ending = match answer {
-            Err(_) if disconnect_delay.is_some() => Ending::Left,
-            Err(_) => Ending::Unanswered,
-            Ok(Err(error)) => ending_of_error(&error),
-            Ok(Ok(answer)) => Ending::Answered {
+        let outcome = match answer {
+            Err(_) if disconnect_delay.is_some() => Outcome::Left,
+            Err(_) => Outcome::Unanswered,
+            Ok(Err(error)) => outcome_of_error(&error),
+            Ok(Ok(answer)) => Outcome::Answered {
                 status: answer.status.as_u16(),
                 whole: answer.body == expected_body(kind, &id) && is_signed(&answer),
             },
@@ -74,7 +74,7 @@
             sent,
             ended: self.testbed.now(),
             deadline,
-            ending,
+            outcome,
         };
         lock(&self.records).online.push(call);
     }
--- a/crates/swiftshunt-lab/src/soak/promises/answers.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/answers.rs
@@ -2,7 +2,7 @@
 
 use super::Verdict;
 use crate::soak::disturbances::DisturbanceLog;
-use crate::soak::history::{Ending, History, OnlineCall};
+use crate::soak::history::{History, OnlineCall, Outcome};
 
 /// Tolerance beyond the deadline of a request within which the final response must arrive, in milliseconds.
 const RESPONSE_SLACK_MS: u64 = 700;
@@ -14,7 +14,7 @@
 /// Checks that a response with a success status has the complete body for its request.
 pub(super) fn own_answer(history: &History, verdict: &mut Verdict) {
     for call in &history.online {
-        if let Ending::Answered { status, whole } = call.ending
+        if let Outcome::Answered { status, whole } = call.outcome
             && (200..300).contains(&status)
         {
             let seen = (!whole).then(|| format!("status {status} with a wrong or unsigned body"));
@@ -30,16 +30,16 @@
         let due = call.sent + call.deadline.min(ROUTE_TIMEOUT_MS) + RESPONSE_SLACK_MS;
         let is_undisturbed =
             disturbances.is_gateway_undisturbed(call.gateway, call.sent, call.ended.max(due));
-        if call.ending == Ending::Left || !is_undisturbed {
+        if call.outcome == Outcome::Left || !is_undisturbed {
             continue;
         }
-        let is_late = call.ended > due || call.ending == Ending::Unanswered;
+        let is_late = call.ended > due || call.outcome == Outcome::Unanswered;
         let seen = is_late.then(|| {
             let took = call.ended - call.sent;
             let allowed = call.deadline;
             format!(
                 "gateway {}: {:?} after {took} of {allowed} ms",
-                call.gateway, call.ending
+                call.gateway, call.outcome
             )
         });
         verdict.check(call.ended, &call.id, seen);
@@ -59,10 +59,10 @@
         };
         for call in history.online.iter().filter(is_open_during_stop) {
             if disturbances.has_only_planned_stops(call.sent, call.ended) {
-                let is_interrupted = matches!(call.ending, Ending::Broken | Ending::Unanswered);
+                let is_interrupted = matches!(call.outcome, Outcome::Broken | Outcome::Unanswered);
                 let seen = is_interrupted.then(|| {
                     let sent = call.sent as i64 - stop.at as i64;
-                    format!("{:?}, sent {sent} ms after SIGTERM", call.ending)
+                    format!("{:?}, sent {sent} ms after SIGTERM", call.outcome)
                 });
                 verdict.check(call.ended, &call.id, seen);
             }
--- a/crates/swiftshunt-lab/src/soak/promises/configuration.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/configuration.rs
@@ -4,7 +4,7 @@
 
 use super::Verdict;
 use crate::soak::disturbances::DisturbanceLog;
-use crate::soak::history::{Ending, History, OnlineCall, OnlineKind};
+use crate::soak::history::{History, OnlineCall, OnlineKind, Outcome};
 
 /// Time within which a configuration must be in force at every gateway, in milliseconds.
 const CONFIGURATION_EFFECTIVE_WITHIN_MS: u64 = 2_000;
@@ -21,7 +21,7 @@
 }
 
 fn is_unknown(call: &OnlineCall) -> bool {
-    call.ending.status() == Some(404)
+    call.outcome.status() == Some(404)
 }
 
 /// Checks that a configuration is in force at every gateway in time, and that no process reverts to an older one.
@@ -60,7 +60,7 @@
     // For each process the times and versions of successful responses on marker routes.
     let mut versions_by_process: HashMap<(usize, usize), Vec<(u64, u64)>> = HashMap::new();
     for (version, call) in marker_calls(history) {
-        if matches!(call.ending, Ending::Answered { status: 200, .. }) {
+        if matches!(call.outcome, Outcome::Answered { status: 200, .. }) {
             let versions = versions_by_process
                 .entry((call.gateway, call.generation))
                 .or_default();
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -6,7 +6,7 @@
 use crate::platform::fleet::{BATCH, STREAM, STREAM_ONCE};
 use crate::platform::worker::RunEvent;
 use crate::soak::disturbances::DisturbanceLog;
-use crate::soak::history::{Ending, History, OnlineCall, OnlineKind, RunRecord};
+use crate::soak::history::{History, OnlineCall, OnlineKind, Outcome, RunRecord};
 
 /// HTTP statuses of responses that guarantee that the request has not run.
 const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
@@ -40,7 +40,7 @@
     let run_count = |id: &str| arrival_counts.get(id).copied().unwrap_or(0);
     for call in &history.online {
         if let Some(status) = call
-            .ending
+            .outcome
             .status()
             .filter(|it| REFUSAL_STATUSES.contains(it))
         {
@@ -123,7 +123,7 @@
 pub(super) fn caller_left(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
     let has_left =
-        |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
+        |call: &&OnlineCall| call.outcome == Outcome::Left && call.kind != OnlineKind::Once;
     for call in history.online.iter().filter(has_left) {
         let abort_deadline = call.ended + ABORT_WITHIN_MS;
         if !disturbances.is_undisturbed(call.sent, abort_deadline) {
--- a/crates/swiftshunt-lab/src/soak/report.rs
+++ b/crates/swiftshunt-lab/src/soak/report.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::disturbances::Scope;
-use super::history::{Ending, History};
+use super::history::{History, Outcome};
 use super::plan::Plan;
 use super::promises::Verdict;
 
@@ -34,7 +34,7 @@
     pub(super) fn new(plan: &'r Plan, history: &History, verdicts: &'r [Verdict]) -> Self {
         let mut outcomes = BTreeMap::new();
         for call in &history.online {
-            *outcomes.entry(outcome(call.ending)).or_default() += 1;
+            *outcomes.entry(outcome_label(call.outcome)).or_default() += 1;
         }
         let accepted = history.jobs.iter().filter(|job| job.accepted().is_some());
         let accepted = accepted.count();
@@ -76,12 +76,12 @@
     }
 }
 
-fn outcome(ending: Ending) -> String {
-    match ending {
-        Ending::Answered { status, .. } => status.to_string(),
-        Ending::Broken => "broken".to_owned(),
-        Ending::Unanswered => "unanswered".to_owned(),
-        Ending::Left => "left".to_owned(),
+fn outcome_label(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Answered { status, .. } => status.to_string(),
+        Outcome::Broken => "broken".to_owned(),
+        Outcome::Unanswered => "unanswered".to_owned(),
+        Outcome::Left => "left".to_owned(),
     }
 }
 
@@ -108,12 +108,14 @@
 const FAILED_COLOUR: RGBColor = RGBColor(200, 50, 40);
 const FAULT_COLOUR: RGBColor = RGBColor(120, 120, 140);
 
-fn colour(ending: Ending) -> (RGBColor, f64) {
-    match ending {
-        Ending::Answered { status: 200, .. } => (SUCCESS_COLOUR, 1.0),
-        Ending::Answered { .. } => (REFUSED_COLOUR, 2.0),
-        Ending::Left => (FAULT_COLOUR, 1.5),
-        Ending::Broken | Ending::Unanswered => (FAILED_COLOUR, 3.0),
+/// Returns the colour of the point that stands for a request in the plot, and the height of the point on the y axis,
+/// which has no unit.
+fn colour_and_row(outcome: Outcome) -> (RGBColor, f64) {
+    match outcome {
+        Outcome::Answered { status: 200, .. } => (SUCCESS_COLOUR, 1.0),
+        Outcome::Answered { .. } => (REFUSED_COLOUR, 2.0),
+        Outcome::Left => (FAULT_COLOUR, 1.5),
+        Outcome::Broken | Outcome::Unanswered => (FAILED_COLOUR, 3.0),
     }
 }
 
@@ -139,8 +141,8 @@
         .disable_y_axis()
         .draw()?;
     let points = history.online.iter().map(|call| {
-        let (colour, height) = colour(call.ending);
-        Circle::new((call.sent as f64 / 1e3, height), 2, colour.filled())
+        let (colour, row) = colour_and_row(call.outcome);
+        Circle::new((call.sent as f64 / 1e3, row), 2, colour.filled())
     });
     chart.draw_series(points)?;
     let bars = history.disturbances.iter().map(|it| {
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -4,7 +4,7 @@
 use swiftshunt_lab::platform::worker::{RunEvent, event_data};
 use swiftshunt_lab::soak::disturbances::{Disturbance, Scope};
 use swiftshunt_lab::soak::history::{
-    ColdPeriod, Ending, Evacuation, History, JobHistory, ListedResult, OnlineCall, OnlineKind,
+    ColdPeriod, Evacuation, History, JobHistory, ListedResult, OnlineCall, OnlineKind, Outcome,
     PlannedStop, PublishedConfiguration, Reading, ResidencyRule, RunRecord, Submission,
     WorkerDrain, WorkerLocation,
 };
@@ -25,11 +25,11 @@
 const EVACUATED_AT: u64 = 31_000;
 const WITHDRAWN_AT: u64 = 45_000;
 
-fn answered(status: u16, whole: bool) -> Ending {
-    Ending::Answered { status, whole }
+fn answered(status: u16, whole: bool) -> Outcome {
+    Outcome::Answered { status, whole }
 }
 
-fn call(id: &str, kind: OnlineKind, path: &str, sent: u64, ending: Ending) -> OnlineCall {
+fn call(id: &str, kind: OnlineKind, path: &str, sent: u64, outcome: Outcome) -> OnlineCall {
     OnlineCall {
         id: id.to_owned(),
         path: path.to_owned(),
@@ -39,7 +39,7 @@
         sent,
         ended: sent + 100,
         deadline: 5_000,
-        ending,
+        outcome,
     }
 }
 
@@ -148,7 +148,13 @@
                 GATEWAY_STOPS_AT,
                 answered(200, true),
             ),
-            call("left", OnlineKind::Stream, "/stream/", 15_000, Ending::Left),
+            call(
+                "left",
+                OnlineKind::Stream,
+                "/stream/",
+                15_000,
+                Outcome::Left,
+            ),
             marker("m1", 2, CONFIGURED_AT + 2_500),
             marker("m2", 2, CONFIGURED_AT + 3_500),
         ],
@@ -228,18 +234,18 @@
     }
 }
 
-#[test_case(Promise::OwnAnswer, |history| history.online[0].ending = answered(200, false); "the response body of another request")]
+#[test_case(Promise::OwnAnswer, |history| history.online[0].outcome = answered(200, false); "the response body of another request")]
 #[test_case(Promise::NotRun, |history| history.runs.extend(whole_run("refused", "/ask/", 6_010)); "a refused request ran")]
 #[test_case(Promise::NotRun, |history| history.jobs[0].submissions[0].status = Some(429); "items of a refused job ran")]
 #[test_case(Promise::AtMostOnce, |history| history.runs.extend(whole_run("once", "/once/", 5_050)); "a request that must not be repeated ran twice")]
 #[test_case(Promise::AskedFor, |history| history.runs.extend(whole_run("nobody", "/ask/", 9_000)); "a run without a request")]
 #[test_case(Promise::AskedFor, |history| history.runs[0].path = "/other/".to_owned(); "a run on another path")]
 #[test_case(Promise::Draining, |history| history.runs.extend(whole_run("ask", "/ask/", WORKER_LEAVES_AT + 2_500)); "a run at a worker that left")]
-#[test_case(Promise::PlannedStop, |history| history.online[4].ending = Ending::Broken; "a response cut off by a planned stop")]
-#[test_case(Promise::Configuration, |history| history.online[6].ending = answered(404, false); "a configuration not in force in time")]
-#[test_case(Promise::Configuration, |history| history.online[7].ending = answered(404, false); "a gateway reverted to an earlier configuration")]
+#[test_case(Promise::PlannedStop, |history| history.online[4].outcome = Outcome::Broken; "a response cut off by a planned stop")]
+#[test_case(Promise::Configuration, |history| history.online[6].outcome = answered(404, false); "a configuration not in force in time")]
+#[test_case(Promise::Configuration, |history| history.online[7].outcome = answered(404, false); "a gateway reverted to an earlier configuration")]
 #[test_case(Promise::FinalAnswer, |history| history.online[0].ended += 6_000; "a response after the deadline")]
-#[test_case(Promise::FinalAnswer, |history| history.online[0].ending = Ending::Unanswered; "no response")]
+#[test_case(Promise::FinalAnswer, |history| history.online[0].outcome = Outcome::Unanswered; "no response")]
 #[test_case(Promise::CallerLeft, |history| history.runs.push(run(RunEvent::Ended, "left", "/stream/", 15_800)); "a run that continued after its caller disconnected")]
 #[test_case(Promise::CallerLeft, |history| history.runs.extend(whole_run("left", "/stream/", 15_700)); "a run that began after its caller disconnected")]
 #[test_case(Promise::StaysUp, |history| history.unexpected_exits.push(1); "a gateway process that exited unexpectedly")]
@@ -362,7 +368,7 @@
     is_detected: bool,
 ) {
     let mut history = valid_history();
-    history.online[0].ending = Ending::Unanswered;
+    history.online[0].outcome = Outcome::Unanswered;
     let scope = Scope::Gateway(0);
     history.disturbances.push(Disturbance { scope, from, to });
     assert_eq!(!judge(promise, &history).breaks.is_empty(), is_detected);
