--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -127,6 +127,8 @@
         Ok(false)
     }
 
+    /// Plays a plan and checks the promises. Writes the plan, the history, the report, a plot and all logs to `folder`,
+    /// whose earlier contents are deleted.
     async fn play_into(&self, plan: &Plan, folder: &Path) -> Result<Vec<Verdict>, SoakError> {
         if folder.exists() {
             std::fs::remove_dir_all(folder)?;
@@ -173,13 +175,13 @@
         broken: &[Promise],
         folder: &Path,
     ) -> Result<Plan, SoakError> {
-        let mut plays = 0;
+        let mut rounds_played = 0;
         let mut index = 0;
-        while index < plan.faults.len() && plays < self.max_shrink_rounds {
+        while index < plan.faults.len() && rounds_played < self.max_shrink_rounds {
             let mut candidate = plan.clone();
             candidate.faults.remove(index);
             let verdicts = self.play_into(&candidate, &folder.join("shrink")).await?;
-            plays += 1;
+            rounds_played += 1;
             let is_still_broken = verdicts
                 .iter()
                 .any(|it| broken.contains(&it.promise) && !it.breaks.is_empty());
--- a/crates/swiftshunt-lab/src/soak/history.rs
+++ b/crates/swiftshunt-lab/src/soak/history.rs
@@ -161,7 +161,7 @@
     pub id: String,
     /// Request path.
     pub path: String,
-    /// Time at which the worker recorded the event.
+    /// Time at which the worker recorded the event; 0 if it was before the start of the round.
     pub at: u64,
 }
 
@@ -210,7 +210,7 @@
 pub struct ColdPeriod {
     /// Incarnation of the worker.
     pub incarnation: String,
-    /// Requests per second that the worker can serve.
+    /// Limit of the requests per second to the worker.
     pub per_second: f64,
     /// Start of the period, just before the worker is listed in the directory.
     pub from: u64,
@@ -271,11 +271,12 @@
     /// limit.
     #[serde(default)]
     pub waiting_limit: Option<u64>,
-    /// Planned stops of gateways.
+    /// Planned stops of gateways, in the order of their ends.
     pub stops: Vec<PlannedStop>,
     /// Indexes of gateways whose process exited without a signal to do so.
     #[serde(rename = "own_ends")]
     pub unexpected_exits: Vec<usize>,
-    /// Periods of faults.
+    /// Periods of faults, in the order of their ends. Faults from which no component has to recover, such as
+    /// SIGHUP, are not recorded.
     pub disturbances: Vec<Disturbance>,
 }
--- a/crates/swiftshunt-lab/src/soak/load.rs
+++ b/crates/swiftshunt-lab/src/soak/load.rs
@@ -16,10 +16,10 @@
 use crate::platform::caller::PlatformCaller;
 use crate::stand_in::lock;
 
-/// Interval of requests on the marker routes of configurations.
+/// Interval of requests on the marker route of the latest configuration.
 const MARKER_INTERVAL: Duration = Duration::from_millis(60);
-/// Time without a new result, counted after the end of load and faults, after which unfinished jobs are left
-/// unfinished. It is several times the run time of an item, a lease, and the retry delays of failed items.
+/// Senders stop reading unfinished jobs if no job has listed a new result for this time after the end of load and
+/// faults. It is several times the run time of an item, a lease, and the retry delays of failed items.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Records of online requests whose outcome is known, and of finished jobs.
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Marks the end of load and faults and waits until all calls and jobs have finished. Jobs without progress for
-    /// [`STALL_TIMEOUT`] are left unfinished.
+    /// Marks the end of load and faults and waits until all calls have ended and all senders have finished. Senders
+    /// stop reading unfinished jobs after [`STALL_TIMEOUT`] without progress.
     pub(super) async fn finish(&self) {
         *lock(&self.load_end) = Some(Instant::now());
         self.tasks.close();
@@ -131,8 +131,8 @@
         last.elapsed() >= STALL_TIMEOUT
     }
 
-    /// Takes the records of online requests and jobs.
-    pub(super) fn records(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
+    /// Takes the records of online requests and jobs, and leaves none.
+    pub(super) fn take_records(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
         let records = std::mem::take(&mut *lock(&self.records));
         (records.online, records.jobs)
     }
--- a/crates/swiftshunt-lab/src/soak/load/jobs.rs
+++ b/crates/swiftshunt-lab/src/soak/load/jobs.rs
@@ -76,11 +76,11 @@
     }
 
     async fn read_until_complete(&self, job: &mut JobHistory) {
-        let cancels = rand::rng().random_bool(CANCELLED_SHARE);
+        let will_cancel = rand::rng().random_bool(CANCELLED_SHARE);
         let mut reads_before_cancel = rand::rng().random_range(0..MAX_READS_BEFORE_CANCEL);
-        let mut listed = 0;
-        while listed < job.items.len() && !self.is_stalled() {
-            if cancels && reads_before_cancel == 0 {
+        let mut listed_count = 0;
+        while listed_count < job.items.len() && !self.is_stalled() {
+            if will_cancel && reads_before_cancel == 0 {
                 self.cancel(job).await;
                 if job.cancelled_at.is_some() {
                     return;
@@ -88,14 +88,14 @@
             }
             reads_before_cancel = reads_before_cancel.saturating_sub(1);
             let from = if rand::rng().random_bool(REREAD_SHARE) {
-                rand::rng().random_range(0..=listed)
+                rand::rng().random_range(0..=listed_count)
             } else {
-                listed
+                listed_count
             };
             let reading = self.read(self.testbed.pick_gateway(), &job.id, from).await;
             let end_position = from + reading.results.len();
-            if end_position > listed {
-                listed = end_position;
+            if end_position > listed_count {
+                listed_count = end_position;
                 *lock(&self.last_progress) = Instant::now();
             }
             job.readings.push(reading);
--- a/crates/swiftshunt-lab/src/soak/load/online.rs
+++ b/crates/swiftshunt-lab/src/soak/load/online.rs
@@ -13,11 +13,11 @@
 use crate::soak::testbed::{EVENTS, marker};
 use crate::stand_in::lock;
 
-/// Deadlines of requests, in milliseconds.
+/// Time allowed by a caller for its request, in milliseconds.
 const DEADLINE_MS: std::ops::Range<u64> = 1_500..7_000;
 /// Share of callers that close the connection early.
 const DISCONNECT_SHARE: f64 = 0.08;
-/// Time after which such a caller closes the connection, in milliseconds.
+/// Time after which a caller that does not wait for its response closes the connection, in milliseconds.
 const DISCONNECT_DELAY_MS: std::ops::Range<u64> = 5..400;
 /// Time for which a caller waits beyond the deadline, so that late responses are recorded as well.
 const LATE_RESPONSE_GRACE: Duration = Duration::from_secs(3);
@@ -84,9 +84,9 @@
 /// marker routes always wait.
 fn draw_disconnect_delay(kind: OnlineKind) -> Option<Duration> {
     let mut random = rand::rng();
-    let disconnects =
+    let will_disconnect =
         !matches!(kind, OnlineKind::Marker { .. }) && random.random_bool(DISCONNECT_SHARE);
-    disconnects.then(|| Duration::from_millis(random.random_range(DISCONNECT_DELAY_MS)))
+    will_disconnect.then(|| Duration::from_millis(random.random_range(DISCONNECT_DELAY_MS)))
 }
 
 fn is_signed(answer: &HttpAnswer) -> bool {
--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -14,7 +14,8 @@
 
 /// Time without faults at the start of a round, in which the gateways discover each other.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// Time before the end of the load at which drawn faults are over, unless a wait for a trigger delayed them.
+/// Time without faults at the end of the load. Faults that wait for a trigger, and those that
+/// [`Plan::in_two_regions`] adds, may last into it.
 const FAULT_FREE_END: Duration = Duration::from_secs(7);
 /// Number of faults per minute of a round.
 const FAULTS_PER_MINUTE: std::ops::Range<u32> = 12..36;
@@ -26,7 +27,7 @@
 
 /// Number of zones of a round in two regions.
 pub const ZONES: usize = 2;
-/// Mask of the seed for the options of two regions, so that they do not change what else is drawn from a seed.
+/// XORed with the seed to draw the options of two regions, so that drawing them does not change the rest of the plan.
 const REGIONS_SEED_MASK: u64 = 0x7265_6769_6f6e_7321;
 /// XORed with the seed to draw the waiting limit, so that drawing it does not change the rest of the plan.
 const WAITING_LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
@@ -71,7 +72,7 @@
     /// The link between two regions; `None` if all processes are in one zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub regions: Option<TwoRegions>,
-    /// Limits for workers that start during the load; `None` if they can serve at full rate from their start.
+    /// Limits for workers that start during the load; `None` if these get requests at the full rate at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<ColdStarts>,
     /// Limit of waiting tokens on the batch route; `None` for no limit.
@@ -84,7 +85,8 @@
 pub struct WaitingLimit {
     /// Maximum number of tokens of unfinished items of accepted jobs.
     pub tokens: u64,
-    /// Whether the configuration contains the limit. If it does not, the check must detect violations.
+    /// Whether the configuration contains the limit. Tests set this to false and expect that the check finds
+    /// violations.
     #[serde(rename = "is_told")]
     pub is_announced: bool,
 }
@@ -96,8 +98,8 @@
     pub delay_ms: u64,
     /// Bandwidth of the link in bytes per second, shared by all gateways.
     pub bytes_per_s: u64,
-    /// Whether the directory entries of workers contain their zones. If not, all entries contain the first zone and
-    /// the checks must detect violations.
+    /// Whether the directory entries of workers contain their zones. Tests set this to false, so that all entries
+    /// contain the first zone, and expect that the checks find violations.
     #[serde(rename = "is_told")]
     pub is_announced: bool,
 }
@@ -105,13 +107,13 @@
 /// Limits for workers that start during the load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStarts {
-    /// Requests per second that a cold worker can serve.
+    /// Limit of the requests per second to a cold worker.
     pub per_second: f64,
     /// Time for which a worker is cold after its start, in milliseconds.
     #[serde(rename = "lasts_ms")]
     pub duration_ms: u64,
-    /// Whether the directory entries of cold workers and the configuration contain the limits. If not, the check must
-    /// detect violations.
+    /// Whether the directory entries of cold workers and the configuration contain the limits. Tests set this to false
+    /// and expect that the check finds violations.
     #[serde(rename = "is_told")]
     pub is_announced: bool,
 }
@@ -124,10 +126,11 @@
     /// A trigger to wait for from `at_ms` on, and the delay after it in milliseconds; `None` to start at `at_ms`.
     #[serde(default)]
     pub after: Option<(Trigger, u64)>,
-    /// Duration in milliseconds.
+    /// Time in milliseconds until the fault is withdrawn. Faults that happen at once, such as a rebalance, ignore it. A
+    /// drain lasts a fixed time and a quarter of this one.
     #[serde(rename = "for_ms")]
     pub duration_ms: u64,
-    /// The action.
+    /// What is done at the start of the fault, and withdrawn at its end.
     pub disruption: Disruption,
 }
 
--- a/crates/swiftshunt-lab/src/soak/promises/configuration.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/configuration.rs
@@ -10,7 +10,8 @@
 const CONFIGURATION_EFFECTIVE_WITHIN_MS: u64 = 2_000;
 /// Tolerance for requests in flight, in milliseconds.
 const IN_FLIGHT_MS: u64 = 300;
-/// Time after a response according to a configuration from which no older one may be in force, in milliseconds.
+/// Time after a successful response on the marker route of a version from which the same gateway process must not use
+/// an older version, in milliseconds.
 const REVERT_GRACE_MS: u64 = 250;
 
 fn marker_calls(history: &History) -> impl Iterator<Item = (u64, &OnlineCall)> {
--- a/crates/swiftshunt-lab/src/soak/promises/placement.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/placement.rs
@@ -8,9 +8,9 @@
 use crate::soak::history::{ColdPeriod, Evacuation, History, RunRecord, WorkerLocation};
 
 const SECOND_MS: u64 = 1_000;
-/// Tolerated rate of requests to a cold worker, as a multiple of its limit.
+/// Tolerated rate of requests to a cold worker, as a multiple of its limit; see also [`COLD_RATE_SLACK`].
 const COLD_RATE_FACTOR: f64 = 1.5;
-/// Tolerated requests in a second in addition to that.
+/// Number of requests in a second that is tolerated in addition to this rate.
 const COLD_RATE_SLACK: f64 = 5.0;
 /// Time within which an evacuation must take effect at every gateway without a fault, in milliseconds.
 const EVACUATION_EFFECTIVE_WITHIN_MS: u64 = 5_000;
@@ -37,7 +37,7 @@
             }
             let seen = (last_second.len() as f64 > bound).then(|| {
                 format!(
-                    "{} requests in a second, the limit is {bound}",
+                    "{} requests in a second, at most {bound} are tolerated",
                     last_second.len()
                 )
             });
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -12,7 +12,7 @@
 const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
 /// Time within which the drain of a worker must take effect at every gateway, in milliseconds.
 const DRAIN_EFFECTIVE_WITHIN_MS: u64 = 2_000;
-/// Tolerance for requests in flight, in milliseconds.
+/// Additional time for requests that a gateway sent before a change took effect to arrive, in milliseconds.
 pub(super) const IN_FLIGHT_MS: u64 = 400;
 /// Time within which a request must be aborted at its worker after its caller has closed the connection, in
 /// milliseconds.
@@ -20,6 +20,7 @@
 /// Time for which a stream may wait for a slot behind a batch item, in milliseconds.
 const MAX_STREAM_WAIT_MS: u64 = 1_500;
 
+/// Returns the arrivals of requests and items at workers, also of those that never got a slot.
 pub(super) fn arrivals(history: &History) -> impl Iterator<Item = &RunRecord> {
     let runs = history.runs.iter();
     runs.filter(|run| run.event == RunEvent::Arrived)
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -37,7 +37,8 @@
 const TWO_REGIONS: [ZoneAndRegion; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
 /// Index of the zone in which the store runs.
 const STORE_ZONE: usize = 0;
-/// Number of triggers that the channel keeps for a slow receiver. Older ones are lost.
+/// Number of triggers that the channel keeps for a slow receiver. A receiver that falls further behind gets an error
+/// instead of the older ones.
 const TRIGGER_CHANNEL_CAPACITY: usize = 256;
 
 /// The processes of a round and the history recorded so far.
@@ -301,7 +302,7 @@
             self.set_store_faults(*gateway, &StoreFaults::default())
                 .await;
         }
-        // Appends whose responses were lost may be carried out this much after the end of the fault.
+        // An append whose response was lost is carried out `done_late` later, which may be after the end of the fault.
         tokio::time::sleep(faults.lost_append_delay).await;
         if gateways.is_empty() {
             return self.record_disturbance(Scope::Store, from);
@@ -311,14 +312,14 @@
         }
     }
 
-    async fn inject_link_fault(&self, end: ProxiedLink, fault: Fault, duration: Duration) {
+    async fn inject_link_fault(&self, proxied_link: ProxiedLink, fault: Fault, duration: Duration) {
         let from = self.now();
-        let (link, scope) = match end {
+        let (link, scope) = match proxied_link {
             ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
                 let Some(handle) = self.gateways.get(gateway) else {
                     return;
                 };
-                let is_store = matches!(end, ProxiedLink::Store(_));
+                let is_store = matches!(proxied_link, ProxiedLink::Store(_));
                 let link = if is_store {
                     &handle.store_link
                 } else {
@@ -327,7 +328,7 @@
                 (std::sync::Arc::clone(link), Scope::Gateway(gateway))
             }
             ProxiedLink::Whole(index) | ProxiedLink::Engine(index) => {
-                let is_whole = matches!(end, ProxiedLink::Whole(_));
+                let is_whole = matches!(proxied_link, ProxiedLink::Whole(_));
                 let service = if is_whole {
                     Service::Whole
                 } else {
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -23,7 +23,8 @@
 use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
-/// Setting for shared reads: one gateway in two reads the directory and the configuration for the others.
+/// Setting for shared reads: one gateway for every two, but at least two in total, read the directory and the
+/// configuration for the others.
 const SHARED_READS: &str = "gateways_per_reader = 2";
 /// Duration of a partition lease.
 const LEASE: Duration = Duration::from_secs(1);
@@ -149,12 +150,12 @@
     pub(super) async fn wait_until_ready(&self, index: usize) {
         let caller = PlatformCaller::default();
         let ready = *lock(&self.gateways[index].readiness_address);
-        let waited = async {
+        let until_ready = async {
             while !caller.is_ready(ready).await {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        drop(tokio::time::timeout(READY_TIMEOUT, waited).await);
+        drop(tokio::time::timeout(READY_TIMEOUT, until_ready).await);
     }
 
     fn detect_unexpected_exit(&self, index: usize, process: &mut Process) {
@@ -198,12 +199,15 @@
         let at = self.now();
         process.terminate();
         self.notify_trigger(Trigger::PlannedStop);
-        let ends = async {
+        let until_exit = async {
             while process.is_running() {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_TIMEOUT, ends).await.is_err() {
+        if tokio::time::timeout(STOP_TIMEOUT, until_exit)
+            .await
+            .is_err()
+        {
             self.record_failure(format!(
                 "gateway {index} did not exit within {STOP_TIMEOUT:?} after SIGTERM"
             ));
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -21,10 +21,11 @@
 /// Index of the zone whose region is the only region allowed for the route of non-resumable streams.
 const RESIDENCY_ZONE: usize = 0;
 
-/// The state of the operator.
+/// The operator, who publishes configurations and evacuations.
 pub(super) struct Operator {
     /// Address at which the store serves the operator, without faults.
     pub(super) store_address: SocketAddr,
+    /// Version of the last configuration sent to the store, acknowledged or not; 0 before the first.
     version: AtomicU64,
 }
 
@@ -91,15 +92,15 @@
         }
     }
 
-    /// Sets the waiting limit of the batch route, unless the plan keeps it out of the configuration. The history gets the
-    /// limit in both cases.
+    /// Sets the waiting limit of the batch route, unless the plan keeps it out of the configuration. The history gets
+    /// the limit in both cases.
     fn apply_waiting_limit(&self, document: &mut ConfigurationDocument) {
         let Some(limit) = self.plan.waiting_limit else {
             return;
         };
         lock(&self.history).waiting_limit = Some(limit.tokens);
-        let batch = document.routes.iter_mut();
-        for route in batch.filter(|route| route.path_prefix == BATCH && limit.is_announced) {
+        let routes = document.routes.iter_mut();
+        for route in routes.filter(|route| route.path_prefix == BATCH && limit.is_announced) {
             route.max_queued_tokens = Some(limit.tokens as f64);
         }
     }
@@ -108,8 +109,8 @@
     fn apply_regions_and_cold_limits(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
             let region = self.zones().region(RESIDENCY_ZONE);
-            let bound = document.routes.iter_mut();
-            for route in bound.filter(|route| route.path_prefix == STREAM_ONCE) {
+            let routes = document.routes.iter_mut();
+            for route in routes.filter(|route| route.path_prefix == STREAM_ONCE) {
                 route.allowed_regions = vec![region.to_owned()];
             }
             let rule = ResidencyRule {
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -22,10 +22,11 @@
 pub(in crate::soak) const EVENTS: u64 = 12;
 /// Delay before a unary response and between the events of a stream, in milliseconds.
 const PAUSE_MS: u64 = 15;
-/// Time after a crash until the directory entry of a worker is removed: three missed heartbeats at intervals of 1 s.
+/// Maximum time after a crash until the directory entry of a worker is removed: three missed heartbeats at intervals of
+/// 1 s. The entry is removed earlier if the fault is shorter.
 const ENTRY_TTL: Duration = Duration::from_secs(3);
-/// Time for which a draining worker continues to serve: the time for its open requests, and twice the time within
-/// which the drain must take effect at the gateways.
+/// Minimum time for which a draining worker continues to serve: the time for its open requests, and twice the time
+/// within which the drain must take effect at the gateways.
 const DRAIN_DURATION: Duration = Duration::from_secs(5);
 
 /// A position in the fleet, held by a worker and its successive replacements.
@@ -38,6 +39,7 @@
     process: Process,
     pub(super) incarnation: String,
     pub(super) link: Arc<Link>,
+    /// Number of workers that held the position before this one.
     generation: u32,
     zone: &'static str,
     /// Start time in milliseconds since the start of the round.
