--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -110,7 +110,7 @@
         let verdicts = self.play_into(&plan, &folder).await?;
         let broken: Vec<Promise> = verdicts
             .iter()
-            .filter(|verdict| !verdict.breaks.is_empty())
+            .filter(|verdict| !verdict.violations.is_empty())
             .map(|verdict| verdict.promise)
             .collect();
         if broken.is_empty() {
@@ -161,7 +161,10 @@
                 && path.extension().is_some_and(|it| it == "log")
         };
         let logs: Vec<PathBuf> = paths.filter(is_log).collect();
-        for violation in verdicts.iter().filter_map(|verdict| verdict.breaks.first()) {
+        for violation in verdicts
+            .iter()
+            .filter_map(|verdict| verdict.violations.first())
+        {
             let subject = violation.subject.split(' ').next().unwrap_or_default();
             let timeline = report::explain(&self.binaries.node, subject, &logs);
             println!("  {} {}:\n{timeline}", violation.promise, violation.subject);
@@ -184,7 +187,7 @@
             rounds_played += 1;
             let is_still_broken = verdicts
                 .iter()
-                .any(|it| broken.contains(&it.promise) && !it.breaks.is_empty());
+                .any(|it| broken.contains(&it.promise) && !it.violations.is_empty());
             if is_still_broken {
                 plan = candidate;
             } else {
--- a/crates/swiftshunt-lab/src/soak/promises/answers.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/answers.rs
@@ -23,7 +23,9 @@
     }
 }
 
-/// Checks that a request gets its final response in time if its gateway and the store have no fault meanwhile.
+/// Checks that a request gets its final response within its deadline or the time-out of its route, whichever is
+/// shorter, plus [`RESPONSE_SLACK_MS`]. Requests during faults of their gateway or of the store are skipped, as are
+/// those whose callers closed the connection early.
 pub(super) fn final_answer(history: &History, verdict: &mut Verdict) {
     let disturbances = DisturbanceLog(&history.disturbances);
     for call in &history.online {
--- a/crates/swiftshunt-lab/src/soak/promises/mod.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/mod.rs
@@ -132,7 +132,8 @@
     /// Number of observations that were checked.
     pub checked: usize,
     /// Observations that contradict the promise.
-    pub breaks: Vec<Violation>,
+    #[serde(rename = "breaks")]
+    pub violations: Vec<Violation>,
 }
 
 impl Verdict {
@@ -140,15 +141,16 @@
         Self {
             promise,
             checked: 0,
-            breaks: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    /// Counts a checked observation; `seen` describes the violation, if there is one.
+    /// Counts an observation at the time `at`, in milliseconds since the start of the round; `seen` describes the
+    /// violation, if there is one.
     fn check(&mut self, at: u64, subject: &str, seen: Option<String>) {
         self.checked += 1;
         if let Some(seen) = seen {
-            self.breaks.push(Violation {
+            self.violations.push(Violation {
                 promise: self.promise,
                 at,
                 subject: subject.to_owned(),
--- a/crates/swiftshunt-lab/src/soak/report.rs
+++ b/crates/swiftshunt-lab/src/soak/report.rs
@@ -60,12 +60,12 @@
             self.outcomes,
         );
         for verdict in self.verdicts {
-            let broken = verdict.breaks.len();
+            let broken = verdict.violations.len();
             text += &format!(
                 "  {}: {} checked, {broken} broken\n",
                 verdict.promise, verdict.checked
             );
-            for violation in verdict.breaks.iter().take(MAX_PRINTED_VIOLATIONS) {
+            for violation in verdict.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
                 text += &format!(
                     "    at {} ms, {}: {}\n",
                     violation.at, violation.subject, violation.seen
@@ -152,6 +152,7 @@
             Scope::Store => 6.0,
             Scope::Worker(_) => 7.0,
         };
+        // Each bar is 50 ms longer than its fault, so that faults without a duration are visible.
         let (from, to) = (it.from as f64 / 1e3, it.to as f64 / 1e3 + 0.05);
         Rectangle::new(
             [(from, height), (to, height + 0.7)],
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -159,6 +159,7 @@
         lock(&self.failures).clone()
     }
 
+    /// Records a fault from `from`, in milliseconds since the start of the round, to the present.
     fn record_disturbance(&self, scope: Scope, from: u64) {
         let to = self.now();
         lock(&self.history)
@@ -174,6 +175,7 @@
         Ok(history)
     }
 
+    /// Reads the run events from the output of all workers and sorts them by time.
     fn runs(&self) -> Result<Vec<RunRecord>, SoakError> {
         let mut runs = Vec::new();
         for file in std::fs::read_dir(&self.scratch)? {
@@ -285,6 +287,8 @@
         }
     }
 
+    /// Injects faults into the store for some gateways, or for all gateways and as a fault of the whole store if
+    /// `gateways` is empty.
     async fn inject_store_faults(
         &self,
         gateways: &[usize],
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -219,6 +219,8 @@
         self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
+    /// Announces a worker as draining, and kills and replaces it later. Only the kill is recorded as a fault: the drain
+    /// itself excuses no time limit.
     pub(super) async fn drain_worker(&self, service: Service, index: usize, duration: Duration) {
         let Some(handle) = self.worker(service, index) else {
             return;
--- a/crates/swiftshunt-lab/tests/soak_promises.rs
+++ b/crates/swiftshunt-lab/tests/soak_promises.rs
@@ -230,7 +230,7 @@
             verdict.checked > 0,
             "{promise}: the checker checked nothing"
         );
-        assert_eq!(verdict.breaks, [], "{promise}: reported as broken");
+        assert_eq!(verdict.violations, [], "{promise}: reported as broken");
     }
 }
 
@@ -268,7 +268,7 @@
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(promise, &history);
     assert!(
-        !verdict.breaks.is_empty(),
+        !verdict.violations.is_empty(),
         "{promise}: the violation was not detected"
     );
 }
@@ -298,7 +298,7 @@
     history.runs.extend(arrivals(count, from));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Cold, &history);
-    assert_eq!(verdict.breaks.is_empty(), keeps_promise, "{verdict:?}");
+    assert_eq!(verdict.violations.is_empty(), keeps_promise, "{verdict:?}");
 }
 
 /// Faults of gateways or of the store do not excuse requests above the bound. A fault of the link to the worker
@@ -316,7 +316,7 @@
     history.disturbances.push(Disturbance { scope, from, to });
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Cold, &history);
-    assert_eq!(verdict.breaks.is_empty(), is_excused, "{verdict:?}");
+    assert_eq!(verdict.violations.is_empty(), is_excused, "{verdict:?}");
 }
 
 #[test_case(EVACUATED_AT + 4_900, true; "within the time limit for the evacuation")]
@@ -330,7 +330,7 @@
     history.runs.extend(whole_run("ask", "/ask/", at));
     history.runs.sort_by_key(|run| run.at);
     let verdict = judge(Promise::Evacuated, &history);
-    assert_eq!(verdict.breaks.is_empty(), keeps_promise, "{verdict:?}");
+    assert_eq!(verdict.violations.is_empty(), keeps_promise, "{verdict:?}");
 }
 
 #[test]
@@ -342,7 +342,7 @@
         run(RunEvent::Arrived, "stream", "/stream/", 70_100),
         run(RunEvent::Began, "stream", "/stream/", 72_000),
     ]);
-    assert_eq!(judge(Promise::OnlineFirst, &history).breaks.len(), 1);
+    assert_eq!(judge(Promise::OnlineFirst, &history).violations.len(), 1);
 }
 
 #[test]
@@ -352,9 +352,9 @@
         reading.results[1].completed = false;
     }
     history.jobs[0].readings.clear();
-    assert_eq!(judge(Promise::ExactlyOnce, &history).breaks, []);
+    assert_eq!(judge(Promise::ExactlyOnce, &history).violations, []);
     history.jobs[0].final_readings[0].ended = 60_000;
-    assert!(!judge(Promise::ExactlyOnce, &history).breaks.is_empty());
+    assert!(!judge(Promise::ExactlyOnce, &history).violations.is_empty());
 }
 
 /// A gateway is exempt from deadlines during a fault and for the recovery time after it.
@@ -371,7 +371,7 @@
     history.online[0].outcome = Outcome::Unanswered;
     let scope = Scope::Gateway(0);
     history.disturbances.push(Disturbance { scope, from, to });
-    assert_eq!(!judge(promise, &history).breaks.is_empty(), is_detected);
+    assert_eq!(!judge(promise, &history).violations.is_empty(), is_detected);
 }
 
 #[test]
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -40,7 +40,7 @@
     for promise in ALL {
         let verdict = judge(promise, history);
         println!("{promise}: {} checked", verdict.checked);
-        assert_eq!(verdict.breaks, [], "{promise}");
+        assert_eq!(verdict.violations, [], "{promise}");
     }
 }
 
@@ -111,7 +111,11 @@
 async fn a_broken_promise_is_detected(promise: Promise, disruption: Disruption) {
     let history = play(plan_with(disruption)).await;
     let verdict = judge(promise, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "{} checked",
+        verdict.checked
+    );
 }
 
 /// Workers in an evacuated zone, and those in a region that a route excludes, claim to be in the other zone.
@@ -129,7 +133,11 @@
     }
     let history = play(plan).await;
     let verdict = judge(promise, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "{} checked",
+        verdict.checked
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -141,7 +149,11 @@
     });
     let history = play(plan).await;
     let verdict = judge(Promise::WaitingLimit, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "{} checked",
+        verdict.checked
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -161,5 +173,9 @@
     });
     let history = play(plan).await;
     let verdict = judge(Promise::Cold, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "{} checked",
+        verdict.checked
+    );
 }
