--- a/crates/swiftshunt/src/check.rs
+++ b/crates/swiftshunt/src/check.rs
@@ -34,7 +34,7 @@
     let file = arguments.file.as_str();
     if arguments.gateway {
         return match GatewaySettings::load(file) {
-            Ok(_) => passed(file),
+            Ok(_) => report_valid(file),
             Err(error) => fail(EXIT_USAGE, error),
         };
     }
@@ -47,12 +47,12 @@
         load_settings(file).map(|_| ())
     };
     match checked {
-        Ok(()) => passed(file),
+        Ok(()) => report_valid(file),
         Err(error) => fail(EXIT_USAGE, error),
     }
 }
 
-fn passed(file: &str) -> ExitCode {
+fn report_valid(file: &str) -> ExitCode {
     println!("{file}: ok");
     ExitCode::SUCCESS
 }
--- a/crates/swiftshunt/src/control.rs
+++ b/crates/swiftshunt/src/control.rs
@@ -69,7 +69,7 @@
     };
     let statement = arguments.statement.join(" ");
     if statement.trim().is_empty() {
-        return runtime.block_on(session.prompt());
+        return runtime.block_on(session.execute_input());
     }
     runtime.block_on(session.execute(&statement))
 }
@@ -84,11 +84,11 @@
 impl Session {
     /// Runs the statements of standard input, one per line. Returns the exit code of the last failed
     /// statement, or success if none failed.
-    async fn prompt(&self) -> ExitCode {
-        let interactive = std::io::stdin().is_terminal();
+    async fn execute_input(&self) -> ExitCode {
+        let is_interactive = std::io::stdin().is_terminal();
         let mut code = ExitCode::SUCCESS;
         loop {
-            if interactive {
+            if is_interactive {
                 print!("swiftshunt> ");
                 drop(std::io::stdout().flush());
             }
--- a/crates/swiftshunt/src/evacuation.rs
+++ b/crates/swiftshunt/src/evacuation.rs
@@ -18,14 +18,14 @@
 
 /// The change of a zone's evacuation that the operator requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Order {
+pub(crate) enum EvacuationChange {
     /// Workers of the zone receive no new requests or items.
     Evacuate,
     /// Workers of the zone may receive requests and items again.
     Withdraw,
 }
 
-pub(crate) fn run(log: SocketAddr, order: Order, zone: &str) -> ExitCode {
+pub(crate) fn run(log: SocketAddr, change: EvacuationChange, zone: &str) -> ExitCode {
     if zone.is_empty() {
         return fail(EXIT_USAGE, "the name of the zone must not be empty");
     }
@@ -34,11 +34,13 @@
         Err(error) => return fail(EXIT_USAGE, error),
     };
     let log = PlatformLog::new(log, CALL_TIMEOUT);
-    match runtime.block_on(write(&log, order, zone)) {
+    match runtime.block_on(write(&log, change, zone)) {
         WriteOutcome::Acknowledged => {
-            match order {
-                Order::Evacuate => println!("zone {zone} is evacuated"),
-                Order::Withdraw => println!("the evacuation of zone {zone} is withdrawn"),
+            match change {
+                EvacuationChange::Evacuate => println!("zone {zone} is evacuated"),
+                EvacuationChange::Withdraw => {
+                    println!("the evacuation of zone {zone} is withdrawn")
+                }
             }
             ExitCode::SUCCESS
         }
@@ -55,11 +57,11 @@
 
 /// Repeats the write until the log acknowledges it or `TIMEOUT` is over. Returns `Refused` only if
 /// every attempt was refused, since an unanswered attempt may have been written.
-async fn write(log: &PlatformLog, order: Order, zone: &str) -> WriteOutcome {
+async fn write(log: &PlatformLog, change: EvacuationChange, zone: &str) -> WriteOutcome {
     let began = Instant::now();
     let mut may_be_written = false;
     loop {
-        match write_evacuation(log, zone, order == Order::Evacuate).await {
+        match write_evacuation(log, zone, change == EvacuationChange::Evacuate).await {
             WriteOutcome::Acknowledged => return WriteOutcome::Acknowledged,
             WriteOutcome::Refused => {}
             WriteOutcome::Unknown => may_be_written = true,
--- a/crates/swiftshunt/src/explain.rs
+++ b/crates/swiftshunt/src/explain.rs
@@ -132,11 +132,11 @@
         report.push('\n');
     }
     let workers = workers_of(&about);
-    let nearby = nearby(id, lines, &workers, first, last);
-    if !nearby.is_empty() {
+    let related_lines = related_lines(id, lines, &workers, first, last);
+    if !related_lines.is_empty() {
         report.push_str("meanwhile:\n");
     }
-    for line in nearby {
+    for line in related_lines {
         report.push_str(&format!("  {}\n", line.to_text()));
     }
     report.push_str(&format!("cause: {}\n", cause(&about)));
@@ -155,7 +155,7 @@
 /// Returns related lines with times between `first` and `last`: messages that begin with "worker" and
 /// mention one of `workers`, and messages about the log or the leases from the nodes that wrote `first`
 /// and `last`.
-fn nearby<'l>(
+fn related_lines<'l>(
     id: &str,
     lines: &'l [Line],
     workers: &[&str],
@@ -179,7 +179,8 @@
     related.collect()
 }
 
-/// Describes the end by the last line that reports one, and lists the failed sends.
+/// Describes how the request, job or item ended, by the last line that reports an end, and lists the failed
+/// sends.
 fn cause(about: &[&Line]) -> String {
     let failures = about
         .iter()
@@ -196,16 +197,23 @@
             "given up" => format!("it was given up, since {}", line.text("reason")),
             "answered" => format!("it was answered, {}", line.details()),
             "a stream paused for longer than its route allows" => {
-                format!("its stream came whole, late by a pause, {}", line.details())
+                format!(
+                    "its stream arrived complete but late because of a pause, {}",
+                    line.details()
+                )
             }
             "an item is given up" => format!("the item was given up: {}", line.text("reason")),
             "a job was ended" => "the job was ended by a caller".to_owned(),
-            "the caller left before the answer" => "the caller left first".to_owned(),
-            "a stream broke off" => "its stream broke off midway".to_owned(),
+            "the caller left before the answer" => {
+                "the caller disconnected before the response".to_owned()
+            }
+            "a stream broke off" => "its stream broke off before its end".to_owned(),
             _ => return None,
         };
         Some(end)
     });
-    let end = end.unwrap_or_else(|| "no line tells an end: it went well or goes on".to_owned());
+    let end = end.unwrap_or_else(|| {
+        "no line reports an end: it completed or is still in progress".to_owned()
+    });
     end + &sends
 }
--- a/crates/swiftshunt/src/logging.rs
+++ b/crates/swiftshunt/src/logging.rs
@@ -36,9 +36,9 @@
 fn dispatch(level: LogLevel) -> fern::Dispatch {
     fern::Dispatch::new()
         .level(log::LevelFilter::Warn)
-        .level_for("swiftshunt", filter(level))
-        .level_for("swiftshunt_node", filter(level))
-        .level_for("swiftshunt_gateway", filter(level))
+        .level_for("swiftshunt", level_filter(level))
+        .level_for("swiftshunt_node", level_filter(level))
+        .level_for("swiftshunt_gateway", level_filter(level))
         .format(|out, message, record| out.finish(format_args!("{}", line(message, record))))
 }
 
@@ -74,8 +74,8 @@
     fn start() -> Self {
         let (sender, receiver) = sync_channel(BUFFERED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let writer_dropped = Arc::clone(&dropped);
-        std::thread::spawn(move || write_lines(&receiver, &writer_dropped));
+        let dropped_count = Arc::clone(&dropped);
+        std::thread::spawn(move || write_lines(&receiver, &dropped_count));
         Self { sender, dropped }
     }
 
@@ -116,7 +116,7 @@
     }
 }
 
-fn filter(level: LogLevel) -> log::LevelFilter {
+fn level_filter(level: LogLevel) -> log::LevelFilter {
     match level {
         LogLevel::Error => log::LevelFilter::Error,
         LogLevel::Warn => log::LevelFilter::Warn,
--- a/crates/swiftshunt/src/publish.rs
+++ b/crates/swiftshunt/src/publish.rs
@@ -11,7 +11,7 @@
 use swiftshunt_http::{HttpClient, HttpError, HttpRequest, JSON};
 
 use crate::control::{TOKEN_VARIABLE, message_of, token};
-use crate::evacuation::{self, Order};
+use crate::evacuation::{self, EvacuationChange};
 use crate::{EXIT_REFUSED, EXIT_UNREACHABLE, EXIT_USAGE, fail, runtime};
 
 /// publish a fleet configuration, or write or withdraw the evacuation of a zone
@@ -22,7 +22,7 @@
     example = "{command_name} --node 127.0.0.1:8080 --base 0 examples/stolnica-fleet.toml",
     example = "{command_name} --log 127.0.0.1:7000 --evacuate suva-a",
     example = "{command_name} --log 127.0.0.1:7000 --withdraw suva-a",
-    note = "Without --base the change is based on the version now in force. If somebody else publishes first, the change is refused and nothing of it takes effect."
+    note = "Without --base the change is based on the version in force. If somebody else publishes first, the change is refused and nothing of it takes effect."
 )]
 pub(crate) struct PublishArguments {
     /// address of a node's caller interface
@@ -66,10 +66,10 @@
     match (node, file, log, evacuate, withdraw) {
         (Some(node), Some(file), None, None, None) => publish_file(arguments, *node, file),
         (None, None, Some(log), Some(zone), None) if !has_configuration_flags => {
-            evacuation::run(*log, Order::Evacuate, zone)
+            evacuation::run(*log, EvacuationChange::Evacuate, zone)
         }
         (None, None, Some(log), None, Some(zone)) if !has_configuration_flags => {
-            evacuation::run(*log, Order::Withdraw, zone)
+            evacuation::run(*log, EvacuationChange::Withdraw, zone)
         }
         _ => fail(
             EXIT_USAGE,
--- a/crates/swiftshunt/src/serve.rs
+++ b/crates/swiftshunt/src/serve.rs
@@ -93,7 +93,7 @@
         Err(error) => return fail(EXIT_USAGE, error),
     };
     logging::set_node(node.id().to_string());
-    announce(&node);
+    print_addresses(&node);
     let (interrupt, terminate) = match (
         signal(SignalKind::interrupt()),
         signal(SignalKind::terminate()),
@@ -107,7 +107,7 @@
 }
 
 /// Prints one line with the bound addresses to standard output, for callers that configured port 0.
-fn announce(node: &RunningNode) {
+fn print_addresses(node: &RunningNode) {
     let line = json!({
         "event": "listening",
         "node": node.id().to_string(),
--- a/crates/swiftshunt/tests/exactly_once.rs
+++ b/crates/swiftshunt/tests/exactly_once.rs
@@ -81,8 +81,12 @@
             bodies.iter().all(|body| *body == bodies[0]),
             "{key} has two results: {bodies:?}"
         );
-        let id: serde_json::Value = serde_json::from_str(&bodies[0]).expect("a result");
-        let path = format!("/v1/submissions/{}", id["id"].as_str().expect("an id"));
+        let id: serde_json::Value =
+            serde_json::from_str(&bodies[0]).expect("the result is not JSON");
+        let path = format!(
+            "/v1/submissions/{}",
+            id["id"].as_str().expect("the result has no id")
+        );
         for node in &running {
             let api = fleet.nodes[*node].api;
             let read = eventually("the result is readable", || async {
@@ -96,7 +100,7 @@
 }
 
 /// Returns the keys that ran more than once, with their numbers of runs.
-fn extra_executions(fleet: &Fleet) -> HashMap<String, usize> {
+fn repeated_executions(fleet: &Fleet) -> HashMap<String, usize> {
     let mut counts = fleet.journal.counts();
     counts.retain(|_, count| *count > 1);
     counts
@@ -111,7 +115,7 @@
     fleet.nodes[0].process.kill();
     join_all(callers).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
-    assert_eq!(extra_executions(&fleet), HashMap::new());
+    assert_eq!(repeated_executions(&fleet), HashMap::new());
     let replacement = fleet.start_node(0).await.expect("the node did not start");
     fleet.wait_until_node_ready(replacement).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
@@ -122,19 +126,19 @@
 async fn resends_run_once_on_workers_that_do_not_deduplicate() {
     let mut fleet = start_fleet(FleetOptions::new("resends")).await;
     for worker in 0..2 {
-        let without_keys = Behaviour {
+        let without_deduplication = Behaviour {
             delay_ms: 20,
             forgets_keys: true,
             ..Behaviour::default()
         };
-        fleet.set_behaviour(worker, &without_keys).await;
+        fleet.set_behaviour(worker, &without_deduplication).await;
     }
     let answers = Answers::default();
     for _ in 0..2 {
         join_all(start_callers(&fleet, 60, &answers)).await;
     }
     assert_readable_everywhere(&mut fleet, &answers).await;
-    assert_eq!(extra_executions(&fleet), HashMap::new());
+    assert_eq!(repeated_executions(&fleet), HashMap::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -154,7 +158,7 @@
     join_all(callers).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
     // Only submissions that ran on the killed worker may run again elsewhere.
-    for key in extra_executions(&fleet).keys() {
+    for key in repeated_executions(&fleet).keys() {
         let executions = fleet.journal.executions();
         let on_killed = executions
             .iter()
@@ -202,7 +206,7 @@
         join_all(tasks).await;
         assert_readable_everywhere(&mut fleet, &answers).await;
     }
-    assert_eq!(extra_executions(&fleet), HashMap::new());
+    assert_eq!(repeated_executions(&fleet), HashMap::new());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -230,7 +234,7 @@
         first_bodies(&again),
         "a resend changed a result"
     );
-    assert_eq!(extra_executions(&fleet), HashMap::new());
+    assert_eq!(repeated_executions(&fleet), HashMap::new());
 }
 
 fn first_bodies(answers: &Answers) -> BTreeMap<String, String> {
@@ -252,5 +256,5 @@
     fleet.set_isolated(1, Fault::None);
     join_all(callers).await;
     assert_readable_everywhere(&mut fleet, &answers).await;
-    assert_eq!(extra_executions(&fleet), HashMap::new());
+    assert_eq!(repeated_executions(&fleet), HashMap::new());
 }
--- a/crates/swiftshunt/tests/leaving.rs
+++ b/crates/swiftshunt/tests/leaving.rs
@@ -15,11 +15,11 @@
 /// Delay of changes in the machine list.
 const LIST_LAG: Duration = Duration::from_secs(2);
 /// Time after the announcement from which no new request may start at the back end.
-const BOUND: Duration = Duration::from_secs(4);
+const APPLIED_WITHIN: Duration = Duration::from_secs(4);
 const ROUNDS: usize = 10;
 
 /// Sends chats and submissions through every node.
-async fn load(fleet: &Fleet, name: &str) {
+async fn send_requests(fleet: &Fleet, name: &str) {
     for round in 0..ROUNDS {
         let requests = (0..12).map(|index| {
             let node = fleet.nodes[index % 3].api;
@@ -40,7 +40,7 @@
 }
 
 /// Returns the numbers of requests that the first engine and the first worker have received.
-async fn starts(fleet: &Fleet) -> (usize, usize) {
+async fn received_requests(fleet: &Fleet) -> (usize, usize) {
     let engine = fleet.engine_journal(0).await.len();
     let executions = fleet.journal.executions();
     let worker = executions
@@ -52,20 +52,21 @@
 
 #[derive(Clone, Copy)]
 enum Announcement {
-    /// The machine list shows it, with a delay, to all zones.
+    /// The machine list shows the back ends as leaving, with a delay, to all zones.
     List,
-    /// The machine list shows it, with a delay, and only the node of one zone reaches the list.
+    /// The machine list shows the back ends as leaving, with a delay, and only the node of one zone reaches it.
     ListInOneZone,
-    /// The back ends report it with their load.
-    Worker,
-    /// The back ends report it with their load, and the test waits until the first node knows of it.
-    WorkerInOneZone,
+    /// The back ends report with their load that they are leaving.
+    LoadReport,
+    /// The back ends report with their load that they are leaving, and the test waits until the first node has
+    /// received the reports.
+    LoadReportToOneNode,
 }
 
 #[test_case(Announcement::List; "machine list")]
 #[test_case(Announcement::ListInOneZone; "machine list in one zone")]
-#[test_case(Announcement::Worker; "load report")]
-#[test_case(Announcement::WorkerInOneZone; "load report known to one node")]
+#[test_case(Announcement::LoadReport; "load report")]
+#[test_case(Announcement::LoadReportToOneNode; "load report known to one node")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_back_end_receives_no_new_requests(announcement: Announcement) {
     let options = FleetOptions {
@@ -73,11 +74,11 @@
         ..FleetOptions::new("leaving")
     };
     let mut fleet = start_fleet(options).await;
-    load(&fleet, "before").await;
-    let (engine, worker) = starts(&fleet).await;
+    send_requests(&fleet, "before").await;
+    let (engine, worker) = received_requests(&fleet).await;
     assert!(
         engine > 0 && worker > 0,
-        "nothing ran there before: {engine}, {worker}"
+        "no request ran at the engine or at the worker before: {engine}, {worker}"
     );
     match announcement {
         Announcement::List | Announcement::ListInOneZone => {
@@ -90,13 +91,13 @@
             fleet.workers[0].machine.state = MachineState::Leaving;
             fleet.publish_machines().await;
         }
-        Announcement::Worker | Announcement::WorkerInOneZone => {
+        Announcement::LoadReport | Announcement::LoadReportToOneNode => {
             for direct in [fleet.engines[0].direct, fleet.workers[0].direct] {
                 fleet.control(direct, "leave", &json!({})).await;
             }
         }
     }
-    if matches!(announcement, Announcement::WorkerInOneZone) {
+    if matches!(announcement, Announcement::LoadReportToOneNode) {
         // The time until no new request may start counts from here, when the first node knows both reports.
         eventually("one node has received the reports", || async {
             let api = fleet.nodes[0].api;
@@ -106,11 +107,11 @@
         })
         .await;
     }
-    tokio::time::sleep(BOUND).await;
-    let before = starts(&fleet).await;
-    load(&fleet, "after").await;
+    tokio::time::sleep(APPLIED_WITHIN).await;
+    let before = received_requests(&fleet).await;
+    send_requests(&fleet, "after").await;
     assert_eq!(
-        starts(&fleet).await,
+        received_requests(&fleet).await,
         before,
         "requests started at leaving back ends"
     );
--- a/crates/swiftshunt/tests/planned_stop.rs
+++ b/crates/swiftshunt/tests/planned_stop.rs
@@ -48,7 +48,7 @@
 
 type Nodes = Arc<RwLock<Vec<std::net::SocketAddr>>>;
 
-async fn stream_until(
+async fn stream_until_stopped(
     stop: Arc<AtomicBool>,
     nodes: Nodes,
     tenant: Caller,
@@ -79,7 +79,7 @@
     }
 }
 
-async fn submit_until(
+async fn submit_until_stopped(
     stop: Arc<AtomicBool>,
     nodes: Nodes,
     tenant: Caller,
@@ -133,14 +133,20 @@
         .await
         .expect("no response")
         .json();
-    let file = file["id"].as_str().expect("a file").to_owned();
+    let file = file["id"]
+        .as_str()
+        .expect("the uploaded file has no id")
+        .to_owned();
     let job = fleet
         .tenant
         .create_batch(api, &file, None)
         .await
         .expect("no response")
         .json();
-    let job_path = format!("/v1/batches/{}", job["id"].as_str().expect("a job"));
+    let job_path = format!(
+        "/v1/batches/{}",
+        job["id"].as_str().expect("the created job has no id")
+    );
 
     let nodes: Nodes = Arc::new(RwLock::new(
         fleet.nodes.iter().map(|node| node.api).collect(),
@@ -149,7 +155,7 @@
     let mut callers = Vec::new();
     for number in 0..12 {
         let (stop, nodes, tally) = (Arc::clone(&stop), Arc::clone(&nodes), Arc::clone(&tally));
-        callers.push(tokio::spawn(stream_until(
+        callers.push(tokio::spawn(stream_until_stopped(
             stop,
             nodes,
             fleet.tenant.clone(),
@@ -159,7 +165,7 @@
     }
     for number in 0..6 {
         let (stop, nodes, tally) = (Arc::clone(&stop), Arc::clone(&nodes), Arc::clone(&tally));
-        callers.push(tokio::spawn(submit_until(
+        callers.push(tokio::spawn(submit_until_stopped(
             stop,
             nodes,
             fleet.tenant.clone(),
@@ -194,18 +200,18 @@
         broken_off.len(),
         broken_off.first()
     );
-    assert!(served > 50, "only {served} served");
+    assert!(served > 50, "only {served} requests were served");
     let api = fleet.nodes[5].api;
     eventually("the job completes", || async {
         let job = fleet.tenant.get(api, &job_path).await.ok()?.json();
         (job["status"] == "completed").then_some(())
     })
     .await;
-    let extra = fleet
+    let repeated = fleet
         .journal
         .counts()
         .into_values()
         .filter(|count| *count > 1)
         .count();
-    assert_eq!(extra, 0, "submissions ran twice");
+    assert_eq!(repeated, 0, "submissions ran twice");
 }
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -33,7 +33,7 @@
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder);
     println!("seed {}, logs: {}", plan.seed, scratch.display());
     let history = swiftshunt_lab::soak::play(plan, binaries, scratch).await;
-    history.expect("a round")
+    history.expect("the round failed")
 }
 
 fn assert_all_kept(history: &History) {
@@ -61,15 +61,15 @@
     let folder: PathBuf = [env!("CARGO_MANIFEST_DIR"), "../../lab/seeds"]
         .iter()
         .collect();
-    for file in std::fs::read_dir(folder).expect("plans") {
-        let file = file.expect("a file").path();
+    for file in std::fs::read_dir(folder).expect("the folder of plans is unreadable") {
+        let file = file.expect("the folder of plans is unreadable").path();
         if file
             .extension()
             .is_some_and(|extension| extension == "json")
         {
             println!("{}", file.display());
-            let text = std::fs::read_to_string(&file).expect("a plan");
-            let plan = serde_json::from_str(&text).expect("a plan");
+            let text = std::fs::read_to_string(&file).expect("the plan is unreadable");
+            let plan = serde_json::from_str(&text).expect("the plan cannot be decoded");
             assert_all_kept(&play(plan).await);
         }
     }
@@ -113,7 +113,7 @@
     let verdict = judge(promise, &history);
     assert!(
         !verdict.violations.is_empty(),
-        "{} checked",
+        "no break was detected, {} checked",
         verdict.checked
     );
 }
@@ -135,7 +135,7 @@
     let verdict = judge(promise, &history);
     assert!(
         !verdict.violations.is_empty(),
-        "{} checked",
+        "no break was detected, {} checked",
         verdict.checked
     );
 }
@@ -151,7 +151,7 @@
     let verdict = judge(Promise::WaitingLimit, &history);
     assert!(
         !verdict.violations.is_empty(),
-        "{} checked",
+        "no break was detected, {} checked",
         verdict.checked
     );
 }
@@ -175,7 +175,7 @@
     let verdict = judge(Promise::Cold, &history);
     assert!(
         !verdict.violations.is_empty(),
-        "{} checked",
+        "no break was detected, {} checked",
         verdict.checked
     );
 }
--- a/crates/swiftshunt/tests/targets.rs
+++ b/crates/swiftshunt/tests/targets.rs
@@ -28,7 +28,7 @@
     let mut zones = Vec::new();
     for (index, engine) in fleet.engines.iter().enumerate() {
         let answer = fleet.operator.get(engine.direct, "/v1/load").await;
-        let load = answer.expect("the engine answers").json();
+        let load = answer.expect("the engine did not answer").json();
         let models = load["models"].as_array().cloned().unwrap_or_default();
         if models.iter().any(|model| model == EXTRA_MODEL) {
             zones.push(index % 3);
@@ -86,7 +86,9 @@
         "more engines were ordered than needed"
     );
     let explained = rows(&fleet, other, "explain target monday").await;
-    let orders = rows(&fleet, other, "show orders").await.expect("orders");
+    let orders = rows(&fleet, other, "show orders")
+        .await
+        .expect("the orders are not readable");
     assert!(
         explained.is_some() || orders.len() >= 3,
         "neither an explanation nor the orders are shown"
--- a/crates/swiftshunt/tests/whole_answers.rs
+++ b/crates/swiftshunt/tests/whole_answers.rs
@@ -26,7 +26,7 @@
                 .tenant
                 .chat_stream(node, MODEL, &content, MAX_TOKENS)
                 .await;
-            let streamed = streamed.expect("a stream");
+            let streamed = streamed.expect("the stream failed");
             assert_eq!(streamed.error, None, "caller {index}");
             assert_eq!(streamed.text, expected, "caller {index}");
             assert!(streamed.done, "the stream of caller {index} has no end");
--- a/crates/swiftshunt/tests/whole_path.rs
+++ b/crates/swiftshunt/tests/whole_path.rs
@@ -33,7 +33,7 @@
             let (expected, _) = expected_answer(&prompt_of(&content), MAX_TOKENS);
             if index % 2 == 0 {
                 let streamed = tenant.chat_stream(node, MODEL, &content, MAX_TOKENS).await;
-                let streamed = streamed.expect("a streamed answer");
+                let streamed = streamed.expect("the stream failed");
                 assert_eq!(streamed.text, expected);
                 assert!(
                     streamed.done,
@@ -59,7 +59,10 @@
                 .await;
             let first = first.expect("no response");
             assert_eq!(first.status, 200, "{first:?}");
-            let id = first.json()["id"].as_str().expect("an id").to_owned();
+            let id = first.json()["id"]
+                .as_str()
+                .expect("the submission has no id")
+                .to_owned();
             for node in nodes {
                 let path = format!("/v1/submissions/{id}");
                 let read = tenant.get(node, &path).await.expect("no response");
@@ -82,14 +85,20 @@
         .await
         .expect("no response")
         .json();
-    let file = file["id"].as_str().expect("a file").to_owned();
+    let file = file["id"]
+        .as_str()
+        .expect("the uploaded file has no id")
+        .to_owned();
     let job = fleet
         .tenant
         .create_batch(nodes[1], &file, None)
         .await
         .expect("no response")
         .json();
-    let path = format!("/v1/batches/{}", job["id"].as_str().expect("a job"));
+    let path = format!(
+        "/v1/batches/{}",
+        job["id"].as_str().expect("the created job has no id")
+    );
     let done = eventually("the job completes", || async {
         let job = fleet.tenant.get(nodes[2], &path).await.ok()?.json();
         (job["status"] == "completed").then_some(job)
@@ -97,7 +106,9 @@
     .await;
     let path = format!(
         "/v1/files/{}/content",
-        done["output_file_id"].as_str().expect("a file")
+        done["output_file_id"]
+            .as_str()
+            .expect("the job has no output file")
     );
     let output = fleet
         .tenant
@@ -112,12 +123,15 @@
 fn assert_output(output: &str, contents: &[String]) {
     let mut seen = HashSet::new();
     for line in output.lines() {
-        let line: Value = serde_json::from_str(line).expect("a result line");
-        let custom_id = line["custom_id"].as_str().expect("an id").to_owned();
+        let line: Value = serde_json::from_str(line).expect("a result line is not JSON");
+        let custom_id = line["custom_id"]
+            .as_str()
+            .expect("a result line has no custom_id")
+            .to_owned();
         let index: usize = custom_id
             .trim_start_matches("item-")
             .parse()
-            .expect("an index");
+            .expect("a custom_id has no index");
         let (expected, _) = expected_answer(&prompt_of(&contents[index]), MAX_TOKENS);
         let body = &line["response"]["body"];
         assert_eq!(body["choices"][0]["message"]["content"], json!(expected));
@@ -242,13 +256,13 @@
         fleet.journal.executions().is_empty(),
         "an invalid request ran"
     );
-    let left = fleet
+    let submissions = fleet
         .operator
         .statement(node, "show submissions")
         .await
         .expect("no response");
     assert_eq!(
-        left.json()["rows"],
+        submissions.json()["rows"],
         json!([]),
         "an invalid request left a submission"
     );
