--- a/crates/swiftshunt/tests/gateway/mod.rs
+++ b/crates/swiftshunt/tests/gateway/mod.rs
@@ -76,7 +76,7 @@
     pieces.join("\n")
 }
 
-/// Number of events of an item.
+/// Number of events of an item or stream by default.
 pub const EVENTS: u64 = 8;
 /// Wait time of a query for results that is answered immediately.
 pub const NO_WAIT: Duration = Duration::ZERO;
--- a/crates/swiftshunt/tests/gateway_changes.rs
+++ b/crates/swiftshunt/tests/gateway_changes.rs
@@ -232,7 +232,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     fleet.list_all(values::READY);
-    assert_eq!(refused, 0, "requests were refused, of {asked}");
+    assert_eq!(refused, 0, "refused requests, of {asked}");
 }
 
 /// Guards against a preference for new workers over those whose directory entries have not changed for
--- a/crates/swiftshunt/tests/gateway_foreign.rs
+++ b/crates/swiftshunt/tests/gateway_foreign.rs
@@ -128,7 +128,7 @@
     bytes
 }
 
-/// Returns a message about a request that crashed a worker, with a random value in one field.
+/// Returns a message about the end of a worker that ran a request, with a random value in one field.
 fn malformed_message(random: &mut StdRng) -> Vec<u8> {
     let text = |text: &str| Value::Text(text.to_owned());
     let mut fields = vec![
@@ -139,11 +139,11 @@
     let at = random.random_range(0..fields.len());
     fields[at].1 = random_value(random, 3);
     let fingerprint = Value::Array(vec![Value::Integer(9.into()); random.random_range(0..20)]);
-    let report = vec![
+    let body = vec![
         (text("fingerprint"), fingerprint),
         (text("end"), Value::Map(fields)),
     ];
-    let ended = Value::Map(vec![(text("Ended"), Value::Map(report))]);
+    let ended = Value::Map(vec![(text("Ended"), Value::Map(body))]);
     encode(&Value::Map(vec![(text("Quarantine"), ended)]))
 }
 
@@ -218,7 +218,7 @@
 #[test_case(topics::OPERATOR; "configurations")]
 #[test_case(topics::GATEWAYS; "gateways")]
 #[test_case(topics::JOBS; "batch jobs")]
-#[test_case(topics::QUARANTINE; "requests that crash workers")]
+#[test_case(topics::QUARANTINE; "requests that end workers")]
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_records_do_not_disturb_gateways(topic: &str) {
     let mut random = seeded_rng();
--- a/crates/swiftshunt/tests/gateway_limits.rs
+++ b/crates/swiftshunt/tests/gateway_limits.rs
@@ -247,7 +247,8 @@
     );
 }
 
-/// Far less than the time that a gateway waits before it takes over from one that may still be counting.
+/// Time within which the last job must be accepted after the stop: far less than the time that a gateway waits
+/// before it takes over from one that may still be counting.
 const HANDED_OVER_WITHIN: Duration = Duration::from_secs(2);
 
 /// Three of four jobs are queued. The gateway that takes over the count must learn of them from the stopping
--- a/crates/swiftshunt/tests/gateway_metrics.rs
+++ b/crates/swiftshunt/tests/gateway_metrics.rs
@@ -80,8 +80,8 @@
     assert!((500..5_000).contains(&longest), "{line}");
 }
 
-/// The log line of a late response contains when the request was sent and how much of its prompt the worker
-/// had to read.
+/// The log line of a late response contains the time at which the request was sent and how much of its prompt
+/// the worker had to read.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_late_response_is_logged_with_its_times() {
     let fleet = start(PlatformOptions {
--- a/crates/swiftshunt/tests/gateway_peaks.rs
+++ b/crates/swiftshunt/tests/gateway_peaks.rs
@@ -76,7 +76,7 @@
     println!("in time at the peak: {share:.2}");
     assert!(
         share >= 0.5,
-        "only a share of {share} of the streams was in time at the peak"
+        "share of the streams that were in time at the peak: {share}"
     );
     let after = send_streams(&fleet, "after", 30, Duration::from_secs(1)).await;
     assert!(
--- a/crates/swiftshunt/tests/gateway_quarantine.rs
+++ b/crates/swiftshunt/tests/gateway_quarantine.rs
@@ -1,4 +1,5 @@
-//! Quarantine of requests that crash the workers that run them.
+//! Quarantine of requests that crash the workers that run them. A gateway observes a crash as the end of the
+//! worker, hence the verb in the names of the tests.
 //!
 //! Guards against one request that crashes worker after worker: its caller gets 502 and sends it again, with
 //! a new identifier, to another gateway, which sends it to another worker. With each worker, the streams of
@@ -187,7 +188,7 @@
     let mut fleet = fleet().await;
     send_until_refused(&fleet, ONCE).await;
     let crashed_before = crashed_workers(&fleet);
-    eventually("the crashes are recorded", || async {
+    eventually("the ends of the workers are recorded", || async {
         fleet.store.key_count(topics::QUARANTINE) >= crashed_before
     })
     .await;
@@ -232,7 +233,7 @@
     for gateway in &fleet.gateways {
         gateway.store_listener.set_faults(Default::default());
     }
-    eventually("the crashes are recorded", || async {
+    eventually("the ends of the workers are recorded", || async {
         fleet.store.key_count(topics::QUARANTINE) >= MAX_CRASHES
     })
     .await;
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -166,7 +166,7 @@
     wait: Duration,
 }
 
-/// A gateway that is no longer a reader must not answer that there are no new records, since others may still
+/// A gateway that has ceased to be a reader must not answer that there are no new records, since others may still
 /// treat it as a reader.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_readers_answer_calls_for_new_records() {
--- a/crates/swiftshunt/tests/gateway_requests.rs
+++ b/crates/swiftshunt/tests/gateway_requests.rs
@@ -287,7 +287,7 @@
     }
     fleet.configure(configuration);
     let gateway = fleet.gateways[0].callers;
-    // The configured time-out is in force once a request fails that early.
+    // The configured time-out is in force once a request fails within 1.2 s.
     let fleet = &fleet;
     eventually("the time-out of the route is in force", || async move {
         let sent_at = std::time::Instant::now();
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -40,7 +40,7 @@
     let keyless_caller = fleet.caller.clone();
     for gateway in &fleet.gateways {
         eventually("the gateway requires a key", || async {
-            status(&keyless_caller, gateway.callers, ASK, "r").await == StatusCode::UNAUTHORIZED
+            status_of(&keyless_caller, gateway.callers, ASK, "r").await == StatusCode::UNAUTHORIZED
         })
         .await;
     }
@@ -55,7 +55,7 @@
     fleet.configure_with_tenants(configuration, Some(tenants));
 }
 
-async fn status(
+async fn status_of(
     caller: &PlatformCaller,
     gateway: std::net::SocketAddr,
     path: &str,
@@ -171,9 +171,9 @@
     configure(&mut fleet, &changed);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for (index, gateway) in fleet.gateways.iter().enumerate() {
-        let revoked_status = status(&revoked, gateway.callers, ASK, &format!("g{index}")).await;
+        let revoked_status = status_of(&revoked, gateway.callers, ASK, &format!("g{index}")).await;
         assert_eq!(revoked_status, StatusCode::UNAUTHORIZED, "gateway {index}");
-        let served = status(&valid, gateway.callers, ASK, &format!("k{index}")).await;
+        let served = status_of(&valid, gateway.callers, ASK, &format!("k{index}")).await;
         assert_eq!(served, StatusCode::OK, "gateway {index}");
     }
     fleet.gateways[1]
@@ -184,10 +184,10 @@
     }
     for gateway in &fleet.gateways {
         eventually("the gateway serves again", || async {
-            status(&valid, gateway.callers, ASK, "again").await == StatusCode::OK
+            status_of(&valid, gateway.callers, ASK, "again").await == StatusCode::OK
         })
         .await;
-        let revoked_status = status(&revoked, gateway.callers, ASK, "gone").await;
+        let revoked_status = status_of(&revoked, gateway.callers, ASK, "gone").await;
         assert_eq!(revoked_status, StatusCode::UNAUTHORIZED);
     }
     changed[1].api_keys.push(KEY_A.to_owned());
@@ -196,7 +196,7 @@
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         let id = format!("moved-{index}");
         assert_eq!(
-            status(&revoked, gateway.callers, ASK, &id).await,
+            status_of(&revoked, gateway.callers, ASK, &id).await,
             StatusCode::OK
         );
         assert_eq!(forwarded_tenants(&fleet, &id), [["b"]]);
@@ -322,10 +322,10 @@
         .set_faults(gateway::unresponsive_log());
     configure(&mut fleet, &tenants());
     for (index, gateway) in fleet.gateways.iter().enumerate() {
-        status(&caller, gateway.callers, ASK, &format!("r{index}")).await;
-        status(&caller, gateway.callers, STREAM, &format!("s{index}")).await;
+        status_of(&caller, gateway.callers, ASK, &format!("r{index}")).await;
+        status_of(&caller, gateway.callers, STREAM, &format!("s{index}")).await;
         let unknown = fleet.caller.with_key("unknown-secret-key");
-        status(&unknown, gateway.callers, ASK, &format!("u{index}")).await;
+        status_of(&unknown, gateway.callers, ASK, &format!("u{index}")).await;
         drop(caller.results(gateway.callers, "job", 0, NO_WAIT).await);
         let metrics = fleet.caller.metrics(gateway.metrics).await;
         assert!(metrics.contains("swiftshunt_rejected_keys"));
@@ -390,16 +390,16 @@
     }
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     let gateway = fleet.gateways[0].callers;
-    assert_eq!(status(&caller, gateway, ASK, "r1").await, expected);
+    assert_eq!(status_of(&caller, gateway, ASK, "r1").await, expected);
     assert_eq!(
-        status(&fleet.caller, gateway, ONCE, "p1").await,
+        status_of(&fleet.caller, gateway, ONCE, "p1").await,
         StatusCode::OK
     );
     fleet.gateways[0]
         .store_listener
         .set_faults(StoreFaults::default());
     eventually("the gateway serves again", || async {
-        status(&caller, gateway, ASK, "r2").await == StatusCode::OK
+        status_of(&caller, gateway, ASK, "r2").await == StatusCode::OK
     })
     .await;
 }
@@ -411,7 +411,7 @@
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let caller = fleet.caller.with_key("anything");
-    assert_eq!(status(&caller, gateway, ASK, "r1").await, StatusCode::OK);
+    assert_eq!(status_of(&caller, gateway, ASK, "r1").await, StatusCode::OK);
     let run = &fleet.runs_of("r1")[0];
     assert!(run.has_credentials && run.tenants.is_empty());
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -100,7 +100,7 @@
     let in_time = tokio::time::timeout(READABLE_WITHIN, all_callers).await;
     assert!(
         in_time.is_ok(),
-        "{} jobs are not readable in time",
+        "{} queries did not list all results of their job in time",
         callers.len()
     );
     began.elapsed()
