--- a/crates/swiftshunt-lab/src/caller.rs
+++ b/crates/swiftshunt-lab/src/caller.rs
@@ -22,7 +22,7 @@
 
 /// An answer as a caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ApiAnswer {
     /// The HTTP status.
     pub status: u16,
     /// The body.
@@ -31,7 +31,7 @@
     pub retry_after: Option<u64>,
 }
 
-impl Answered {
+impl ApiAnswer {
     /// The body as JSON; null if it is none.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
@@ -50,19 +50,19 @@
 
 /// A streamed answer, read to its end.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Streamed {
+pub struct StreamedAnswer {
     /// The text of all chunks.
     pub text: String,
     /// Chunks that carried text.
     pub chunks: usize,
     /// The finish reason.
-    pub finish: Option<String>,
+    pub finish_reason: Option<String>,
     /// Whether `[DONE]` came.
-    pub done: bool,
+    pub is_complete: bool,
     /// An error event, if one came.
     pub error: Option<Value>,
     /// Time to the first chunk with text.
-    pub first_token: Option<Duration>,
+    pub time_to_first_token: Option<Duration>,
 }
 
 impl Caller {
@@ -78,16 +78,16 @@
         request.with_header("authorization", format!("Bearer {}", self.token))
     }
 
-    async fn exchange(&self, request: HttpRequest) -> Result<Answered, HttpError> {
+    async fn exchange(&self, request: HttpRequest) -> Result<ApiAnswer, HttpError> {
         let answer = self
             .client
             .exchange(self.authorized(request), TIMEOUT)
             .await?;
-        Ok(answered(&answer))
+        Ok(api_answer(&answer))
     }
 
     /// Any GET.
-    pub async fn get(&self, node: SocketAddr, path: &str) -> Result<Answered, HttpError> {
+    pub async fn get(&self, node: SocketAddr, path: &str) -> Result<ApiAnswer, HttpError> {
         self.exchange(HttpRequest::get(node, path)).await
     }
 
@@ -97,7 +97,7 @@
         node: SocketAddr,
         path: &str,
         body: &Value,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let request = HttpRequest::post(node, path, JSON, body.to_string());
         self.exchange(request).await
     }
@@ -109,7 +109,7 @@
         path: &str,
         body: &str,
         key: Option<&str>,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let mut request = HttpRequest::post(node, path, JSON, body.to_owned());
         if let Some(key) = key {
             request = request.with_header("idempotency-key", key);
@@ -124,7 +124,7 @@
         model: &str,
         content: &str,
         max_tokens: u32,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = chat_body(model, content, max_tokens, false);
         self.post(node, "/v1/chat/completions", &body).await
     }
@@ -136,7 +136,7 @@
         model: &str,
         content: &str,
         max_tokens: u32,
-    ) -> Result<Streamed, HttpError> {
+    ) -> Result<StreamedAnswer, HttpError> {
         let body = chat_body(model, content, max_tokens, true);
         let request = HttpRequest::post(node, "/v1/chat/completions", JSON, body.to_string());
         let began = std::time::Instant::now();
@@ -154,13 +154,13 @@
             });
         }
         let mut events = EventStream::new(response.into_body().into_data_stream());
-        let mut streamed = Streamed::default();
+        let mut streamed = StreamedAnswer::default();
         while let Some(event) = events.next().await {
             let event = event.map_err(|error| HttpError::BrokenOff {
                 address: node,
                 reason: error.to_string(),
             })?;
-            streamed.take(&event.data, began);
+            streamed.add_event(&event.data, began);
         }
         Ok(streamed)
     }
@@ -173,7 +173,7 @@
         key: &str,
         input: &Value,
         repeatable: bool,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "pool": pool, "input": input, "repeatable": repeatable });
         let request = HttpRequest::post(node, "/v1/submissions", JSON, body.to_string())
             .with_header("idempotency-key", key);
@@ -181,7 +181,7 @@
     }
 
     /// Uploads the items of a job and returns the file's identifier.
-    pub async fn upload(&self, node: SocketAddr, lines: &str) -> Result<Answered, HttpError> {
+    pub async fn upload(&self, node: SocketAddr, lines: &str) -> Result<ApiAnswer, HttpError> {
         let body = format!(
             "--{BOUNDARY}\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
              --{BOUNDARY}\r\nContent-Disposition: form-data; name=\"file\"; filename=\"items.jsonl\"\r\n\
@@ -198,7 +198,7 @@
         node: SocketAddr,
         file: &str,
         key: Option<&str>,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({
             "input_file_id": file,
             "endpoint": "/v1/chat/completions",
@@ -212,7 +212,7 @@
     }
 
     /// An operator statement.
-    pub async fn statement(&self, node: SocketAddr, text: &str) -> Result<Answered, HttpError> {
+    pub async fn statement(&self, node: SocketAddr, text: &str) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "statement": text });
         self.post(node, "/v1/operator/statements", &body).await
     }
@@ -223,16 +223,16 @@
         node: SocketAddr,
         base: u64,
         toml: &str,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "base": base, "toml": toml });
         self.post(node, "/v1/operator/configuration", &body).await
     }
 }
 
-impl Streamed {
-    fn take(&mut self, data: &str, began: std::time::Instant) {
+impl StreamedAnswer {
+    fn add_event(&mut self, data: &str, began: std::time::Instant) {
         if data == "[DONE]" {
-            self.done = true;
+            self.is_complete = true;
             return;
         }
         let Ok(chunk) = serde_json::from_str::<Value>(data) else {
@@ -244,18 +244,19 @@
         }
         let choice = &chunk["choices"][0];
         if let Some(text) = choice["delta"]["content"].as_str() {
-            self.first_token.get_or_insert_with(|| began.elapsed());
+            self.time_to_first_token
+                .get_or_insert_with(|| began.elapsed());
             self.text.push_str(text);
             self.chunks += 1;
         }
-        if let Some(finish) = choice["finish_reason"].as_str() {
-            self.finish = Some(finish.to_owned());
+        if let Some(reason) = choice["finish_reason"].as_str() {
+            self.finish_reason = Some(reason.to_owned());
         }
     }
 }
 
-fn answered(answer: &HttpAnswer) -> Answered {
-    Answered {
+fn api_answer(answer: &HttpAnswer) -> ApiAnswer {
+    ApiAnswer {
         status: answer.status.as_u16(),
         body: String::from_utf8_lossy(&answer.body).into_owned(),
         retry_after: retry_after(&answer.headers),
@@ -273,7 +274,7 @@
 }
 
 /// The prompt that an engine sees for one user message.
-pub fn prompt_of(content: &str) -> String {
+pub fn prompt_for(content: &str) -> String {
     format!("user: {content}\n")
 }
 
--- a/crates/swiftshunt-lab/src/engine/batcher.rs
+++ b/crates/swiftshunt-lab/src/engine/batcher.rs
@@ -15,7 +15,7 @@
 
 /// A request that an engine took in.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StartedRequest {
+pub struct AcceptedRequest {
     /// Which request.
     pub request: RequestId,
     /// Its prompt.
@@ -31,7 +31,7 @@
     journal_index: usize,
     waited_steps: u32,
     request: GenerateRequest,
-    next: u32,
+    next_index: u32,
     length: u32,
     finish: FinishReason,
     events: mpsc::Sender<TokenEvent>,
@@ -41,7 +41,7 @@
 
 /// Counts of what an engine holds.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Counts {
+pub(super) struct LoadCounts {
     pub(super) running: u32,
     pub(super) running_batch: u32,
     pub(super) waiting: u32,
@@ -54,8 +54,8 @@
     running: Vec<Sequence>,
     waiting_online: VecDeque<Sequence>,
     waiting_batch: VecDeque<Sequence>,
-    sent: u32,
-    journal: Vec<StartedRequest>,
+    sent_events: u32,
+    journal: Vec<AcceptedRequest>,
     tokens: TokenCounts,
 }
 
@@ -76,7 +76,7 @@
             running: Vec::new(),
             waiting_online: VecDeque::new(),
             waiting_batch: VecDeque::new(),
-            sent: 0,
+            sent_events: 0,
             journal: Vec::new(),
             tokens: TokenCounts::default(),
         }
@@ -88,7 +88,7 @@
         request: GenerateRequest,
         events: mpsc::Sender<TokenEvent>,
     ) -> bool {
-        if self.waiting_online.len() + self.waiting_batch.len() >= self.settings.queue {
+        if self.waiting_online.len() + self.waiting_batch.len() >= self.settings.queue_limit {
             return false;
         }
         let natural = natural_length(&request.prompt);
@@ -97,7 +97,7 @@
         } else {
             FinishReason::Length
         };
-        self.journal.push(StartedRequest {
+        self.journal.push(AcceptedRequest {
             request: request.request.clone(),
             prompt: request.prompt.clone(),
             priority: request.priority,
@@ -106,7 +106,7 @@
         let sequence = Sequence {
             journal_index: self.journal.len() - 1,
             waited_steps: 0,
-            next: request.resume_from,
+            next_index: request.resume_from,
             length: natural.min(request.max_tokens),
             finish,
             events,
@@ -143,13 +143,13 @@
     }
 
     /// What was taken in so far.
-    pub(super) fn journal(&self) -> &[StartedRequest] {
+    pub(super) fn journal(&self) -> &[AcceptedRequest] {
         &self.journal
     }
 
-    pub(super) fn counts(&self) -> Counts {
+    pub(super) fn counts(&self) -> LoadCounts {
         let batch = self.running.iter().filter(|sequence| sequence.is_batch());
-        Counts {
+        LoadCounts {
             running: self.running.len() as u32,
             running_batch: batch.count() as u32,
             waiting: self.waiting_online.len() as u32,
@@ -158,7 +158,7 @@
 
     /// Admits what fits and returns how long the step takes; none if there is nothing to do.
     pub(super) fn begin_step(&mut self) -> Option<Duration> {
-        self.drop_gone();
+        self.remove_ended();
         self.admit();
         if self.running.is_empty() {
             return None;
@@ -177,8 +177,8 @@
             entry.waited_steps.get_or_insert(sequence.waited_steps);
             if !sequence.prefilled {
                 sequence.prefilled = true;
-                let missing = self.cache.use_prompt(&sequence.request.prompt);
-                duration += self.settings.prefill_per_block * missing;
+                let missing_blocks = self.cache.access_prompt(&sequence.request.prompt);
+                duration += self.settings.prefill_per_block * missing_blocks;
             }
         }
         Some(duration)
@@ -186,12 +186,14 @@
 
     /// Ends the step: every request in it gets a token.
     pub(super) fn end_step(&mut self) {
-        let duplicate_every = self.settings.duplicate_every;
+        let duplicate_event_interval = self.settings.duplicate_event_interval;
         for sequence in &mut self.running {
-            let ended = sequence.next >= sequence.length;
+            let ended = sequence.next_index >= sequence.length;
             let event = sequence.event(ended);
-            self.sent += 1;
-            if duplicate_every > 0 && self.sent.is_multiple_of(duplicate_every) {
+            self.sent_events += 1;
+            if duplicate_event_interval > 0
+                && self.sent_events.is_multiple_of(duplicate_event_interval)
+            {
                 drop(sequence.events.try_send(event.clone()));
             }
             match sequence.events.try_send(event) {
@@ -206,23 +208,23 @@
                     Priority::Batch => self.tokens.batch += 1,
                 }
             }
-            sequence.next += 1;
+            sequence.next_index += 1;
             sequence.cancelled |= ended;
         }
-        self.drop_gone();
+        self.remove_ended();
     }
 
-    fn drop_gone(&mut self) {
-        let stays = |sequence: &Sequence| !sequence.cancelled && !sequence.events.is_closed();
-        self.running.retain(stays);
-        self.waiting_online.retain(stays);
-        self.waiting_batch.retain(stays);
+    fn remove_ended(&mut self) {
+        let is_active = |sequence: &Sequence| !sequence.cancelled && !sequence.events.is_closed();
+        self.running.retain(is_active);
+        self.waiting_online.retain(is_active);
+        self.waiting_batch.retain(is_active);
     }
 
     fn admit(&mut self) {
         let slots = self.settings.slots as usize;
         while let Some(sequence) = self.waiting_online.pop_front() {
-            if self.running.len() >= slots && !self.push_out_batch() {
+            if self.running.len() >= slots && !self.preempt_batch_request() {
                 self.waiting_online.push_front(sequence);
                 break;
             }
@@ -237,7 +239,7 @@
     }
 
     /// Sends the youngest batch request back to the queue; false if there is none.
-    fn push_out_batch(&mut self) -> bool {
+    fn preempt_batch_request(&mut self) -> bool {
         let Some(index) = self.running.iter().rposition(Sequence::is_batch) else {
             return false;
         };
@@ -256,11 +258,11 @@
         let text = if ended {
             String::new()
         } else {
-            token_text(&self.request.prompt, self.next)
+            token_text(&self.request.prompt, self.next_index)
         };
         TokenEvent {
             request: self.request.request.clone(),
-            index: self.next,
+            index: self.next_index,
             text,
             finish: ended.then_some(self.finish),
         }
--- a/crates/swiftshunt-lab/src/engine/mod.rs
+++ b/crates/swiftshunt-lab/src/engine/mod.rs
@@ -7,7 +7,7 @@
 mod settings;
 mod tokens;
 
-pub use batcher::{StartedRequest, TokenCounts};
+pub use batcher::{AcceptedRequest, TokenCounts};
 pub use server::{EngineState, start};
 pub use settings::EngineSettings;
 pub use tokens::{expected_answer, natural_length, token_text};
--- a/crates/swiftshunt-lab/src/engine/prefix_cache.rs
+++ b/crates/swiftshunt-lab/src/engine/prefix_cache.rs
@@ -4,15 +4,15 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// Characters of a prompt in one block.
-const BLOCK: usize = 64;
+const BLOCK_BYTES: usize = 64;
 
 /// Cached prompt blocks; a block is known by the hash of the prompt up to its end.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
     clock: u64,
-    used_at: HashMap<u64, u64>,
-    by_use: BTreeMap<u64, u64>,
+    last_use_by_block: HashMap<u64, u64>,
+    block_by_last_use: BTreeMap<u64, u64>,
 }
 
 impl PrefixCache {
@@ -20,37 +20,37 @@
         Self {
             capacity,
             clock: 0,
-            used_at: HashMap::new(),
-            by_use: BTreeMap::new(),
+            last_use_by_block: HashMap::new(),
+            block_by_last_use: BTreeMap::new(),
         }
     }
 
     /// Uses a prompt and returns how many of its blocks had to be computed.
-    pub(super) fn use_prompt(&mut self, prompt: &str) -> u32 {
+    pub(super) fn access_prompt(&mut self, prompt: &str) -> u32 {
         let mut hasher = DefaultHasher::new();
-        let mut missing = 0;
-        for block in prompt.as_bytes().chunks(BLOCK) {
+        let mut missing_blocks = 0;
+        for block in prompt.as_bytes().chunks(BLOCK_BYTES) {
             block.hash(&mut hasher);
             if !self.touch(hasher.finish()) {
-                missing += 1;
+                missing_blocks += 1;
             }
         }
-        missing
+        missing_blocks
     }
 
     /// Marks a block as used; whether it was cached.
     fn touch(&mut self, block: u64) -> bool {
         self.clock += 1;
-        let before = self.used_at.insert(block, self.clock);
-        if let Some(before) = before {
-            self.by_use.remove(&before);
+        let previous_use = self.last_use_by_block.insert(block, self.clock);
+        if let Some(previous_use) = previous_use {
+            self.block_by_last_use.remove(&previous_use);
         }
-        self.by_use.insert(self.clock, block);
-        if self.used_at.len() > self.capacity
-            && let Some((_, oldest)) = self.by_use.pop_first()
+        self.block_by_last_use.insert(self.clock, block);
+        if self.last_use_by_block.len() > self.capacity
+            && let Some((_, oldest)) = self.block_by_last_use.pop_first()
         {
-            self.used_at.remove(&oldest);
+            self.last_use_by_block.remove(&oldest);
         }
-        before.is_some()
+        previous_use.is_some()
     }
 }
--- a/crates/swiftshunt-lab/src/engine/server.rs
+++ b/crates/swiftshunt-lab/src/engine/server.rs
@@ -17,18 +17,18 @@
 use tokio::sync::{Notify, mpsc};
 use tokio_stream::wrappers::ReceiverStream;
 
-use super::batcher::{Batcher, StartedRequest};
+use super::batcher::{AcceptedRequest, Batcher};
 use super::settings::EngineSettings;
 use crate::stand_in::{RunningStandIn, lock};
 
 /// Largest request, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
 /// Events that wait for a slow reader.
-const BUFFERED_EVENTS: usize = 64;
+const EVENT_BUFFER_LENGTH: usize = 64;
 /// Time for a model's weights.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(300);
 /// Loads kept for lagging reports.
-const KEPT_LOADS: usize = 4096;
+const LOAD_HISTORY_LIMIT: usize = 4096;
 
 /// The state of an engine stand-in.
 pub struct EngineState {
@@ -105,7 +105,7 @@
         if loads.back().is_some_and(|(_, last)| *last == load) {
             return;
         }
-        if loads.len() == KEPT_LOADS {
+        if loads.len() == LOAD_HISTORY_LIMIT {
             loads.pop_front();
         }
         loads.push_back((Instant::now(), load));
@@ -121,7 +121,7 @@
     }
 
     /// What the engine took in so far.
-    pub fn started_requests(&self) -> Vec<StartedRequest> {
+    pub fn accepted_requests(&self) -> Vec<AcceptedRequest> {
         lock(&self.batcher).journal().to_vec()
     }
 
@@ -137,7 +137,7 @@
         let message = format!("model {} is not loaded", request.model);
         return Err(Failure::not_run(ErrorKind::Unavailable, message));
     }
-    let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
+    let (sender, receiver) = mpsc::channel(EVENT_BUFFER_LENGTH);
     if !lock(&state.batcher).submit(request, sender) {
         return Err(Failure::not_run(ErrorKind::Overloaded, "the queue is full"));
     }
@@ -177,7 +177,7 @@
 
 /// Fetches a model's weights, then serves it.
 async fn load_model(state: Arc<EngineState>, model: ModelName) {
-    if let Some(store) = state.settings.weights {
+    if let Some(store) = state.settings.weight_store {
         let path = format!("/v1/weights/{model}/fetch");
         let client = HttpClient::new(None);
         let fetched = client
@@ -199,7 +199,7 @@
 }
 
 async fn journal(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
-    Ok(Reply::json(&state.started_requests()))
+    Ok(Reply::json(&state.accepted_requests()))
 }
 
 async fn tokens(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
--- a/crates/swiftshunt-lab/src/engine/settings.rs
+++ b/crates/swiftshunt-lab/src/engine/settings.rs
@@ -11,7 +11,7 @@
     /// Requests in one step.
     pub slots: u32,
     /// Requests that may wait.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Duration of a step, whatever it holds.
     pub step_base: Duration,
     /// Added to a step for each request in it.
@@ -25,24 +25,24 @@
     /// Models loaded at the start; empty means any.
     pub models: Vec<ModelName>,
     /// Where weights are fetched before an ordered model is served; at once if there is none.
-    pub weights: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
     /// Each so-manieth event is sent twice; 0 for none.
-    pub duplicate_every: u32,
+    pub duplicate_event_interval: u32,
 }
 
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
             slots: 16,
-            queue: 512,
+            queue_limit: 512,
             step_base: Duration::from_millis(4),
             step_per_request: Duration::from_micros(100),
             prefill_per_block: Duration::from_micros(500),
             cache_blocks: 4096,
             report_lag: Duration::from_millis(100),
             models: Vec::new(),
-            weights: None,
-            duplicate_every: 0,
+            weight_store: None,
+            duplicate_event_interval: 0,
         }
     }
 }
--- a/crates/swiftshunt-lab/src/engine/tokens.rs
+++ b/crates/swiftshunt-lab/src/engine/tokens.rs
@@ -5,12 +5,12 @@
 
 use swiftshunt_backends::engine::FinishReason;
 
-const WORDS: [&str; 16] = [
+const VOCABULARY: [&str; 16] = [
     "desk", "meter", "zone", "lot", "split", "rijeka", "osijek", "galle", "matara", "reading",
     "plan", "seat", "bill", "gate", "floor", "reply",
 ];
-const SHORTEST: u64 = 16;
-const SPREAD: u64 = 48;
+const MIN_ANSWER_TOKENS: u64 = 16;
+const ANSWER_LENGTH_RANGE: u64 = 48;
 
 fn hash(value: impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
@@ -20,14 +20,14 @@
 
 /// The text of the token at `index` of the answer to `prompt`.
 pub fn token_text(prompt: &str, index: u32) -> String {
-    let drawn = hash((prompt, index));
-    let word = WORDS[(drawn % WORDS.len() as u64) as usize];
-    format!("{word}{} ", drawn >> 48)
+    let hashed = hash((prompt, index));
+    let word = VOCABULARY[(hashed % VOCABULARY.len() as u64) as usize];
+    format!("{word}{} ", hashed >> 48)
 }
 
 /// How many tokens the whole answer to `prompt` has.
 pub fn natural_length(prompt: &str) -> u32 {
-    (SHORTEST + hash(prompt) % SPREAD) as u32
+    (MIN_ANSWER_TOKENS + hash(prompt) % ANSWER_LENGTH_RANGE) as u32
 }
 
 /// The whole answer to `prompt` within `max_tokens`.
--- a/crates/swiftshunt-lab/src/experiment/load.rs
+++ b/crates/swiftshunt-lab/src/experiment/load.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use super::plan::{BatchPlan, OnlinePlan};
-use crate::caller::{Caller, batch_lines, prompt_of};
+use crate::caller::{Caller, batch_lines, prompt_for};
 use crate::engine::expected_answer;
 use crate::stand_in::lock;
 
@@ -60,35 +60,40 @@
 /// Moments of arrival, from the start: exponential gaps at a rate that bursts raise.
 fn arrivals(plan: &OnlinePlan, duration: Duration, seed: u64) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut moments = poisson(
+    let mut arrival_times = poisson_arrivals(
         plan.requests_per_second,
         Duration::ZERO,
         duration,
         &mut random,
     );
     for burst in &plan.bursts {
-        let end = (burst.at + burst.lasting).min(duration);
-        moments.extend(poisson(
+        let end = (burst.at + burst.duration).min(duration);
+        arrival_times.extend(poisson_arrivals(
             burst.requests_per_second,
             burst.at,
             end,
             &mut random,
         ));
     }
-    moments.sort_unstable();
-    moments
+    arrival_times.sort_unstable();
+    arrival_times
 }
 
-fn poisson(rate: f64, from: Duration, to: Duration, random: &mut SmallRng) -> Vec<Duration> {
-    let mut moments = Vec::new();
+fn poisson_arrivals(
+    rate: f64,
+    from: Duration,
+    to: Duration,
+    random: &mut SmallRng,
+) -> Vec<Duration> {
+    let mut arrival_times = Vec::new();
     let mut at = from;
     loop {
         let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
         at += Duration::from_secs_f64(-uniform.ln() / rate);
         if at >= to {
-            return moments;
+            return arrival_times;
         }
-        moments.push(at);
+        arrival_times.push(at);
     }
 }
 
@@ -102,13 +107,13 @@
     let tally = Arc::new(Mutex::new(OnlineTally::default()));
     let began = Instant::now();
     let mut requests = JoinSet::new();
-    for (number, moment) in arrivals(&plan, duration, seed).into_iter().enumerate() {
-        let arrival = began + moment;
+    for (number, offset) in arrivals(&plan, duration, seed).into_iter().enumerate() {
+        let arrival = began + offset;
         tokio::time::sleep_until(arrival).await;
         lock(&tally).arrived += 1;
         let (target, tally) = (target.clone(), Arc::clone(&tally));
         requests.spawn(async move {
-            ask(&target, &tally, number, plan.max_tokens, arrival).await;
+            send_online_request(&target, &tally, number, plan.max_tokens, arrival).await;
         });
     }
     while requests.join_next().await.is_some() {}
@@ -116,7 +121,7 @@
     std::mem::take(&mut *tally)
 }
 
-async fn ask(
+async fn send_online_request(
     target: &Target,
     tally: &Mutex<OnlineTally>,
     number: usize,
@@ -125,8 +130,8 @@
 ) {
     let node = target.nodes[number % target.nodes.len()];
     let content = format!("online request {number}");
-    let (expected, _) = expected_answer(&prompt_of(&content), max_tokens);
-    let late = arrival.elapsed();
+    let (expected, _) = expected_answer(&prompt_for(&content), max_tokens);
+    let send_delay = arrival.elapsed();
     let answer = target
         .tenant
         .chat_stream(node, target.online_model, &content, max_tokens)
@@ -136,7 +141,7 @@
     match answer {
         Ok(streamed) if streamed.text == expected => {
             tally.answered += 1;
-            let first = late + streamed.first_token.unwrap_or_default();
+            let first = send_delay + streamed.time_to_first_token.unwrap_or_default();
             // The histogram resizes itself; a value cannot be out of range.
             tally.first_token.record(first.as_micros() as u64).ok();
         }
@@ -157,11 +162,11 @@
 /// Creates a heap of jobs every so often while `duration` lasts.
 pub(super) async fn run_jobs(target: Target, plan: BatchPlan, duration: Duration) {
     let began = Instant::now();
-    let mut heap = 0;
+    let mut round = 0;
     while began.elapsed() < duration {
         for job in 0..plan.jobs {
             let contents: Vec<String> = (0..plan.items)
-                .map(|item| format!("heap {heap} job {job} item {item}"))
+                .map(|item| format!("heap {round} job {job} item {item}"))
                 .collect();
             let lines = batch_lines(target.batch_model, &contents, plan.max_tokens);
             let node = target.nodes[job % target.nodes.len()];
@@ -172,14 +177,14 @@
                 drop(target.tenant.create_batch(node, file, None).await);
             }
         }
-        heap += 1;
-        tokio::time::sleep_until(began + plan.every * heap).await;
+        round += 1;
+        tokio::time::sleep_until(began + plan.interval * round).await;
     }
 }
 
 /// Sends batch work as online requests, as many at once as the engines have slots: what a fleet
 /// without yielding does.
-pub(super) async fn run_unyielding(
+pub(super) async fn run_without_preemption(
     target: Target,
     plan: BatchPlan,
     duration: Duration,
--- a/crates/swiftshunt-lab/src/experiment/mod.rs
+++ b/crates/swiftshunt-lab/src/experiment/mod.rs
@@ -6,6 +6,6 @@
 mod report;
 mod run;
 
-pub use plan::{ExperimentPlan, PlanError, Way, load_plan};
-pub use report::{ExperimentReport, WayReport};
+pub use plan::{BatchPolicy, ExperimentPlan, PlanError, load_plan};
+pub use report::{ExperimentReport, PolicyReport};
 pub use run::{ExperimentError, run};
--- a/crates/swiftshunt-lab/src/experiment/plan.rs
+++ b/crates/swiftshunt-lab/src/experiment/plan.rs
@@ -18,13 +18,14 @@
 /// How batch work shares the engines with online work.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum BatchPolicy {
     /// No batch work at all.
     #[display("no batch")]
     NoBatch,
     /// Batch work is sent like online work and yields to nothing.
     #[display("unyielding")]
-    Unyielding,
+    #[serde(rename = "unyielding")]
+    NoPreemption,
     /// Half of the engines for batch work alone.
     #[display("fixed split")]
     FixedSplit,
@@ -41,11 +42,12 @@
     pub name: String,
     /// Seed of arrivals.
     pub seed: u64,
-    /// How long arrivals last in each way.
+    /// How long arrivals last in each policy.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
     /// Ways, run one after the other.
-    pub ways: Vec<Way>,
+    #[serde(rename = "ways")]
+    pub policies: Vec<BatchPolicy>,
     /// The fleet.
     pub fleet: FleetPlan,
     /// Online work.
@@ -92,8 +94,8 @@
     #[serde(with = "humantime_serde")]
     pub at: Duration,
     /// For how long.
-    #[serde(with = "humantime_serde")]
-    pub lasting: Duration,
+    #[serde(with = "humantime_serde", rename = "lasting")]
+    pub duration: Duration,
     /// Requests a second beside the others.
     pub requests_per_second: f64,
 }
@@ -103,8 +105,8 @@
 #[serde(deny_unknown_fields)]
 pub struct BatchPlan {
     /// Time between heaps.
-    #[serde(with = "humantime_serde")]
-    pub every: Duration,
+    #[serde(with = "humantime_serde", rename = "every")]
+    pub interval: Duration,
     /// Jobs in a heap.
     pub jobs: usize,
     /// Items in a job.
@@ -121,7 +123,7 @@
     };
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
     let plan: ExperimentPlan = toml::from_str(&text).map_err(|error| failed(error.to_string()))?;
-    if plan.ways.is_empty() {
+    if plan.policies.is_empty() {
         return Err(failed("`ways` names none".to_owned()));
     }
     if plan.duration.is_zero() || plan.fleet.engines < 3 || plan.fleet.slots == 0 {
@@ -130,7 +132,10 @@
                 .to_owned(),
         ));
     }
-    let needs_batch = plan.ways.iter().any(|way| *way != Way::NoBatch);
+    let needs_batch = plan
+        .policies
+        .iter()
+        .any(|policy| *policy != BatchPolicy::NoBatch);
     if needs_batch && plan.batch.is_none() {
         return Err(failed("`batch` is missing, and a way needs it".to_owned()));
     }
--- a/crates/swiftshunt-lab/src/experiment/plot.rs
+++ b/crates/swiftshunt-lab/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The first token's distribution in each way, as SVG.
+//! The first token's distribution in each policy, as SVG.
 
 use std::path::Path;
 
@@ -15,7 +15,7 @@
     pub reason: String,
 }
 
-const SIZE: (u32, u32) = (900, 520);
+const PLOT_SIZE: (u32, u32) = (900, 520);
 const COLOURS: [RGBColor; 4] = [
     RGBColor(60, 60, 60),
     RGBColor(200, 60, 40),
@@ -32,11 +32,11 @@
 
 fn draw(report: &ExperimentReport, file: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let highest = report
-        .ways
+        .results
         .iter()
-        .flat_map(|way| way.first_token_curve.iter().map(|(_, value)| *value))
+        .flat_map(|result| result.first_token_curve.iter().map(|(_, value)| *value))
         .fold(1.0, f64::max);
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, PLOT_SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(12)
@@ -48,11 +48,11 @@
         .x_desc("quantile of online requests")
         .y_desc("first token, ms")
         .draw()?;
-    for (way, colour) in report.ways.iter().zip(COLOURS) {
-        let points = way.first_token_curve.iter().copied();
+    for (result, colour) in report.results.iter().zip(COLOURS) {
+        let points = result.first_token_curve.iter().copied();
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)))?
-            .label(way.way.to_string())
+            .label(result.policy.to_string())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
     chart.configure_series_labels().border_style(BLACK).draw()?;
--- a/crates/swiftshunt-lab/src/experiment/report.rs
+++ b/crates/swiftshunt-lab/src/experiment/report.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-use super::plan::{ExperimentPlan, Way};
+use super::plan::{BatchPolicy, ExperimentPlan};
 
 /// Times in milliseconds at some percentiles.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -24,7 +24,7 @@
 
 impl Percentiles {
     /// Of a histogram in microseconds.
-    pub fn of(histogram: &Histogram<u64>) -> Self {
+    pub fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let at =
             |quantile| histogram.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND;
         Self {
@@ -39,9 +39,10 @@
 
 /// What one way came to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct WayReport {
-    /// Which way.
-    pub way: Way,
+pub struct PolicyReport {
+    /// Which policy.
+    #[serde(rename = "way")]
+    pub policy: BatchPolicy,
     /// Online requests that arrived.
     pub arrived: u64,
     /// Answered whole.
@@ -74,7 +75,8 @@
     /// What was declared.
     pub plan: ExperimentPlan,
     /// Each way's result.
-    pub ways: Vec<WayReport>,
+    #[serde(rename = "ways")]
+    pub results: Vec<PolicyReport>,
 }
 
 impl ExperimentReport {
@@ -93,23 +95,26 @@
             "batch tokens",
             "idle used"
         );
-        let base = self.ways.iter().find(|way| way.way == Way::NoBatch);
-        for way in &self.ways {
+        let base = self
+            .results
+            .iter()
+            .find(|result| result.policy == BatchPolicy::NoBatch);
+        for result in &self.results {
             let ratio = base.map_or(f64::NAN, |base| {
-                way.first_token_ms.p99 / base.first_token_ms.p99
+                result.first_token_ms.p99 / base.first_token_ms.p99
             });
             text.push_str(&format!(
                 "{:<12} {:>8} {:>8} {:>8} {:>7} {:>10.2} {:>10.2} {:>10.3} {:>12} {:>10.3}\n",
-                way.way.to_string(),
-                way.arrived,
-                way.answered,
-                way.refused,
-                way.failed,
-                way.first_token_ms.p50,
-                way.first_token_ms.p99,
+                result.policy.to_string(),
+                result.arrived,
+                result.answered,
+                result.refused,
+                result.failed,
+                result.first_token_ms.p50,
+                result.first_token_ms.p99,
                 ratio,
-                way.batch_tokens,
-                way.idle_capacity_used,
+                result.batch_tokens,
+                result.idle_capacity_used,
             ));
         }
         text
--- a/crates/swiftshunt-lab/src/experiment/run.rs
+++ b/crates/swiftshunt-lab/src/experiment/run.rs
@@ -7,10 +7,10 @@
 
 use derive_more::{Display, Error, From};
 
-use super::load::{OnlineTally, Target, run_jobs, run_online, run_unyielding};
-use super::plan::{ExperimentPlan, PlanError, Way};
+use super::load::{OnlineTally, Target, run_jobs, run_online, run_without_preemption};
+use super::plan::{BatchPolicy, ExperimentPlan, PlanError};
 use super::plot::{PlotError, plot};
-use super::report::{ExperimentReport, Percentiles, WayReport};
+use super::report::{ExperimentReport, Percentiles, PolicyReport};
 use crate::engine::TokenCounts;
 use crate::harness::{Binaries, Fleet, FleetOptions, HarnessError, MODEL, SECOND_MODEL};
 
@@ -32,7 +32,7 @@
 }
 
 /// Quantiles of the curve that is plotted.
-const CURVE: [f64; 12] = [
+const CURVE_QUANTILES: [f64; 12] = [
     0.1, 0.25, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999,
 ];
 
@@ -44,11 +44,11 @@
 ) -> Result<ExperimentReport, ExperimentError> {
     std::fs::create_dir_all(output)?;
     let scratch = output.join("processes");
-    let mut ways = Vec::new();
-    for way in plan.ways.clone() {
-        ways.push(run_way(&plan, way, binaries.clone(), &scratch).await?);
+    let mut results = Vec::new();
+    for policy in plan.policies.clone() {
+        results.push(run_policy(&plan, policy, binaries.clone(), &scratch).await?);
     }
-    let report = ExperimentReport { plan, ways };
+    let report = ExperimentReport { plan, results };
     let file = |ending: &str| -> PathBuf { output.join(format!("{}.{ending}", report.plan.name)) };
     let json = serde_json::to_string_pretty(&report).map_err(std::io::Error::other)?;
     std::fs::write(file("json"), json)?;
@@ -56,18 +56,18 @@
     Ok(report)
 }
 
-async fn run_way(
+async fn run_policy(
     plan: &ExperimentPlan,
-    way: Way,
+    policy: BatchPolicy,
     binaries: Binaries,
     scratch: &Path,
-) -> Result<WayReport, ExperimentError> {
-    let fleet = Fleet::start(binaries, scratch, fleet_options(plan, way)).await?;
+) -> Result<PolicyReport, ExperimentError> {
+    let fleet = Fleet::start(binaries, scratch, fleet_options(plan, policy)).await?;
     let target = Target {
         nodes: fleet.nodes.iter().map(|node| node.api).collect(),
         tenant: fleet.tenant.clone(),
         online_model: MODEL,
-        batch_model: if way == Way::FixedSplit {
+        batch_model: if policy == BatchPolicy::FixedSplit {
             SECOND_MODEL
         } else {
             MODEL
@@ -80,34 +80,34 @@
         plan.duration,
         plan.seed,
     );
-    let unyielding_tokens = Arc::new(AtomicU64::new(0));
+    let no_preemption_tokens = Arc::new(AtomicU64::new(0));
     let measured = async {
         tokio::time::sleep(plan.duration).await;
         (
             tokens(&fleet).await,
-            unyielding_tokens.load(Ordering::Relaxed),
+            no_preemption_tokens.load(Ordering::Relaxed),
         )
     };
-    let counter = Arc::clone(&unyielding_tokens);
-    let batch = tokio::spawn(run_batch(plan.clone(), way, target, counter));
-    let (tally, (after, unyielding)) = tokio::join!(online, measured);
+    let counter = Arc::clone(&no_preemption_tokens);
+    let batch = tokio::spawn(run_batch(plan.clone(), policy, target, counter));
+    let (tally, (after, no_preemption_tokens)) = tokio::join!(online, measured);
     batch.abort();
     // Engines cannot tell unyielding batch work from online work; its sender counts it.
     let tokens = TokenCounts {
-        online: (after.online - before.online).saturating_sub(unyielding),
-        batch: after.batch - before.batch + unyielding,
+        online: (after.online - before.online).saturating_sub(no_preemption_tokens),
+        batch: after.batch - before.batch + no_preemption_tokens,
     };
-    Ok(way_report(plan, way, &tally, tokens))
+    Ok(policy_report(plan, policy, &tally, tokens))
 }
 
-fn fleet_options(plan: &ExperimentPlan, way: Way) -> FleetOptions {
+fn fleet_options(plan: &ExperimentPlan, policy: BatchPolicy) -> FleetOptions {
     let flags = [
         "--slots".to_owned(),
         plan.fleet.slots.to_string(),
         "--step-us".to_owned(),
         plan.fleet.step.as_micros().to_string(),
     ];
-    let second_pool = if way == Way::FixedSplit {
+    let second_pool = if policy == BatchPolicy::FixedSplit {
         plan.fleet.engines / 2
     } else {
         0
@@ -122,24 +122,34 @@
     }
 }
 
-async fn run_batch(plan: ExperimentPlan, way: Way, target: Target, unyielding: Arc<AtomicU64>) {
+async fn run_batch(
+    plan: ExperimentPlan,
+    policy: BatchPolicy,
+    target: Target,
+    no_preemption_tokens: Arc<AtomicU64>,
+) {
     let Some(batch) = plan.batch.clone() else {
         return;
     };
-    match way {
-        Way::NoBatch => {}
-        Way::Unyielding => {
+    match policy {
+        BatchPolicy::NoBatch => {}
+        BatchPolicy::NoPreemption => {
             let slots = plan.fleet.engines * plan.fleet.slots as usize;
-            run_unyielding(target, batch, plan.duration, slots, unyielding).await;
+            run_without_preemption(target, batch, plan.duration, slots, no_preemption_tokens).await;
+        }
+        BatchPolicy::FixedSplit | BatchPolicy::Swiftshunt => {
+            run_jobs(target, batch, plan.duration).await
         }
-        Way::FixedSplit | Way::Swiftshunt => run_jobs(target, batch, plan.duration).await,
     }
 }
 
 async fn tokens(fleet: &Fleet) -> TokenCounts {
     let mut total = TokenCounts::default();
     for engine in &fleet.engines {
-        let answer = fleet.operator.get(engine.direct, "/control/tokens").await;
+        let answer = fleet
+            .operator
+            .get(engine.direct_address, "/control/tokens")
+            .await;
         let counts = answer
             .ok()
             .and_then(|answer| serde_json::from_str(&answer.body).ok());
@@ -150,27 +160,27 @@
     total
 }
 
-fn way_report(
+fn policy_report(
     plan: &ExperimentPlan,
-    way: Way,
+    policy: BatchPolicy,
     tally: &OnlineTally,
     tokens: TokenCounts,
-) -> WayReport {
+) -> PolicyReport {
     let capacity = capacity_tokens(plan, plan.duration);
     let idle = capacity.saturating_sub(tokens.online);
-    let curve = CURVE.map(|quantile| {
+    let curve = CURVE_QUANTILES.map(|quantile| {
         let milliseconds = tally.first_token.value_at_quantile(quantile) as f64 / 1000.0;
         (quantile, milliseconds)
     });
-    WayReport {
-        way,
+    PolicyReport {
+        policy,
         arrived: tally.arrived,
         answered: tally.answered,
         refused: tally.refused,
         refused_without_retry_after: tally.refused_without_retry_after,
         failed: tally.failed,
-        first_token_ms: Percentiles::of(&tally.first_token),
-        refusal_ms: Percentiles::of(&tally.refusal),
+        first_token_ms: Percentiles::from_histogram(&tally.first_token),
+        refusal_ms: Percentiles::from_histogram(&tally.refusal),
         online_tokens: tokens.online,
         batch_tokens: tokens.batch,
         capacity_tokens: capacity,
--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -14,7 +14,7 @@
 };
 use super::{HarnessError, Process, eventually};
 use crate::caller::Caller;
-use crate::engine::StartedRequest;
+use crate::engine::AcceptedRequest;
 use crate::log_service::LogFaults;
 use crate::proxy::{Fault, Link};
 use crate::stand_in::RunningStandIn;
@@ -41,7 +41,7 @@
     /// The link through which nodes reach it.
     pub link: Link,
     /// Its own address, for control.
-    pub direct: SocketAddr,
+    pub direct_address: SocketAddr,
     /// Its entry in the machine list.
     pub machine: Machine,
 }
@@ -65,11 +65,11 @@
     /// A caller with the operator's token.
     pub operator: Caller,
     /// The log's own address, for control.
-    pub log_direct: SocketAddr,
-    list_direct: SocketAddr,
+    pub log_address: SocketAddr,
+    list_address: SocketAddr,
     options: FleetOptions,
     binaries: Binaries,
-    scratch: PathBuf,
+    work_directory: PathBuf,
     started_nodes: u8,
     _log_process: Process,
     _list_process: Process,
@@ -87,13 +87,13 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node is ready. `scratch` takes settings and logs.
+    /// Starts everything and waits until every node is ready. `work_directory` takes settings and logs.
     pub async fn start(
         binaries: Binaries,
-        scratch: &Path,
+        work_directory: &Path,
         options: FleetOptions,
     ) -> Result<Self, HarnessError> {
-        let mut fleet = Self::start_platform(binaries, scratch, options).await?;
+        let mut fleet = Self::start_platform(binaries, work_directory, options).await?;
         fleet.start_workers().await?;
         fleet.publish_machines().await;
         for zone in fleet.options.node_zones.clone() {
@@ -106,16 +106,16 @@
 
     async fn start_platform(
         binaries: Binaries,
-        scratch: &Path,
+        work_directory: &Path,
         options: FleetOptions,
     ) -> Result<Self, HarnessError> {
-        let scratch = scratch.join(options.name);
-        drop(std::fs::remove_dir_all(&scratch));
-        std::fs::create_dir_all(&scratch)?;
-        let log_process = start_lab(&binaries, &scratch, "log", &["log-service"])?;
+        let work_directory = work_directory.join(options.name);
+        drop(std::fs::remove_dir_all(&work_directory));
+        std::fs::create_dir_all(&work_directory)?;
+        let log_process = start_lab(&binaries, &work_directory, "log", &["log-service"])?;
         let lag = options.list_lag.as_millis().to_string();
         let list_arguments = ["machine-list", "--lag-ms", &lag];
-        let list_process = start_lab(&binaries, &scratch, "list", &list_arguments)?;
+        let list_process = start_lab(&binaries, &work_directory, "list", &list_arguments)?;
         let weight_arguments = [
             "weight-store",
             "--bytes",
@@ -123,25 +123,25 @@
             "--bytes-per-second",
             "200",
         ];
-        let weights = start_lab(&binaries, &scratch, "weights", &weight_arguments)?;
-        let log_direct = address(log_process.announced("address"));
-        let list_direct = address(list_process.announced("address"));
+        let weights = start_lab(&binaries, &work_directory, "weights", &weight_arguments)?;
+        let log_address = address(log_process.announced("address"));
+        let list_address = address(list_process.announced("address"));
         let journal = Journal::start(loopback()).await;
         let (journal_server, journal) = journal.map_err(std::io::Error::other)?;
         Ok(Self {
-            log: Link::open(loopback(), Some(log_direct)).await?,
-            list: Link::open(loopback(), Some(list_direct)).await?,
+            log: Link::open(loopback(), Some(log_address)).await?,
+            list: Link::open(loopback(), Some(list_address)).await?,
             engines: Vec::new(),
             workers: Vec::new(),
             nodes: Vec::new(),
             journal,
             tenant: Caller::new(TENANT_TOKEN),
             operator: Caller::new(OPERATOR_TOKEN),
-            log_direct,
-            list_direct,
+            log_address,
+            list_address,
             options,
             binaries,
-            scratch,
+            work_directory,
             started_nodes: 0,
             _log_process: log_process,
             _list_process: list_process,
@@ -167,7 +167,7 @@
         let weights = self.weights.announced("address");
         let mut arguments = vec!["engine", "--weights", weights];
         arguments.extend(self.options.engine_flags.iter().map(String::as_str));
-        let process = start_lab(&self.binaries, &self.scratch, &name, &arguments)?;
+        let process = start_lab(&self.binaries, &self.work_directory, &name, &arguments)?;
         let in_first = index < self.options.engines - self.options.engines_in_second_pool;
         let pool = if in_first { POOL_ENGINES } else { SECOND_POOL };
         worker(process, name, index, MachineKind::Engine, pool).await
@@ -177,7 +177,7 @@
         let name = format!("book-{index}");
         let journal = self._journal.address.to_string();
         let arguments = ["submission-worker", "--name", &name, "--journal", &journal];
-        let process = start_lab(&self.binaries, &self.scratch, &name, &arguments)?;
+        let process = start_lab(&self.binaries, &self.work_directory, &name, &arguments)?;
         worker(
             process,
             name,
@@ -202,7 +202,7 @@
         let number = self.started_nodes;
         let source = Ipv4Addr::new(127, 0, zone as u8 + 1, number);
         let peer = Link::open(loopback(), None).await?;
-        let settings = self.scratch.join(format!("node-{number}.toml"));
+        let settings = self.work_directory.join(format!("node-{number}.toml"));
         std::fs::write(&settings, self.node_settings(zone, source))?;
         let arguments = [
             "node".to_owned(),
@@ -211,7 +211,7 @@
             "--advertise-peer".to_owned(),
             peer.address.to_string(),
         ];
-        let log = self.scratch.join(format!("node-{number}.log"));
+        let log = self.work_directory.join(format!("node-{number}.log"));
         let process = Process::start(&self.binaries.node, &arguments, &log)?;
         let api = address(process.announced("api"));
         peer.set_target(address(process.announced("peer")));
@@ -290,7 +290,7 @@
             .map(|worker| &worker.machine)
             .collect();
         self.control(
-            self.list_direct,
+            self.list_address,
             "machines",
             &json!({ "machines": machines }),
         )
@@ -299,20 +299,20 @@
 
     /// Changes the log's faults.
     pub async fn set_log_faults(&self, faults: &LogFaults) {
-        self.control(self.log_direct, "faults", &json!(faults))
+        self.control(self.log_address, "faults", &json!(faults))
             .await;
     }
 
     /// What an engine took in so far.
-    pub async fn engine_journal(&self, engine: usize) -> Vec<StartedRequest> {
-        let address = self.engines[engine].direct;
+    pub async fn engine_journal(&self, engine: usize) -> Vec<AcceptedRequest> {
+        let address = self.engines[engine].direct_address;
         let answer = self.operator.get(address, "/control/journal").await;
         let body = answer.expect("the engine answers").body;
         serde_json::from_str(&body).expect("a journal")
     }
 
     /// What every running engine took in so far.
-    pub async fn engine_journals(&mut self) -> Vec<StartedRequest> {
+    pub async fn engine_journals(&mut self) -> Vec<AcceptedRequest> {
         let mut all = Vec::new();
         for index in 0..self.engines.len() {
             if self.engines[index].process.is_running() {
@@ -324,7 +324,7 @@
 
     /// Changes a submission worker's behaviour.
     pub async fn set_behaviour(&self, worker: usize, behaviour: &Behaviour) {
-        let address = self.workers[worker].direct;
+        let address = self.workers[worker].direct_address;
         self.control(address, "behaviour", &json!(behaviour)).await;
     }
 
@@ -367,7 +367,7 @@
 
 fn start_lab(
     binaries: &Binaries,
-    scratch: &Path,
+    work_directory: &Path,
     name: &str,
     arguments: &[&str],
 ) -> Result<Process, HarnessError> {
@@ -375,7 +375,7 @@
     Process::start(
         &binaries.lab,
         &arguments,
-        &scratch.join(format!("{name}.log")),
+        &work_directory.join(format!("{name}.log")),
     )
 }
 
@@ -386,8 +386,8 @@
     kind: MachineKind,
     pool: &str,
 ) -> Result<WorkerProcess, HarnessError> {
-    let direct = address(process.announced("address"));
-    let link = Link::open(loopback(), Some(direct)).await?;
+    let direct_address = address(process.announced("address"));
+    let link = Link::open(loopback(), Some(direct_address)).await?;
     let machine = Machine {
         id: name.as_str().into(),
         kind,
@@ -399,7 +399,7 @@
     Ok(WorkerProcess {
         process,
         link,
-        direct,
+        direct_address,
         machine,
     })
 }
--- a/crates/swiftshunt-lab/src/harness/options.rs
+++ b/crates/swiftshunt-lab/src/harness/options.rs
@@ -31,12 +31,12 @@
     /// `swiftshunt-lab`, built beside it.
     pub lab: PathBuf,
     /// `swiftshunt` of an earlier build; none if there is none.
-    pub earlier: Option<PathBuf>,
+    pub earlier_node: Option<PathBuf>,
 }
 
 impl Binaries {
     /// The programs beside the running `swiftshunt-lab`.
-    pub fn own() -> std::io::Result<Self> {
+    pub fn beside_current_program() -> std::io::Result<Self> {
         let lab = std::env::current_exe()?;
         let node = lab.with_file_name("swiftshunt");
         if !node.exists() {
@@ -46,12 +46,12 @@
         Ok(Self {
             node,
             lab,
-            earlier: None,
+            earlier_node: None,
         })
     }
 
     /// The programs, given the path of `swiftshunt`.
-    pub fn beside(node: &str) -> Self {
+    pub fn beside_node_program(node: &str) -> Self {
         let node = PathBuf::from(node);
         let lab = node.with_file_name("swiftshunt-lab");
         assert!(
@@ -62,7 +62,7 @@
         Self {
             node,
             lab,
-            earlier: None,
+            earlier_node: None,
         }
     }
 }
--- a/crates/swiftshunt-lab/src/harness/process.rs
+++ b/crates/swiftshunt-lab/src/harness/process.rs
@@ -25,7 +25,7 @@
 }
 
 /// Reads up to the line that tells where the process listens; log lines may come before it.
-fn announcement(
+fn read_announcement(
     mut stdout: BufReader<ChildStdout>,
 ) -> Result<(Value, BufReader<ChildStdout>), HarnessError> {
     loop {
@@ -41,7 +41,7 @@
 }
 
 /// Keeps what a process writes after its announcement beside its other log.
-fn keep_lines(mut stdout: BufReader<ChildStdout>, mut log: File) {
+fn copy_stdout_to_log(mut stdout: BufReader<ChildStdout>, mut log: File) {
     // The copy ends with the process; what it could not write is lost with the log.
     drop(std::io::copy(&mut stdout, &mut log));
 }
@@ -77,10 +77,10 @@
                 line: "no standard output".to_owned(),
             })?;
         let stdout = BufReader::new(stdout);
-        match announcement(stdout) {
+        match read_announcement(stdout) {
             Ok((announced, stdout)) => {
                 let log = std::fs::OpenOptions::new().append(true).open(log_file)?;
-                std::thread::spawn(move || keep_lines(stdout, log));
+                std::thread::spawn(move || copy_stdout_to_log(stdout, log));
                 Ok(Self { child, announced })
             }
             Err(error) => {
--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -19,7 +19,7 @@
 /// Records answered at once, at most.
 const READ_LIMIT: usize = 4096;
 /// How long an answer that is lost is held: longer than any caller waits.
-const LOST_ANSWER_HOLD: Duration = Duration::from_secs(60);
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(60);
 
 /// Faults of the log; may be changed while it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,7 +32,8 @@
     /// Appends take effect, but their answers are lost.
     pub lose_append_answers: bool,
     /// Reads answer from this much further back than asked.
-    pub read_back: u64,
+    #[serde(rename = "read_back")]
+    pub read_rewind: u64,
 }
 
 /// The state of the log.
@@ -68,7 +69,7 @@
         *lock(&self.faults) = faults;
     }
 
-    async fn enter(&self) -> Result<LogFaults, Failure> {
+    async fn apply_faults(&self) -> Result<LogFaults, Failure> {
         let faults = lock(&self.faults).clone();
         if faults.down {
             return Err(Failure::not_run(ErrorKind::Unavailable, "the log is down"));
@@ -77,7 +78,7 @@
         Ok(faults)
     }
 
-    fn slice(&self, stream: &str, from: Offset, limit: usize) -> Vec<String> {
+    fn read_records(&self, stream: &str, from: Offset, limit: usize) -> Vec<String> {
         let streams = lock(&self.streams);
         let records = streams.get(stream).map_or(&[][..], Vec::as_slice);
         records
@@ -92,7 +93,7 @@
 async fn append(state: Arc<LogState>, mut call: Call) -> Result<Reply, Failure> {
     let stream = call.path_parameter("stream")?;
     let body: AppendBody = call.json(BODY_LIMIT).await?;
-    let faults = state.enter().await?;
+    let faults = state.apply_faults().await?;
     let offset = {
         let mut streams = lock(&state.streams);
         let records = streams.entry(stream).or_default();
@@ -102,22 +103,22 @@
     };
     state.appended.notify_waiters();
     if faults.lose_append_answers {
-        tokio::time::sleep(LOST_ANSWER_HOLD).await;
+        tokio::time::sleep(LOST_ANSWER_DELAY).await;
     }
     Ok(Reply::json(&AppendAnswer { offset }))
 }
 
 async fn read(state: Arc<LogState>, call: Call) -> Result<Reply, Failure> {
     let stream = call.path_parameter("stream")?;
-    let faults = state.enter().await?;
+    let faults = state.apply_faults().await?;
     let from: Offset = call.query("from").unwrap_or_default();
-    let first = from.saturating_sub(faults.read_back);
+    let first = from.saturating_sub(faults.read_rewind);
     let limit = call.query("limit").unwrap_or(READ_LIMIT).min(READ_LIMIT);
     let wait = Duration::from_millis(call.query("wait_ms").unwrap_or_default());
     let deadline = tokio::time::Instant::now() + wait;
     loop {
         let appended = state.appended.notified();
-        let records = state.slice(&stream, first, limit);
+        let records = state.read_records(&stream, first, limit);
         let timed_out = tokio::time::Instant::now() >= deadline;
         if !records.is_empty() || timed_out {
             return Ok(Reply::json(&ReadAnswer { first, records }));
--- a/crates/swiftshunt-lab/src/machine_list.rs
+++ b/crates/swiftshunt-lab/src/machine_list.rs
@@ -15,7 +15,7 @@
 
 const BODY_LIMIT: usize = 16 << 20;
 /// Lists kept for lagging answers.
-const KEPT_LISTS: usize = 1024;
+const LIST_HISTORY_LIMIT: usize = 1024;
 
 /// What the list is told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -56,7 +56,7 @@
     pub fn update(&self, machines: Vec<Machine>) {
         let mut lists = lock(&self.lists);
         let version = lists.back().map_or(0, |(_, list)| list.version) + 1;
-        if lists.len() == KEPT_LISTS {
+        if lists.len() == LIST_HISTORY_LIMIT {
             lists.pop_front();
         }
         lists.push_back((Instant::now(), MachineList { version, machines }));
--- a/crates/swiftshunt-lab/src/main.rs
+++ b/crates/swiftshunt-lab/src/main.rs
@@ -44,7 +44,7 @@
 #[argh(subcommand, name = "engine")]
 struct EngineArguments {
     /// where to listen
-    #[argh(option, default = "any_port()")]
+    #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
     /// requests in one step
     #[argh(option, default = "16")]
@@ -71,7 +71,7 @@
 #[argh(subcommand, name = "submission-worker")]
 struct WorkerArguments {
     /// where to listen
-    #[argh(option, default = "any_port()")]
+    #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
     /// the worker's name in the journal
     #[argh(option)]
@@ -89,7 +89,7 @@
 #[argh(subcommand, name = "log-service")]
 struct LogArguments {
     /// where to listen
-    #[argh(option, default = "any_port()")]
+    #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
 }
 
@@ -98,7 +98,7 @@
 #[argh(subcommand, name = "machine-list")]
 struct MachineListArguments {
     /// where to listen
-    #[argh(option, default = "any_port()")]
+    #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
     /// how far the list lags, in milliseconds
     #[argh(option, default = "0")]
@@ -110,7 +110,7 @@
 #[argh(subcommand, name = "weight-store")]
 struct WeightStoreArguments {
     /// where to listen
-    #[argh(option, default = "any_port()")]
+    #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
     /// size of each model, in bytes
     #[argh(option, default = "8000000000")]
@@ -145,7 +145,7 @@
     output: PathBuf,
 }
 
-fn any_port() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -168,7 +168,7 @@
     match command {
         Command::Engine(arguments) => {
             let started = engine::start(arguments.listen, arguments.settings()).await;
-            stay(started, "engine").await?;
+            serve_until_ended(started, "engine").await?;
         }
         Command::SubmissionWorker(arguments) => {
             let behaviour = Behaviour {
@@ -182,14 +182,14 @@
                 ..
             } = arguments;
             let started = submission_worker::start(listen, name, journal, behaviour).await;
-            stay(started, "submission-worker").await?;
+            serve_until_ended(started, "submission-worker").await?;
         }
         Command::LogService(arguments) => {
-            stay(log_service::start(arguments.listen).await, "log-service").await?;
+            serve_until_ended(log_service::start(arguments.listen).await, "log-service").await?;
         }
         Command::MachineList(arguments) => {
             let lag = Duration::from_millis(arguments.lag_ms);
-            stay(
+            serve_until_ended(
                 machine_list::start(arguments.listen, lag).await,
                 "machine-list",
             )
@@ -200,19 +200,21 @@
                 bytes: arguments.bytes,
                 bytes_per_second: arguments.bytes_per_second,
             };
-            stay(
+            serve_until_ended(
                 weight_store::start(arguments.listen, info).await,
                 "weight-store",
             )
             .await?;
         }
         Command::Quickstart(arguments) if arguments.platform => {
-            platform::quickstart::run(&Binaries::own()?).await?;
+            platform::quickstart::run(&Binaries::beside_current_program()?).await?;
         }
         Command::Quickstart(_) => quickstart::run().await?,
         Command::Experiment(arguments) => {
             let plan = experiment::load_plan(&arguments.file)?;
-            let report = experiment::run(plan, Binaries::own()?, &arguments.output).await?;
+            let report =
+                experiment::run(plan, Binaries::beside_current_program()?, &arguments.output)
+                    .await?;
             print!("{}", report.text());
         }
         Command::PlatformStore(arguments) => process::run_store(&arguments).await?,
@@ -239,8 +241,8 @@
             slots: self.slots,
             step_base: Duration::from_micros(self.step_us),
             report_lag: Duration::from_millis(self.report_lag_ms),
-            duplicate_every: self.duplicate_every,
-            weights: self.weights,
+            duplicate_event_interval: self.duplicate_every,
+            weight_store: self.weights,
             models: self.model.iter().map(|name| name.as_str().into()).collect(),
             ..EngineSettings::default()
         }
--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -18,7 +18,7 @@
 use super::worker::{Worker, WorkerSettings};
 use super::zone_layout::ZoneLayout;
 use crate::harness::{HarnessError, Process};
-use crate::proxy::{Link, Way, Width};
+use crate::proxy::{Bandwidth, Link, LinkConditions};
 use configuration::PublishedConfiguration;
 pub use configuration::{
     ASK, BATCH, ONCE, PublishedTenant, STREAM, STREAM_ONCE, first_configuration, route,
@@ -105,7 +105,7 @@
     lease: Duration,
     extra_directory_settings: String,
     zone_layout: ZoneLayout,
-    store_line: Option<Arc<Width>>,
+    store_line: Option<Arc<Bandwidth>>,
 }
 
 /// Size and settings of a fleet.
@@ -141,7 +141,7 @@
     pub programs: Vec<PathBuf>,
     /// Bandwidth-limited line that gateways outside the first region share to reach the store; `None` for
     /// no limit.
-    pub store_line: Option<Arc<Width>>,
+    pub store_line: Option<Arc<Bandwidth>>,
 }
 
 impl Default for PlatformOptions {
@@ -268,9 +268,9 @@
             return Ok(None);
         };
         let link = Link::open(any_port(), Some(store_listener)).await?;
-        link.set_way(Way {
+        link.set_conditions(LinkConditions {
             delay: Duration::ZERO,
-            width: Some(Arc::clone(line)),
+            bandwidth: Some(Arc::clone(line)),
         });
         Ok(Some(link))
     }
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -18,7 +18,7 @@
 
 use crate::stand_in::lock;
 
-const BUFFER: usize = 64 * 1024;
+const BUFFER_BYTES: usize = 64 * 1024;
 
 /// What a link does to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,76 +43,76 @@
 
 /// How wide a link is, for all that shares it together.
 #[derive(Debug)]
-pub struct Width(Mutex<Occupied>);
+pub struct Bandwidth(Mutex<BandwidthState>);
 
 #[derive(Debug)]
-struct Occupied {
+struct BandwidthState {
     /// None where it is wide enough for anything.
-    bytes_per_s: Option<f64>,
+    bytes_per_second: Option<f64>,
     /// Until when what was sent so far keeps it busy.
-    until: Instant,
+    busy_until: Instant,
     /// Bytes that have passed.
-    passed: u64,
+    transferred_bytes: u64,
 }
 
-impl Default for Width {
+impl Default for Bandwidth {
     /// Wide enough for anything.
     fn default() -> Self {
-        Self(Mutex::new(Occupied {
-            bytes_per_s: None,
-            until: Instant::now(),
-            passed: 0,
+        Self(Mutex::new(BandwidthState {
+            bytes_per_second: None,
+            busy_until: Instant::now(),
+            transferred_bytes: 0,
         }))
     }
 }
 
-impl Width {
+impl Bandwidth {
     /// A width in bytes a second.
-    pub fn new(bytes_per_s: u64) -> Self {
-        let width = Self::default();
-        width.limit(bytes_per_s);
-        width
+    pub fn new(bytes_per_second: u64) -> Self {
+        let bandwidth = Self::default();
+        bandwidth.set_limit(bytes_per_second);
+        bandwidth
     }
 
     /// Limits it from now on, to bytes a second.
-    pub fn limit(&self, bytes_per_s: u64) {
-        lock(&self.0).bytes_per_s = Some(bytes_per_s as f64);
+    pub fn set_limit(&self, bytes_per_second: u64) {
+        lock(&self.0).bytes_per_second = Some(bytes_per_second as f64);
     }
 
     /// Bytes that have passed.
-    pub fn passed(&self) -> u64 {
-        lock(&self.0).passed
+    pub fn transferred_bytes(&self) -> u64 {
+        lock(&self.0).transferred_bytes
     }
 
     /// Waits until these bytes are through, behind all that came before them.
-    async fn pass(&self, bytes: usize) {
-        let until = {
-            let mut occupied = lock(&self.0);
-            occupied.passed += bytes as u64;
-            let Some(bytes_per_s) = occupied.bytes_per_s else {
+    async fn transmit(&self, bytes: usize) {
+        let busy_until = {
+            let mut state = lock(&self.0);
+            state.transferred_bytes += bytes as u64;
+            let Some(bytes_per_second) = state.bytes_per_second else {
                 return;
             };
-            let time = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
-            occupied.until = Instant::now().max(occupied.until) + time;
-            occupied.until
+            let time = Duration::from_secs_f64(bytes as f64 / bytes_per_second);
+            state.busy_until = Instant::now().max(state.busy_until) + time;
+            state.busy_until
         };
-        tokio::time::sleep_until(until).await;
+        tokio::time::sleep_until(busy_until).await;
     }
 }
 
 /// What a link is like without any fault.
 #[derive(Clone, Debug, Default)]
-pub struct Way {
+pub struct LinkConditions {
     /// Time from one end to the other.
     pub delay: Duration,
     /// Its width; none where it is wide enough for anything.
-    pub width: Option<Arc<Width>>,
+    pub bandwidth: Option<Arc<Bandwidth>>,
 }
 
-impl Way {
-    async fn pass(&self, bytes: usize) {
-        if let Some(width) = &self.width {
-            width.pass(bytes).await;
+impl LinkConditions {
+    async fn apply(&self, bytes: usize) {
+        if let Some(bandwidth) = &self.bandwidth {
+            bandwidth.transmit(bytes).await;
         }
         if !self.delay.is_zero() {
             tokio::time::sleep(self.delay).await;
@@ -123,16 +123,20 @@
 /// Rules of one link.
 #[derive(Default)]
 struct Rules {
-    way: Way,
-    everyone: Fault,
-    by_source: HashMap<IpAddr, Fault>,
+    conditions: LinkConditions,
+    default_fault: Fault,
+    fault_by_source: HashMap<IpAddr, Fault>,
 }
 
 impl Rules {
     fn fault_for(&self, source: IpAddr) -> Fault {
-        let own = self.by_source.get(&source).copied().unwrap_or_default();
+        let own = self
+            .fault_by_source
+            .get(&source)
+            .copied()
+            .unwrap_or_default();
         if own == Fault::None {
-            self.everyone
+            self.default_fault
         } else {
             own
         }
@@ -163,7 +167,7 @@
         let target = Arc::new(Mutex::new(target));
         let rules = Arc::new(Mutex::new(Rules::default()));
         let changed = watch::Sender::new(());
-        let task = tokio::spawn(accept(
+        let task = tokio::spawn(accept_connections(
             listener,
             Arc::clone(&target),
             Arc::clone(&rules),
@@ -184,24 +188,24 @@
     }
 
     /// What the link is like from now on.
-    pub fn set_way(&self, way: Way) {
-        lock(&self.rules).way = way;
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        lock(&self.rules).conditions = conditions;
     }
 
     /// What happens to every connection without a rule of its own.
     pub fn set_fault(&self, fault: Fault) {
-        lock(&self.rules).everyone = fault;
+        lock(&self.rules).default_fault = fault;
         self.changed.send_replace(());
     }
 
     /// What happens to connections from `source`.
     pub fn set_fault_from(&self, source: IpAddr, fault: Fault) {
-        lock(&self.rules).by_source.insert(source, fault);
+        lock(&self.rules).fault_by_source.insert(source, fault);
         self.changed.send_replace(());
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     target: Arc<Mutex<Option<SocketAddr>>>,
     rules: Arc<Mutex<Rules>>,
@@ -211,35 +215,35 @@
         let Some(target) = *lock(&target) else {
             continue;
         };
-        let view = FaultView {
+        let connection = ConnectionRules {
             source: source.ip(),
             rules: Arc::clone(&rules),
             changed: changed.subscribe(),
         };
-        tokio::spawn(carry(client, target, view));
+        tokio::spawn(forward_connection(client, target, connection));
     }
 }
 
 /// One connection's view of the rules.
 #[derive(Clone)]
-struct FaultView {
+struct ConnectionRules {
     source: IpAddr,
     rules: Arc<Mutex<Rules>>,
     changed: watch::Receiver<()>,
 }
 
-impl FaultView {
-    fn current(&self) -> Fault {
+impl ConnectionRules {
+    fn current_fault(&self) -> Fault {
         lock(&self.rules).fault_for(self.source)
     }
 
-    fn way(&self) -> Way {
-        lock(&self.rules).way.clone()
+    fn conditions(&self) -> LinkConditions {
+        lock(&self.rules).conditions.clone()
     }
 
     /// Returns once the fault is `Cut`.
-    async fn cut(&mut self) {
-        while self.current() != Fault::Cut {
+    async fn wait_until_cut(&mut self) {
+        while self.current_fault() != Fault::Cut {
             if self.changed.changed().await.is_err() {
                 return;
             }
@@ -247,8 +251,8 @@
     }
 
     /// Returns once the fault is not `Freeze`.
-    async fn thawed(&mut self) {
-        while self.current() == Fault::Freeze {
+    async fn wait_while_frozen(&mut self) {
+        while self.current_fault() == Fault::Freeze {
             if self.changed.changed().await.is_err() {
                 return;
             }
@@ -256,39 +260,48 @@
     }
 }
 
-async fn carry(client: TcpStream, target: SocketAddr, mut view: FaultView) {
-    if view.current() == Fault::Cut {
-        reset(&client);
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    mut connection: ConnectionRules,
+) {
+    if connection.current_fault() == Fault::Cut {
+        reset_on_close(&client);
         return;
     }
     let Ok(server) = TcpStream::connect(target).await else {
-        reset(&client);
+        reset_on_close(&client);
         return;
     };
     drop(client.set_nodelay(true));
     drop(server.set_nodelay(true));
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let requests = pump(from_client, to_server, view.clone(), false);
-    let answers = pump(from_server, to_client, view.clone(), true);
+    let requests = forward_direction(from_client, to_server, connection.clone(), false);
+    let answers = forward_direction(from_server, to_client, connection.clone(), true);
     tokio::select! {
         _ = async { tokio::join!(requests, answers) } => {}
-        () = view.cut() => {}
+        () = connection.wait_until_cut() => {}
     }
 }
 
 /// Lets the close be a reset, as a broken network's would be.
-fn reset(stream: &TcpStream) {
+fn reset_on_close(stream: &TcpStream) {
     drop(stream.set_zero_linger());
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut view: FaultView, answers: bool) {
-    let mut buffer = vec![0; BUFFER];
+async fn forward_direction(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut connection: ConnectionRules,
+    answers: bool,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         if length == 0 {
             break;
         }
-        match view.current() {
+        match connection.current_fault() {
             Fault::DropAnswers if answers => continue,
             Fault::DropRequests if !answers => continue,
             Fault::Truncate if answers => {
@@ -297,11 +310,11 @@
                 return;
             }
             Fault::Delay(delay) => tokio::time::sleep(delay).await,
-            Fault::Freeze => view.thawed().await,
+            Fault::Freeze => connection.wait_while_frozen().await,
             Fault::Cut => return,
             _ => {}
         }
-        view.way().pass(length).await;
+        connection.conditions().apply(length).await;
         if to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
--- a/crates/swiftshunt-lab/src/quickstart.rs
+++ b/crates/swiftshunt-lab/src/quickstart.rs
@@ -26,7 +26,7 @@
 /// Where the three nodes listen, so that the printed lines stay the same; any free port otherwise.
 const API_PORTS: [u16; 3] = [8421, 8422, 8423];
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-const READY_POLL: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why the quickstart did not come up.
 #[derive(Debug, Display, Error, From)]
@@ -65,7 +65,7 @@
 /// Starts everything, prints how to use it, and stays until interrupted.
 pub async fn run() -> Result<(), QuickstartError> {
     let began = Instant::now();
-    let fleet = bring_up().await?;
+    let fleet = start_fleet().await?;
     let apis: Vec<SocketAddr> = fleet.nodes.iter().map(RunningNode::api_address).collect();
     print_usage(&apis, began.elapsed());
     // Without a signal handler the process would end anyway; an error is an interrupt.
@@ -76,16 +76,16 @@
     Ok(())
 }
 
-async fn bring_up() -> Result<Fleet, QuickstartError> {
+async fn start_fleet() -> Result<Fleet, QuickstartError> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (log, _) = log_service::start(any).await?;
     let (list, machines) = machine_list::start(any, Duration::ZERO).await?;
     let (journal, _) = Journal::start(any).await?;
     let mut stand_ins = Vec::new();
-    let mut listed = Vec::new();
+    let mut listed_machines = Vec::new();
     for index in 0..ENGINES {
         let (engine, _) = engine::start(any, EngineSettings::default()).await?;
-        listed.push(machine(
+        listed_machines.push(machine(
             "engine",
             index,
             MachineKind::Engine,
@@ -99,10 +99,10 @@
         let started = submission_worker::start(any, name, journal.address, Behaviour::default());
         let (worker, _) = started.await?;
         let kind = MachineKind::Submission;
-        listed.push(machine("book", index, kind, "stol-book", worker.address));
+        listed_machines.push(machine("book", index, kind, "stol-book", worker.address));
         stand_ins.push(worker);
     }
-    machines.update(listed);
+    machines.update(listed_machines);
     let nodes = start_nodes(log.address, list.address).await?;
     stand_ins.extend([log, list, journal]);
     configure(&nodes).await?;
@@ -220,7 +220,7 @@
             if Instant::now() > deadline {
                 return Err(QuickstartError::NotReady);
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
     Ok(())
--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -52,8 +52,8 @@
 pub async fn run(arguments: SoakArguments) -> Result<ExitCode, SoakError> {
     let runner = Runner {
         binaries: Binaries {
-            earlier: arguments.earlier,
-            ..Binaries::own()?
+            earlier_node: arguments.earlier,
+            ..Binaries::beside_current_program()?
         },
         promises: if arguments.only.is_empty() {
             ALL.to_vec()
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -26,7 +26,7 @@
     CONTROL_DROP_HISTORY_PATH, CONTROL_FAULTS_PATH, CONTROL_REASSIGN_PATH, StoreFaults,
 };
 use crate::platform::zone_layout::{ZoneAndRegion, ZoneLayout};
-use crate::proxy::{Fault, Way, Width};
+use crate::proxy::{Bandwidth, Fault, LinkConditions};
 use crate::stand_in::lock;
 
 /// Number of partitions of the store's topics.
@@ -58,7 +58,7 @@
     engine_workers: Vec<WorkerHandle>,
     operator: Operator,
     /// Bandwidth of the link between the regions, shared by all gateways; `None` in a round with a single zone.
-    region_link_width: Option<Arc<Width>>,
+    region_link_width: Option<Arc<Bandwidth>>,
     _store: Process,
 }
 
@@ -87,7 +87,7 @@
             operator: Operator::new(*operator_address),
             region_link_width: plan
                 .regions
-                .map(|regions| Arc::new(Width::new(regions.bytes_per_s))),
+                .map(|regions| Arc::new(Bandwidth::new(regions.bytes_per_s))),
             _store: store,
             plan,
             scratch,
@@ -120,16 +120,16 @@
 
     /// Returns the delay and bandwidth of the link from a gateway to the store. Only links to the other region are
     /// restricted.
-    fn store_link_way(&self, gateway: usize) -> Way {
+    fn store_link_way(&self, gateway: usize) -> LinkConditions {
         let Some(regions) = self.plan.regions else {
-            return Way::default();
+            return LinkConditions::default();
         };
         if self.zones().region(gateway) == self.zones().region(STORE_ZONE) {
-            return Way::default();
+            return LinkConditions::default();
         }
-        Way {
+        LinkConditions {
             delay: Duration::from_millis(regions.delay_ms),
-            width: self.region_link_width.clone(),
+            bandwidth: self.region_link_width.clone(),
         }
     }
 
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -72,7 +72,7 @@
         let seeds = self.gateways.iter().take(MAX_SEEDS);
         let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peer_address)).collect();
         let more = format!("[gateways]\nseeds = [{}]\n", seeds.join(", "));
-        store.set_way(self.store_link_way(index));
+        store.set_conditions(self.store_link_way(index));
         let program = self.initial_program(index);
         let places = self.zones();
         let text = |addresses: GatewayAddresses| {
@@ -114,7 +114,7 @@
     /// Returns the executable for the first start of a gateway: every second gateway runs the earlier build, if one is
     /// given.
     fn initial_program(&self, index: usize) -> PathBuf {
-        let earlier = self.binaries.earlier.as_ref();
+        let earlier = self.binaries.earlier_node.as_ref();
         let earlier = earlier.filter(|_| index % 2 == 1);
         earlier.unwrap_or(&self.binaries.node).clone()
     }
--- a/crates/swiftshunt-lab/src/submission_worker.rs
+++ b/crates/swiftshunt-lab/src/submission_worker.rs
@@ -26,7 +26,7 @@
 /// Path of the journal.
 pub const JOURNAL_PATH: &str = "/v1/journal";
 /// Exit status of a worker that was told to die.
-const DEATH_STATUS: i32 = 86;
+const CRASH_EXIT_STATUS: i32 = 86;
 
 /// One execution.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
     /// Starts a journal as tasks of this process.
     pub async fn start(listen: SocketAddr) -> Result<(RunningStandIn, Arc<Self>), BindError> {
         let journal = Arc::new(Self::default());
-        let router = Router::with_path(JOURNAL_PATH).post(endpoint(&journal, write));
+        let router = Router::with_path(JOURNAL_PATH).post(endpoint(&journal, record));
         let running = RunningStandIn::start(listen, router).await?;
         Ok((running, journal))
     }
@@ -73,7 +73,7 @@
     }
 }
 
-async fn write(journal: Arc<Journal>, mut call: Call) -> Result<Reply, Failure> {
+async fn record(journal: Arc<Journal>, mut call: Call) -> Result<Reply, Failure> {
     let execution: Execution = call.json(BODY_LIMIT).await?;
     lock(&journal.executions).push(execution);
     Ok(Reply::json(&json!({})))
@@ -88,11 +88,14 @@
     /// Time between acting and answering.
     pub answer_delay_ms: u64,
     /// The process ends before it acts on the next submission.
-    pub die_before: bool,
+    #[serde(rename = "die_before")]
+    pub crash_before_execution: bool,
     /// The process ends after it acted on the next submission, before it answers.
-    pub die_after: bool,
+    #[serde(rename = "die_after")]
+    pub crash_after_execution: bool,
     /// It forgets keys: every send is an execution.
-    pub forgets_keys: bool,
+    #[serde(rename = "forgets_keys")]
+    pub ignores_keys: bool,
 }
 
 /// The state of a worker.
@@ -158,13 +161,13 @@
 
 async fn execute(state: Arc<WorkerState>, key: String, body: String) -> WorkerAnswer {
     let behaviour = lock(&state.behaviour).clone();
-    if !behaviour.forgets_keys && !begin(&state, &key) {
-        return finished(&state, &key).await;
+    if !behaviour.ignores_keys && !mark_running(&state, &key) {
+        return wait_for_answer(&state, &key).await;
     }
     *lock(&state.in_progress) += 1;
     tokio::time::sleep(Duration::from_millis(behaviour.delay_ms)).await;
-    if behaviour.die_before {
-        std::process::exit(DEATH_STATUS);
+    if behaviour.crash_before_execution {
+        std::process::exit(CRASH_EXIT_STATUS);
     }
     let execution = Execution {
         key: key.clone(),
@@ -172,24 +175,24 @@
         body: body.clone(),
     };
     write_journal(&state, &execution).await;
-    if behaviour.die_after {
-        std::process::exit(DEATH_STATUS);
+    if behaviour.crash_after_execution {
+        std::process::exit(CRASH_EXIT_STATUS);
     }
     let answer = WorkerAnswer {
         status: 200,
         body: json!({ "confirmed": body, "key": key }).to_string(),
     };
-    let state_of_key = ExecutionState::Finished {
+    let execution_state = ExecutionState::Finished {
         answer: answer.clone(),
     };
-    lock(&state.executions).insert(key, state_of_key);
+    lock(&state.executions).insert(key, execution_state);
     *lock(&state.in_progress) -= 1;
     tokio::time::sleep(Duration::from_millis(behaviour.answer_delay_ms)).await;
     answer
 }
 
 /// Marks a key as running; false if it was seen before.
-fn begin(state: &WorkerState, key: &str) -> bool {
+fn mark_running(state: &WorkerState, key: &str) -> bool {
     let mut executions = lock(&state.executions);
     if executions.contains_key(key) {
         return false;
@@ -199,7 +202,7 @@
 }
 
 /// The answer of an execution that began before.
-async fn finished(state: &WorkerState, key: &str) -> WorkerAnswer {
+async fn wait_for_answer(state: &WorkerState, key: &str) -> WorkerAnswer {
     loop {
         if let Some(ExecutionState::Finished { answer }) = lock(&state.executions).get(key) {
             return answer.clone();
@@ -237,13 +240,13 @@
 }
 
 /// Submissions that a worker takes at once; only shown.
-const SLOTS: u32 = 64;
+const REPORTED_SLOTS: u32 = 64;
 
 async fn load(state: Arc<WorkerState>, _call: Call) -> Result<Reply, Failure> {
     let running = *lock(&state.in_progress);
     Ok(Reply::json(&EngineLoad {
         running,
-        slots: SLOTS,
+        slots: REPORTED_SLOTS,
         leaving: *lock(&state.leaving),
         ..EngineLoad::default()
     }))
--- a/crates/swiftshunt/tests/at_most_once.rs
+++ b/crates/swiftshunt/tests/at_most_once.rs
@@ -38,8 +38,8 @@
     answer.ok()
 }
 
-#[test_case(Behaviour { die_before: true, ..Behaviour::default() }; "worker dies before it acts")]
-#[test_case(Behaviour { die_after: true, ..Behaviour::default() }; "worker dies after it acted")]
+#[test_case(Behaviour { crash_before_execution: true, ..Behaviour::default() }; "worker dies before it acts")]
+#[test_case(Behaviour { crash_after_execution: true, ..Behaviour::default() }; "worker dies after it acted")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_submission_runs_at_most_once_if_its_worker_dies(behaviour: Behaviour) {
     let fleet = start_fleet(FleetOptions::new("once_worker")).await;
--- a/crates/swiftshunt/tests/batch_jobs.rs
+++ b/crates/swiftshunt/tests/batch_jobs.rs
@@ -10,7 +10,7 @@
 use common::start_fleet;
 use futures_util::future::join_all;
 use serde_json::Value;
-use swiftshunt_lab::caller::{batch_lines, prompt_of};
+use swiftshunt_lab::caller::{batch_lines, prompt_for};
 use swiftshunt_lab::engine::expected_answer;
 use swiftshunt_lab::harness::{Fleet, FleetOptions, MODEL, eventually};
 use swiftshunt_lab::proxy::Fault;
@@ -245,7 +245,7 @@
         let content = format!("burst {index}");
         let tenant = &fleet.tenant;
         async move {
-            let (expected, _) = expected_answer(&prompt_of(&content), MAX_TOKENS);
+            let (expected, _) = expected_answer(&prompt_for(&content), MAX_TOKENS);
             let streamed = tenant.chat_stream(node, MODEL, &content, MAX_TOKENS).await;
             assert_eq!(streamed.expect("the stream failed").text, expected);
         }
@@ -300,7 +300,7 @@
             .trim_start_matches("item-")
             .to_owned();
         let (expected, _) =
-            expected_answer(&prompt_of(&format!("{name} item {index}")), MAX_TOKENS);
+            expected_answer(&prompt_for(&format!("{name} item {index}")), MAX_TOKENS);
         assert_eq!(
             line["response"]["body"]["choices"][0]["message"]["content"],
             expected.as_str()
--- a/crates/swiftshunt/tests/common/mod.rs
+++ b/crates/swiftshunt/tests/common/mod.rs
@@ -31,7 +31,7 @@
 /// Waits for its turn and starts a fleet of node processes.
 pub async fn start_fleet(options: FleetOptions) -> ExclusiveFleet {
     let guard = ONE_FLEET.lock().await;
-    let binaries = Binaries::beside(env!("CARGO_BIN_EXE_swiftshunt"));
+    let binaries = Binaries::beside_node_program(env!("CARGO_BIN_EXE_swiftshunt"));
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR"));
     let fleet = Fleet::start(binaries, scratch, options).await;
     ExclusiveFleet {
--- a/crates/swiftshunt/tests/gateway_thin_line.rs
+++ b/crates/swiftshunt/tests/gateway_thin_line.rs
@@ -10,7 +10,7 @@
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{BATCH, PlatformOptions, eventually, first_configuration};
 use swiftshunt_lab::platform::zone_layout::ZoneLayout;
-use swiftshunt_lab::proxy::Width;
+use swiftshunt_lab::proxy::Bandwidth;
 use swiftshunt_platform::words::topics;
 use tokio::task::JoinSet;
 
@@ -33,7 +33,7 @@
 }
 
 /// Starts a fleet and completes all jobs, so that the journal takes seconds to transfer over the limited link.
-async fn start_with_jobs(link: &Arc<Width>) -> ExclusiveFleet {
+async fn start_with_jobs(link: &Arc<Bandwidth>) -> ExclusiveFleet {
     let zones = [("near", "here"), ("far-a", "there"), ("far-b", "there")];
     let options = PlatformOptions {
         gateways: GATEWAYS,
@@ -108,20 +108,20 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_region_behind_a_slow_link_reads_all_jobs_after_all_gateways_were_killed() {
-    let link = Arc::new(Width::default());
+    let link = Arc::new(Bandwidth::default());
     let mut fleet = start_with_jobs(&link).await;
     let stored = fleet.store.byte_count(topics::JOBS);
-    link.limit(LINK_BYTES_PER_S);
+    link.set_limit(LINK_BYTES_PER_S);
     for gateway in &mut fleet.gateways {
         gateway.process.kill();
     }
-    let before = link.passed();
+    let before = link.transferred_bytes();
     for index in 0..GATEWAYS {
         fleet.restart(index).expect("the gateway did not start");
     }
     let gateways: Vec<SocketAddr> = fleet.gateways.iter().map(|it| it.callers).collect();
     let took = read_all_jobs(&fleet, &gateways).await;
-    let transferred = link.passed() - before;
+    let transferred = link.transferred_bytes() - before;
     println!("{stored} bytes stored, {transferred} transferred, all jobs readable after {took:?}");
     assert!(
         transferred as f64 <= MAX_TRANSFER_RATIO * stored as f64,
--- a/crates/swiftshunt/tests/leaving.rs
+++ b/crates/swiftshunt/tests/leaving.rs
@@ -92,7 +92,10 @@
             fleet.publish_machines().await;
         }
         Announcement::LoadReport | Announcement::LoadReportToOneNode => {
-            for direct in [fleet.engines[0].direct, fleet.workers[0].direct] {
+            for direct in [
+                fleet.engines[0].direct_address,
+                fleet.workers[0].direct_address,
+            ] {
                 fleet.control(direct, "leave", &json!({})).await;
             }
         }
--- a/crates/swiftshunt/tests/planned_stop.rs
+++ b/crates/swiftshunt/tests/planned_stop.rs
@@ -9,7 +9,7 @@
 use common::start_fleet;
 use serde_json::json;
 use swiftshunt_http::HttpError;
-use swiftshunt_lab::caller::{Caller, batch_lines, prompt_of};
+use swiftshunt_lab::caller::{Caller, batch_lines, prompt_for};
 use swiftshunt_lab::engine::expected_answer;
 use swiftshunt_lab::harness::{FleetOptions, MODEL, POOL_SUBMISSIONS, eventually};
 use tokio::sync::RwLock;
@@ -64,9 +64,9 @@
             nodes[(number + round) % nodes.len()]
         };
         let content = format!("stream {number} {round}");
-        let (expected, _) = expected_answer(&prompt_of(&content), MAX_TOKENS);
+        let (expected, _) = expected_answer(&prompt_for(&content), MAX_TOKENS);
         match tenant.chat_stream(node, MODEL, &content, MAX_TOKENS).await {
-            Ok(streamed) if streamed.text == expected && streamed.done => {
+            Ok(streamed) if streamed.text == expected && streamed.is_complete => {
                 tally.served.fetch_add(1, Ordering::Relaxed);
             }
             Ok(streamed) => tally
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -27,7 +27,7 @@
 
 async fn play(plan: Plan) -> History {
     let _guard = ONE_ROUND.lock().await;
-    let binaries = Binaries::beside(env!("CARGO_BIN_EXE_swiftshunt"));
+    let binaries = Binaries::beside_node_program(env!("CARGO_BIN_EXE_swiftshunt"));
     let number = ROUNDS.fetch_add(1, Ordering::Relaxed);
     let folder = format!("soak-{}-{}-{number}", plan.seed, std::process::id());
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder);
--- a/crates/swiftshunt/tests/whole_answers.rs
+++ b/crates/swiftshunt/tests/whole_answers.rs
@@ -6,7 +6,7 @@
 
 use common::start_fleet;
 use futures_util::future::join_all;
-use swiftshunt_lab::caller::prompt_of;
+use swiftshunt_lab::caller::prompt_for;
 use swiftshunt_lab::engine::expected_answer;
 use swiftshunt_lab::harness::{Fleet, FleetOptions, MODEL, eventually};
 use swiftshunt_lab::proxy::Fault;
@@ -21,7 +21,7 @@
         let node = fleet.nodes[index % fleet.nodes.len()].api;
         let content = format!("{round}: caller {index}");
         async move {
-            let (expected, _) = expected_answer(&prompt_of(&content), MAX_TOKENS);
+            let (expected, _) = expected_answer(&prompt_for(&content), MAX_TOKENS);
             let streamed = fleet
                 .tenant
                 .chat_stream(node, MODEL, &content, MAX_TOKENS)
@@ -29,7 +29,10 @@
             let streamed = streamed.expect("the stream failed");
             assert_eq!(streamed.error, None, "caller {index}");
             assert_eq!(streamed.text, expected, "caller {index}");
-            assert!(streamed.done, "the stream of caller {index} has no end");
+            assert!(
+                streamed.is_complete,
+                "the stream of caller {index} has no end"
+            );
         }
     });
     join_all(callers).await;
@@ -61,7 +64,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_are_complete_although_their_engine_fails(failure: EngineFailure) {
     let mut fleet = start_fleet(options("whole_answers")).await;
-    let direct = fleet.engines[0].direct;
+    let direct_address = fleet.engines[0].direct_address;
     let operator = fleet.operator.clone();
     let streams_run = || async {
         let load = operator.get(direct, "/v1/load").await.ok()?.json();
--- a/crates/swiftshunt/tests/whole_path.rs
+++ b/crates/swiftshunt/tests/whole_path.rs
@@ -8,7 +8,7 @@
 use common::start_fleet;
 use futures_util::future::join_all;
 use serde_json::{Value, json};
-use swiftshunt_lab::caller::{Caller, batch_lines, prompt_of};
+use swiftshunt_lab::caller::{Caller, batch_lines, prompt_for};
 use swiftshunt_lab::engine::expected_answer;
 use swiftshunt_lab::harness::{
     FleetOptions, MODEL, POOL_ENGINES, POOL_SUBMISSIONS, TENANT_TOKEN, eventually,
@@ -30,13 +30,13 @@
         let (node, tenant) = (nodes[index % nodes.len()], fleet.tenant.clone());
         async move {
             let content = format!("caller {index} asks for a plan");
-            let (expected, _) = expected_answer(&prompt_of(&content), MAX_TOKENS);
+            let (expected, _) = expected_answer(&prompt_for(&content), MAX_TOKENS);
             if index % 2 == 0 {
                 let streamed = tenant.chat_stream(node, MODEL, &content, MAX_TOKENS).await;
                 let streamed = streamed.expect("the stream failed");
                 assert_eq!(streamed.text, expected);
                 assert!(
-                    streamed.done,
+                    streamed.is_complete,
                     "the stream of caller {index} has no end: {streamed:?}"
                 );
             } else {
@@ -132,7 +132,7 @@
             .trim_start_matches("item-")
             .parse()
             .expect("a custom_id has no index");
-        let (expected, _) = expected_answer(&prompt_of(&contents[index]), MAX_TOKENS);
+        let (expected, _) = expected_answer(&prompt_for(&contents[index]), MAX_TOKENS);
         let body = &line["response"]["body"];
         assert_eq!(body["choices"][0]["message"]["content"], json!(expected));
         assert!(seen.insert(custom_id), "an item is listed twice");
