--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -32,8 +32,7 @@
     /// Appends take effect, but their answers are lost.
     pub lose_append_answers: bool,
     /// Reads answer from this much further back than asked.
-    #[serde(rename = "read_back")]
-    pub read_rewind: u64,
+    pub read_back: u64,
 }
 
 /// The state of the log.
@@ -112,7 +111,7 @@
     let stream = call.path_parameter("stream")?;
     let faults = state.apply_faults().await?;
     let from: Offset = call.query("from").unwrap_or_default();
-    let first = from.saturating_sub(faults.read_rewind);
+    let first = from.saturating_sub(faults.read_back);
     let limit = call.query("limit").unwrap_or(READ_LIMIT).min(READ_LIMIT);
     let wait = Duration::from_millis(call.query("wait_ms").unwrap_or_default());
     let deadline = tokio::time::Instant::now() + wait;
--- a/crates/swiftshunt-lab/src/main.rs
+++ b/crates/swiftshunt-lab/src/main.rs
@@ -225,7 +225,7 @@
 }
 
 /// Announces a stand-in and stays until it ends.
-async fn stay<S>(
+async fn serve_until_ended<S>(
     started: Result<(RunningStandIn, S), BindError>,
     service: &str,
 ) -> Result<(), BindError> {
--- a/crates/swiftshunt-lab/src/submission_worker.rs
+++ b/crates/swiftshunt-lab/src/submission_worker.rs
@@ -88,14 +88,11 @@
     /// Time between acting and answering.
     pub answer_delay_ms: u64,
     /// The process ends before it acts on the next submission.
-    #[serde(rename = "die_before")]
-    pub crash_before_execution: bool,
+    pub die_before: bool,
     /// The process ends after it acted on the next submission, before it answers.
-    #[serde(rename = "die_after")]
-    pub crash_after_execution: bool,
+    pub die_after: bool,
     /// It forgets keys: every send is an execution.
-    #[serde(rename = "forgets_keys")]
-    pub ignores_keys: bool,
+    pub forgets_keys: bool,
 }
 
 /// The state of a worker.
@@ -161,12 +158,12 @@
 
 async fn execute(state: Arc<WorkerState>, key: String, body: String) -> WorkerAnswer {
     let behaviour = lock(&state.behaviour).clone();
-    if !behaviour.ignores_keys && !mark_running(&state, &key) {
+    if !behaviour.forgets_keys && !mark_running(&state, &key) {
         return wait_for_answer(&state, &key).await;
     }
     *lock(&state.in_progress) += 1;
     tokio::time::sleep(Duration::from_millis(behaviour.delay_ms)).await;
-    if behaviour.crash_before_execution {
+    if behaviour.die_before {
         std::process::exit(CRASH_EXIT_STATUS);
     }
     let execution = Execution {
@@ -175,7 +172,7 @@
         body: body.clone(),
     };
     write_journal(&state, &execution).await;
-    if behaviour.crash_after_execution {
+    if behaviour.die_after {
         std::process::exit(CRASH_EXIT_STATUS);
     }
     let answer = WorkerAnswer {
--- a/crates/swiftshunt/tests/at_most_once.rs
+++ b/crates/swiftshunt/tests/at_most_once.rs
@@ -8,7 +8,7 @@
 use common::start_fleet;
 use futures_util::future::join_all;
 use serde_json::json;
-use swiftshunt_lab::caller::Answered;
+use swiftshunt_lab::caller::ApiAnswer;
 use swiftshunt_lab::harness::{Fleet, FleetOptions, POOL_SUBMISSIONS, eventually};
 use swiftshunt_lab::log_service::LogFaults;
 use swiftshunt_lab::proxy::Fault;
@@ -28,7 +28,7 @@
     counts.get(id_of(key).as_str()).copied().unwrap_or_default()
 }
 
-async fn submit(fleet: &Fleet, node: usize, key: &str, repeatable: bool) -> Option<Answered> {
+async fn submit(fleet: &Fleet, node: usize, key: &str, repeatable: bool) -> Option<ApiAnswer> {
     let api = fleet.nodes[node].api;
     let input = json!({ "desk": key });
     let answer = fleet
@@ -38,8 +38,8 @@
     answer.ok()
 }
 
-#[test_case(Behaviour { crash_before_execution: true, ..Behaviour::default() }; "worker dies before it acts")]
-#[test_case(Behaviour { crash_after_execution: true, ..Behaviour::default() }; "worker dies after it acted")]
+#[test_case(Behaviour { die_before: true, ..Behaviour::default() }; "worker dies before it acts")]
+#[test_case(Behaviour { die_after: true, ..Behaviour::default() }; "worker dies after it acted")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_submission_runs_at_most_once_if_its_worker_dies(behaviour: Behaviour) {
     let fleet = start_fleet(FleetOptions::new("once_worker")).await;
@@ -207,7 +207,7 @@
 }
 
 /// Asserts that no key with the response `not_run` is in the workers' journal, and that no key ran twice.
-fn assert_not_run_is_true(fleet: &Fleet, keys: &[String], answers: &[Option<Answered>]) {
+fn assert_not_run_is_true(fleet: &Fleet, keys: &[String], answers: &[Option<ApiAnswer>]) {
     let ran: HashSet<String> = fleet.journal.counts().into_keys().collect();
     for (key, answer) in keys.iter().zip(answers) {
         let Some(answer) = answer else { continue };
--- a/crates/swiftshunt/tests/batch_jobs.rs
+++ b/crates/swiftshunt/tests/batch_jobs.rs
@@ -231,7 +231,7 @@
         for engine in &fleet.engines {
             let load = fleet
                 .operator
-                .get(engine.direct, "/v1/load")
+                .get(engine.direct_address, "/v1/load")
                 .await
                 .ok()?
                 .json();
--- a/crates/swiftshunt/tests/configuration.rs
+++ b/crates/swiftshunt/tests/configuration.rs
@@ -211,7 +211,7 @@
     }
     wait_for_version(&fleet, base, &[0, 1, 2]).await;
     let old = LogFaults {
-        read_rewind: 3,
+        read_back: 3,
         ..LogFaults::default()
     };
     fleet.set_log_faults(&old).await;
--- a/crates/swiftshunt/tests/exactly_once.rs
+++ b/crates/swiftshunt/tests/exactly_once.rs
@@ -128,7 +128,7 @@
     for worker in 0..2 {
         let without_deduplication = Behaviour {
             delay_ms: 20,
-            ignores_keys: true,
+            forgets_keys: true,
             ..Behaviour::default()
         };
         fleet.set_behaviour(worker, &without_deduplication).await;
--- a/crates/swiftshunt/tests/targets.rs
+++ b/crates/swiftshunt/tests/targets.rs
@@ -27,7 +27,7 @@
 async fn loaded_zones(fleet: &Fleet) -> Vec<usize> {
     let mut zones = Vec::new();
     for (index, engine) in fleet.engines.iter().enumerate() {
-        let answer = fleet.operator.get(engine.direct, "/v1/load").await;
+        let answer = fleet.operator.get(engine.direct_address, "/v1/load").await;
         let load = answer.expect("the engine did not answer").json();
         let models = load["models"].as_array().cloned().unwrap_or_default();
         if models.iter().any(|model| model == EXTRA_MODEL) {
--- a/crates/swiftshunt/tests/whole_answers.rs
+++ b/crates/swiftshunt/tests/whole_answers.rs
@@ -64,7 +64,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_are_complete_although_their_engine_fails(failure: EngineFailure) {
     let mut fleet = start_fleet(options("whole_answers")).await;
-    let direct_address = fleet.engines[0].direct_address;
+    let direct = fleet.engines[0].direct_address;
     let operator = fleet.operator.clone();
     let streams_run = || async {
         let load = operator.get(direct, "/v1/load").await.ok()?.json();
