--- a/crates/swiftshunt-lab/src/caller.rs
+++ b/crates/swiftshunt-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's client: what an off-the-shelf client would send, with the answers as values.
+//! Client of the caller and operator APIs, which sends what an off-the-shelf client would send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,64 +9,64 @@
 use serde_json::{Value, json};
 use swiftshunt_http::{HttpAnswer, HttpClient, HttpError, HttpRequest, JSON, retry_after};
 
-/// Time for a whole answer.
+/// Longest time for a whole response; for a stream, for the start of the response.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const BOUNDARY: &str = "swiftshunt-lab-boundary";
 
-/// A caller with a token.
+/// An API client that authenticates with a bearer token.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
     token: String,
 }
 
-/// An answer as a caller sees it.
+/// A whole response of the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApiAnswer {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The body.
+    /// The body as text; invalid UTF-8 is replaced.
     pub body: String,
-    /// Seconds of `Retry-After`.
+    /// Value of `Retry-After` in seconds; `None` without the header.
     pub retry_after: Option<u64>,
 }
 
 impl ApiAnswer {
-    /// The body as JSON; null if it is none.
+    /// Parses the body as JSON; `Null` if the body is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// `execution` of the error envelope.
+    /// Returns `error.execution` of the body; `None` if the body is not an error.
     pub fn execution(&self) -> Option<String> {
         Some(self.json()["error"]["execution"].as_str()?.to_owned())
     }
 
-    /// `code` of the error envelope.
+    /// Returns `error.code` of the body; `None` if the body is not an error.
     pub fn code(&self) -> Option<String> {
         Some(self.json()["error"]["code"].as_str()?.to_owned())
     }
 }
 
-/// A streamed answer, read to its end.
+/// A streamed chat completion, read until the stream ended.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StreamedAnswer {
-    /// The text of all chunks.
+    /// The concatenated text of all chunks.
     pub text: String,
-    /// Chunks that carried text.
+    /// Number of chunks that carried text.
     pub chunks: usize,
-    /// The finish reason.
+    /// The finish reason; `None` if no chunk carried one.
     pub finish_reason: Option<String>,
-    /// Whether `[DONE]` came.
+    /// Whether the stream contained `[DONE]`.
     pub is_complete: bool,
-    /// An error event, if one came.
+    /// The last error event; `None` if the stream contained none.
     pub error: Option<Value>,
-    /// Time to the first chunk with text.
+    /// Time from sending the request to the first chunk with text; `None` without such a chunk.
     pub time_to_first_token: Option<Duration>,
 }
 
 impl Caller {
-    /// A caller with a bearer token.
+    /// Creates a client that sends `token` as bearer token with each request.
     pub fn new(token: &str) -> Self {
         Self {
             client: HttpClient::new(None),
@@ -86,12 +86,12 @@
         Ok(api_answer(&answer))
     }
 
-    /// Any GET.
+    /// Sends a GET request to any path.
     pub async fn get(&self, node: SocketAddr, path: &str) -> Result<ApiAnswer, HttpError> {
         self.exchange(HttpRequest::get(node, path)).await
     }
 
-    /// Any POST of JSON.
+    /// Sends a POST request with a JSON body to any path.
     pub async fn post(
         &self,
         node: SocketAddr,
@@ -102,7 +102,8 @@
         self.exchange(request).await
     }
 
-    /// Any POST of text that claims to be JSON, with an idempotency key if one is given.
+    /// Sends a POST request whose body is labelled as JSON but need not be valid, with an optional idempotency
+    /// key.
     pub async fn post_text(
         &self,
         node: SocketAddr,
@@ -117,7 +118,7 @@
         self.exchange(request).await
     }
 
-    /// A chat answer in one piece.
+    /// Requests a chat completion without streaming.
     pub async fn chat(
         &self,
         node: SocketAddr,
@@ -129,7 +130,10 @@
         self.post(node, "/v1/chat/completions", &body).await
     }
 
-    /// A chat answer as a stream.
+    /// Requests a streamed chat completion and reads it to the end.
+    ///
+    /// A status other than success is [`HttpError::Status`]; a connection that fails during the stream is
+    /// [`HttpError::BrokenOff`].
     pub async fn chat_stream(
         &self,
         node: SocketAddr,
@@ -165,7 +169,7 @@
         Ok(streamed)
     }
 
-    /// A submission.
+    /// Sends a submission under an idempotency key.
     pub async fn submit(
         &self,
         node: SocketAddr,
@@ -180,7 +184,7 @@
         self.exchange(request).await
     }
 
-    /// Uploads the items of a job and returns the file's identifier.
+    /// Uploads the items of a batch job. The `id` in the response identifies the file.
     pub async fn upload(&self, node: SocketAddr, lines: &str) -> Result<ApiAnswer, HttpError> {
         let body = format!(
             "--{BOUNDARY}\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
@@ -192,7 +196,7 @@
             .await
     }
 
-    /// Creates a job over an uploaded file.
+    /// Creates a batch job from an uploaded file.
     pub async fn create_batch(
         &self,
         node: SocketAddr,
@@ -211,13 +215,13 @@
         self.exchange(request).await
     }
 
-    /// An operator statement.
+    /// Sends an operator statement.
     pub async fn statement(&self, node: SocketAddr, text: &str) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "statement": text });
         self.post(node, "/v1/operator/statements", &body).await
     }
 
-    /// Publishes a fleet configuration.
+    /// Publishes a fleet configuration that replaces version `base`.
     pub async fn publish(
         &self,
         node: SocketAddr,
@@ -263,7 +267,7 @@
     }
 }
 
-/// Body of a chat request with one user message.
+/// Builds the body of a chat request with one user message.
 pub fn chat_body(model: &str, content: &str, max_tokens: u32, stream: bool) -> Value {
     json!({
         "model": model,
@@ -273,12 +277,12 @@
     })
 }
 
-/// The prompt that an engine sees for one user message.
+/// Returns the prompt that an engine receives for one user message.
 pub fn prompt_for(content: &str) -> String {
     format!("user: {content}\n")
 }
 
-/// Items of a job, one a line, each a chat with one user message.
+/// Builds the items of a batch job as JSON Lines, each a chat request with one user message.
 pub fn batch_lines(model: &str, contents: &[String], max_tokens: u32) -> String {
     let lines = contents.iter().enumerate().map(|(index, content)| {
         let line = json!({
--- a/crates/swiftshunt-lab/src/engine/batcher.rs
+++ b/crates/swiftshunt-lab/src/engine/batcher.rs
@@ -1,5 +1,5 @@
-//! Continuous batching: each step gives one token to every request in it. Online requests enter
-//! before batch ones and push them out when no slot is free.
+//! Continuous batching: each step generates one token for every running request. Online requests are admitted
+//! before batch requests and preempt them if no slot is free.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,20 +13,20 @@
 use super::settings::EngineSettings;
 use super::tokens::{natural_length, token_text};
 
-/// A request that an engine took in.
+/// A request that an engine accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedRequest {
-    /// Which request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Its prompt.
+    /// The whole prompt.
     pub prompt: String,
-    /// Its priority.
+    /// Whether the request is online or batch work.
     pub priority: Priority,
-    /// Steps that began while it waited for its first; none while it still waits.
+    /// Number of steps that began before the first step of the request; `None` until that step.
     pub waited_steps: Option<u32>,
 }
 
-/// A request in the engine.
+/// A running or waiting request.
 struct Sequence {
     journal_index: usize,
     waited_steps: u32,
@@ -39,7 +39,7 @@
     cancelled: bool,
 }
 
-/// Counts of what an engine holds.
+/// Numbers for the load report. `waiting` counts online requests only.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadCounts {
     pub(super) running: u32,
@@ -47,7 +47,7 @@
     pub(super) waiting: u32,
 }
 
-/// Everything an engine holds.
+/// Running and waiting requests of an engine, and the journal of all accepted requests.
 pub(super) struct Batcher {
     settings: EngineSettings,
     cache: PrefixCache,
@@ -59,12 +59,12 @@
     tokens: TokenCounts,
 }
 
-/// Tokens generated so far.
+/// Numbers of tokens that an engine has generated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenCounts {
-    /// For online requests.
+    /// Tokens of online requests.
     pub online: u64,
-    /// For batch requests.
+    /// Tokens of batch requests.
     pub batch: u64,
 }
 
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes a request in; false if the queue is full.
+    /// Queues a request. Returns false if the queue is full.
     pub(super) fn submit(
         &mut self,
         request: GenerateRequest,
@@ -121,7 +121,7 @@
         true
     }
 
-    /// Stops a request; whether it was here.
+    /// Cancels a request. Returns whether it was running or waiting.
     pub(super) fn cancel(&mut self, request: &RequestId) -> bool {
         let mut found = false;
         let waiting = self
@@ -137,12 +137,11 @@
         found
     }
 
-    /// Tokens generated so far.
     pub(super) fn tokens(&self) -> TokenCounts {
         self.tokens
     }
 
-    /// What was taken in so far.
+    /// Returns all requests accepted so far, in order of arrival.
     pub(super) fn journal(&self) -> &[AcceptedRequest] {
         &self.journal
     }
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Admits what fits and returns how long the step takes; none if there is nothing to do.
+    /// Admits waiting requests and returns the duration of the step; `None` if no request is running.
     pub(super) fn begin_step(&mut self) -> Option<Duration> {
         self.remove_ended();
         self.admit();
@@ -184,7 +183,7 @@
         Some(duration)
     }
 
-    /// Ends the step: every request in it gets a token.
+    /// Ends the step: sends the next token, or the end of the output, to the reader of every running request.
     pub(super) fn end_step(&mut self) {
         let duplicate_event_interval = self.settings.duplicate_event_interval;
         for sequence in &mut self.running {
@@ -197,7 +196,7 @@
                 drop(sequence.events.try_send(event.clone()));
             }
             match sequence.events.try_send(event) {
-                // A reader that does not keep up holds its own request back.
+                // The buffer of a slow reader is full: only its own request stalls.
                 Err(TrySendError::Full(_)) => continue,
                 Err(TrySendError::Closed(_)) => sequence.cancelled = true,
                 Ok(()) => {}
@@ -238,7 +237,7 @@
         }
     }
 
-    /// Sends the youngest batch request back to the queue; false if there is none.
+    /// Moves the batch request that was admitted last to the front of the queue. Returns false if none is running.
     fn preempt_batch_request(&mut self) -> bool {
         let Some(index) = self.running.iter().rposition(Sequence::is_batch) else {
             return false;
--- a/crates/swiftshunt-lab/src/engine/mod.rs
+++ b/crates/swiftshunt-lab/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine stand-in: continuous batching in steps, a prefix cache, priorities, resume, cancel,
-//! lagging load reports, fenced load orders.
+//! Stand-in for a model engine: continuous batching in steps, a prefix cache, priorities, resumption and
+//! cancellation of requests, lagging load reports, and fenced orders to load models.
 
 mod batcher;
 mod prefix_cache;
--- a/crates/swiftshunt-lab/src/engine/prefix_cache.rs
+++ b/crates/swiftshunt-lab/src/engine/prefix_cache.rs
@@ -1,12 +1,12 @@
-//! A prefix cache of limited memory: the least recently used block goes first.
+//! Prefix cache of limited capacity, which evicts the least recently used block.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Characters of a prompt in one block.
+/// Bytes of a prompt in one block.
 const BLOCK_BYTES: usize = 64;
 
-/// Cached prompt blocks; a block is known by the hash of the prompt up to its end.
+/// Cached prompt blocks. The key of a block is the hash of the prompt up to the end of the block.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Uses a prompt and returns how many of its blocks had to be computed.
+    /// Marks all blocks of a prompt as used and returns how many of them were not cached.
     pub(super) fn access_prompt(&mut self, prompt: &str) -> u32 {
         let mut hasher = DefaultHasher::new();
         let mut missing_blocks = 0;
@@ -38,7 +38,7 @@
         missing_blocks
     }
 
-    /// Marks a block as used; whether it was cached.
+    /// Marks a block as used, evicting another if the cache is full. Returns whether the block was cached.
     fn touch(&mut self, block: u64) -> bool {
         self.clock += 1;
         let previous_use = self.last_use_by_block.insert(block, self.clock);
--- a/crates/swiftshunt-lab/src/engine/server.rs
+++ b/crates/swiftshunt-lab/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine stand-in.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -21,16 +21,16 @@
 use super::settings::EngineSettings;
 use crate::stand_in::{RunningStandIn, lock};
 
-/// Largest request, in bytes.
+/// Largest accepted request body, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
-/// Events that wait for a slow reader.
+/// Number of events buffered for the reader of one request.
 const EVENT_BUFFER_LENGTH: usize = 64;
-/// Time for a model's weights.
+/// Time-out of fetching the weights of a model.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(300);
-/// Loads kept for lagging reports.
+/// Number of past loads kept for lagging reports.
 const LOAD_HISTORY_LIMIT: usize = 4096;
 
-/// The state of an engine stand-in.
+/// State of an engine: its requests, loads, loaded models and highest fence.
 pub struct EngineState {
     settings: EngineSettings,
     batcher: Mutex<Batcher>,
@@ -45,7 +45,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts an engine as tasks of this process.
+/// Starts an engine in tasks of this process.
 pub async fn start(
     listen: SocketAddr,
     settings: EngineSettings,
@@ -111,7 +111,7 @@
         loads.push_back((Instant::now(), load));
     }
 
-    /// The load as it was `report_lag` ago.
+    /// Returns the load as of `report_lag` ago, or the oldest kept load if all are younger.
     fn reported_load(&self) -> EngineLoad {
         let loads = lock(&self.loads);
         let lag = self.settings.report_lag;
@@ -120,7 +120,7 @@
         reported.map_or_else(EngineLoad::default, |(_, load)| load.clone())
     }
 
-    /// What the engine took in so far.
+    /// Returns all requests that the engine accepted so far, in order of arrival.
     pub fn accepted_requests(&self) -> Vec<AcceptedRequest> {
         lock(&self.batcher).journal().to_vec()
     }
@@ -162,7 +162,7 @@
     Ok(Reply::json(&load))
 }
 
-/// Takes a load order unless a later one was seen.
+/// Accepts an order to load a model unless an order with a higher fence has been accepted.
 async fn order(state: Arc<EngineState>, mut call: Call) -> Result<Reply, Failure> {
     let order: LoadOrder = call.json(BODY_LIMIT).await?;
     let mut highest = lock(&state.highest_fence);
@@ -175,7 +175,7 @@
     Ok(Reply::json(&json!({})))
 }
 
-/// Fetches a model's weights, then serves it.
+/// Fetches the weights of a model from the weight store, if one is configured, and then serves the model.
 async fn load_model(state: Arc<EngineState>, model: ModelName) {
     if let Some(store) = state.settings.weight_store {
         let path = format!("/v1/weights/{model}/fetch");
@@ -185,7 +185,7 @@
             .await;
         let fetched: Result<serde_json::Value, _> = fetched;
         if let Err(error) = fetched {
-            eprintln!("weights of {model}: {error}");
+            eprintln!("cannot fetch the weights of {model}; it is not served: {error}");
             return;
         }
     }
--- a/crates/swiftshunt-lab/src/engine/settings.rs
+++ b/crates/swiftshunt-lab/src/engine/settings.rs
@@ -1,32 +1,32 @@
-//! How an engine stand-in behaves.
+//! Settings of the engine stand-in.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use swiftshunt_types::ModelName;
 
-/// How an engine stand-in behaves.
+/// Capacity, timing and faults of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Requests in one step.
+    /// Largest number of requests in one step.
     pub slots: u32,
-    /// Requests that may wait.
+    /// Largest number of waiting requests, online and batch together.
     pub queue_limit: usize,
-    /// Duration of a step, whatever it holds.
+    /// Duration of a step without requests.
     pub step_base: Duration,
-    /// Added to a step for each request in it.
+    /// Time added to a step for each request in it.
     pub step_per_request: Duration,
-    /// Added to a request's first step for each prompt block that is not cached.
+    /// Time added to the first step of a request for each prompt block that is not cached.
     pub prefill_per_block: Duration,
-    /// Prompt blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt blocks.
     pub cache_blocks: usize,
     /// Age of the load that is reported.
     pub report_lag: Duration,
-    /// Models loaded at the start; empty means any.
+    /// Models that are loaded at the start. While the list is empty, every model is served.
     pub models: Vec<ModelName>,
-    /// Where weights are fetched before an ordered model is served; at once if there is none.
+    /// Weight store from which an ordered model is fetched before it is served; with `None` it is served at once.
     pub weight_store: Option<SocketAddr>,
-    /// Each so-manieth event is sent twice; 0 for none.
+    /// Send every n-th event twice; 0 disables duplicates.
     pub duplicate_event_interval: u32,
 }
 
--- a/crates/swiftshunt-lab/src/engine/tokens.rs
+++ b/crates/swiftshunt-lab/src/engine/tokens.rs
@@ -1,5 +1,5 @@
-//! The engine's "model": a pure function from prompt and index to text, so that a test knows every
-//! answer to the byte.
+//! The text that the engine stand-in generates: a pure function of prompt and token index, so that a test can
+//! compute the exact output of every request.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -18,19 +18,19 @@
     hasher.finish()
 }
 
-/// The text of the token at `index` of the answer to `prompt`.
+/// Returns the text of the token at `index` of the output for `prompt`.
 pub fn token_text(prompt: &str, index: u32) -> String {
     let hashed = hash((prompt, index));
     let word = VOCABULARY[(hashed % VOCABULARY.len() as u64) as usize];
     format!("{word}{} ", hashed >> 48)
 }
 
-/// How many tokens the whole answer to `prompt` has.
+/// Returns the number of tokens of the complete output for `prompt`, from 16 to 63.
 pub fn natural_length(prompt: &str) -> u32 {
     (MIN_ANSWER_TOKENS + hash(prompt) % ANSWER_LENGTH_RANGE) as u32
 }
 
-/// The whole answer to `prompt` within `max_tokens`.
+/// Returns the output for `prompt`, cut off after `max_tokens`, and the finish reason.
 pub fn expected_answer(prompt: &str, max_tokens: u32) -> (String, FinishReason) {
     let natural = natural_length(prompt);
     let length = natural.min(max_tokens);
--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes: one node a zone at first, engines, submission workers, the platform,
-//! and a proxy link before each of them.
+//! A fleet of processes: nodes, engines, submission workers and platform services, most of them behind a proxied
+//! link.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -20,51 +20,51 @@
 use crate::stand_in::RunningStandIn;
 use crate::submission_worker::{Behaviour, Journal};
 
-/// A node's process and its links.
+/// A node process and its link.
 pub struct NodeProcess {
-    /// The process.
+    /// The node process.
     pub process: Process,
-    /// Index of its zone.
+    /// Zone of the node, as an index into [`ZONES`].
     pub zone: usize,
-    /// Its own address, from which it connects.
+    /// Address from which the node connects, unique to the node.
     pub source: IpAddr,
-    /// Where callers reach it directly.
+    /// API address, which is not proxied.
     pub api: SocketAddr,
-    /// The link through which other nodes reach it.
+    /// Link through which other nodes connect to the node.
     pub peer: Link,
 }
 
-/// A worker's process and its link.
+/// The process of an engine or submission worker, and its link.
 pub struct WorkerProcess {
-    /// The process.
+    /// The worker process.
     pub process: Process,
-    /// The link through which nodes reach it.
+    /// Link through which nodes connect to the worker.
     pub link: Link,
-    /// Its own address, for control.
+    /// Address of the process itself, used for control calls past the link.
     pub direct_address: SocketAddr,
-    /// Its entry in the machine list.
+    /// Entry of the worker in the machine list, with the address of the link.
     pub machine: Machine,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The log service's link.
+    /// Link to the log service.
     pub log: Link,
-    /// The machine list's link.
+    /// Link to the machine list.
     pub list: Link,
-    /// Engines.
+    /// Engines of both pools.
     pub engines: Vec<WorkerProcess>,
-    /// Submission workers.
+    /// Submission workers of the fleet.
     pub workers: Vec<WorkerProcess>,
-    /// Nodes; one that was killed stays in place until replaced.
+    /// All nodes that were started, in order. A node whose process has ended keeps its place.
     pub nodes: Vec<NodeProcess>,
-    /// What the submission workers really executed.
+    /// Journal of the actual executions of all submission workers.
     pub journal: Arc<Journal>,
-    /// A caller with the tenant's token.
+    /// API client with the token of the tenant.
     pub tenant: Caller,
-    /// A caller with the operator's token.
+    /// API client with the token of the operator.
     pub operator: Caller,
-    /// The log's own address, for control.
+    /// Address of the log service itself, used for control calls past the link.
     pub log_address: SocketAddr,
     list_address: SocketAddr,
     options: FleetOptions,
@@ -83,11 +83,12 @@
 
 fn address(text: &str) -> SocketAddr {
     text.parse()
-        .unwrap_or_else(|_| panic!("no address: {text}"))
+        .unwrap_or_else(|_| panic!("not a socket address: {text:?}"))
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node is ready. `work_directory` takes settings and logs.
+    /// Starts all processes and waits until every node is ready. Settings and logs are written to a directory under
+    /// `work_directory`, which is emptied first.
     pub async fn start(
         binaries: Binaries,
         work_directory: &Path,
@@ -188,7 +189,7 @@
         .await
     }
 
-    /// Replaces a submission worker by a new process under the same name.
+    /// Kills a submission worker, starts a new process under the same name, and publishes its address.
     pub async fn restart_worker(&mut self, index: usize) -> Result<(), HarnessError> {
         self.workers[index].process.kill();
         self.workers[index] = self.start_submission_worker(index).await?;
@@ -196,7 +197,7 @@
         Ok(())
     }
 
-    /// Starts a node in a zone and returns its index.
+    /// Starts a node in a zone and returns its index in [`Fleet::nodes`].
     pub async fn start_node(&mut self, zone: usize) -> Result<usize, HarnessError> {
         self.started_nodes += 1;
         let number = self.started_nodes;
@@ -257,7 +258,7 @@
         .await;
     }
 
-    /// Nodes whose process runs.
+    /// Returns the indices of the nodes whose process runs.
     pub fn running_nodes(&mut self) -> Vec<usize> {
         let nodes = self.nodes.iter_mut().enumerate();
         let running = nodes.filter_map(|(index, node)| node.process.is_running().then_some(index));
@@ -281,7 +282,7 @@
         .await;
     }
 
-    /// Publishes the machine list as the workers' entries stand now.
+    /// Publishes a machine list with the current entries of all engines and submission workers.
     pub async fn publish_machines(&self) {
         let machines: Vec<&Machine> = self
             .engines
@@ -297,13 +298,13 @@
         .await;
     }
 
-    /// Changes the log's faults.
+    /// Replaces the faults of the log service.
     pub async fn set_log_faults(&self, faults: &LogFaults) {
         self.control(self.log_address, "faults", &json!(faults))
             .await;
     }
 
-    /// What an engine took in so far.
+    /// Returns the requests that an engine accepted so far, in order of arrival.
     pub async fn engine_journal(&self, engine: usize) -> Vec<AcceptedRequest> {
         let address = self.engines[engine].direct_address;
         let answer = self.operator.get(address, "/control/journal").await;
@@ -311,7 +312,7 @@
         serde_json::from_str(&body).expect("a journal")
     }
 
-    /// What every running engine took in so far.
+    /// Returns the requests that the running engines accepted so far, one engine after the other.
     pub async fn engine_journals(&mut self) -> Vec<AcceptedRequest> {
         let mut all = Vec::new();
         for index in 0..self.engines.len() {
@@ -322,23 +323,27 @@
         all
     }
 
-    /// Changes a submission worker's behaviour.
+    /// Replaces the behaviour of a submission worker.
     pub async fn set_behaviour(&self, worker: usize, behaviour: &Behaviour) {
         let address = self.workers[worker].direct_address;
         self.control(address, "behaviour", &json!(behaviour)).await;
     }
 
-    /// Tells a stand-in something, past every proxy.
+    /// Posts `body` to `/control/{what}` of a stand-in, past its link. Panics unless the status is 200.
     pub async fn control(&self, address: SocketAddr, what: &str, body: &Value) {
         let answer = self
             .operator
             .post(address, &format!("/control/{what}"), body)
             .await;
         let status = answer.map(|answer| answer.status);
-        assert_eq!(status.ok(), Some(200), "control {what}");
+        assert_eq!(
+            status.ok(),
+            Some(200),
+            "control call {what} of {address} succeeds"
+        );
     }
 
-    /// Cuts a node off from all others, both ways, or heals the cut.
+    /// Sets `fault` on all peer connections of a node, in both directions. [`Fault::None`] ends the isolation.
     pub fn set_isolated(&self, isolated: usize, fault: Fault) {
         let source = self.nodes[isolated].source;
         for (index, node) in self.nodes.iter().enumerate() {
@@ -350,7 +355,8 @@
         }
     }
 
-    /// The node that leads a partition, by a statement to `asked`.
+    /// Returns the index of the node that leads a ledger partition, as node `asked` reports it; `None` without a
+    /// known leader or response.
     pub async fn leader_of(&self, asked: usize, partition: u16) -> Option<usize> {
         let statement = format!("show partitions where partition = {partition}");
         let api = self.nodes[asked].api;
@@ -404,7 +410,7 @@
     })
 }
 
-/// The fleet configuration of a test fleet.
+/// Returns the fleet configuration of a test fleet as TOML.
 pub fn fleet_configuration() -> String {
     format!(
         "[[tenants]]\nname = \"stolnica\"\ntoken_digests = [\"{}\"]\n\
--- a/crates/swiftshunt-lab/src/harness/mod.rs
+++ b/crates/swiftshunt-lab/src/harness/mod.rs
@@ -1,4 +1,5 @@
-//! Runs real processes for integration tests: nodes behind the proxy, engines, workers, platform.
+//! Runs processes for integration tests: nodes, engines, submission workers and platform services, with a proxied
+//! link before each of them.
 
 mod fleet;
 mod options;
--- a/crates/swiftshunt-lab/src/harness/options.rs
+++ b/crates/swiftshunt-lab/src/harness/options.rs
@@ -1,41 +1,41 @@
-//! What a test fleet is made of: programs, zones, pools, tokens.
+//! Options of a test fleet: programs, zones, pools and tokens.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Zones of the test fleet.
+/// Names of the zones of the test fleet.
 pub const ZONES: [&str; 3] = ["zg-a", "zg-b", "zg-c"];
-/// The tenant's token.
+/// Token of the tenant.
 pub const TENANT_TOKEN: &str = "tenant-token";
-/// The operator's token.
+/// Token of the operator.
 pub const OPERATOR_TOKEN: &str = "operator-token";
-/// The pool of engines.
+/// Name of the pool of engines.
 pub const POOL_ENGINES: &str = "stol-llm";
-/// The pool of submission workers.
+/// Name of the pool of submission workers.
 pub const POOL_SUBMISSIONS: &str = "stol-book";
-/// The model that the engines serve.
+/// Model that the engines serve.
 pub const MODEL: &str = "stol-llm";
 
-/// A model of the engines' pool that no engine has loaded at first, if engines name theirs.
+/// Further model of the engines' pool. If engines are started with a list of models, none has it loaded at first.
 pub const EXTRA_MODEL: &str = "stol-new";
-/// A second pool of engines, for batch work alone in a fixed split.
+/// Second pool of engines, used for batch work only if the engines are divided by a fixed split.
 pub const SECOND_POOL: &str = "stol-llm-batch";
-/// The model of the second pool.
+/// Model that the second pool serves.
 pub const SECOND_MODEL: &str = "stol-llm-batch";
 
-/// The two programs.
+/// Paths of the programs that a test fleet runs.
 #[derive(Clone, Debug)]
 pub struct Binaries {
-    /// `swiftshunt`.
+    /// Path of `swiftshunt`.
     pub node: PathBuf,
-    /// `swiftshunt-lab`, built beside it.
+    /// Path of `swiftshunt-lab`.
     pub lab: PathBuf,
-    /// `swiftshunt` of an earlier build; none if there is none.
+    /// Path of `swiftshunt` of an earlier build, which some gateways of a soak test run; `None` without one.
     pub earlier_node: Option<PathBuf>,
 }
 
 impl Binaries {
-    /// The programs beside the running `swiftshunt-lab`.
+    /// Finds the programs in the directory of the running `swiftshunt-lab`. Fails if `swiftshunt` is not there.
     pub fn beside_current_program() -> std::io::Result<Self> {
         let lab = std::env::current_exe()?;
         let node = lab.with_file_name("swiftshunt");
@@ -50,13 +50,13 @@
         })
     }
 
-    /// The programs, given the path of `swiftshunt`.
+    /// Finds the programs in the directory of the `swiftshunt` at `node`. Panics if `swiftshunt-lab` is not there.
     pub fn beside_node_program(node: &str) -> Self {
         let node = PathBuf::from(node);
         let lab = node.with_file_name("swiftshunt-lab");
         assert!(
             lab.exists(),
-            "{} is not built: test the whole workspace",
+            "{} is not built: run the tests of the whole workspace",
             lab.display()
         );
         Self {
@@ -67,31 +67,32 @@
     }
 }
 
-/// What a test fleet is made of.
+/// Options of a test fleet.
 #[derive(Clone, Debug)]
 pub struct FleetOptions {
-    /// Name of the test, for log files.
+    /// Name of the test, used for the directory of its settings and log files.
     pub name: &'static str,
-    /// Zones of the nodes that are started at first, as indices of [`ZONES`].
+    /// Zones of the nodes that are started with the fleet, as indices into [`ZONES`].
     pub node_zones: Vec<usize>,
-    /// Engines, spread over the zones.
+    /// Number of engines, distributed over the zones in turn.
     pub engines: usize,
-    /// How many of them, counted from the last, serve the second pool.
+    /// Number of engines, counted from the last, that belong to the second pool.
     pub engines_in_second_pool: usize,
-    /// Further flags of each engine.
+    /// Additional command-line flags of each engine.
     pub engine_flags: Vec<String>,
-    /// Submission workers, spread over the zones.
+    /// Number of submission workers, distributed over the zones in turn.
     pub workers: usize,
-    /// How far the machine list lags.
+    /// Lag with which updates of the machine list become visible.
     pub list_lag: Duration,
-    /// How much nodes log.
+    /// Log level of the nodes.
     pub log_level: &'static str,
-    /// Sections appended to each node's settings file.
+    /// TOML sections appended to the settings file of each node.
     pub settings: String,
 }
 
 impl FleetOptions {
-    /// Three nodes, three engines, two submission workers; recovery fast enough for a test.
+    /// Creates options with three nodes, three engines and two submission workers. Delays of ledger recovery are
+    /// shortened to suit a test.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
--- a/crates/swiftshunt-lab/src/harness/process.rs
+++ b/crates/swiftshunt-lab/src/harness/process.rs
@@ -1,4 +1,4 @@
-//! One real process, ended with its owner.
+//! A child process that is killed when its handle is dropped.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,22 +9,22 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-/// Why a process cannot be run.
+/// Why a process could not be started.
 #[derive(Debug, Display, Error, From)]
 pub enum HarnessError {
-    /// The system refused.
+    /// A call to the operating system failed.
     #[display("{_0}")]
     System(std::io::Error),
-    /// The process ended or said something else than where it listens.
-    #[display("process did not announce itself: {line}")]
+    /// The process ended, or wrote a line that is not JSON, before it announced its address.
+    #[display("process did not announce its address; it wrote: {line:?}")]
     #[from(ignore)]
     NotAnnounced {
-        /// What it said.
+        /// The line; empty if standard output ended.
         line: String,
     },
 }
 
-/// Reads up to the line that tells where the process listens; log lines may come before it.
+/// Reads standard output up to the line that announces the address. JSON log lines before it are skipped.
 fn read_announcement(
     mut stdout: BufReader<ChildStdout>,
 ) -> Result<(Value, BufReader<ChildStdout>), HarnessError> {
@@ -40,21 +40,21 @@
     }
 }
 
-/// Keeps what a process writes after its announcement beside its other log.
+/// Copies the standard output after the announcement to the log file.
 fn copy_stdout_to_log(mut stdout: BufReader<ChildStdout>, mut log: File) {
-    // The copy ends with the process; what it could not write is lost with the log.
+    // The copy ends with the process. A failed write only loses log lines.
     drop(std::io::copy(&mut stdout, &mut log));
 }
 
-/// A process that was started here and is killed when dropped.
+/// A running child process, killed when dropped.
 pub struct Process {
     child: Child,
     announced: Value,
 }
 
 impl Process {
-    /// Starts a program and waits for the line that tells where it listens. Its log goes to
-    /// `log_file`.
+    /// Starts a program and waits until it announces its address on standard output. Its standard error, and its
+    /// standard output after the announcement, are appended to `log_file`.
     pub fn start(
         program: &Path,
         arguments: &[String],
@@ -74,7 +74,7 @@
             .stdout
             .take()
             .ok_or_else(|| HarnessError::NotAnnounced {
-                line: "no standard output".to_owned(),
+                line: "(standard output is not captured)".to_owned(),
             })?;
         let stdout = BufReader::new(stdout);
         match read_announcement(stdout) {
@@ -91,55 +91,55 @@
         }
     }
 
-    /// A field of the announcement.
+    /// Returns a text field of the announcement; empty if it is missing.
     pub fn announced(&self, field: &str) -> &str {
         self.announced[field].as_str().unwrap_or_default()
     }
 
-    /// SIGKILL, and waits until the process is gone.
+    /// Sends SIGKILL and waits until the process has ended.
     pub fn kill(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
     }
 
-    /// SIGKILL, without waiting.
+    /// Sends SIGKILL without waiting for the end of the process.
     pub fn signal_kill(&self) {
         self.signal(Signal::KILL);
     }
 
-    /// SIGSTOP.
+    /// Sends SIGSTOP, which pauses the process.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT, which resumes a paused process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// SIGTERM: a planned stop.
+    /// Sends SIGTERM, which begins a planned stop.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// SIGHUP: the settings file has changed.
+    /// Sends SIGHUP, which makes the process reload its settings file.
     pub fn hang_up(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// The exit status, once the process has ended.
+    /// Returns the exit status; `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Whether the process still runs.
+    /// Returns whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     fn signal(&self, signal: Signal) {
         if let Err(error) = kill_process(Pid::from_child(&self.child), signal) {
-            eprintln!("process has already gone: {error}");
+            eprintln!("cannot send {signal:?}; process may have ended already: {error}");
         }
     }
 }
--- a/crates/swiftshunt-lab/src/harness/wait.rs
+++ b/crates/swiftshunt-lab/src/harness/wait.rs
@@ -1,12 +1,12 @@
-//! Waiting for conditions.
+//! Polling until a condition holds.
 
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition that must come true; far above what any of them takes.
+/// Time-out of [`eventually`], far above the time that any condition of the tests needs.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` gives a value; panics with `what` if it never does.
+/// Polls `condition` until it returns a value. Panics with `what` if it returns none within 60 s.
 pub async fn eventually<T, F>(what: &str, condition: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
@@ -14,7 +14,7 @@
     eventually_within(DEFAULT_TIMEOUT, what, condition).await
 }
 
-/// The same with another timeout.
+/// Like [`eventually`], with another time-out. A running call of `condition` is not interrupted by the time-out.
 pub async fn eventually_within<T, F>(
     timeout: Duration,
     what: &str,
@@ -28,7 +28,10 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "never came true: {what}");
+        assert!(
+            Instant::now() < deadline,
+            "condition did not hold within {timeout:?}: {what}"
+        );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/swiftshunt-lab/src/lib.rs
+++ b/crates/swiftshunt-lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Everything that is not the product: stand-ins for the platform and its workers, the
-//! fault-injecting proxy, a caller's client, and the harness that runs real processes.
+//! Test tooling: stand-ins for the platform services and their workers, a fault-injecting proxy, an API client,
+//! experiments, the soak test, and a harness that runs real processes.
 
 pub mod caller;
 pub mod engine;
--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The log service stand-in: streams in memory, and the faults of a real one.
+//! Stand-in for the log service: keeps streams in memory and injects the faults of a real log service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 
 use crate::stand_in::{RunningStandIn, lock};
 
-/// Largest append, in bytes.
+/// Largest accepted request body, in bytes.
 const BODY_LIMIT: usize = 64 << 20;
-/// Records answered at once, at most.
+/// Largest number of records in one response.
 const READ_LIMIT: usize = 4096;
-/// How long an answer that is lost is held: longer than any caller waits.
+/// Delay of a response that counts as lost. Longer than the time-out of any caller.
 const LOST_ANSWER_DELAY: Duration = Duration::from_secs(60);
 
-/// Faults of the log; may be changed while it runs.
+/// Faults to inject. They can be changed while the stand-in runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Every call is refused without effect.
+    /// Refuse every call without any effect.
     pub down: bool,
-    /// Time before each call takes effect.
+    /// Milliseconds by which each call is delayed before it takes effect.
     pub delay_ms: u64,
-    /// Appends take effect, but their answers are lost.
+    /// Apply appends, but hold back their responses until the callers time out.
     pub lose_append_answers: bool,
-    /// Reads answer from this much further back than asked.
+    /// Number of records by which reads start before the requested offset.
     pub read_back: u64,
 }
 
-/// The state of the log.
+/// The streams of the stand-in and the faults that it injects.
 #[derive(Default)]
 pub struct LogState {
     streams: Mutex<HashMap<String, Vec<String>>>,
@@ -47,7 +47,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts a log as tasks of this process.
+/// Starts a log service in tasks of this process.
 pub async fn start(listen: SocketAddr) -> Result<(RunningStandIn, Arc<LogState>), BindError> {
     let state = Arc::new(LogState::default());
     let router = Router::new()
@@ -63,7 +63,7 @@
 }
 
 impl LogState {
-    /// Changes the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: LogFaults) {
         *lock(&self.faults) = faults;
     }
--- a/crates/swiftshunt-lab/src/machine_list.rs
+++ b/crates/swiftshunt-lab/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list stand-in, which lags behind what it was told.
+//! Stand-in for the machine list, which publishes each update after a configured lag.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 use crate::stand_in::{RunningStandIn, lock};
 
 const BODY_LIMIT: usize = 16 << 20;
-/// Lists kept for lagging answers.
+/// Number of list versions kept to serve lagging reads.
 const LIST_HISTORY_LIMIT: usize = 1024;
 
-/// What the list is told.
+/// Body of the control call that replaces the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachinesUpdate {
-    /// Every machine.
+    /// All machines of the new list.
     pub machines: Vec<Machine>,
 }
 
-/// The state of the list.
+/// The versions of the list and the lag with which they are published.
 pub struct MachineListState {
     lag: Duration,
     lists: Mutex<VecDeque<(Instant, MachineList)>>,
@@ -35,7 +35,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts a list as tasks of this process.
+/// Starts a machine list in tasks of this process.
 pub async fn start(
     listen: SocketAddr,
     lag: Duration,
@@ -52,7 +52,7 @@
 }
 
 impl MachineListState {
-    /// Replaces the list; it shows after the lag.
+    /// Replaces the list. Reads return the new list once the lag has passed.
     pub fn update(&self, machines: Vec<Machine>) {
         let mut lists = lock(&self.lists);
         let version = lists.back().map_or(0, |(_, list)| list.version) + 1;
@@ -62,7 +62,7 @@
         lists.push_back((Instant::now(), MachineList { version, machines }));
     }
 
-    /// The list as it was `lag` ago; the first list shows at once.
+    /// Returns the list as of `lag` ago, or the oldest kept list if all are younger.
     fn visible(&self) -> MachineList {
         let lists = lock(&self.lists);
         let old_enough = lists.iter().rev().find(|(at, _)| at.elapsed() >= self.lag);
--- a/crates/swiftshunt-lab/src/main.rs
+++ b/crates/swiftshunt-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line: each stand-in as a process, and `quickstart`.
+//! Command line of the lab: stand-ins as processes, the quickstart, experiments and the soak test.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,7 +17,7 @@
     experiment, log_service, machine_list, platform, quickstart, soak, weight_store,
 };
 
-/// Stand-ins, load and experiments for swiftshunt.
+/// Run stand-ins, experiments and the soak test for swiftshunt.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -43,25 +43,25 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "engine")]
 struct EngineArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
-    /// requests in one step
+    /// largest number of requests in one step
     #[argh(option, default = "16")]
     slots: u32,
-    /// duration of a step, in microseconds
+    /// duration of a step without requests, in microseconds
     #[argh(option, default = "4000")]
     step_us: u64,
     /// age of the reported load, in milliseconds
     #[argh(option, default = "100")]
     report_lag_ms: u64,
-    /// each so-manieth event is sent twice; 0 for none
+    /// send every n-th event twice; 0 disables duplicates
     #[argh(option, default = "0")]
     duplicate_every: u32,
-    /// where weights of ordered models are fetched
+    /// address of the weight store from which ordered models are fetched; without it, they are served at once
     #[argh(option)]
     weights: Option<SocketAddr>,
-    /// a loaded model; without one, every model is served
+    /// model that is loaded at the start (repeatable); without one, every model is served
     #[argh(option)]
     model: Vec<String>,
 }
@@ -70,16 +70,16 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "submission-worker")]
 struct WorkerArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
-    /// the worker's name in the journal
+    /// name of the worker in the journal
     #[argh(option)]
     name: String,
-    /// where executions are written
+    /// address of the journal to which executions are written
     #[argh(option)]
     journal: SocketAddr,
-    /// time before it acts, in milliseconds
+    /// delay before each execution, in milliseconds
     #[argh(option, default = "0")]
     delay_ms: u64,
 }
@@ -88,7 +88,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "log-service")]
 struct LogArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
 }
@@ -97,10 +97,10 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "machine-list")]
 struct MachineListArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
-    /// how far the list lags, in milliseconds
+    /// lag with which an update of the list becomes visible, in milliseconds
     #[argh(option, default = "0")]
     lag_ms: u64,
 }
@@ -109,13 +109,13 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "weight-store")]
 struct WeightStoreArguments {
-    /// where to listen
+    /// address to listen on
     #[argh(option, default = "any_loopback_port()")]
     listen: SocketAddr,
     /// size of each model, in bytes
     #[argh(option, default = "8000000000")]
     bytes: u64,
-    /// rate of all deliveries together, in bytes a second
+    /// rate that all transfers share, in bytes per second
     #[argh(option, default = "4000000000")]
     bytes_per_second: u64,
 }
@@ -124,12 +124,12 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "quickstart")]
 struct QuickstartArguments {
-    /// real gateways before stand-ins of the users' platform instead
+    /// run gateways as processes with stand-ins for the platform of their users instead
     #[argh(switch)]
     platform: bool,
 }
 
-/// run a declared workload several ways and write results as JSON and a plot
+/// run a workload under several batch policies and write the results as JSON and a plot
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -137,10 +137,10 @@
     example = "{command_name} examples/experiments/stolnica.toml"
 )]
 struct ExperimentArguments {
-    /// the declaration
+    /// file that describes the experiment (TOML)
     #[argh(positional)]
     file: String,
-    /// where results are written
+    /// directory in which the results are written
     #[argh(option, default = "PathBuf::from(\"target/experiments\")")]
     output: PathBuf,
 }
@@ -149,7 +149,7 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Exit status when a stand-in cannot start.
+/// Exit status of a command that fails.
 const EXIT_FAILURE: u8 = 2;
 
 #[tokio::main]
@@ -224,7 +224,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Announces a stand-in and stays until it ends.
+/// Announces the address of a stand-in and waits until its server stops.
 async fn serve_until_ended<S>(
     started: Result<(RunningStandIn, S), BindError>,
     service: &str,
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -1,7 +1,7 @@
-//! The fault-injecting proxy: TCP links whose behaviour is changed while they run.
+//! Fault-injecting proxy: TCP links whose faults and conditions can be changed while they run.
 //!
-//! A rule applies to a link and, if it names one, to connections from one source address: nodes of
-//! a zone connect from addresses of their own, so a zone can be cut from one side only.
+//! A fault applies to all connections of a link or to those from one source address. Each node connects from an
+//! address of its own, so a node can be cut off in one direction only.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -20,43 +20,43 @@
 
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a link does to its connections.
+/// Fault that a link applies to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Passes everything on.
+    /// Forward all bytes.
     #[default]
     None,
-    /// Passes everything on after a while.
+    /// Delay each chunk of bytes by this time.
     Delay(Duration),
-    /// Breaks open connections off and accepts none that lives.
+    /// Close open connections and reset new ones.
     Cut,
-    /// Holds everything back, both ways, and passes it on when the fault ends.
+    /// Hold back all bytes in both directions, and forward them when the fault ends.
     Freeze,
-    /// Passes requests on and discards answers.
+    /// Forward requests and discard responses.
     DropAnswers,
-    /// Passes answers on and discards requests.
+    /// Forward responses and discard requests.
     DropRequests,
-    /// Passes half of the next answer's bytes on and resets the connection.
+    /// Forward half of the next chunk of response bytes and reset the connection.
     Truncate,
 }
 
-/// How wide a link is, for all that shares it together.
+/// Bandwidth that all connections and links which hold it share; unlimited by default.
 #[derive(Debug)]
 pub struct Bandwidth(Mutex<BandwidthState>);
 
 #[derive(Debug)]
 struct BandwidthState {
-    /// None where it is wide enough for anything.
+    /// `None` without a limit.
     bytes_per_second: Option<f64>,
-    /// Until when what was sent so far keeps it busy.
+    /// Time at which the bytes accepted so far have been transferred.
     busy_until: Instant,
-    /// Bytes that have passed.
+    /// Bytes accepted for transfer so far, also without a limit.
     transferred_bytes: u64,
 }
 
 impl Default for Bandwidth {
-    /// Wide enough for anything.
+    /// Creates a bandwidth without a limit.
     fn default() -> Self {
         Self(Mutex::new(BandwidthState {
             bytes_per_second: None,
@@ -67,24 +67,24 @@
 }
 
 impl Bandwidth {
-    /// A width in bytes a second.
+    /// Creates a bandwidth limited to `bytes_per_second`.
     pub fn new(bytes_per_second: u64) -> Self {
         let bandwidth = Self::default();
         bandwidth.set_limit(bytes_per_second);
         bandwidth
     }
 
-    /// Limits it from now on, to bytes a second.
+    /// Limits transfers that begin after this call to `bytes_per_second`.
     pub fn set_limit(&self, bytes_per_second: u64) {
         lock(&self.0).bytes_per_second = Some(bytes_per_second as f64);
     }
 
-    /// Bytes that have passed.
+    /// Returns the number of bytes accepted for transfer so far.
     pub fn transferred_bytes(&self) -> u64 {
         lock(&self.0).transferred_bytes
     }
 
-    /// Waits until these bytes are through, behind all that came before them.
+    /// Waits for the transfer of `bytes`, queued behind all earlier transfers.
     async fn transmit(&self, bytes: usize) {
         let busy_until = {
             let mut state = lock(&self.0);
@@ -100,12 +100,12 @@
     }
 }
 
-/// What a link is like without any fault.
+/// Conditions of a link that apply in addition to its fault.
 #[derive(Clone, Debug, Default)]
 pub struct LinkConditions {
-    /// Time from one end to the other.
+    /// Latency added to each chunk of bytes, in each direction.
     pub delay: Duration,
-    /// Its width; none where it is wide enough for anything.
+    /// Bandwidth of the link, possibly shared with other links; `None` without a limit.
     pub bandwidth: Option<Arc<Bandwidth>>,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Rules of one link.
+/// Conditions and faults of one link.
 #[derive(Default)]
 struct Rules {
     conditions: LinkConditions,
@@ -143,9 +143,9 @@
     }
 }
 
-/// One link through the proxy.
+/// A proxied TCP address. Dropping the link stops the listener and closes its open connections.
 pub struct Link {
-    /// Where the proxy listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
     rules: Arc<Mutex<Rules>>,
@@ -160,7 +160,9 @@
 }
 
 impl Link {
-    /// Opens a link; the target may be told later, when its port is known.
+    /// Opens a link. Until a target is set, accepted connections are closed.
+    ///
+    /// The target can be set later because its port may be unknown before it has started.
     pub async fn open(listen: SocketAddr, target: Option<SocketAddr>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -182,23 +184,23 @@
         })
     }
 
-    /// Where connections go from now on.
+    /// Sets the address to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.target) = Some(target);
     }
 
-    /// What the link is like from now on.
+    /// Replaces the conditions, also for open connections.
     pub fn set_conditions(&self, conditions: LinkConditions) {
         lock(&self.rules).conditions = conditions;
     }
 
-    /// What happens to every connection without a rule of its own.
+    /// Sets the fault of all connections whose source has no fault of its own.
     pub fn set_fault(&self, fault: Fault) {
         lock(&self.rules).default_fault = fault;
         self.changed.send_replace(());
     }
 
-    /// What happens to connections from `source`.
+    /// Sets the fault of connections from `source`. [`Fault::None`] leaves them to the fault of the link.
     pub fn set_fault_from(&self, source: IpAddr, fault: Fault) {
         lock(&self.rules).fault_by_source.insert(source, fault);
         self.changed.send_replace(());
@@ -224,7 +226,7 @@
     }
 }
 
-/// One connection's view of the rules.
+/// The rules of a link as they apply to one connection.
 #[derive(Clone)]
 struct ConnectionRules {
     source: IpAddr,
@@ -241,7 +243,7 @@
         lock(&self.rules).conditions.clone()
     }
 
-    /// Returns once the fault is `Cut`.
+    /// Returns once the fault is [`Fault::Cut`], or the link has been dropped.
     async fn wait_until_cut(&mut self) {
         while self.current_fault() != Fault::Cut {
             if self.changed.changed().await.is_err() {
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Returns once the fault is not `Freeze`.
+    /// Returns once the fault is not [`Fault::Freeze`], or the link has been dropped.
     async fn wait_while_frozen(&mut self) {
         while self.current_fault() == Fault::Freeze {
             if self.changed.changed().await.is_err() {
@@ -285,7 +287,7 @@
     }
 }
 
-/// Lets the close be a reset, as a broken network's would be.
+/// Makes closing the stream send a reset, as a broken connection would.
 fn reset_on_close(stream: &TcpStream) {
     drop(stream.set_zero_linger());
 }
--- a/crates/swiftshunt-lab/src/quickstart.rs
+++ b/crates/swiftshunt-lab/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! The whole system in one process on loopback, with a line to paste for each interface.
+//! Runs the whole system in one process on loopback and prints an example command for each interface.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,60 +15,61 @@
 use crate::submission_worker::{self, Behaviour, Journal};
 use crate::{log_service, machine_list};
 
-/// The quickstart's tenant token. It is public and opens nothing but a process on loopback.
+/// Tenant token of the quickstart. It is public and gives access only to a process on loopback.
 pub const TENANT_TOKEN: &str = "quickstart-tenant";
-/// The quickstart's operator token, as public as the tenant's.
+/// Operator token of the quickstart, which is public like the tenant token.
 pub const OPERATOR_TOKEN: &str = "quickstart-operator";
 
 const ZONES: [&str; 3] = ["zg-a", "zg-b", "zg-c"];
 const ENGINES: usize = 3;
 const WORKERS: usize = 2;
-/// Where the three nodes listen, so that the printed lines stay the same; any free port otherwise.
+/// API ports of the nodes, fixed so that the printed commands are the same in each run. A node whose port is taken
+/// uses any free port.
 const API_PORTS: [u16; 3] = [8421, 8422, 8423];
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the quickstart did not come up.
+/// Why the quickstart could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum QuickstartError {
-    /// A stand-in cannot listen.
+    /// A stand-in cannot listen on its address.
     #[display("{_0}")]
     Bind(BindError),
-    /// A node cannot listen.
+    /// A node cannot start.
     #[display("{_0}")]
     Start(StartError),
-    /// The generated settings are wrong.
+    /// The generated settings are invalid.
     #[display("{_0}")]
     Config(ConfigError),
-    /// A node does not answer.
+    /// A call to a node failed.
     #[display("{_0}")]
     Http(HttpError),
-    /// The configuration was refused.
-    #[display("the configuration was refused: {reason}")]
+    /// A node refused the fleet configuration.
+    #[display("node refused the fleet configuration: {reason}")]
     #[from(ignore)]
     Refused {
-        /// The node's words.
+        /// Body of the response.
         #[error(not(source))]
         reason: String,
     },
-    /// The fleet did not become ready in time.
-    #[display("the fleet did not become ready in time")]
+    /// A node did not become ready within 30 s.
+    #[display("a node did not become ready within {READY_TIMEOUT:?}")]
     NotReady,
 }
 
-/// The parts that must stay alive.
+/// Nodes and stand-ins, which must be kept while the quickstart runs.
 struct Fleet {
     nodes: Vec<RunningNode>,
     _stand_ins: Vec<RunningStandIn>,
 }
 
-/// Starts everything, prints how to use it, and stays until interrupted.
+/// Starts the fleet, prints how to use it, and runs until Ctrl-C.
 pub async fn run() -> Result<(), QuickstartError> {
     let began = Instant::now();
     let fleet = start_fleet().await?;
     let apis: Vec<SocketAddr> = fleet.nodes.iter().map(RunningNode::api_address).collect();
     print_usage(&apis, began.elapsed());
-    // Without a signal handler the process would end anyway; an error is an interrupt.
+    // An error means that no handler could be installed; it is treated like Ctrl-C.
     drop(tokio::signal::ctrl_c().await);
     for node in fleet.nodes {
         node.abort();
--- a/crates/swiftshunt-lab/src/submission_worker.rs
+++ b/crates/swiftshunt-lab/src/submission_worker.rs
@@ -1,7 +1,7 @@
-//! The submission worker stand-in, and the journal that outlives it.
+//! Stand-in for a submission worker, and the journal of executions, which survives the worker's process.
 //!
-//! Each execution is written to the journal before the worker answers, so tests count what really
-//! ran even when the worker died right after.
+//! The worker writes each execution to the journal before it responds, so tests count the actual executions even
+//! if the worker exits right afterwards.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,27 +19,27 @@
 
 use crate::stand_in::{RunningStandIn, lock};
 
-/// Largest submission, in bytes.
+/// Largest accepted request body, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
-/// Time for a write to the journal.
+/// Time-out of one write to the journal.
 const JOURNAL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Path of the journal.
+/// Path of the call that writes an execution to the journal.
 pub const JOURNAL_PATH: &str = "/v1/journal";
-/// Exit status of a worker that was told to die.
+/// Exit status of a worker that exits by [`Behaviour::die_before`] or [`Behaviour::die_after`].
 const CRASH_EXIT_STATUS: i32 = 86;
 
-/// One execution.
+/// An entry of the journal: one execution of a submission.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// The key under which it ran.
+    /// Idempotency key of the submission.
     pub key: String,
-    /// The worker's name.
+    /// Name of the worker that executed it.
     pub worker: String,
-    /// What was performed.
+    /// Body of the submission.
     pub body: String,
 }
 
-/// Executions of every worker.
+/// Executions of all workers, in the order in which they were written.
 #[derive(Default)]
 pub struct Journal {
     executions: Mutex<Vec<Execution>>,
@@ -50,7 +50,7 @@
 }
 
 impl Journal {
-    /// Starts a journal as tasks of this process.
+    /// Starts a journal in tasks of this process.
     pub async fn start(listen: SocketAddr) -> Result<(RunningStandIn, Arc<Self>), BindError> {
         let journal = Arc::new(Self::default());
         let router = Router::with_path(JOURNAL_PATH).post(endpoint(&journal, record));
@@ -58,12 +58,12 @@
         Ok((running, journal))
     }
 
-    /// Every execution so far.
+    /// Returns all executions written so far.
     pub fn executions(&self) -> Vec<Execution> {
         lock(&self.executions).clone()
     }
 
-    /// How often each key ran.
+    /// Returns the number of executions per key.
     pub fn counts(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for execution in lock(&self.executions).iter() {
@@ -79,23 +79,23 @@
     Ok(Reply::json(&json!({})))
 }
 
-/// How a worker behaves; may be changed while it runs.
+/// Delays and faults of a worker. They can be changed while the worker runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Time before it acts.
+    /// Milliseconds between receiving a submission and executing it.
     pub delay_ms: u64,
-    /// Time between acting and answering.
+    /// Milliseconds between executing a submission and responding.
     pub answer_delay_ms: u64,
-    /// The process ends before it acts on the next submission.
+    /// Exit the process before the next submission is executed.
     pub die_before: bool,
-    /// The process ends after it acted on the next submission, before it answers.
+    /// Exit the process after the next submission is executed and before the response.
     pub die_after: bool,
-    /// It forgets keys: every send is an execution.
+    /// Ignore idempotency keys, so that every request is executed.
     pub forgets_keys: bool,
 }
 
-/// The state of a worker.
+/// State of a worker: its executions by key, and its load.
 pub struct WorkerState {
     name: String,
     journal: SocketAddr,
@@ -110,7 +110,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts a worker as tasks of this process.
+/// Starts a worker in tasks of this process. `journal` is the address of the [`Journal`].
 pub async fn start(
     listen: SocketAddr,
     name: String,
@@ -148,7 +148,7 @@
             "the worker is leaving",
         ));
     }
-    // The work goes on when the sender breaks off, as a real worker's would.
+    // A separate task, so that the execution continues if the caller disconnects, as on a real worker.
     let work = tokio::spawn(execute(Arc::clone(&state), key, body));
     let answer = work
         .await
@@ -188,7 +188,7 @@
     answer
 }
 
-/// Marks a key as running; false if it was seen before.
+/// Marks a key as running. Returns false if the key is already known.
 fn mark_running(state: &WorkerState, key: &str) -> bool {
     let mut executions = lock(&state.executions);
     if executions.contains_key(key) {
@@ -198,7 +198,7 @@
     true
 }
 
-/// The answer of an execution that began before.
+/// Waits until the execution of `key` has finished and returns its response.
 async fn wait_for_answer(state: &WorkerState, key: &str) -> WorkerAnswer {
     loop {
         if let Some(ExecutionState::Finished { answer }) = lock(&state.executions).get(key) {
@@ -220,9 +220,9 @@
             Err(error) if error.was_not_sent() => {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
-            // Written twice would be counted twice: better to show the fault.
+            // The entry may have been written. A retry could write it twice, and tests would count two executions.
             Err(error) => {
-                eprintln!("journal: {error}");
+                eprintln!("cannot write to the journal; execution may be missing there: {error}");
                 return;
             }
         }
@@ -236,7 +236,7 @@
     Ok(Reply::json(&found.unwrap_or(ExecutionState::NotStarted)))
 }
 
-/// Submissions that a worker takes at once; only shown.
+/// Slots in the load report. The worker does not enforce this limit.
 const REPORTED_SLOTS: u32 = 64;
 
 async fn load(state: Arc<WorkerState>, _call: Call) -> Result<Reply, Failure> {
--- a/crates/swiftshunt-lab/src/weight_store.rs
+++ b/crates/swiftshunt-lab/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store stand-in: all loads share one rate.
+//! Stand-in for the weight store. Fetches run one after the other and share one transfer rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,7 +11,7 @@
 
 use crate::stand_in::{RunningStandIn, lock};
 
-/// The state of the store.
+/// Size and rate of the store, and the time until which earlier fetches occupy it.
 pub struct WeightStoreState {
     info: WeightInfo,
     busy_until: Mutex<Instant>,
@@ -21,7 +21,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts a store as tasks of this process; every model has the same size.
+/// Starts a weight store in tasks of this process. All models have the size and rate in `info`.
 pub async fn start(
     listen: SocketAddr,
     info: WeightInfo,
@@ -41,7 +41,7 @@
     Ok(Reply::json(&state.info))
 }
 
-/// Answers once the weights would have been delivered, after every fetch before it.
+/// Responds after the time that the transfer takes, queued behind all earlier fetches.
 async fn fetch(state: Arc<WeightStoreState>, _call: Call) -> Result<Reply, Failure> {
     let seconds = state.info.bytes as f64 / state.info.bytes_per_second.max(1) as f64;
     let ready = {
