--- a/crates/swiftshunt-lab/src/experiment/load.rs
+++ b/crates/swiftshunt-lab/src/experiment/load.rs
@@ -1,4 +1,4 @@
-//! The load of one way: online arrivals that wait for nobody, and batch work.
+//! Load of one run: online requests in an open loop, and batch work.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,16 +17,16 @@
 use crate::engine::expected_answer;
 use crate::stand_in::lock;
 
-/// What online callers saw.
+/// Results of the online requests of one run.
 pub(super) struct OnlineTally {
     pub(super) arrived: u64,
     pub(super) answered: u64,
     pub(super) refused: u64,
     pub(super) refused_without_retry_after: u64,
     pub(super) failed: u64,
-    /// In microseconds.
+    /// Time from arrival to first token, in microseconds.
     pub(super) first_token: Histogram<u64>,
-    /// In microseconds.
+    /// Time from arrival to refusal, in microseconds.
     pub(super) refusal: Histogram<u64>,
 }
 
@@ -34,7 +34,7 @@
 
 impl Default for OnlineTally {
     fn default() -> Self {
-        // Three digits are within what the library supports.
+        // The library supports 0 to 5 significant digits, so this cannot fail.
         let histogram = || Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!());
         Self {
             arrived: 0,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Where a load goes and as whom.
+/// Nodes and models that the load is sent to, and the API client that sends it.
 #[derive(Clone)]
 pub(super) struct Target {
     pub(super) nodes: Vec<SocketAddr>,
@@ -57,7 +57,8 @@
     pub(super) batch_model: &'static str,
 }
 
-/// Moments of arrival, from the start: exponential gaps at a rate that bursts raise.
+/// Returns the arrival times of online requests as offsets from the start, in order. Arrivals form a Poisson process,
+/// to which each burst adds another.
 fn arrivals(plan: &OnlinePlan, duration: Duration, seed: u64) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut arrival_times = poisson_arrivals(
@@ -97,7 +98,8 @@
     }
 }
 
-/// Sends every online request at its moment and waits for the last answer.
+/// Sends each online request at its arrival time, without waiting for earlier responses, and returns the results once
+/// all requests have ended.
 pub(super) async fn run_online(
     target: Target,
     plan: OnlinePlan,
@@ -142,7 +144,7 @@
         Ok(streamed) if streamed.text == expected => {
             tally.answered += 1;
             let first = send_delay + streamed.time_to_first_token.unwrap_or_default();
-            // The histogram resizes itself; a value cannot be out of range.
+            // The histogram resizes itself, so that no value is out of range.
             tally.first_token.record(first.as_micros() as u64).ok();
         }
         Err(HttpError::Status {
@@ -159,7 +161,7 @@
     }
 }
 
-/// Creates a heap of jobs every so often while `duration` lasts.
+/// Creates batch jobs at the interval of the plan until `duration` has passed.
 pub(super) async fn run_jobs(target: Target, plan: BatchPlan, duration: Duration) {
     let began = Instant::now();
     let mut round = 0;
@@ -182,8 +184,8 @@
     }
 }
 
-/// Sends batch work as online requests, as many at once as the engines have slots: what a fleet
-/// without yielding does.
+/// Sends batch work as online requests with `concurrency` requests at a time until `duration` has passed, and adds the
+/// generated tokens to `tokens`. Engines do not preempt this work, unlike batch jobs.
 pub(super) async fn run_without_preemption(
     target: Target,
     plan: BatchPlan,
--- a/crates/swiftshunt-lab/src/experiment/mod.rs
+++ b/crates/swiftshunt-lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Declared workloads over real node processes and stand-ins, run several ways side by side.
+//! Experiments: a workload from a file, run under several batch policies on a fleet of node processes and stand-ins.
 
 mod load;
 mod plan;
--- a/crates/swiftshunt-lab/src/experiment/plan.rs
+++ b/crates/swiftshunt-lab/src/experiment/plan.rs
@@ -1,17 +1,17 @@
-//! The declaration of an experiment.
+//! The experiment file: fleet, workload and batch policies.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Why a declaration cannot be used.
+/// Why an experiment file cannot be used.
 #[derive(Debug, Display, Error)]
 #[display("{file}: {reason}")]
 pub struct PlanError {
-    /// The file.
+    /// Path of the file.
     pub file: String,
-    /// What is wrong.
+    /// The error of reading or parsing the file, or the invalid setting.
     pub reason: String,
 }
 
@@ -19,40 +19,40 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchPolicy {
-    /// No batch work at all.
+    /// No batch work is sent; the baseline for the other policies.
     #[display("no batch")]
     NoBatch,
-    /// Batch work is sent like online work and yields to nothing.
+    /// Batch work is sent as online requests, which engines do not preempt.
     #[display("unyielding")]
     #[serde(rename = "unyielding")]
     NoPreemption,
-    /// Half of the engines for batch work alone.
+    /// Half of the engines serve batch work only, as a pool of their own.
     #[display("fixed split")]
     FixedSplit,
-    /// Batch jobs of swiftshunt.
+    /// Batch work is sent as swiftshunt batch jobs.
     #[display("swiftshunt")]
     Swiftshunt,
 }
 
-/// An experiment.
+/// The content of an experiment file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExperimentPlan {
-    /// Its name, for files.
+    /// Name of the experiment, used for the names of result files.
     pub name: String,
-    /// Seed of arrivals.
+    /// Seed of the arrival times of online requests.
     pub seed: u64,
-    /// How long arrivals last in each policy.
+    /// Time during which requests arrive, under each policy.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// Ways, run one after the other.
+    /// Batch policies, run one after the other.
     #[serde(rename = "ways")]
     pub policies: Vec<BatchPolicy>,
-    /// The fleet.
+    /// Engines and node settings.
     pub fleet: FleetPlan,
-    /// Online work.
+    /// Online requests.
     pub online: OnlinePlan,
-    /// Batch work.
+    /// Batch work; may be missing only if [`BatchPolicy::NoBatch`] is the only policy.
     #[serde(default)]
     pub batch: Option<BatchPlan>,
 }
@@ -61,61 +61,61 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPlan {
-    /// Engines, spread over three zones.
+    /// Number of engines, distributed over three zones; at least 3.
     pub engines: usize,
-    /// Requests in one step of an engine.
+    /// Largest number of requests in one step of an engine.
     pub slots: u32,
-    /// Duration of an empty step.
+    /// Duration of a step without requests.
     #[serde(with = "humantime_serde")]
     pub step: Duration,
-    /// Sections appended to each node's settings.
+    /// TOML sections appended to the settings file of each node.
     #[serde(default)]
     pub settings: String,
 }
 
-/// Online work: Poisson arrivals that do not wait for answers.
+/// Online requests with Poisson arrivals, which do not wait for responses to earlier requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OnlinePlan {
-    /// Requests a second all along.
+    /// Mean number of requests per second, without bursts.
     pub requests_per_second: f64,
-    /// Most tokens of an answer.
+    /// Largest number of tokens of a response.
     pub max_tokens: u32,
-    /// Further requests at fixed moments.
+    /// Periods with additional requests.
     #[serde(default)]
     pub bursts: Vec<Burst>,
 }
 
-/// Requests at a fixed moment.
+/// A period with additional online requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When, from the start.
+    /// Begin of the period, from the start of the run.
     #[serde(with = "humantime_serde")]
     pub at: Duration,
-    /// For how long.
+    /// Length of the period.
     #[serde(with = "humantime_serde", rename = "lasting")]
     pub duration: Duration,
-    /// Requests a second beside the others.
+    /// Mean number of additional requests per second.
     pub requests_per_second: f64,
 }
 
-/// Batch work: heaps of jobs.
+/// Batch work, created in rounds of jobs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchPlan {
-    /// Time between heaps.
+    /// Time between the starts of two rounds.
     #[serde(with = "humantime_serde", rename = "every")]
     pub interval: Duration,
-    /// Jobs in a heap.
+    /// Number of jobs in a round.
     pub jobs: usize,
-    /// Items in a job.
+    /// Number of items in a job.
     pub items: usize,
-    /// Most tokens of an item's answer.
+    /// Largest number of tokens of the response to an item.
     pub max_tokens: u32,
 }
 
-/// Reads and checks a declaration.
+/// Reads and validates an experiment file.
 pub fn load_plan(file: &str) -> Result<ExperimentPlan, PlanError> {
     let failed = |reason: String| PlanError {
         file: file.to_owned(),
@@ -124,7 +124,7 @@
     let text = std::fs::read_to_string(file).map_err(|error| failed(error.to_string()))?;
     let plan: ExperimentPlan = toml::from_str(&text).map_err(|error| failed(error.to_string()))?;
     if plan.policies.is_empty() {
-        return Err(failed("`ways` names none".to_owned()));
+        return Err(failed("`ways` is empty".to_owned()));
     }
     if plan.duration.is_zero() || plan.fleet.engines < 3 || plan.fleet.slots == 0 {
         return Err(failed(
@@ -137,7 +137,9 @@
         .iter()
         .any(|policy| *policy != BatchPolicy::NoBatch);
     if needs_batch && plan.batch.is_none() {
-        return Err(failed("`batch` is missing, and a way needs it".to_owned()));
+        return Err(failed(
+            "`batch` is missing, but one of `ways` sends batch work".to_owned(),
+        ));
     }
     Ok(plan)
 }
--- a/crates/swiftshunt-lab/src/experiment/plot.rs
+++ b/crates/swiftshunt-lab/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! The first token's distribution in each policy, as SVG.
+//! Plots the distribution of the time to first token under each policy as SVG.
 
 use std::path::Path;
 
@@ -7,11 +7,11 @@
 
 use super::report::ExperimentReport;
 
-/// Why a plot was not drawn.
+/// Why the plot could not be drawn.
 #[derive(Debug, Display, Error)]
-#[display("the plot cannot be drawn: {reason}")]
+#[display("cannot draw the plot: {reason}")]
 pub struct PlotError {
-    /// The library's reason.
+    /// The error of the plotting library.
     pub reason: String,
 }
 
@@ -23,7 +23,7 @@
     RGBColor(30, 110, 190),
 ];
 
-/// Draws the report.
+/// Draws the results of a report into an SVG file, with the time on a logarithmic scale.
 pub(super) fn plot(report: &ExperimentReport, file: &Path) -> Result<(), PlotError> {
     draw(report, file).map_err(|error| PlotError {
         reason: error.to_string(),
--- a/crates/swiftshunt-lab/src/experiment/report.rs
+++ b/crates/swiftshunt-lab/src/experiment/report.rs
@@ -1,29 +1,29 @@
-//! What an experiment found.
+//! Results of an experiment.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 use super::plan::{BatchPolicy, ExperimentPlan};
 
-/// Times in milliseconds at some percentiles.
+/// Percentiles of a time, in milliseconds; all 0 without samples.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// Samples.
+    /// Number of samples.
     pub count: u64,
-    /// Half are below.
+    /// The median.
     pub p50: f64,
-    /// 95 in 100 are below.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are below.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The largest.
+    /// The largest sample.
     pub max: f64,
 }
 
 const MICROSECONDS_PER_MILLISECOND: f64 = 1000.0;
 
 impl Percentiles {
-    /// Of a histogram in microseconds.
+    /// Computes the percentiles of a histogram whose values are in microseconds.
     pub fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let at =
             |quantile| histogram.value_at_quantile(quantile) as f64 / MICROSECONDS_PER_MILLISECOND;
@@ -37,50 +37,51 @@
     }
 }
 
-/// What one way came to.
+/// Results under one policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PolicyReport {
-    /// Which policy.
+    /// The policy under which the workload ran.
     #[serde(rename = "way")]
     pub policy: BatchPolicy,
-    /// Online requests that arrived.
+    /// Number of online requests that were sent.
     pub arrived: u64,
-    /// Answered whole.
+    /// Online requests whose response was complete and correct.
     pub answered: u64,
-    /// Refused with `not_run`.
+    /// Online requests refused with status 503 and `not_run`.
     pub refused: u64,
-    /// Refusals that did not say when to come back.
+    /// Refusals without a `Retry-After` header.
     pub refused_without_retry_after: u64,
-    /// Neither.
+    /// Online requests that were neither answered nor refused.
     pub failed: u64,
-    /// From a request's arrival to its first token.
+    /// Time from the arrival of a request to its first token.
     pub first_token_ms: Percentiles,
-    /// From a request's arrival to its refusal.
+    /// Time from the arrival of a request to its refusal.
     pub refusal_ms: Percentiles,
-    /// Online tokens that engines generated while arrivals lasted.
+    /// Tokens of online requests that engines generated while requests arrived.
     pub online_tokens: u64,
-    /// Batch tokens that engines generated while arrivals lasted.
+    /// Tokens of batch work that engines generated while requests arrived.
     pub batch_tokens: u64,
-    /// What the engines generate at most in that time.
+    /// Tokens that the engines could generate in that time with all slots in use.
     pub capacity_tokens: u64,
-    /// Batch tokens as a share of what online work left idle.
+    /// Batch tokens as a share of the capacity that online requests did not use.
     pub idle_capacity_used: f64,
-    /// Points of the first token's distribution: quantile and milliseconds.
+    /// Quantiles of the time to first token, as pairs of quantile and milliseconds.
     pub first_token_curve: Vec<(f64, f64)>,
 }
 
-/// What an experiment found.
+/// The experiment file and its results.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExperimentReport {
-    /// What was declared.
+    /// The experiment as read from its file.
     pub plan: ExperimentPlan,
-    /// Each way's result.
+    /// Results under each policy, in the order of the file.
     #[serde(rename = "ways")]
     pub results: Vec<PolicyReport>,
 }
 
 impl ExperimentReport {
-    /// A table for people.
+    /// Formats the results as a text table. `p99 ratio` compares with [`BatchPolicy::NoBatch`] and is NaN if that
+    /// policy was not run.
     pub fn text(&self) -> String {
         let mut text = format!(
             "{:<12} {:>8} {:>8} {:>8} {:>7} {:>10} {:>10} {:>10} {:>12} {:>10}\n",
--- a/crates/swiftshunt-lab/src/experiment/run.rs
+++ b/crates/swiftshunt-lab/src/experiment/run.rs
@@ -1,4 +1,4 @@
-//! Runs an experiment: each way on a fresh fleet of real processes.
+//! Runs an experiment, each policy on a new fleet of processes.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -14,29 +14,30 @@
 use crate::engine::TokenCounts;
 use crate::harness::{Binaries, Fleet, FleetOptions, HarnessError, MODEL, SECOND_MODEL};
 
-/// Why an experiment did not end.
+/// Why an experiment failed.
 #[derive(Debug, Display, Error, From)]
 pub enum ExperimentError {
-    /// The declaration is wrong.
+    /// The experiment file is invalid.
     #[display("{_0}")]
     Plan(PlanError),
-    /// A process cannot be run.
+    /// A process could not be started.
     #[display("{_0}")]
     Harness(HarnessError),
-    /// The results cannot be written.
+    /// The results could not be written.
     #[display("{_0}")]
     Write(std::io::Error),
-    /// The plot cannot be drawn.
+    /// The plot could not be drawn.
     #[display("{_0}")]
     Plot(PlotError),
 }
 
-/// Quantiles of the curve that is plotted.
+/// Quantiles of the time to first token that are reported and plotted.
 const CURVE_QUANTILES: [f64; 12] = [
     0.1, 0.25, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999,
 ];
 
-/// Runs every way and writes `NAME.json` and `NAME.svg` into `output`.
+/// Runs every policy and writes `NAME.json` and `NAME.svg` to the directory `output`, where `NAME` is the name of the
+/// experiment.
 pub async fn run(
     plan: ExperimentPlan,
     binaries: Binaries,
@@ -92,7 +93,8 @@
     let batch = tokio::spawn(run_batch(plan.clone(), policy, target, counter));
     let (tally, (after, no_preemption_tokens)) = tokio::join!(online, measured);
     batch.abort();
-    // Engines cannot tell unyielding batch work from online work; its sender counts it.
+    // Engines count batch work without preemption as online work, because it is sent as such. Its senders count its
+    // tokens, which are moved to batch work here.
     let tokens = TokenCounts {
         online: (after.online - before.online).saturating_sub(no_preemption_tokens),
         batch: after.batch - before.batch + no_preemption_tokens,
@@ -189,10 +191,10 @@
     }
 }
 
-/// Added to a step for each request in it, as the engine stand-in does by default.
+/// Time added to a step for each request in it, equal to the default of the engine stand-in.
 const STEP_PER_REQUEST: Duration = Duration::from_micros(100);
 
-/// Tokens of all engines with every slot in use all the time.
+/// Returns the number of tokens that all engines generate in `duration` with every slot in use.
 fn capacity_tokens(plan: &ExperimentPlan, duration: Duration) -> u64 {
     let step = plan.fleet.step + STEP_PER_REQUEST * plan.fleet.slots;
     let steps = duration.as_secs_f64() / step.as_secs_f64();
