--- a/crates/swiftshunt-lab/src/engine/batcher.rs
+++ b/crates/swiftshunt-lab/src/engine/batcher.rs
@@ -22,7 +22,7 @@
     pub prompt: String,
     /// Whether the request is online or batch work.
     pub priority: Priority,
-    /// Number of steps that began before the first step of the request; `None` until that step.
+    /// Number of steps that began while the request waited for its first step; `None` until that step.
     pub waited_steps: Option<u32>,
 }
 
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -1,7 +1,7 @@
 //! Fault-injecting proxy: TCP links whose faults and conditions can be changed while they run.
 //!
 //! A fault applies to all connections of a link or to those from one source address. Each node connects from an
-//! address of its own, so a node can be cut off in one direction only.
+//! address of its own, so a node, or all nodes of a zone, can be cut off in one direction only.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/swiftshunt-lab/src/quickstart.rs
+++ b/crates/swiftshunt-lab/src/quickstart.rs
@@ -230,22 +230,22 @@
 fn print_usage(apis: &[SocketAddr], elapsed: Duration) {
     let (first, second, third) = (apis[0], apis[1], apis[2]);
     println!(
-        r#"swiftshunt runs on loopback: three nodes, {ENGINES} engines, {WORKERS} submission workers (up in {elapsed:.1?}).
+        r#"swiftshunt runs on loopback: three nodes, {ENGINES} engines, {WORKERS} submission workers (started in {elapsed:.1?}).
 
-A chat answer, streamed:
+A streamed chat completion:
   curl -N http://{first}/v1/chat/completions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Content-Type: application/json' -d '{{"model":"stol-llm","stream":true,"max_tokens":24,"messages":[{{"role":"user","content":"Plan the Rijeka floor"}}]}}'
 
-A submission, and the same again through another node:
+A submission, and the same submission through another node:
   curl http://{first}/v1/submissions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Idempotency-Key: desk-17' -H 'Content-Type: application/json' -d '{{"pool":"stol-book","input":{{"desk":17}}}}'
   curl http://{second}/v1/submissions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Idempotency-Key: desk-17' -H 'Content-Type: application/json' -d '{{"pool":"stol-book","input":{{"desk":17}}}}'
 
-A batch job: upload items, create the job with the answer's id, read its state and then its output file:
+A batch job: upload the items, create the job with the returned file id, read its state and then its output file:
   printf '%s\n' '{{"custom_id":"a","url":"/v1/chat/completions","body":{{"model":"stol-llm","max_tokens":24,"messages":[{{"role":"user","content":"Suggest a seat"}}]}}}}' | curl http://{first}/v1/files -H 'Authorization: Bearer {TENANT_TOKEN}' -F purpose=batch -F file=@-
   curl http://{first}/v1/batches -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Content-Type: application/json' -d '{{"input_file_id":"FILE_ID","endpoint":"/v1/chat/completions","completion_window":"24h"}}'
   curl http://{third}/v1/batches -H 'Authorization: Bearer {TENANT_TOKEN}'
   curl http://{third}/v1/files/OUTPUT_FILE_ID/content -H 'Authorization: Bearer {TENANT_TOKEN}'
 
-An operator's question:
+An operator statement:
   SWIFTSHUNT_TOKEN={OPERATOR_TOKEN} cargo run -q --bin swiftshunt -- ctl --node {first} "show partitions"
 
 Press Ctrl-C to stop."#
