--- a/crates/swiftshunt-lab/src/experiment/run.rs
+++ b/crates/swiftshunt-lab/src/experiment/run.rs
@@ -44,10 +44,10 @@
     output: &Path,
 ) -> Result<ExperimentReport, ExperimentError> {
     std::fs::create_dir_all(output)?;
-    let scratch = output.join("processes");
+    let work_directory = output.join("processes");
     let mut results = Vec::new();
     for policy in plan.policies.clone() {
-        results.push(run_policy(&plan, policy, binaries.clone(), &scratch).await?);
+        results.push(run_policy(&plan, policy, binaries.clone(), &work_directory).await?);
     }
     let report = ExperimentReport { plan, results };
     let file = |ending: &str| -> PathBuf { output.join(format!("{}.{ending}", report.plan.name)) };
@@ -61,9 +61,9 @@
     plan: &ExperimentPlan,
     policy: BatchPolicy,
     binaries: Binaries,
-    scratch: &Path,
+    work_directory: &Path,
 ) -> Result<PolicyReport, ExperimentError> {
-    let fleet = Fleet::start(binaries, scratch, fleet_options(plan, policy)).await?;
+    let fleet = Fleet::start(binaries, work_directory, fleet_options(plan, policy)).await?;
     let target = Target {
         nodes: fleet.nodes.iter().map(|node| node.api).collect(),
         tenant: fleet.tenant.clone(),
