--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -162,7 +162,7 @@
 impl Link {
     /// Opens a link. Until a target is set, accepted connections are closed.
     ///
-    /// The target can be set later because its port may be unknown before it has started.
+    /// The target can be set later because the port of a process may be unknown before the process has started.
     pub async fn open(listen: SocketAddr, target: Option<SocketAddr>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
