--- a/crates/swiftshunt-lab/src/experiment/run.rs
+++ b/crates/swiftshunt-lab/src/experiment/run.rs
@@ -74,7 +74,7 @@
             MODEL
         },
     };
-    let before = tokens(&fleet).await;
+    let before = generated_tokens(&fleet).await;
     let online = run_online(
         target.clone(),
         plan.online.clone(),
@@ -85,7 +85,7 @@
     let measured = async {
         tokio::time::sleep(plan.duration).await;
         (
-            tokens(&fleet).await,
+            generated_tokens(&fleet).await,
             no_preemption_tokens.load(Ordering::Relaxed),
         )
     };
@@ -145,7 +145,7 @@
     }
 }
 
-async fn tokens(fleet: &Fleet) -> TokenCounts {
+async fn generated_tokens(fleet: &Fleet) -> TokenCounts {
     let mut total = TokenCounts::default();
     for engine in &fleet.engines {
         let answer = fleet
--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -81,14 +81,14 @@
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn address(text: &str) -> SocketAddr {
+fn parse_address(text: &str) -> SocketAddr {
     text.parse()
         .unwrap_or_else(|_| panic!("not a socket address: {text:?}"))
 }
 
 impl Fleet {
-    /// Starts all processes and waits until every node is ready. Settings and logs are written to a directory under
-    /// `work_directory`, which is emptied first.
+    /// Starts all processes and waits until every node is ready. Settings and logs are written to the subdirectory
+    /// `options.name` of `work_directory`, whose earlier content is deleted.
     pub async fn start(
         binaries: Binaries,
         work_directory: &Path,
@@ -113,10 +113,11 @@
         let work_directory = work_directory.join(options.name);
         drop(std::fs::remove_dir_all(&work_directory));
         std::fs::create_dir_all(&work_directory)?;
-        let log_process = start_lab(&binaries, &work_directory, "log", &["log-service"])?;
+        let log_process = start_lab_process(&binaries, &work_directory, "log", &["log-service"])?;
         let lag = options.list_lag.as_millis().to_string();
         let list_arguments = ["machine-list", "--lag-ms", &lag];
-        let list_process = start_lab(&binaries, &work_directory, "list", &list_arguments)?;
+        let list_process = start_lab_process(&binaries, &work_directory, "list", &list_arguments)?;
+        // One fetch takes 0.5 s.
         let weight_arguments = [
             "weight-store",
             "--bytes",
@@ -124,9 +125,9 @@
             "--bytes-per-second",
             "200",
         ];
-        let weights = start_lab(&binaries, &work_directory, "weights", &weight_arguments)?;
-        let log_address = address(log_process.announced("address"));
-        let list_address = address(list_process.announced("address"));
+        let weights = start_lab_process(&binaries, &work_directory, "weights", &weight_arguments)?;
+        let log_address = parse_address(log_process.announced("address"));
+        let list_address = parse_address(list_process.announced("address"));
         let journal = Journal::start(loopback()).await;
         let (journal_server, journal) = journal.map_err(std::io::Error::other)?;
         Ok(Self {
@@ -168,18 +169,22 @@
         let weights = self.weights.announced("address");
         let mut arguments = vec!["engine", "--weights", weights];
         arguments.extend(self.options.engine_flags.iter().map(String::as_str));
-        let process = start_lab(&self.binaries, &self.work_directory, &name, &arguments)?;
-        let in_first = index < self.options.engines - self.options.engines_in_second_pool;
-        let pool = if in_first { POOL_ENGINES } else { SECOND_POOL };
-        worker(process, name, index, MachineKind::Engine, pool).await
+        let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
+        let in_first_pool = index < self.options.engines - self.options.engines_in_second_pool;
+        let pool = if in_first_pool {
+            POOL_ENGINES
+        } else {
+            SECOND_POOL
+        };
+        worker_process(process, name, index, MachineKind::Engine, pool).await
     }
 
     async fn start_submission_worker(&self, index: usize) -> Result<WorkerProcess, HarnessError> {
         let name = format!("book-{index}");
         let journal = self._journal.address.to_string();
         let arguments = ["submission-worker", "--name", &name, "--journal", &journal];
-        let process = start_lab(&self.binaries, &self.work_directory, &name, &arguments)?;
-        worker(
+        let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
+        worker_process(
             process,
             name,
             index,
@@ -214,8 +219,8 @@
         ];
         let log = self.work_directory.join(format!("node-{number}.log"));
         let process = Process::start(&self.binaries.node, &arguments, &log)?;
-        let api = address(process.announced("api"));
-        peer.set_target(address(process.announced("peer")));
+        let api = parse_address(process.announced("api"));
+        peer.set_target(parse_address(process.announced("peer")));
         self.nodes.push(NodeProcess {
             process,
             zone,
@@ -309,7 +314,7 @@
         let address = self.engines[engine].direct_address;
         let answer = self.operator.get(address, "/control/journal").await;
         let body = answer.expect("the engine answers").body;
-        serde_json::from_str(&body).expect("a journal")
+        serde_json::from_str(&body).expect("the body is a list of accepted requests")
     }
 
     /// Returns the requests that the running engines accepted so far, one engine after the other.
@@ -371,7 +376,7 @@
     }
 }
 
-fn start_lab(
+fn start_lab_process(
     binaries: &Binaries,
     work_directory: &Path,
     name: &str,
@@ -385,14 +390,14 @@
     )
 }
 
-async fn worker(
+async fn worker_process(
     process: Process,
     name: String,
     index: usize,
     kind: MachineKind,
     pool: &str,
 ) -> Result<WorkerProcess, HarnessError> {
-    let direct_address = address(process.announced("address"));
+    let direct_address = parse_address(process.announced("address"));
     let link = Link::open(loopback(), Some(direct_address)).await?;
     let machine = Machine {
         id: name.as_str().into(),
--- a/crates/swiftshunt-lab/src/harness/options.rs
+++ b/crates/swiftshunt-lab/src/harness/options.rs
@@ -9,16 +9,17 @@
 pub const TENANT_TOKEN: &str = "tenant-token";
 /// Token of the operator.
 pub const OPERATOR_TOKEN: &str = "operator-token";
-/// Name of the pool of engines.
+/// Name of the first pool of engines.
 pub const POOL_ENGINES: &str = "stol-llm";
 /// Name of the pool of submission workers.
 pub const POOL_SUBMISSIONS: &str = "stol-book";
 /// Model that the engines serve.
 pub const MODEL: &str = "stol-llm";
 
-/// Further model of the engines' pool. If engines are started with a list of models, none has it loaded at first.
+/// Additional model of the first pool of engines. An engine that is started with `--model` flags for other models
+/// does not serve it until an order loads it.
 pub const EXTRA_MODEL: &str = "stol-new";
-/// Second pool of engines, used for batch work only if the engines are divided by a fixed split.
+/// Name of the second pool of engines. Experiments with a fixed split reserve its engines for batch work.
 pub const SECOND_POOL: &str = "stol-llm-batch";
 /// Model that the second pool serves.
 pub const SECOND_MODEL: &str = "stol-llm-batch";
@@ -30,7 +31,7 @@
     pub node: PathBuf,
     /// Path of `swiftshunt-lab`.
     pub lab: PathBuf,
-    /// Path of `swiftshunt` of an earlier build, which some gateways of a soak test run; `None` without one.
+    /// Path of an earlier build of `swiftshunt`, used for some gateways of a soak test; `None` without one.
     pub earlier_node: Option<PathBuf>,
 }
 
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -18,6 +18,7 @@
 
 use crate::stand_in::lock;
 
+/// Largest chunk of bytes that is forwarded at once.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 /// Fault that a link applies to its connections.
@@ -27,7 +28,7 @@
     /// Forward all bytes.
     #[default]
     None,
-    /// Delay each chunk of bytes by this time.
+    /// Delay each chunk of bytes by this time. The next chunk in the same direction is read only afterwards.
     Delay(Duration),
     /// Close open connections and reset new ones.
     Cut,
@@ -37,11 +38,12 @@
     DropAnswers,
     /// Forward responses and discard requests.
     DropRequests,
-    /// Forward half of the next chunk of response bytes and reset the connection.
+    /// Forward half of the next chunk of response bytes and end the responses. The client's socket is reset once the
+    /// requests have ended too.
     Truncate,
 }
 
-/// Bandwidth that all connections and links which hold it share; unlimited by default.
+/// Bandwidth shared by all connections of all links that hold it; unlimited by default.
 #[derive(Debug)]
 pub struct Bandwidth(Mutex<BandwidthState>);
 
@@ -84,7 +86,7 @@
         lock(&self.0).transferred_bytes
     }
 
-    /// Waits for the transfer of `bytes`, queued behind all earlier transfers.
+    /// Waits for the transfer of `bytes`, queued behind all earlier transfers. Returns at once without a limit.
     async fn transmit(&self, bytes: usize) {
         let busy_until = {
             let mut state = lock(&self.0);
@@ -103,7 +105,8 @@
 /// Conditions of a link that apply in addition to its fault.
 #[derive(Clone, Debug, Default)]
 pub struct LinkConditions {
-    /// Latency added to each chunk of bytes, in each direction.
+    /// Latency added to each chunk of bytes, in each direction. The next chunk in the same direction is read only
+    /// afterwards.
     pub delay: Duration,
     /// Bandwidth of the link, possibly shared with other links; `None` without a limit.
     pub bandwidth: Option<Arc<Bandwidth>>,
@@ -130,15 +133,15 @@
 
 impl Rules {
     fn fault_for(&self, source: IpAddr) -> Fault {
-        let own = self
+        let source_fault = self
             .fault_by_source
             .get(&source)
             .copied()
             .unwrap_or_default();
-        if own == Fault::None {
+        if source_fault == Fault::None {
             self.default_fault
         } else {
-            own
+            source_fault
         }
     }
 }
