--- a/crates/swiftshunt-lab/src/caller.rs
+++ b/crates/swiftshunt-lab/src/caller.rs
@@ -169,7 +169,8 @@
         Ok(streamed)
     }
 
-    /// Sends a submission under an idempotency key.
+    /// Sends a submission with `key` as idempotency key. `repeatable` permits sending it to a
+    /// worker more than once, under the same key.
     pub async fn submit(
         &self,
         node: SocketAddr,
@@ -196,7 +197,7 @@
             .await
     }
 
-    /// Creates a batch job from an uploaded file.
+    /// Creates a batch job from the uploaded file with the identifier `file`, with an optional idempotency key.
     pub async fn create_batch(
         &self,
         node: SocketAddr,
--- a/crates/swiftshunt-lab/src/engine/batcher.rs
+++ b/crates/swiftshunt-lab/src/engine/batcher.rs
@@ -28,14 +28,17 @@
 
 /// A running or waiting request.
 struct Sequence {
+    /// Index of the entry in the journal of the engine.
     journal_index: usize,
     waited_steps: u32,
     request: GenerateRequest,
     next_index: u32,
+    /// Number of tokens of the whole output, including those before `resume_from`.
     length: u32,
     finish: FinishReason,
     events: mpsc::Sender<TokenEvent>,
     prefilled: bool,
+    /// Whether the request is to be removed: cancelled, closed by its reader, or completed.
     cancelled: bool,
 }
 
@@ -237,7 +240,8 @@
         }
     }
 
-    /// Moves the batch request that was admitted last to the front of the queue. Returns false if none is running.
+    /// Moves the batch request that was admitted last to the front of the batch queue. Returns false if no batch
+    /// request is running.
     fn preempt_batch_request(&mut self) -> bool {
         let Some(index) = self.running.iter().rposition(Sequence::is_batch) else {
             return false;
--- a/crates/swiftshunt-lab/src/engine/server.rs
+++ b/crates/swiftshunt-lab/src/engine/server.rs
@@ -155,6 +155,7 @@
     Ok(Reply::json(&json!({ "cancelled": found })))
 }
 
+/// Responds with the lagging load, but with the current value of `leaving`.
 async fn load(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
     state.record_load();
     let mut load = state.reported_load();
--- a/crates/swiftshunt-lab/src/engine/settings.rs
+++ b/crates/swiftshunt-lab/src/engine/settings.rs
@@ -12,7 +12,7 @@
     pub slots: u32,
     /// Largest number of waiting requests, online and batch together.
     pub queue_limit: usize,
-    /// Duration of a step without requests.
+    /// Fixed part of the duration of a step.
     pub step_base: Duration,
     /// Time added to a step for each request in it.
     pub step_per_request: Duration,
@@ -22,7 +22,8 @@
     pub cache_blocks: usize,
     /// Age of the load that is reported.
     pub report_lag: Duration,
-    /// Models that are loaded at the start. While the list is empty, every model is served.
+    /// Models that are loaded at the start. If there are none, every model is served until an order loads one; then
+    /// only loaded models are served.
     pub models: Vec<ModelName>,
     /// Weight store from which an ordered model is fetched before it is served; with `None` it is served at once.
     pub weight_store: Option<SocketAddr>,
--- a/crates/swiftshunt-lab/src/experiment/load.rs
+++ b/crates/swiftshunt-lab/src/experiment/load.rs
@@ -185,7 +185,8 @@
 }
 
 /// Sends batch work as online requests with `concurrency` requests at a time until `duration` has passed, and adds the
-/// generated tokens to `tokens`. Engines do not preempt this work, unlike batch jobs.
+/// generated tokens to `tokens`. Engines do not preempt this work, unlike batch jobs, so the run shows a fleet
+/// without preemption.
 pub(super) async fn run_without_preemption(
     target: Target,
     plan: BatchPlan,
--- a/crates/swiftshunt-lab/src/experiment/plan.rs
+++ b/crates/swiftshunt-lab/src/experiment/plan.rs
@@ -65,7 +65,7 @@
     pub engines: usize,
     /// Largest number of requests in one step of an engine.
     pub slots: u32,
-    /// Duration of a step without requests.
+    /// Fixed part of the duration of a step.
     #[serde(with = "humantime_serde")]
     pub step: Duration,
     /// TOML sections appended to the settings file of each node.
@@ -128,7 +128,7 @@
     }
     if plan.duration.is_zero() || plan.fleet.engines < 3 || plan.fleet.slots == 0 {
         return Err(failed(
-            "`duration`, `fleet.engines` (3 or more) and `fleet.slots` must be above zero"
+            "`duration` and `fleet.slots` must be above zero, and `fleet.engines` must be 3 or more"
                 .to_owned(),
         ));
     }
--- a/crates/swiftshunt-lab/src/experiment/report.rs
+++ b/crates/swiftshunt-lab/src/experiment/report.rs
@@ -61,7 +61,7 @@
     pub online_tokens: u64,
     /// Tokens of batch work that engines generated while requests arrived.
     pub batch_tokens: u64,
-    /// Tokens that the engines could generate in that time with all slots in use.
+    /// Tokens that all engines could generate while requests arrived, with every slot in use.
     pub capacity_tokens: u64,
     /// Batch tokens as a share of the capacity that online requests did not use.
     pub idle_capacity_used: f64,
--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -25,13 +25,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Refuse every call without any effect.
+    /// Refuse every append and read with `Unavailable` and `not_run`, without any effect.
     pub down: bool,
-    /// Milliseconds by which each call is delayed before it takes effect.
+    /// Milliseconds by which each append and read is delayed before it takes effect.
     pub delay_ms: u64,
     /// Apply appends, but hold back their responses until the callers time out.
     pub lose_append_answers: bool,
-    /// Number of records by which reads start before the requested offset.
+    /// Number of records by which reads start before the requested offset, so that records are delivered again.
     pub read_back: u64,
 }
 
--- a/crates/swiftshunt-lab/src/machine_list.rs
+++ b/crates/swiftshunt-lab/src/machine_list.rs
@@ -62,7 +62,7 @@
         lists.push_back((Instant::now(), MachineList { version, machines }));
     }
 
-    /// Returns the list as of `lag` ago, or the oldest kept list if all are younger.
+    /// Returns the list as of `lag` ago, or the oldest kept list if all are younger; empty before the first update.
     fn visible(&self) -> MachineList {
         let lists = lock(&self.lists);
         let old_enough = lists.iter().rev().find(|(at, _)| at.elapsed() >= self.lag);
--- a/crates/swiftshunt-lab/src/main.rs
+++ b/crates/swiftshunt-lab/src/main.rs
@@ -49,7 +49,7 @@
     /// largest number of requests in one step
     #[argh(option, default = "16")]
     slots: u32,
-    /// duration of a step without requests, in microseconds
+    /// fixed part of the duration of a step, in microseconds
     #[argh(option, default = "4000")]
     step_us: u64,
     /// age of the reported load, in milliseconds
@@ -61,7 +61,7 @@
     /// address of the weight store from which ordered models are fetched; without it, they are served at once
     #[argh(option)]
     weights: Option<SocketAddr>,
-    /// model that is loaded at the start (repeatable); without one, every model is served
+    /// model that is loaded at the start (repeatable); without one, every model is served until an order loads one
     #[argh(option)]
     model: Vec<String>,
 }
@@ -124,7 +124,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "quickstart")]
 struct QuickstartArguments {
-    /// run gateways as processes with stand-ins for the platform of their users instead
+    /// instead, run gateways as processes, with stand-ins for the platform that their users run
     #[argh(switch)]
     platform: bool,
 }
--- a/crates/swiftshunt-lab/src/quickstart.rs
+++ b/crates/swiftshunt-lab/src/quickstart.rs
@@ -23,8 +23,8 @@
 const ZONES: [&str; 3] = ["zg-a", "zg-b", "zg-c"];
 const ENGINES: usize = 3;
 const WORKERS: usize = 2;
-/// API ports of the nodes, fixed so that the printed commands are the same in each run. A node whose port is taken
-/// uses any free port.
+/// API ports of the nodes, fixed so that the printed commands are the same in each run. A node that cannot start with
+/// its port, for example because the port is taken, is started with any free port.
 const API_PORTS: [u16; 3] = [8421, 8422, 8423];
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -69,7 +69,8 @@
     let fleet = start_fleet().await?;
     let apis: Vec<SocketAddr> = fleet.nodes.iter().map(RunningNode::api_address).collect();
     print_usage(&apis, began.elapsed());
-    // An error means that no handler could be installed; it is treated like Ctrl-C.
+    // An error means that no handler could be installed. Ctrl-C would end the process anyway, so the error is treated
+    // like Ctrl-C.
     drop(tokio::signal::ctrl_c().await);
     for node in fleet.nodes {
         node.abort();
--- a/crates/swiftshunt-lab/src/submission_worker.rs
+++ b/crates/swiftshunt-lab/src/submission_worker.rs
@@ -1,4 +1,5 @@
-//! Stand-in for a submission worker, and the journal of executions, which survives the worker's process.
+//! Stand-in for a submission worker, and the journal of executions. The journal is a server of its own, so that its
+//! entries survive the exit of a worker's process.
 //!
 //! The worker writes each execution to the journal before it responds, so tests count the actual executions even
 //! if the worker exits right afterwards.
--- a/crates/swiftshunt-lab/src/weight_store.rs
+++ b/crates/swiftshunt-lab/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the weight store. Fetches run one after the other and share one transfer rate.
+//! Stand-in for the weight store. Fetches run one after the other, each at the full transfer rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
