--- a/crates/swiftshunt-lab/src/experiment/load.rs
+++ b/crates/swiftshunt-lab/src/experiment/load.rs
@@ -81,7 +81,7 @@
 }
 
 fn poisson_arrivals(
-    rate: f64,
+    requests_per_second: f64,
     from: Duration,
     to: Duration,
     random: &mut SmallRng,
@@ -90,7 +90,7 @@
     let mut at = from;
     loop {
         let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
-        at += Duration::from_secs_f64(-uniform.ln() / rate);
+        at += Duration::from_secs_f64(-uniform.ln() / requests_per_second);
         if at >= to {
             return arrival_times;
         }
--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -73,8 +73,8 @@
     started_nodes: u8,
     _log_process: Process,
     _list_process: Process,
-    weights: Process,
-    _journal: RunningStandIn,
+    weights_process: Process,
+    journal_server: RunningStandIn,
 }
 
 fn loopback() -> SocketAddr {
@@ -125,7 +125,8 @@
             "--bytes-per-second",
             "200",
         ];
-        let weights = start_lab_process(&binaries, &work_directory, "weights", &weight_arguments)?;
+        let weights_process =
+            start_lab_process(&binaries, &work_directory, "weights", &weight_arguments)?;
         let log_address = parse_address(log_process.announced("address"));
         let list_address = parse_address(list_process.announced("address"));
         let journal = Journal::start(loopback()).await;
@@ -147,8 +148,8 @@
             started_nodes: 0,
             _log_process: log_process,
             _list_process: list_process,
-            weights,
-            _journal: journal_server,
+            weights_process,
+            journal_server,
         })
     }
 
@@ -166,7 +167,7 @@
 
     async fn start_engine(&self, index: usize) -> Result<WorkerProcess, HarnessError> {
         let name = format!("engine-{index}");
-        let weights = self.weights.announced("address");
+        let weights = self.weights_process.announced("address");
         let mut arguments = vec!["engine", "--weights", weights];
         arguments.extend(self.options.engine_flags.iter().map(String::as_str));
         let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
@@ -181,7 +182,7 @@
 
     async fn start_submission_worker(&self, index: usize) -> Result<WorkerProcess, HarnessError> {
         let name = format!("book-{index}");
-        let journal = self._journal.address.to_string();
+        let journal = self.journal_server.address.to_string();
         let arguments = ["submission-worker", "--name", &name, "--journal", &journal];
         let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
         worker_process(
@@ -246,7 +247,7 @@
             ZONES[zone],
             self.log.address,
             self.list.address,
-            self.weights.announced("address"),
+            self.weights_process.announced("address"),
             self.options.log_level,
             token_digest(OPERATOR_TOKEN),
             self.options.settings,
@@ -334,17 +335,17 @@
         self.control(address, "behaviour", &json!(behaviour)).await;
     }
 
-    /// Posts `body` to `/control/{what}` of a stand-in, past its link. Panics unless the status is 200.
-    pub async fn control(&self, address: SocketAddr, what: &str, body: &Value) {
+    /// Posts `body` to `/control/{operation}` of a stand-in, past its link. Panics unless the status is 200.
+    pub async fn control(&self, address: SocketAddr, operation: &str, body: &Value) {
         let answer = self
             .operator
-            .post(address, &format!("/control/{what}"), body)
+            .post(address, &format!("/control/{operation}"), body)
             .await;
         let status = answer.map(|answer| answer.status);
         assert_eq!(
             status.ok(),
             Some(200),
-            "control call {what} of {address} succeeds"
+            "control call {operation} of {address} succeeds"
         );
     }
 
--- a/crates/swiftshunt-lab/src/harness/wait.rs
+++ b/crates/swiftshunt-lab/src/harness/wait.rs
@@ -6,18 +6,18 @@
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls `condition` until it returns a value. Panics with `what` if it returns none within 60 s.
-pub async fn eventually<T, F>(what: &str, condition: impl FnMut() -> F) -> T
+/// Polls `condition` until it returns a value. Panics with `description` if it returns none within 60 s.
+pub async fn eventually<T, F>(description: &str, condition: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
-    eventually_within(DEFAULT_TIMEOUT, what, condition).await
+    eventually_within(DEFAULT_TIMEOUT, description, condition).await
 }
 
 /// Like [`eventually`], with another time-out. A running call of `condition` is not interrupted by the time-out.
 pub async fn eventually_within<T, F>(
     timeout: Duration,
-    what: &str,
+    description: &str,
     mut condition: impl FnMut() -> F,
 ) -> T
 where
@@ -30,7 +30,7 @@
         }
         assert!(
             Instant::now() < deadline,
-            "condition did not hold within {timeout:?}: {what}"
+            "condition did not hold within {timeout:?}: {description}"
         );
         tokio::time::sleep(POLL_INTERVAL).await;
     }
--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -68,6 +68,7 @@
         *lock(&self.faults) = faults;
     }
 
+    /// Fails if the log is down; otherwise waits for the configured delay. Returns the faults as of before the delay.
     async fn apply_faults(&self) -> Result<LogFaults, Failure> {
         let faults = lock(&self.faults).clone();
         if faults.down {
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -299,7 +299,7 @@
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut connection: ConnectionRules,
-    answers: bool,
+    carries_answers: bool,
 ) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
@@ -307,9 +307,9 @@
             break;
         }
         match connection.current_fault() {
-            Fault::DropAnswers if answers => continue,
-            Fault::DropRequests if !answers => continue,
-            Fault::Truncate if answers => {
+            Fault::DropAnswers if carries_answers => continue,
+            Fault::DropRequests if !carries_answers => continue,
+            Fault::Truncate if carries_answers => {
                 drop(to.write_all(&buffer[..length / 2]).await);
                 drop(to.as_ref().set_zero_linger());
                 return;
