--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -130,7 +130,7 @@
         let log_address = parse_address(log_process.announced("address"));
         let list_address = parse_address(list_process.announced("address"));
         let journal = Journal::start(loopback()).await;
-        let (journal_server, journal) = journal.map_err(std::io::Error::other)?;
+        let (server, journal) = journal.map_err(std::io::Error::other)?;
         Ok(Self {
             log: Link::open(loopback(), Some(log_address)).await?,
             list: Link::open(loopback(), Some(list_address)).await?,
@@ -149,7 +149,7 @@
             _log_process: log_process,
             _list_process: list_process,
             weights_process,
-            journal_server,
+            journal_server: server,
         })
     }
 
