--- a/crates/swiftshunt-gateway/src/answers.rs
+++ b/crates/swiftshunt-gateway/src/answers.rs
@@ -17,7 +17,7 @@
 pub(crate) type CallerAnswer = Response<AnswerBody>;
 
 /// Hop-by-hop headers, which are not forwarded.
-const CONNECTION_HEADERS: [&str; 8] = [
+const HOP_BY_HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -82,7 +82,7 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let is_hop_by_hop = CONNECTION_HEADERS.contains(&name.as_str()) || named.contains(name);
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str()) || named.contains(name);
         if !is_hop_by_hop {
             kept.append(name.clone(), value.clone());
         }
--- a/crates/swiftshunt-gateway/src/attempt.rs
+++ b/crates/swiftshunt-gateway/src/attempt.rs
@@ -95,7 +95,7 @@
         /// The rule that forbids it.
         why: Withheld,
     },
-    /// No byte was sent, since the connection failed or the time or permit of the request was over.
+    /// No byte was sent, since the connection failed, the deadline passed, or the send permit was no longer valid.
     #[display("not sent: {reason}")]
     NotSent {
         /// The error, for logs.
@@ -161,7 +161,7 @@
             sender,
             ..
         } = self;
-        in_flight.set_ending(outcome_by_status(head.status));
+        in_flight.set_outcome(outcome_by_status(head.status));
         if head.status.is_success() {
             dispatcher
                 .quarantine
@@ -211,7 +211,7 @@
         if let Some(held) = self.quarantine.find_hold(&outgoing.request_content).await {
             return Err(SendFailure::Held { ends: held.ends });
         }
-        self.may_offer(chosen, outgoing)?;
+        self.check_eligibility(chosen, outgoing)?;
         let mut in_flight = InFlight::new(self, chosen, outgoing);
         let prompt = &outgoing.demand.prompt;
         let missing = chosen.missing_tokens;
@@ -225,7 +225,7 @@
         let (response, sender) = match outcome {
             Ok(answered) => answered,
             Err(failure) => {
-                in_flight.set_ending(outcome_of(&failure));
+                in_flight.set_outcome(outcome_of(&failure));
                 self.metrics.record_attempt(metric_label(&failure));
                 return Err(failure);
             }
@@ -239,7 +239,7 @@
         }
         let failure = self.refuse_answer(chosen, outgoing, &head, &facts);
         if let Some(failure) = failure {
-            in_flight.set_ending(outcome_of(&failure));
+            in_flight.set_outcome(outcome_of(&failure));
             self.metrics.record_attempt(metric_label(&failure));
             return Err(failure);
         }
@@ -291,7 +291,7 @@
             .upstream
             .take_idle(&chosen.incarnation, self.clock.now());
         if let Some(mut sender) = idle {
-            let request = self.request(chosen, outgoing, last_event, limits);
+            let request = self.build_request(chosen, outgoing, last_event, limits);
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, sender)),
                 // If no byte of the request was sent, a new connection is tried below.
@@ -308,11 +308,11 @@
         })?;
         if self.clock.now() >= limits.deadline {
             return Err(SendFailure::NotSent {
-                reason: "the time was over before it was sent".to_owned(),
+                reason: "the deadline passed before the request was sent".to_owned(),
             });
         }
         self.ensure_start_permit(chosen, outgoing, permit).await?;
-        let request = self.request(chosen, outgoing, last_event, limits);
+        let request = self.build_request(chosen, outgoing, last_event, limits);
         match sender.try_send_request(request).await {
             Ok(response) => Ok((response, sender)),
             Err(mut error) => {
@@ -335,12 +335,12 @@
         held: Option<StartPermit>,
     ) -> Result<StartPermit, SendFailure> {
         let permit = self.start_permits.ensure_permit(chosen, held).await;
-        self.may_offer(chosen, outgoing)?;
+        self.check_eligibility(chosen, outgoing)?;
         permit.ok_or_else(|| withheld(chosen, outgoing, Withheld::Cold))
     }
 
     /// Checks that the worker may still get the request: the fleet state may have changed since it was chosen.
-    fn may_offer(
+    fn check_eligibility(
         &self,
         chosen: &ChosenWorker,
         outgoing: &OutgoingRequest,
@@ -350,7 +350,7 @@
         offered.map_err(|why| withheld(chosen, outgoing, why))
     }
 
-    fn request(
+    fn build_request(
         &self,
         chosen: &ChosenWorker,
         outgoing: &OutgoingRequest,
--- a/crates/swiftshunt-gateway/src/batch/item.rs
+++ b/crates/swiftshunt-gateway/src/batch/item.rs
@@ -325,14 +325,14 @@
                 500 => Attempt::Failed,
                 _ => Attempt::BrokenOff,
             };
-            answer.in_flight.set_ending(match attempt {
+            answer.in_flight.set_outcome(match attempt {
                 Attempt::Impossible => AttemptOutcome::Answered,
                 _ => AttemptOutcome::Failed,
             });
             return attempt;
         }
         if !answer.is_signed_success() {
-            answer.in_flight.set_ending(AttemptOutcome::Broken);
+            answer.in_flight.set_outcome(AttemptOutcome::Broken);
             return Attempt::BrokenOff;
         }
         match self.read_events(&mut answer, output).await {
--- a/crates/swiftshunt-gateway/src/batch/region_readers.rs
+++ b/crates/swiftshunt-gateway/src/batch/region_readers.rs
@@ -61,7 +61,7 @@
             let until = suspected_until.get(&gateway);
             until.is_some_and(|until| now < *until)
         };
-        let region = self.members.of_own_region();
+        let region = self.members.gateways_in_own_region();
         let own = self.members.own_address();
         rank_region_readers(&partition, own, region, is_suspected, MAX_READERS)
     }
--- a/crates/swiftshunt-gateway/src/earlier_builds/values.rs
+++ b/crates/swiftshunt-gateway/src/earlier_builds/values.rs
@@ -102,7 +102,7 @@
         },
     );
     entry("noted", SlotMessage::Noted);
-    let request = |in_time| SlotRequest {
+    let request = |max_wait| SlotRequest {
         bids: vec![Bid {
             worker: WorkerKey(8),
             cost_ms: 40,
@@ -110,14 +110,14 @@
         parts: parts(),
         tokens: 450,
         may_wait: true,
-        in_time,
+        max_wait,
         may_repeat: false,
     };
-    let ask = |in_time| SlotMessage::Ask {
+    let ask = |max_wait| SlotMessage::Ask {
         ask: 21,
         cell: cell(),
         report: report(),
-        request: request(in_time),
+        request: request(max_wait),
     };
     entry("ask", ask(Some(Duration::from_millis(150))));
     entry("ask-any-time", ask(None));
--- a/crates/swiftshunt-gateway/src/entry.rs
+++ b/crates/swiftshunt-gateway/src/entry.rs
@@ -92,7 +92,7 @@
         answer
     }
 
-    /// Returns the answer to a request that arrives in the last stage of a stop, when it might not end within the
+    /// Returns the answer that refuses a request in the last stage of a stop: the request might not end within the
     /// grace period.
     pub(crate) fn refuse_late(&self) -> CallerAnswer {
         let retry_after = retry_after_elsewhere(rand::random());
--- a/crates/swiftshunt-gateway/src/evacuation_monitor.rs
+++ b/crates/swiftshunt-gateway/src/evacuation_monitor.rs
@@ -1,4 +1,4 @@
-//! Monitoring of evacuated zones: exports the requests in progress in each, and interrupts batch items that continue
+//! Monitoring of evacuated zones: exports the number of requests in progress in each, and interrupts batch items that continue
 //! to run there for long. An interrupted item keeps its progress.
 //!
 //! An item in an evacuated zone holds a slot that no other request may use. Moving the item costs the rest of the
--- a/crates/swiftshunt-gateway/src/events.rs
+++ b/crates/swiftshunt-gateway/src/events.rs
@@ -41,11 +41,11 @@
 
 /// Returns the position behind the last empty line, which ends an event.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
-    let unix = bytes.windows(2).rposition(|pair| pair == b"\n\n");
-    let network = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
-    let unix = unix.map(|at| at + 2);
-    let network = network.map(|at| at + 4);
-    unix.max(network)
+    let lf_end = bytes.windows(2).rposition(|pair| pair == b"\n\n");
+    let crlf_end = bytes.windows(4).rposition(|window| window == b"\r\n\r\n");
+    let lf_end = lf_end.map(|at| at + 2);
+    let crlf_end = crlf_end.map(|at| at + 4);
+    lf_end.max(crlf_end)
 }
 
 /// Returns the value of the last `id:` field.
--- a/crates/swiftshunt-gateway/src/fleet_followers.rs
+++ b/crates/swiftshunt-gateway/src/fleet_followers.rs
@@ -162,7 +162,7 @@
                 selector.differs_from_known(&entry)
                     || selector.extends_cold_period(&entry, self.clock.now())
             }
-            // An unreadable record names no worker. Each gateway must learn that once per key.
+            // An unreadable record is new information once per key: the worker that was listed under it is removed.
             Err(_) => !self.unreadable.is_known(Topic::Workers, &record.key),
         }
     }
--- a/crates/swiftshunt-gateway/src/fleet_state.rs
+++ b/crates/swiftshunt-gateway/src/fleet_state.rs
@@ -59,7 +59,7 @@
         let configuration = self.current.borrow();
         configuration
             .as_ref()
-            .is_some_and(|it| it.batch_services().contains(service))
+            .is_some_and(|current| current.batch_services().contains(service))
     }
 
     /// Puts a configuration into force if it is newer than the current one.
@@ -100,7 +100,7 @@
         lock(&self.selector)
     }
 
-    /// Returns the service for the next request of a route: the route's split applied to the services that have
+    /// Returns the service for the next request of a route. The route's split decides among the services that have
     /// an eligible worker in the given regions.
     pub(crate) fn next_service(&self, route: &Route, residency: &Residency) -> String {
         let selector = self.selector();
--- a/crates/swiftshunt-gateway/src/in_flight.rs
+++ b/crates/swiftshunt-gateway/src/in_flight.rs
@@ -81,7 +81,7 @@
     }
 
     /// Sets the outcome of the attempt. Without this call, the attempt counts as cancelled.
-    pub(crate) fn set_ending(&mut self, outcome: AttemptOutcome) {
+    pub(crate) fn set_outcome(&mut self, outcome: AttemptOutcome) {
         self.outcome = outcome;
     }
 }
@@ -89,13 +89,13 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         let now = self.clock.now();
-        let held = now.saturating_sub(self.sent_at);
+        let time_at_worker = now.saturating_sub(self.sent_at);
         self.fleet_state.selector().record_outcome(
             &self.chosen,
             self.class,
             self.outcome,
             self.had_first_event,
-            held,
+            time_at_worker,
             now,
         );
         self.fleet_state.load_changed.notify_one();
@@ -106,7 +106,7 @@
         }
         if self.outcome == AttemptOutcome::Broken {
             self.quarantine
-                .check_after_break(&self.request_content, &self.chosen, held);
+                .check_after_break(&self.request_content, &self.chosen, time_at_worker);
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/members.rs
+++ b/crates/swiftshunt-gateway/src/members.rs
@@ -315,7 +315,7 @@
 
     /// Returns the gateways of this one's region, including this one; all gateways where there is a single
     /// region.
-    pub(crate) fn of_own_region(&self) -> Vec<SocketAddr> {
+    pub(crate) fn gateways_in_own_region(&self) -> Vec<SocketAddr> {
         let mut gateways = self.others_in_region();
         gateways.push(self.own);
         gateways
--- a/crates/swiftshunt-gateway/src/messages/slots.rs
+++ b/crates/swiftshunt-gateway/src/messages/slots.rs
@@ -87,7 +87,8 @@
     pub(crate) may_wait: bool,
     /// Time within which the request must get a slot: for online requests the time left to the route's objective, zero
     /// for late ones. `None` allows any slot, however late.
-    pub(crate) in_time: Option<Duration>,
+    #[serde(rename = "in_time")]
+    pub(crate) max_wait: Option<Duration>,
     /// Whether the request may be sent to another worker if the first one fails while running it.
     pub(crate) may_repeat: bool,
 }
@@ -101,7 +102,7 @@
                 tokens: self.tokens,
             },
             may_wait: self.may_wait,
-            max_wait: self.in_time,
+            max_wait: self.max_wait,
             may_repeat: self.may_repeat,
         }
     }
--- a/crates/swiftshunt-gateway/src/online.rs
+++ b/crates/swiftshunt-gateway/src/online.rs
@@ -63,7 +63,7 @@
         loop {
             let now = self.dispatcher.clock.now();
             if now >= context.deadline {
-                return self.out_of_time(context);
+                return self.answer_out_of_time(context);
             }
             let request_content = &context.outgoing.request_content;
             if let Some(held) = self.dispatcher.quarantine.find_hold(request_content).await {
@@ -104,7 +104,7 @@
                 },
                 Err(failure) => {
                     context.log_failure(&chosen, &failure);
-                    if let Some(answer) = self.after_failure(context, &failure) {
+                    if let Some(answer) = self.handle_failure(context, &failure) {
                         return answer;
                     }
                 }
@@ -141,8 +141,8 @@
     /// those that can still meet theirs.
     async fn place(&self, context: &RequestContext) -> Option<ChosenWorker> {
         let now = self.dispatcher.clock.now();
-        let in_time = (context.arrived + context.route.objective).saturating_sub(now);
-        match self.place_within(context, Some(in_time)).await {
+        let max_wait = (context.arrived + context.route.objective).saturating_sub(now);
+        match self.place_within(context, Some(max_wait)).await {
             PlacementOutcome::Worker(chosen) => Some(chosen),
             PlacementOutcome::NoWorker => None,
             PlacementOutcome::Late => self.place_late(context).await,
@@ -184,15 +184,15 @@
     async fn place_within(
         &self,
         context: &RequestContext,
-        in_time: Option<Duration>,
+        max_wait: Option<Duration>,
     ) -> PlacementOutcome {
         let query = PlacementQuery {
             request: context.id(),
             service: &context.service,
             demand: &context.outgoing.demand,
             tried: &context.tried,
-            may_repeat: context.may_run_again(),
-            in_time,
+            may_repeat: context.may_repeat_after_next(),
+            max_wait,
         };
         self.dispatcher.slots.place(query).await
     }
@@ -237,7 +237,7 @@
 
     fn send_limits(&self, context: &RequestContext, chosen: &ChosenWorker) -> SendLimits {
         let limit = context.silence_limit() + chosen.expected_prefill;
-        let silence = context.may_run_again().then_some(limit);
+        let silence = context.may_repeat_after_next().then_some(limit);
         SendLimits {
             deadline: context.deadline,
             caller_deadline: context.caller_deadline(),
@@ -246,7 +246,7 @@
     }
 
     /// Handles a failed send. Returns the final answer, or `None` if the request is sent to another worker.
-    fn after_failure(
+    fn handle_failure(
         &self,
         context: &mut RequestContext,
         failure: &SendFailure,
@@ -257,7 +257,7 @@
         }
         context.runs += 1;
         if let SendFailure::OutOfTime = failure {
-            return Some(self.out_of_time(context));
+            return Some(self.answer_out_of_time(context));
         }
         if context.may_repeat() {
             return None;
@@ -284,7 +284,7 @@
         let body = match body {
             Err(_) => {
                 context.runs += 1;
-                return Some(self.out_of_time(context));
+                return Some(self.answer_out_of_time(context));
             }
             Ok(Err(reason)) => return self.reject_answer(context, answer, &reason),
             Ok(Ok(body)) => body,
@@ -301,7 +301,7 @@
                     status = status.as_u16(); "request failed at its worker");
                 answer
                     .in_flight
-                    .set_ending(swiftshunt_scheduler::selection::AttemptOutcome::Failed);
+                    .set_outcome(swiftshunt_scheduler::selection::AttemptOutcome::Failed);
                 drop(answer);
                 if context.may_repeat() {
                     return None;
@@ -311,7 +311,7 @@
         }
         let head = answer.head.clone();
         answer.finish(&self.dispatcher);
-        self.succeed(context, status);
+        self.record_answered(context, status);
         Some(buffered_answer(&head, body))
     }
 
@@ -323,7 +323,7 @@
         let first = relay::first_bytes(&self.dispatcher, context, &mut answer).await;
         match first {
             Ok(first) => {
-                self.succeed(context, answer.head.status);
+                self.record_answered(context, answer.head.status);
                 let head = answer.head.clone();
                 let body = relay::relay_body(Arc::clone(&self.dispatcher), context, answer, first);
                 let mut forwarded = Response::new(body);
@@ -335,7 +335,7 @@
                 context.log_failure(&answer.in_flight.chosen, &failure);
                 relay::record_failure(&mut answer, &failure);
                 drop(answer);
-                self.after_failure(context, &failure)
+                self.handle_failure(context, &failure)
             }
         }
     }
@@ -353,10 +353,10 @@
         context.log_failure(&answer.in_flight.chosen, &failure);
         relay::record_failure(&mut answer, &failure);
         drop(answer);
-        self.after_failure(context, &failure)
+        self.handle_failure(context, &failure)
     }
 
-    fn succeed(&self, context: &RequestContext, status: StatusCode) {
+    fn record_answered(&self, context: &RequestContext, status: StatusCode) {
         let waited = self.dispatcher.clock.now().saturating_sub(context.arrived);
         let metrics = &self.dispatcher.metrics;
         metrics.first_event_seconds.observe(waited.as_secs_f64());
@@ -406,7 +406,7 @@
         plain(StatusCode::BAD_GATEWAY, reason)
     }
 
-    fn out_of_time(&self, context: &RequestContext) -> CallerAnswer {
+    fn answer_out_of_time(&self, context: &RequestContext) -> CallerAnswer {
         if context.runs == 0 {
             let refusal = Refusal::OutOfTime;
             return self.give_up(context, refusal, "its time is over", Duration::ZERO);
--- a/crates/swiftshunt-gateway/src/relay.rs
+++ b/crates/swiftshunt-gateway/src/relay.rs
@@ -41,7 +41,7 @@
 
 /// Records the failure of a stream as the outcome of the attempt at its worker.
 pub(crate) fn record_failure(answer: &mut Answer, failure: &SendFailure) {
-    answer.in_flight.set_ending(match failure {
+    answer.in_flight.set_outcome(match failure {
         SendFailure::Silent => AttemptOutcome::TimedOut,
         SendFailure::OutOfTime => AttemptOutcome::Cancelled,
         _ => AttemptOutcome::Broken,
@@ -281,7 +281,7 @@
                 tried: &self.tried,
                 may_repeat: true,
                 // The caller already reads the stream: any slot is better than a longer interruption.
-                in_time: None,
+                max_wait: None,
             };
             let PlacementOutcome::Worker(chosen) = dispatcher.slots.place(query).await else {
                 return None;
--- a/crates/swiftshunt-gateway/src/request_context.rs
+++ b/crates/swiftshunt-gateway/src/request_context.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether the route allows another attempt after the next one.
-    pub(crate) fn may_run_again(&self) -> bool {
+    pub(crate) fn may_repeat_after_next(&self) -> bool {
         let is_repeatable = self.route.repeat == Repeat::Allowed || self.route.resumable;
         is_repeatable && self.runs + 1 < self.route.max_attempts
     }
--- a/crates/swiftshunt-gateway/src/slots/cross_region.rs
+++ b/crates/swiftshunt-gateway/src/slots/cross_region.rs
@@ -48,12 +48,12 @@
         crossing: &RegionCrossing,
         is_last: bool,
     ) -> Option<Duration> {
-        let in_time = query.in_time?;
+        let max_wait = query.max_wait?;
         let Some(cell) = crossing.to.as_ref().filter(|_| is_last) else {
-            return Some(in_time);
+            return Some(max_wait);
         };
         let owner = self.members.owner(cell);
-        Some(in_time.min(self.cross_region_delay(owner)))
+        Some(max_wait.min(self.cross_region_delay(owner)))
     }
 
     /// Announces the free slots of cells that this gateway owns to the owners of the corresponding cells in other
@@ -134,7 +134,7 @@
         let PlacementQuery {
             demand,
             tried,
-            in_time,
+            max_wait,
             ..
         } = *query;
         let owner = self.members.owner(&cell);
@@ -155,7 +155,7 @@
                 .collect(),
             tokens: demand.prompt_tokens,
             may_wait: false,
-            in_time: in_time.map(|time| time.saturating_sub(self.cross_region_delay(owner))),
+            max_wait: max_wait.map(|time| time.saturating_sub(self.cross_region_delay(owner))),
             may_repeat: query.may_repeat,
         };
         let (answer, verdict) = self.ask(owner, &cell, request).await.into_verdict();
--- a/crates/swiftshunt-gateway/src/slots/mod.rs
+++ b/crates/swiftshunt-gateway/src/slots/mod.rs
@@ -118,7 +118,7 @@
     pub(crate) may_repeat: bool,
     /// Time within which the request must get a slot: for online requests the time left to the route's objective, zero
     /// for late ones. `None` allows any slot, however late.
-    pub(crate) in_time: Option<Duration>,
+    pub(crate) max_wait: Option<Duration>,
 }
 
 /// The result of placing a request.
@@ -200,7 +200,7 @@
                     .collect(),
                 tokens: demand.prompt_tokens,
                 may_wait: is_last,
-                in_time: self.local_slot_timeout(&query, &crossing, is_last),
+                max_wait: self.local_slot_timeout(&query, &crossing, is_last),
                 may_repeat: query.may_repeat,
             };
             let mut outcome = self.ask(owner, &cell, request).await;
@@ -223,7 +223,7 @@
                         }
                         continue;
                     }
-                    return if query.in_time.is_some() {
+                    return if query.max_wait.is_some() {
                         PlacementOutcome::Late
                     } else {
                         PlacementOutcome::Worker(chosen)
--- a/crates/swiftshunt-gateway/src/start_permits.rs
+++ b/crates/swiftshunt-gateway/src/start_permits.rs
@@ -50,12 +50,14 @@
     clock: Clock,
     issuer: Mutex<PermitIssuer>,
     pending_requests: Mutex<HashMap<u64, oneshot::Sender<Verdict>>>,
+    /// Number of the last request that was sent to an issuer.
     last_request: AtomicU64,
 }
 
 /// An open request for a permit. Dropping this removes the request, also when the task that sent it was cancelled.
 struct PendingRequest<'s> {
     permits: &'s StartPermits,
+    /// Number of the request, as in [`Message::Ask`].
     ask: u64,
 }
 
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -72,7 +72,10 @@
     /// Returns the gateways of the region that read for others; empty if there are few gateways. Each region has its
     /// own readers, so that the records cross into it only once per reader.
     fn all(&self) -> Vec<SocketAddr> {
-        select_readers(self.members.of_own_region(), self.gateways_per_reader)
+        select_readers(
+            self.members.gateways_in_own_region(),
+            self.gateways_per_reader,
+        )
     }
 
     /// Returns the reader that this gateway uses; `None` if it is to read the log itself.
--- a/crates/swiftshunt-gateway/src/topic_follower.rs
+++ b/crates/swiftshunt-gateway/src/topic_follower.rs
@@ -26,8 +26,10 @@
 
 /// Pauses after failed calls to the log. Logs the second failure in a row, and the first answer after that.
 pub(crate) struct LogBackoff {
+    /// What the caller reads or writes, for log lines.
     what: &'static str,
     partition: u32,
+    /// Failed calls in a row.
     failures: u32,
 }
 
@@ -54,8 +56,8 @@
             log::warn!(what = self.what, partition = self.partition; "{error}");
         }
         let longest = (BACKOFF_BASE * 2_u32.pow(self.failures.min(6))).min(MAX_BACKOFF);
-        let share = rand::rng().random_range(0.5..=1.0);
-        tokio::time::sleep(longest.mul_f64(share)).await;
+        let jitter = rand::rng().random_range(0.5..=1.0);
+        tokio::time::sleep(longest.mul_f64(jitter)).await;
     }
 }
 
--- a/crates/swiftshunt-gateway/src/unreadable.rs
+++ b/crates/swiftshunt-gateway/src/unreadable.rs
@@ -66,8 +66,8 @@
     /// Whether the latest record under a key is known to be unreadable.
     pub(crate) fn is_known(&self, topic: Topic, key: &[u8]) -> bool {
         let known = lock(&self.known);
-        let unreadable = known.get(&(topic, key.to_vec()));
-        unreadable.is_some_and(|unreadable| unreadable.is_unreadable)
+        let state = known.get(&(topic, key.to_vec()));
+        state.is_some_and(|state| state.is_unreadable)
     }
 
     /// Records that the record under a key can be read, or was removed.
@@ -76,8 +76,8 @@
         if known.is_empty() {
             return;
         }
-        if let Some(unreadable) = known.get_mut(&(topic, key.to_vec())) {
-            unreadable.is_unreadable = false;
+        if let Some(state) = known.get_mut(&(topic, key.to_vec())) {
+            state.is_unreadable = false;
         }
     }
 }
--- a/crates/swiftshunt-gateway/src/upstream.rs
+++ b/crates/swiftshunt-gateway/src/upstream.rs
@@ -108,8 +108,8 @@
         until.is_some_and(|until| until > now)
     }
 
-    /// Closes idle connections that have timed out, and those to workers for which `is_known` is false.
-    pub(crate) fn close_expired(&self, now: Duration, is_known: impl Fn(&str) -> bool) {
+    /// Closes idle connections that have timed out, and those to workers for which `is_ready` is false.
+    pub(crate) fn close_expired(&self, now: Duration, is_ready: impl Fn(&str) -> bool) {
         let mut idle = lock(&self.idle);
         idle.retain(|incarnation, of_worker| {
             of_worker.retain(|connection| {
@@ -117,7 +117,7 @@
                     && connection.expires_at > now
                     && !connection.sender.is_closed()
             });
-            !of_worker.is_empty() && is_known(incarnation)
+            !of_worker.is_empty() && is_ready(incarnation)
         });
         lock(&self.single_use_until).retain(|_, until| *until > now);
     }
