--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -440,7 +440,8 @@
 }
 
 fn draw_manner(service: Service, random: &mut StdRng) -> WorkerBehaviour {
-    let delayed = WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
+    let delayed =
+        WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
     let truncated = WorkerBehaviour::TruncateStreamAfter(random.random_range(0..6));
     let common = [
         WorkerBehaviour::Hang,
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -278,7 +278,8 @@
         };
         let body = serde_json::to_vec(faults).unwrap_or_default();
         let request = HttpRequest::post(
-            handle.store_address, CONTROL_FAULTS_PATH,
+            handle.store_address,
+            CONTROL_FAULTS_PATH,
             "application/json",
             body,
         );
