--- a/crates/swiftshunt-gateway/src/rates/counters.rs
+++ b/crates/swiftshunt-gateway/src/rates/counters.rs
@@ -30,7 +30,7 @@
 const SETTLED_PING_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A tenant whose counter is this gateway.
-struct Counted {
+struct CountedTenant {
     bucket: Bucket<SocketAddr>,
     /// Whether the bucket reserves shares for silent gateways.
     has_reservations: bool,
@@ -58,7 +58,7 @@
     datagrams: Arc<Datagrams>,
     clock: Clock,
     tolerance: Tolerance,
-    tenants: Mutex<HashMap<TenantName, Counted>>,
+    tenants: Mutex<HashMap<TenantName, CountedTenant>>,
     probes: Mutex<HashMap<SocketAddr, Probe>>,
     reachability: Mutex<Reachability>,
 }
@@ -126,8 +126,8 @@
     }
 
     /// While a tenant is near its limit, reserves the shares that silent gateways may admit on their own.
-    fn reserve_for_silent_gateways(&self, counted: &mut Counted, now: Duration) {
-        let Counted {
+    fn reserve_for_silent_gateways(&self, counted: &mut CountedTenant, now: Duration) {
+        let CountedTenant {
             bucket,
             has_reservations,
         } = counted;
@@ -159,7 +159,7 @@
         limit: VersionedLimit,
         is_first: bool,
         now: Duration,
-    ) -> Counted {
+    ) -> CountedTenant {
         // A counter that replaces another starts with an empty bucket, since the other one may still be granting
         // credits to gateways that reach it.
         let level = if is_first {
@@ -168,7 +168,7 @@
             0.0
         };
         log::info!(tenant = tenant.as_str(), level, is_first; "this gateway starts to count a tenant's requests");
-        Counted {
+        CountedTenant {
             bucket: Bucket::new(limit.limit(), limit.version, level, now),
             has_reservations: false,
         }
--- a/crates/swiftshunt-gateway/src/rates/credit_requests.rs
+++ b/crates/swiftshunt-gateway/src/rates/credit_requests.rs
@@ -22,6 +22,7 @@
 pub(super) struct PendingQuestion {
     tenant: TenantName,
     counter: SocketAddr,
+    /// Time at which the request was sent.
     pub(super) at: Duration,
 }
 
@@ -39,7 +40,7 @@
 
 /// The immediate result of a credit request.
 pub(super) enum AskState {
-    /// The request was sent to this gateway.
+    /// The request was sent to the gateway at this address.
     Sent(SocketAddr),
     /// This gateway is the counter and has answered.
     Answered,
@@ -65,8 +66,8 @@
             let mut state = lock(&self.tenants);
             let state = state.entry(tenant.clone()).or_default();
             state.waiting += 1;
-            let asked = state.requested_at;
-            let should_ask = asked.is_none_or(|at| now >= at + answer_timeout);
+            let requested_at = state.requested_at;
+            let should_ask = requested_at.is_none_or(|at| now >= at + answer_timeout);
             if should_ask {
                 state.requested_at = Some(now);
             }
@@ -82,7 +83,9 @@
         let mut counter = None;
         if should_ask {
             match self.ask(tenant, 1, limit) {
-                AskState::Sent(asked) => counter = Some((asked, self.members.heard_at(asked))),
+                AskState::Sent(sent_to) => {
+                    counter = Some((sent_to, self.members.heard_at(sent_to)))
+                }
                 AskState::Answered => return CounterReply::Received,
                 AskState::NotYet => return CounterReply::NotYet,
                 AskState::NoCounter => return CounterReply::NoCounter,
@@ -150,12 +153,12 @@
             };
         }
         let ask = self.last_ask.fetch_add(1, Ordering::Relaxed) + 1;
-        let asked = PendingQuestion {
+        let pending = PendingQuestion {
             tenant: tenant.clone(),
             counter,
             at: now,
         };
-        lock(&self.pending).insert(ask, asked);
+        lock(&self.pending).insert(ask, pending);
         let message = RateMessage::Ask {
             ask,
             tenant: tenant.clone(),
@@ -180,9 +183,9 @@
                 self.datagrams.send(&Notice::Rate(message), [from]);
             }
             RateMessage::Answer { ask, answer } => {
-                let asked = lock(&self.pending).remove(&ask);
-                if let Some(asked) = asked.filter(|asked| asked.counter == from) {
-                    self.apply_answer(asked, answer, from);
+                let pending = lock(&self.pending).remove(&ask);
+                if let Some(pending) = pending.filter(|pending| pending.counter == from) {
+                    self.apply_answer(pending, answer, from);
                 }
             }
             RateMessage::Ping => self
@@ -192,18 +195,18 @@
         }
     }
 
-    fn apply_answer(&self, asked: PendingQuestion, answer: CounterAnswer, from: SocketAddr) {
-        let took = self.clock.now().saturating_sub(asked.at);
+    fn apply_answer(&self, pending: PendingQuestion, answer: CounterAnswer, from: SocketAddr) {
+        let took = self.clock.now().saturating_sub(pending.at);
         self.members.record_answer(from, took);
         match answer {
             CounterAnswer::Counted(verdict) => {
                 self.metrics.record_rate_answer(rate_answer(verdict));
-                self.apply_verdict(&asked.tenant, verdict, asked.at, from);
+                self.apply_verdict(&pending.tenant, verdict, pending.at, from);
             }
             CounterAnswer::CountedBy(counter) => {
                 self.metrics.record_rate_answer(RateAnswer::NotCounter);
                 self.members.confirm_alive(counter);
-                self.wake(&asked.tenant);
+                self.wake(&pending.tenant);
             }
             CounterAnswer::NotYet => self.metrics.record_rate_answer(RateAnswer::NotCounter),
         }
--- a/crates/swiftshunt-gateway/src/rates/mod.rs
+++ b/crates/swiftshunt-gateway/src/rates/mod.rs
@@ -26,7 +26,8 @@
 use counters::Counters;
 use credit_requests::{CounterReply, PendingQuestion};
 
-/// Pause before the next credit request to a gateway that does not know yet whether it is the counter.
+/// Pause before credits are requested again after a gateway answered that it does not know yet whether it is the
+/// counter.
 const NOT_YET_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// Longest time for which a request waits for a counter. It covers the time in which this gateway, and then the
 /// next gateway in order, find that the first gateway in order is gone.
@@ -218,7 +219,7 @@
             let is_recent = |at: Duration| now < at + IDLE_TTL;
             lock(&self.tenants)
                 .retain(|_, state| state.waiting > 0 || is_recent(state.limiter.used_at()));
-            lock(&self.pending).retain(|_, asked| now < asked.at + CREDIT_TTL);
+            lock(&self.pending).retain(|_, question| now < question.at + CREDIT_TTL);
             self.counters.remove_idle(IDLE_TTL);
         }
     }
--- a/crates/swiftshunt-gateway/src/tails/readers.rs
+++ b/crates/swiftshunt-gateway/src/tails/readers.rs
@@ -66,12 +66,12 @@
 
     /// Whether this gateway reads for other gateways.
     pub(super) fn is_reader(&self) -> bool {
-        self.all().contains(&self.members.own_address())
+        self.region_readers().contains(&self.members.own_address())
     }
 
     /// Returns the gateways of the region that read for others; empty if there are few gateways. Each region has its
     /// own readers, so that the records cross into it only once per reader.
-    fn all(&self) -> Vec<SocketAddr> {
+    fn region_readers(&self) -> Vec<SocketAddr> {
         select_readers(
             self.members.gateways_in_own_region(),
             self.gateways_per_reader,
@@ -81,7 +81,7 @@
     /// Returns the reader that this gateway uses; `None` if it is to read the log itself.
     pub(super) fn assigned_reader(&self) -> Option<SocketAddr> {
         let own = self.members.own_address();
-        let readers = self.all();
+        let readers = self.region_readers();
         if readers.contains(&own) {
             return None;
         }
