--- a/crates/swiftshunt-lab/src/caller.rs
+++ b/crates/swiftshunt-lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's client: what an off-the-shelf client would send, with the answers as values.
+//! Client of the caller and operator APIs, which sends what an off-the-shelf client would send.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,64 +9,64 @@
 use serde_json::{Value, json};
 use swiftshunt_http::{HttpAnswer, HttpClient, HttpError, HttpRequest, JSON, retry_after};
 
-/// Time for a whole answer.
+/// Longest time for a whole response; for a stream, for the start of the response.
 const TIMEOUT: Duration = Duration::from_secs(60);
 const BOUNDARY: &str = "swiftshunt-lab-boundary";
 
-/// A caller with a token.
+/// An API client that authenticates with a bearer token.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: HttpClient,
     token: String,
 }
 
-/// An answer as a caller sees it.
+/// A whole response of the API.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
-    /// The HTTP status.
+pub struct ApiAnswer {
+    /// The HTTP status of the response.
     pub status: u16,
-    /// The body.
+    /// The body as text; invalid UTF-8 is replaced.
     pub body: String,
-    /// Seconds of `Retry-After`.
+    /// Value of `Retry-After` in seconds; `None` without the header.
     pub retry_after: Option<u64>,
 }
 
-impl Answered {
-    /// The body as JSON; null if it is none.
+impl ApiAnswer {
+    /// Parses the body as JSON; `Null` if the body is not JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// `execution` of the error envelope.
+    /// Returns `error.execution` of the body; `None` if the body is not an error.
     pub fn execution(&self) -> Option<String> {
         Some(self.json()["error"]["execution"].as_str()?.to_owned())
     }
 
-    /// `code` of the error envelope.
+    /// Returns `error.code` of the body; `None` if the body is not an error.
     pub fn code(&self) -> Option<String> {
         Some(self.json()["error"]["code"].as_str()?.to_owned())
     }
 }
 
-/// A streamed answer, read to its end.
+/// A streamed chat completion, read until the stream ended.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Streamed {
-    /// The text of all chunks.
+pub struct StreamedAnswer {
+    /// The concatenated text of all chunks.
     pub text: String,
-    /// Chunks that carried text.
+    /// Number of chunks that carried text.
     pub chunks: usize,
-    /// The finish reason.
-    pub finish: Option<String>,
-    /// Whether `[DONE]` came.
-    pub done: bool,
-    /// An error event, if one came.
+    /// The finish reason; `None` if no chunk carried one.
+    pub finish_reason: Option<String>,
+    /// Whether the stream contained `[DONE]`.
+    pub is_complete: bool,
+    /// The last error event; `None` if the stream contained none.
     pub error: Option<Value>,
-    /// Time to the first chunk with text.
-    pub first_token: Option<Duration>,
+    /// Time from sending the request to the first chunk with text; `None` without such a chunk.
+    pub time_to_first_token: Option<Duration>,
 }
 
 impl Caller {
-    /// A caller with a bearer token.
+    /// Creates a client that sends `token` as bearer token with each request.
     pub fn new(token: &str) -> Self {
         Self {
             client: HttpClient::new(None),
@@ -78,38 +78,39 @@
         request.with_header("authorization", format!("Bearer {}", self.token))
     }
 
-    async fn exchange(&self, request: HttpRequest) -> Result<Answered, HttpError> {
+    async fn exchange(&self, request: HttpRequest) -> Result<ApiAnswer, HttpError> {
         let answer = self
             .client
             .exchange(self.authorized(request), TIMEOUT)
             .await?;
-        Ok(answered(&answer))
+        Ok(api_answer(&answer))
     }
 
-    /// Any GET.
-    pub async fn get(&self, node: SocketAddr, path: &str) -> Result<Answered, HttpError> {
+    /// Sends a GET request to any path.
+    pub async fn get(&self, node: SocketAddr, path: &str) -> Result<ApiAnswer, HttpError> {
         self.exchange(HttpRequest::get(node, path)).await
     }
 
-    /// Any POST of JSON.
+    /// Sends a POST request with a JSON body to any path.
     pub async fn post(
         &self,
         node: SocketAddr,
         path: &str,
         body: &Value,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let request = HttpRequest::post(node, path, JSON, body.to_string());
         self.exchange(request).await
     }
 
-    /// Any POST of text that claims to be JSON, with an idempotency key if one is given.
+    /// Sends a POST request whose body is labelled as JSON but need not be valid, with an optional idempotency
+    /// key.
     pub async fn post_text(
         &self,
         node: SocketAddr,
         path: &str,
         body: &str,
         key: Option<&str>,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let mut request = HttpRequest::post(node, path, JSON, body.to_owned());
         if let Some(key) = key {
             request = request.with_header("idempotency-key", key);
@@ -117,26 +118,29 @@
         self.exchange(request).await
     }
 
-    /// A chat answer in one piece.
+    /// Requests a chat completion without streaming.
     pub async fn chat(
         &self,
         node: SocketAddr,
         model: &str,
         content: &str,
         max_tokens: u32,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = chat_body(model, content, max_tokens, false);
         self.post(node, "/v1/chat/completions", &body).await
     }
 
-    /// A chat answer as a stream.
+    /// Requests a streamed chat completion and reads it to the end.
+    ///
+    /// A status other than success is [`HttpError::Status`]; a connection that fails during the stream is
+    /// [`HttpError::BrokenOff`].
     pub async fn chat_stream(
         &self,
         node: SocketAddr,
         model: &str,
         content: &str,
         max_tokens: u32,
-    ) -> Result<Streamed, HttpError> {
+    ) -> Result<StreamedAnswer, HttpError> {
         let body = chat_body(model, content, max_tokens, true);
         let request = HttpRequest::post(node, "/v1/chat/completions", JSON, body.to_string());
         let began = std::time::Instant::now();
@@ -154,18 +158,19 @@
             });
         }
         let mut events = EventStream::new(response.into_body().into_data_stream());
-        let mut streamed = Streamed::default();
+        let mut streamed = StreamedAnswer::default();
         while let Some(event) = events.next().await {
             let event = event.map_err(|error| HttpError::BrokenOff {
                 address: node,
                 reason: error.to_string(),
             })?;
-            streamed.take(&event.data, began);
+            streamed.add_event(&event.data, began);
         }
         Ok(streamed)
     }
 
-    /// A submission.
+    /// Sends a submission with `key` as idempotency key. `repeatable` permits sending it to a
+    /// worker more than once, under the same key.
     pub async fn submit(
         &self,
         node: SocketAddr,
@@ -173,15 +178,15 @@
         key: &str,
         input: &Value,
         repeatable: bool,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "pool": pool, "input": input, "repeatable": repeatable });
         let request = HttpRequest::post(node, "/v1/submissions", JSON, body.to_string())
             .with_header("idempotency-key", key);
         self.exchange(request).await
     }
 
-    /// Uploads the items of a job and returns the file's identifier.
-    pub async fn upload(&self, node: SocketAddr, lines: &str) -> Result<Answered, HttpError> {
+    /// Uploads the items of a batch job. The `id` in the response identifies the file.
+    pub async fn upload(&self, node: SocketAddr, lines: &str) -> Result<ApiAnswer, HttpError> {
         let body = format!(
             "--{BOUNDARY}\r\nContent-Disposition: form-data; name=\"purpose\"\r\n\r\nbatch\r\n\
              --{BOUNDARY}\r\nContent-Disposition: form-data; name=\"file\"; filename=\"items.jsonl\"\r\n\
@@ -192,13 +197,13 @@
             .await
     }
 
-    /// Creates a job over an uploaded file.
+    /// Creates a batch job from the uploaded file with the identifier `file`, with an optional idempotency key.
     pub async fn create_batch(
         &self,
         node: SocketAddr,
         file: &str,
         key: Option<&str>,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({
             "input_file_id": file,
             "endpoint": "/v1/chat/completions",
@@ -211,28 +216,28 @@
         self.exchange(request).await
     }
 
-    /// An operator statement.
-    pub async fn statement(&self, node: SocketAddr, text: &str) -> Result<Answered, HttpError> {
+    /// Sends an operator statement.
+    pub async fn statement(&self, node: SocketAddr, text: &str) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "statement": text });
         self.post(node, "/v1/operator/statements", &body).await
     }
 
-    /// Publishes a fleet configuration.
+    /// Publishes a fleet configuration that replaces version `base`.
     pub async fn publish(
         &self,
         node: SocketAddr,
         base: u64,
         toml: &str,
-    ) -> Result<Answered, HttpError> {
+    ) -> Result<ApiAnswer, HttpError> {
         let body = json!({ "base": base, "toml": toml });
         self.post(node, "/v1/operator/configuration", &body).await
     }
 }
 
-impl Streamed {
-    fn take(&mut self, data: &str, began: std::time::Instant) {
+impl StreamedAnswer {
+    fn add_event(&mut self, data: &str, began: std::time::Instant) {
         if data == "[DONE]" {
-            self.done = true;
+            self.is_complete = true;
             return;
         }
         let Ok(chunk) = serde_json::from_str::<Value>(data) else {
@@ -244,25 +249,26 @@
         }
         let choice = &chunk["choices"][0];
         if let Some(text) = choice["delta"]["content"].as_str() {
-            self.first_token.get_or_insert_with(|| began.elapsed());
+            self.time_to_first_token
+                .get_or_insert_with(|| began.elapsed());
             self.text.push_str(text);
             self.chunks += 1;
         }
-        if let Some(finish) = choice["finish_reason"].as_str() {
-            self.finish = Some(finish.to_owned());
+        if let Some(reason) = choice["finish_reason"].as_str() {
+            self.finish_reason = Some(reason.to_owned());
         }
     }
 }
 
-fn answered(answer: &HttpAnswer) -> Answered {
-    Answered {
+fn api_answer(answer: &HttpAnswer) -> ApiAnswer {
+    ApiAnswer {
         status: answer.status.as_u16(),
         body: String::from_utf8_lossy(&answer.body).into_owned(),
         retry_after: retry_after(&answer.headers),
     }
 }
 
-/// Body of a chat request with one user message.
+/// Builds the body of a chat request with one user message.
 pub fn chat_body(model: &str, content: &str, max_tokens: u32, stream: bool) -> Value {
     json!({
         "model": model,
@@ -272,12 +278,12 @@
     })
 }
 
-/// The prompt that an engine sees for one user message.
-pub fn prompt_of(content: &str) -> String {
+/// Returns the prompt that an engine receives for one user message.
+pub fn prompt_for(content: &str) -> String {
     format!("user: {content}\n")
 }
 
-/// Items of a job, one a line, each a chat with one user message.
+/// Builds the items of a batch job as JSON Lines, each a chat request with one user message.
 pub fn batch_lines(model: &str, contents: &[String], max_tokens: u32) -> String {
     let lines = contents.iter().enumerate().map(|(index, content)| {
         let line = json!({
--- a/crates/swiftshunt-lab/src/engine/batcher.rs
+++ b/crates/swiftshunt-lab/src/engine/batcher.rs
@@ -1,5 +1,5 @@
-//! Continuous batching: each step gives one token to every request in it. Online requests enter
-//! before batch ones and push them out when no slot is free.
+//! Continuous batching: each step generates one token for every running request. Online requests are admitted
+//! before batch requests and preempt them if no slot is free.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,58 +13,61 @@
 use super::settings::EngineSettings;
 use super::tokens::{natural_length, token_text};
 
-/// A request that an engine took in.
+/// A request that an engine accepted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StartedRequest {
-    /// Which request.
+pub struct AcceptedRequest {
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Its prompt.
+    /// The whole prompt.
     pub prompt: String,
-    /// Its priority.
+    /// Whether the request is online or batch work.
     pub priority: Priority,
-    /// Steps that began while it waited for its first; none while it still waits.
+    /// Number of steps that began while the request waited for its first step; `None` until that step.
     pub waited_steps: Option<u32>,
 }
 
-/// A request in the engine.
+/// A running or waiting request.
 struct Sequence {
+    /// Index of the entry in the journal of the engine.
     journal_index: usize,
     waited_steps: u32,
     request: GenerateRequest,
-    next: u32,
+    next_index: u32,
+    /// Number of tokens of the whole output, including those before `resume_from`.
     length: u32,
     finish: FinishReason,
     events: mpsc::Sender<TokenEvent>,
     prefilled: bool,
+    /// Whether the request is to be removed: cancelled, closed by its reader, or completed.
     cancelled: bool,
 }
 
-/// Counts of what an engine holds.
+/// Numbers for the load report. `waiting` counts online requests only.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Counts {
+pub(super) struct LoadCounts {
     pub(super) running: u32,
     pub(super) running_batch: u32,
     pub(super) waiting: u32,
 }
 
-/// Everything an engine holds.
+/// Running and waiting requests of an engine, and the journal of all accepted requests.
 pub(super) struct Batcher {
     settings: EngineSettings,
     cache: PrefixCache,
     running: Vec<Sequence>,
     waiting_online: VecDeque<Sequence>,
     waiting_batch: VecDeque<Sequence>,
-    sent: u32,
-    journal: Vec<StartedRequest>,
+    sent_events: u32,
+    journal: Vec<AcceptedRequest>,
     tokens: TokenCounts,
 }
 
-/// Tokens generated so far.
+/// Numbers of tokens that an engine has generated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TokenCounts {
-    /// For online requests.
+    /// Tokens of online requests.
     pub online: u64,
-    /// For batch requests.
+    /// Tokens of batch requests.
     pub batch: u64,
 }
 
@@ -76,19 +79,19 @@
             running: Vec::new(),
             waiting_online: VecDeque::new(),
             waiting_batch: VecDeque::new(),
-            sent: 0,
+            sent_events: 0,
             journal: Vec::new(),
             tokens: TokenCounts::default(),
         }
     }
 
-    /// Takes a request in; false if the queue is full.
+    /// Queues a request. Returns false if the queue is full.
     pub(super) fn submit(
         &mut self,
         request: GenerateRequest,
         events: mpsc::Sender<TokenEvent>,
     ) -> bool {
-        if self.waiting_online.len() + self.waiting_batch.len() >= self.settings.queue {
+        if self.waiting_online.len() + self.waiting_batch.len() >= self.settings.queue_limit {
             return false;
         }
         let natural = natural_length(&request.prompt);
@@ -97,7 +100,7 @@
         } else {
             FinishReason::Length
         };
-        self.journal.push(StartedRequest {
+        self.journal.push(AcceptedRequest {
             request: request.request.clone(),
             prompt: request.prompt.clone(),
             priority: request.priority,
@@ -106,7 +109,7 @@
         let sequence = Sequence {
             journal_index: self.journal.len() - 1,
             waited_steps: 0,
-            next: request.resume_from,
+            next_index: request.resume_from,
             length: natural.min(request.max_tokens),
             finish,
             events,
@@ -121,7 +124,7 @@
         true
     }
 
-    /// Stops a request; whether it was here.
+    /// Cancels a request. Returns whether it was running or waiting.
     pub(super) fn cancel(&mut self, request: &RequestId) -> bool {
         let mut found = false;
         let waiting = self
@@ -137,28 +140,27 @@
         found
     }
 
-    /// Tokens generated so far.
     pub(super) fn tokens(&self) -> TokenCounts {
         self.tokens
     }
 
-    /// What was taken in so far.
-    pub(super) fn journal(&self) -> &[StartedRequest] {
+    /// Returns all requests accepted so far, in order of arrival.
+    pub(super) fn journal(&self) -> &[AcceptedRequest] {
         &self.journal
     }
 
-    pub(super) fn counts(&self) -> Counts {
+    pub(super) fn counts(&self) -> LoadCounts {
         let batch = self.running.iter().filter(|sequence| sequence.is_batch());
-        Counts {
+        LoadCounts {
             running: self.running.len() as u32,
             running_batch: batch.count() as u32,
             waiting: self.waiting_online.len() as u32,
         }
     }
 
-    /// Admits what fits and returns how long the step takes; none if there is nothing to do.
+    /// Admits waiting requests and returns the duration of the step; `None` if no request is running.
     pub(super) fn begin_step(&mut self) -> Option<Duration> {
-        self.drop_gone();
+        self.remove_ended();
         self.admit();
         if self.running.is_empty() {
             return None;
@@ -177,25 +179,27 @@
             entry.waited_steps.get_or_insert(sequence.waited_steps);
             if !sequence.prefilled {
                 sequence.prefilled = true;
-                let missing = self.cache.use_prompt(&sequence.request.prompt);
-                duration += self.settings.prefill_per_block * missing;
+                let missing_blocks = self.cache.access_prompt(&sequence.request.prompt);
+                duration += self.settings.prefill_per_block * missing_blocks;
             }
         }
         Some(duration)
     }
 
-    /// Ends the step: every request in it gets a token.
+    /// Ends the step: sends the next token, or the end of the output, to the reader of every running request.
     pub(super) fn end_step(&mut self) {
-        let duplicate_every = self.settings.duplicate_every;
+        let duplicate_event_interval = self.settings.duplicate_event_interval;
         for sequence in &mut self.running {
-            let ended = sequence.next >= sequence.length;
+            let ended = sequence.next_index >= sequence.length;
             let event = sequence.event(ended);
-            self.sent += 1;
-            if duplicate_every > 0 && self.sent.is_multiple_of(duplicate_every) {
+            self.sent_events += 1;
+            if duplicate_event_interval > 0
+                && self.sent_events.is_multiple_of(duplicate_event_interval)
+            {
                 drop(sequence.events.try_send(event.clone()));
             }
             match sequence.events.try_send(event) {
-                // A reader that does not keep up holds its own request back.
+                // The buffer of a slow reader is full: only its own request stalls.
                 Err(TrySendError::Full(_)) => continue,
                 Err(TrySendError::Closed(_)) => sequence.cancelled = true,
                 Ok(()) => {}
@@ -206,23 +210,23 @@
                     Priority::Batch => self.tokens.batch += 1,
                 }
             }
-            sequence.next += 1;
+            sequence.next_index += 1;
             sequence.cancelled |= ended;
         }
-        self.drop_gone();
+        self.remove_ended();
     }
 
-    fn drop_gone(&mut self) {
-        let stays = |sequence: &Sequence| !sequence.cancelled && !sequence.events.is_closed();
-        self.running.retain(stays);
-        self.waiting_online.retain(stays);
-        self.waiting_batch.retain(stays);
+    fn remove_ended(&mut self) {
+        let is_active = |sequence: &Sequence| !sequence.cancelled && !sequence.events.is_closed();
+        self.running.retain(is_active);
+        self.waiting_online.retain(is_active);
+        self.waiting_batch.retain(is_active);
     }
 
     fn admit(&mut self) {
         let slots = self.settings.slots as usize;
         while let Some(sequence) = self.waiting_online.pop_front() {
-            if self.running.len() >= slots && !self.push_out_batch() {
+            if self.running.len() >= slots && !self.preempt_batch_request() {
                 self.waiting_online.push_front(sequence);
                 break;
             }
@@ -236,8 +240,9 @@
         }
     }
 
-    /// Sends the youngest batch request back to the queue; false if there is none.
-    fn push_out_batch(&mut self) -> bool {
+    /// Moves the batch request that was admitted last to the front of the batch queue. Returns false if no batch
+    /// request is running.
+    fn preempt_batch_request(&mut self) -> bool {
         let Some(index) = self.running.iter().rposition(Sequence::is_batch) else {
             return false;
         };
@@ -256,11 +261,11 @@
         let text = if ended {
             String::new()
         } else {
-            token_text(&self.request.prompt, self.next)
+            token_text(&self.request.prompt, self.next_index)
         };
         TokenEvent {
             request: self.request.request.clone(),
-            index: self.next,
+            index: self.next_index,
             text,
             finish: ended.then_some(self.finish),
         }
--- a/crates/swiftshunt-lab/src/engine/mod.rs
+++ b/crates/swiftshunt-lab/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! The engine stand-in: continuous batching in steps, a prefix cache, priorities, resume, cancel,
-//! lagging load reports, fenced load orders.
+//! Stand-in for a model engine: continuous batching in steps, a prefix cache, priorities, resumption and
+//! cancellation of requests, lagging load reports, and fenced orders to load models.
 
 mod batcher;
 mod prefix_cache;
@@ -7,7 +7,7 @@
 mod settings;
 mod tokens;
 
-pub use batcher::{StartedRequest, TokenCounts};
+pub use batcher::{AcceptedRequest, TokenCounts};
 pub use server::{EngineState, start};
 pub use settings::EngineSettings;
 pub use tokens::{expected_answer, natural_length, token_text};
--- a/crates/swiftshunt-lab/src/engine/server.rs
+++ b/crates/swiftshunt-lab/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine stand-in.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 use tokio::sync::{Notify, mpsc};
 use tokio_stream::wrappers::ReceiverStream;
 
-use super::batcher::{Batcher, StartedRequest};
+use super::batcher::{AcceptedRequest, Batcher};
 use super::settings::EngineSettings;
 use crate::stand_in::{RunningStandIn, lock};
 
-/// Largest request, in bytes.
+/// Largest accepted request body, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
-/// Events that wait for a slow reader.
-const BUFFERED_EVENTS: usize = 64;
-/// Time for a model's weights.
+/// Number of events buffered for the reader of one request.
+const EVENT_BUFFER_LENGTH: usize = 64;
+/// Time-out of fetching the weights of a model.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(300);
-/// Loads kept for lagging reports.
-const KEPT_LOADS: usize = 4096;
+/// Number of past loads kept for lagging reports.
+const LOAD_HISTORY_LIMIT: usize = 4096;
 
-/// The state of an engine stand-in.
+/// State of an engine: its requests, loads, loaded models and highest fence.
 pub struct EngineState {
     settings: EngineSettings,
     batcher: Mutex<Batcher>,
@@ -45,7 +45,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts an engine as tasks of this process.
+/// Starts an engine in tasks of this process.
 pub async fn start(
     listen: SocketAddr,
     settings: EngineSettings,
@@ -105,13 +105,13 @@
         if loads.back().is_some_and(|(_, last)| *last == load) {
             return;
         }
-        if loads.len() == KEPT_LOADS {
+        if loads.len() == LOAD_HISTORY_LIMIT {
             loads.pop_front();
         }
         loads.push_back((Instant::now(), load));
     }
 
-    /// The load as it was `report_lag` ago.
+    /// Returns the load as of `report_lag` ago, or the oldest kept load if all are younger.
     fn reported_load(&self) -> EngineLoad {
         let loads = lock(&self.loads);
         let lag = self.settings.report_lag;
@@ -120,8 +120,8 @@
         reported.map_or_else(EngineLoad::default, |(_, load)| load.clone())
     }
 
-    /// What the engine took in so far.
-    pub fn started_requests(&self) -> Vec<StartedRequest> {
+    /// Returns all requests that the engine accepted so far, in order of arrival.
+    pub fn accepted_requests(&self) -> Vec<AcceptedRequest> {
         lock(&self.batcher).journal().to_vec()
     }
 
@@ -137,7 +137,7 @@
         let message = format!("model {} is not loaded", request.model);
         return Err(Failure::not_run(ErrorKind::Unavailable, message));
     }
-    let (sender, receiver) = mpsc::channel(BUFFERED_EVENTS);
+    let (sender, receiver) = mpsc::channel(EVENT_BUFFER_LENGTH);
     if !lock(&state.batcher).submit(request, sender) {
         return Err(Failure::not_run(ErrorKind::Overloaded, "the queue is full"));
     }
@@ -155,6 +155,7 @@
     Ok(Reply::json(&json!({ "cancelled": found })))
 }
 
+/// Responds with the lagging load, but with the current value of `leaving`.
 async fn load(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
     state.record_load();
     let mut load = state.reported_load();
@@ -162,7 +163,7 @@
     Ok(Reply::json(&load))
 }
 
-/// Takes a load order unless a later one was seen.
+/// Accepts an order to load a model unless an order with a higher fence has been accepted.
 async fn order(state: Arc<EngineState>, mut call: Call) -> Result<Reply, Failure> {
     let order: LoadOrder = call.json(BODY_LIMIT).await?;
     let mut highest = lock(&state.highest_fence);
@@ -175,9 +176,9 @@
     Ok(Reply::json(&json!({})))
 }
 
-/// Fetches a model's weights, then serves it.
+/// Fetches the weights of a model from the weight store, if one is configured, and then serves the model.
 async fn load_model(state: Arc<EngineState>, model: ModelName) {
-    if let Some(store) = state.settings.weights {
+    if let Some(store) = state.settings.weight_store {
         let path = format!("/v1/weights/{model}/fetch");
         let client = HttpClient::new(None);
         let fetched = client
@@ -185,7 +186,7 @@
             .await;
         let fetched: Result<serde_json::Value, _> = fetched;
         if let Err(error) = fetched {
-            eprintln!("weights of {model}: {error}");
+            eprintln!("cannot fetch the weights of {model}; it is not served: {error}");
             return;
         }
     }
@@ -199,7 +200,7 @@
 }
 
 async fn journal(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
-    Ok(Reply::json(&state.started_requests()))
+    Ok(Reply::json(&state.accepted_requests()))
 }
 
 async fn tokens(state: Arc<EngineState>, _call: Call) -> Result<Reply, Failure> {
--- a/crates/swiftshunt-lab/src/engine/settings.rs
+++ b/crates/swiftshunt-lab/src/engine/settings.rs
@@ -1,48 +1,49 @@
-//! How an engine stand-in behaves.
+//! Settings of the engine stand-in.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use swiftshunt_types::ModelName;
 
-/// How an engine stand-in behaves.
+/// Capacity, timing and faults of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Requests in one step.
+    /// Largest number of requests in one step.
     pub slots: u32,
-    /// Requests that may wait.
-    pub queue: usize,
-    /// Duration of a step, whatever it holds.
+    /// Largest number of waiting requests, online and batch together.
+    pub queue_limit: usize,
+    /// Fixed part of the duration of a step.
     pub step_base: Duration,
-    /// Added to a step for each request in it.
+    /// Time added to a step for each request in it.
     pub step_per_request: Duration,
-    /// Added to a request's first step for each prompt block that is not cached.
+    /// Time added to the first step of a request for each prompt block that is not cached.
     pub prefill_per_block: Duration,
-    /// Prompt blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt blocks.
     pub cache_blocks: usize,
     /// Age of the load that is reported.
     pub report_lag: Duration,
-    /// Models loaded at the start; empty means any.
+    /// Models that are loaded at the start. If there are none, every model is served until an order loads one; then
+    /// only loaded models are served.
     pub models: Vec<ModelName>,
-    /// Where weights are fetched before an ordered model is served; at once if there is none.
-    pub weights: Option<SocketAddr>,
-    /// Each so-manieth event is sent twice; 0 for none.
-    pub duplicate_every: u32,
+    /// Weight store from which an ordered model is fetched before it is served; with `None` it is served at once.
+    pub weight_store: Option<SocketAddr>,
+    /// Send every n-th event twice; 0 disables duplicates.
+    pub duplicate_event_interval: u32,
 }
 
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
             slots: 16,
-            queue: 512,
+            queue_limit: 512,
             step_base: Duration::from_millis(4),
             step_per_request: Duration::from_micros(100),
             prefill_per_block: Duration::from_micros(500),
             cache_blocks: 4096,
             report_lag: Duration::from_millis(100),
             models: Vec::new(),
-            weights: None,
-            duplicate_every: 0,
+            weight_store: None,
+            duplicate_event_interval: 0,
         }
     }
 }
--- a/crates/swiftshunt-lab/src/experiment/load.rs
+++ b/crates/swiftshunt-lab/src/experiment/load.rs
@@ -1,4 +1,4 @@
-//! The load of one way: online arrivals that wait for nobody, and batch work.
+//! Load of one run: online requests in an open loop, and batch work.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,20 +13,20 @@
 use tokio::time::Instant;
 
 use super::plan::{BatchPlan, OnlinePlan};
-use crate::caller::{Caller, batch_lines, prompt_of};
+use crate::caller::{Caller, batch_lines, prompt_for};
 use crate::engine::expected_answer;
 use crate::stand_in::lock;
 
-/// What online callers saw.
+/// Results of the online requests of one run.
 pub(super) struct OnlineTally {
     pub(super) arrived: u64,
     pub(super) answered: u64,
     pub(super) refused: u64,
     pub(super) refused_without_retry_after: u64,
     pub(super) failed: u64,
-    /// In microseconds.
+    /// Time from arrival to first token, in microseconds.
     pub(super) first_token: Histogram<u64>,
-    /// In microseconds.
+    /// Time from arrival to refusal, in microseconds.
     pub(super) refusal: Histogram<u64>,
 }
 
@@ -34,7 +34,7 @@
 
 impl Default for OnlineTally {
     fn default() -> Self {
-        // Three digits are within what the library supports.
+        // The library supports 0 to 5 significant digits, so this cannot fail.
         let histogram = || Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!());
         Self {
             arrived: 0,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Where a load goes and as whom.
+/// Nodes and models that the load is sent to, and the API client that sends it.
 #[derive(Clone)]
 pub(super) struct Target {
     pub(super) nodes: Vec<SocketAddr>,
@@ -57,42 +57,49 @@
     pub(super) batch_model: &'static str,
 }
 
-/// Moments of arrival, from the start: exponential gaps at a rate that bursts raise.
+/// Returns the arrival times of online requests as offsets from the start, in order. Arrivals form a Poisson process,
+/// to which each burst adds another.
 fn arrivals(plan: &OnlinePlan, duration: Duration, seed: u64) -> Vec<Duration> {
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut moments = poisson(
+    let mut arrival_times = poisson_arrivals(
         plan.requests_per_second,
         Duration::ZERO,
         duration,
         &mut random,
     );
     for burst in &plan.bursts {
-        let end = (burst.at + burst.lasting).min(duration);
-        moments.extend(poisson(
+        let end = (burst.at + burst.duration).min(duration);
+        arrival_times.extend(poisson_arrivals(
             burst.requests_per_second,
             burst.at,
             end,
             &mut random,
         ));
     }
-    moments.sort_unstable();
-    moments
+    arrival_times.sort_unstable();
+    arrival_times
 }
 
-fn poisson(rate: f64, from: Duration, to: Duration, random: &mut SmallRng) -> Vec<Duration> {
-    let mut moments = Vec::new();
+fn poisson_arrivals(
+    requests_per_second: f64,
+    from: Duration,
+    to: Duration,
+    random: &mut SmallRng,
+) -> Vec<Duration> {
+    let mut arrival_times = Vec::new();
     let mut at = from;
     loop {
         let uniform: f64 = random.random_range(f64::MIN_POSITIVE..1.0);
-        at += Duration::from_secs_f64(-uniform.ln() / rate);
+        at += Duration::from_secs_f64(-uniform.ln() / requests_per_second);
         if at >= to {
-            return moments;
+            return arrival_times;
         }
-        moments.push(at);
+        arrival_times.push(at);
     }
 }
 
-/// Sends every online request at its moment and waits for the last answer.
+/// Sends each online request at its arrival time, without waiting for earlier responses, and returns the results once
+/// all requests have ended.
 pub(super) async fn run_online(
     target: Target,
     plan: OnlinePlan,
@@ -102,13 +109,13 @@
     let tally = Arc::new(Mutex::new(OnlineTally::default()));
     let began = Instant::now();
     let mut requests = JoinSet::new();
-    for (number, moment) in arrivals(&plan, duration, seed).into_iter().enumerate() {
-        let arrival = began + moment;
+    for (number, offset) in arrivals(&plan, duration, seed).into_iter().enumerate() {
+        let arrival = began + offset;
         tokio::time::sleep_until(arrival).await;
         lock(&tally).arrived += 1;
         let (target, tally) = (target.clone(), Arc::clone(&tally));
         requests.spawn(async move {
-            ask(&target, &tally, number, plan.max_tokens, arrival).await;
+            send_online_request(&target, &tally, number, plan.max_tokens, arrival).await;
         });
     }
     while requests.join_next().await.is_some() {}
@@ -116,7 +123,7 @@
     std::mem::take(&mut *tally)
 }
 
-async fn ask(
+async fn send_online_request(
     target: &Target,
     tally: &Mutex<OnlineTally>,
     number: usize,
@@ -125,8 +132,8 @@
 ) {
     let node = target.nodes[number % target.nodes.len()];
     let content = format!("online request {number}");
-    let (expected, _) = expected_answer(&prompt_of(&content), max_tokens);
-    let late = arrival.elapsed();
+    let (expected, _) = expected_answer(&prompt_for(&content), max_tokens);
+    let send_delay = arrival.elapsed();
     let answer = target
         .tenant
         .chat_stream(node, target.online_model, &content, max_tokens)
@@ -136,8 +143,8 @@
     match answer {
         Ok(streamed) if streamed.text == expected => {
             tally.answered += 1;
-            let first = late + streamed.first_token.unwrap_or_default();
-            // The histogram resizes itself; a value cannot be out of range.
+            let first = send_delay + streamed.time_to_first_token.unwrap_or_default();
+            // The histogram resizes itself, so that no value is out of range.
             tally.first_token.record(first.as_micros() as u64).ok();
         }
         Err(HttpError::Status {
@@ -154,14 +161,14 @@
     }
 }
 
-/// Creates a heap of jobs every so often while `duration` lasts.
+/// Creates batch jobs at the interval of the plan until `duration` has passed.
 pub(super) async fn run_jobs(target: Target, plan: BatchPlan, duration: Duration) {
     let began = Instant::now();
-    let mut heap = 0;
+    let mut round = 0;
     while began.elapsed() < duration {
         for job in 0..plan.jobs {
             let contents: Vec<String> = (0..plan.items)
-                .map(|item| format!("heap {heap} job {job} item {item}"))
+                .map(|item| format!("heap {round} job {job} item {item}"))
                 .collect();
             let lines = batch_lines(target.batch_model, &contents, plan.max_tokens);
             let node = target.nodes[job % target.nodes.len()];
@@ -172,14 +179,15 @@
                 drop(target.tenant.create_batch(node, file, None).await);
             }
         }
-        heap += 1;
-        tokio::time::sleep_until(began + plan.every * heap).await;
+        round += 1;
+        tokio::time::sleep_until(began + plan.interval * round).await;
     }
 }
 
-/// Sends batch work as online requests, as many at once as the engines have slots: what a fleet
-/// without yielding does.
-pub(super) async fn run_unyielding(
+/// Sends batch work as online requests with `concurrency` requests at a time until `duration` has passed, and adds the
+/// generated tokens to `tokens`. Engines do not preempt this work, unlike batch jobs, so the run shows a fleet
+/// without preemption.
+pub(super) async fn run_without_preemption(
     target: Target,
     plan: BatchPlan,
     duration: Duration,
--- a/crates/swiftshunt-lab/src/experiment/mod.rs
+++ b/crates/swiftshunt-lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Declared workloads over real node processes and stand-ins, run several ways side by side.
+//! Experiments: a workload from a file, run under several batch policies on a fleet of node processes and stand-ins.
 
 mod load;
 mod plan;
@@ -6,6 +6,6 @@
 mod report;
 mod run;
 
-pub use plan::{ExperimentPlan, PlanError, Way, load_plan};
-pub use report::{ExperimentReport, WayReport};
+pub use plan::{BatchPolicy, ExperimentPlan, PlanError, load_plan};
+pub use report::{ExperimentReport, PolicyReport};
 pub use run::{ExperimentError, run};
--- a/crates/swiftshunt-lab/src/harness/fleet.rs
+++ b/crates/swiftshunt-lab/src/harness/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes: one node a zone at first, engines, submission workers, the platform,
-//! and a proxy link before each of them.
+//! A fleet of processes: nodes, engines, submission workers and platform services, most of them behind a proxied
+//! link.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -14,86 +14,87 @@
 };
 use super::{HarnessError, Process, eventually};
 use crate::caller::Caller;
-use crate::engine::StartedRequest;
+use crate::engine::AcceptedRequest;
 use crate::log_service::LogFaults;
 use crate::proxy::{Fault, Link};
 use crate::stand_in::RunningStandIn;
 use crate::submission_worker::{Behaviour, Journal};
 
-/// A node's process and its links.
+/// A node process and its link.
 pub struct NodeProcess {
-    /// The process.
+    /// The node process.
     pub process: Process,
-    /// Index of its zone.
+    /// Zone of the node, as an index into [`ZONES`].
     pub zone: usize,
-    /// Its own address, from which it connects.
+    /// Address from which the node connects, unique to the node.
     pub source: IpAddr,
-    /// Where callers reach it directly.
+    /// API address, which is not proxied.
     pub api: SocketAddr,
-    /// The link through which other nodes reach it.
+    /// Link through which other nodes connect to the node.
     pub peer: Link,
 }
 
-/// A worker's process and its link.
+/// The process of an engine or submission worker, and its link.
 pub struct WorkerProcess {
-    /// The process.
+    /// The worker process.
     pub process: Process,
-    /// The link through which nodes reach it.
+    /// Link through which nodes connect to the worker.
     pub link: Link,
-    /// Its own address, for control.
-    pub direct: SocketAddr,
-    /// Its entry in the machine list.
+    /// Address of the process itself, used for control calls past the link.
+    pub direct_address: SocketAddr,
+    /// Entry of the worker in the machine list, with the address of the link.
     pub machine: Machine,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The log service's link.
+    /// Link to the log service.
     pub log: Link,
-    /// The machine list's link.
+    /// Link to the machine list.
     pub list: Link,
-    /// Engines.
+    /// Engines of both pools.
     pub engines: Vec<WorkerProcess>,
-    /// Submission workers.
+    /// Submission workers of the fleet.
     pub workers: Vec<WorkerProcess>,
-    /// Nodes; one that was killed stays in place until replaced.
+    /// All nodes that were started, in order. A node whose process has ended keeps its place.
     pub nodes: Vec<NodeProcess>,
-    /// What the submission workers really executed.
+    /// Journal of the actual executions of all submission workers.
     pub journal: Arc<Journal>,
-    /// A caller with the tenant's token.
+    /// API client with the token of the tenant.
     pub tenant: Caller,
-    /// A caller with the operator's token.
+    /// API client with the token of the operator.
     pub operator: Caller,
-    /// The log's own address, for control.
-    pub log_direct: SocketAddr,
-    list_direct: SocketAddr,
+    /// Address of the log service itself, used for control calls past the link.
+    pub log_address: SocketAddr,
+    list_address: SocketAddr,
     options: FleetOptions,
     binaries: Binaries,
-    scratch: PathBuf,
+    work_directory: PathBuf,
     started_nodes: u8,
     _log_process: Process,
     _list_process: Process,
-    weights: Process,
-    _journal: RunningStandIn,
+    weights_process: Process,
+    journal_server: RunningStandIn,
 }
 
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-fn address(text: &str) -> SocketAddr {
+fn parse_address(text: &str) -> SocketAddr {
     text.parse()
-        .unwrap_or_else(|_| panic!("no address: {text}"))
+        .unwrap_or_else(|_| panic!("not a socket address: {text:?}"))
 }
 
 impl Fleet {
-    /// Starts everything and waits until every node is ready. `scratch` takes settings and logs.
+    /// Starts all processes and waits until every node is ready. Settings and logs are written to the subdirectory
+    /// `options.name` of `work_directory`, whose earlier content is deleted.
     pub async fn start(
         binaries: Binaries,
-        scratch: &Path,
+        work_directory: &Path,
         options: FleetOptions,
     ) -> Result<Self, HarnessError> {
-        let mut fleet = Self::start_platform(binaries, scratch, options).await?;
+        let mut fleet = Self::start_platform(binaries, work_directory, options).await?;
         fleet.start_workers().await?;
         fleet.publish_machines().await;
         for zone in fleet.options.node_zones.clone() {
@@ -106,16 +107,17 @@
 
     async fn start_platform(
         binaries: Binaries,
-        scratch: &Path,
+        work_directory: &Path,
         options: FleetOptions,
     ) -> Result<Self, HarnessError> {
-        let scratch = scratch.join(options.name);
-        drop(std::fs::remove_dir_all(&scratch));
-        std::fs::create_dir_all(&scratch)?;
-        let log_process = start_lab(&binaries, &scratch, "log", &["log-service"])?;
+        let work_directory = work_directory.join(options.name);
+        drop(std::fs::remove_dir_all(&work_directory));
+        std::fs::create_dir_all(&work_directory)?;
+        let log_process = start_lab_process(&binaries, &work_directory, "log", &["log-service"])?;
         let lag = options.list_lag.as_millis().to_string();
         let list_arguments = ["machine-list", "--lag-ms", &lag];
-        let list_process = start_lab(&binaries, &scratch, "list", &list_arguments)?;
+        let list_process = start_lab_process(&binaries, &work_directory, "list", &list_arguments)?;
+        // One fetch takes 0.5 s.
         let weight_arguments = [
             "weight-store",
             "--bytes",
@@ -123,30 +125,31 @@
             "--bytes-per-second",
             "200",
         ];
-        let weights = start_lab(&binaries, &scratch, "weights", &weight_arguments)?;
-        let log_direct = address(log_process.announced("address"));
-        let list_direct = address(list_process.announced("address"));
+        let weights_process =
+            start_lab_process(&binaries, &work_directory, "weights", &weight_arguments)?;
+        let log_address = parse_address(log_process.announced("address"));
+        let list_address = parse_address(list_process.announced("address"));
         let journal = Journal::start(loopback()).await;
-        let (journal_server, journal) = journal.map_err(std::io::Error::other)?;
+        let (server, journal) = journal.map_err(std::io::Error::other)?;
         Ok(Self {
-            log: Link::open(loopback(), Some(log_direct)).await?,
-            list: Link::open(loopback(), Some(list_direct)).await?,
+            log: Link::open(loopback(), Some(log_address)).await?,
+            list: Link::open(loopback(), Some(list_address)).await?,
             engines: Vec::new(),
             workers: Vec::new(),
             nodes: Vec::new(),
             journal,
             tenant: Caller::new(TENANT_TOKEN),
             operator: Caller::new(OPERATOR_TOKEN),
-            log_direct,
-            list_direct,
+            log_address,
+            list_address,
             options,
             binaries,
-            scratch,
+            work_directory,
             started_nodes: 0,
             _log_process: log_process,
             _list_process: list_process,
-            weights,
-            _journal: journal_server,
+            weights_process,
+            journal_server: server,
         })
     }
 
@@ -164,21 +167,25 @@
 
     async fn start_engine(&self, index: usize) -> Result<WorkerProcess, HarnessError> {
         let name = format!("engine-{index}");
-        let weights = self.weights.announced("address");
+        let weights = self.weights_process.announced("address");
         let mut arguments = vec!["engine", "--weights", weights];
         arguments.extend(self.options.engine_flags.iter().map(String::as_str));
-        let process = start_lab(&self.binaries, &self.scratch, &name, &arguments)?;
-        let in_first = index < self.options.engines - self.options.engines_in_second_pool;
-        let pool = if in_first { POOL_ENGINES } else { SECOND_POOL };
-        worker(process, name, index, MachineKind::Engine, pool).await
+        let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
+        let in_first_pool = index < self.options.engines - self.options.engines_in_second_pool;
+        let pool = if in_first_pool {
+            POOL_ENGINES
+        } else {
+            SECOND_POOL
+        };
+        worker_process(process, name, index, MachineKind::Engine, pool).await
     }
 
     async fn start_submission_worker(&self, index: usize) -> Result<WorkerProcess, HarnessError> {
         let name = format!("book-{index}");
-        let journal = self._journal.address.to_string();
+        let journal = self.journal_server.address.to_string();
         let arguments = ["submission-worker", "--name", &name, "--journal", &journal];
-        let process = start_lab(&self.binaries, &self.scratch, &name, &arguments)?;
-        worker(
+        let process = start_lab_process(&self.binaries, &self.work_directory, &name, &arguments)?;
+        worker_process(
             process,
             name,
             index,
@@ -188,7 +195,7 @@
         .await
     }
 
-    /// Replaces a submission worker by a new process under the same name.
+    /// Kills a submission worker, starts a new process under the same name, and publishes its address.
     pub async fn restart_worker(&mut self, index: usize) -> Result<(), HarnessError> {
         self.workers[index].process.kill();
         self.workers[index] = self.start_submission_worker(index).await?;
@@ -196,13 +203,13 @@
         Ok(())
     }
 
-    /// Starts a node in a zone and returns its index.
+    /// Starts a node in a zone and returns its index in [`Fleet::nodes`].
     pub async fn start_node(&mut self, zone: usize) -> Result<usize, HarnessError> {
         self.started_nodes += 1;
         let number = self.started_nodes;
         let source = Ipv4Addr::new(127, 0, zone as u8 + 1, number);
         let peer = Link::open(loopback(), None).await?;
-        let settings = self.scratch.join(format!("node-{number}.toml"));
+        let settings = self.work_directory.join(format!("node-{number}.toml"));
         std::fs::write(&settings, self.node_settings(zone, source))?;
         let arguments = [
             "node".to_owned(),
@@ -211,10 +218,10 @@
             "--advertise-peer".to_owned(),
             peer.address.to_string(),
         ];
-        let log = self.scratch.join(format!("node-{number}.log"));
+        let log = self.work_directory.join(format!("node-{number}.log"));
         let process = Process::start(&self.binaries.node, &arguments, &log)?;
-        let api = address(process.announced("api"));
-        peer.set_target(address(process.announced("peer")));
+        let api = parse_address(process.announced("api"));
+        peer.set_target(parse_address(process.announced("peer")));
         self.nodes.push(NodeProcess {
             process,
             zone,
@@ -240,7 +247,7 @@
             ZONES[zone],
             self.log.address,
             self.list.address,
-            self.weights.announced("address"),
+            self.weights_process.announced("address"),
             self.options.log_level,
             token_digest(OPERATOR_TOKEN),
             self.options.settings,
@@ -257,7 +264,7 @@
         .await;
     }
 
-    /// Nodes whose process runs.
+    /// Returns the indices of the nodes whose process runs.
     pub fn running_nodes(&mut self) -> Vec<usize> {
         let nodes = self.nodes.iter_mut().enumerate();
         let running = nodes.filter_map(|(index, node)| node.process.is_running().then_some(index));
@@ -281,7 +288,7 @@
         .await;
     }
 
-    /// Publishes the machine list as the workers' entries stand now.
+    /// Publishes a machine list with the current entries of all engines and submission workers.
     pub async fn publish_machines(&self) {
         let machines: Vec<&Machine> = self
             .engines
@@ -290,29 +297,29 @@
             .map(|worker| &worker.machine)
             .collect();
         self.control(
-            self.list_direct,
+            self.list_address,
             "machines",
             &json!({ "machines": machines }),
         )
         .await;
     }
 
-    /// Changes the log's faults.
+    /// Replaces the faults of the log service.
     pub async fn set_log_faults(&self, faults: &LogFaults) {
-        self.control(self.log_direct, "faults", &json!(faults))
+        self.control(self.log_address, "faults", &json!(faults))
             .await;
     }
 
-    /// What an engine took in so far.
-    pub async fn engine_journal(&self, engine: usize) -> Vec<StartedRequest> {
-        let address = self.engines[engine].direct;
+    /// Returns the requests that an engine accepted so far, in order of arrival.
+    pub async fn engine_journal(&self, engine: usize) -> Vec<AcceptedRequest> {
+        let address = self.engines[engine].direct_address;
         let answer = self.operator.get(address, "/control/journal").await;
         let body = answer.expect("the engine answers").body;
-        serde_json::from_str(&body).expect("a journal")
+        serde_json::from_str(&body).expect("the body is a list of accepted requests")
     }
 
-    /// What every running engine took in so far.
-    pub async fn engine_journals(&mut self) -> Vec<StartedRequest> {
+    /// Returns the requests that the running engines accepted so far, one engine after the other.
+    pub async fn engine_journals(&mut self) -> Vec<AcceptedRequest> {
         let mut all = Vec::new();
         for index in 0..self.engines.len() {
             if self.engines[index].process.is_running() {
@@ -322,23 +329,27 @@
         all
     }
 
-    /// Changes a submission worker's behaviour.
+    /// Replaces the behaviour of a submission worker.
     pub async fn set_behaviour(&self, worker: usize, behaviour: &Behaviour) {
-        let address = self.workers[worker].direct;
+        let address = self.workers[worker].direct_address;
         self.control(address, "behaviour", &json!(behaviour)).await;
     }
 
-    /// Tells a stand-in something, past every proxy.
-    pub async fn control(&self, address: SocketAddr, what: &str, body: &Value) {
+    /// Posts `body` to `/control/{operation}` of a stand-in, past its link. Panics unless the status is 200.
+    pub async fn control(&self, address: SocketAddr, operation: &str, body: &Value) {
         let answer = self
             .operator
-            .post(address, &format!("/control/{what}"), body)
+            .post(address, &format!("/control/{operation}"), body)
             .await;
         let status = answer.map(|answer| answer.status);
-        assert_eq!(status.ok(), Some(200), "control {what}");
+        assert_eq!(
+            status.ok(),
+            Some(200),
+            "control call {operation} of {address} succeeds"
+        );
     }
 
-    /// Cuts a node off from all others, both ways, or heals the cut.
+    /// Sets `fault` on all peer connections of a node, in both directions. [`Fault::None`] ends the isolation.
     pub fn set_isolated(&self, isolated: usize, fault: Fault) {
         let source = self.nodes[isolated].source;
         for (index, node) in self.nodes.iter().enumerate() {
@@ -350,7 +361,8 @@
         }
     }
 
-    /// The node that leads a partition, by a statement to `asked`.
+    /// Returns the index of the node that leads a ledger partition, as node `asked` reports it; `None` without a
+    /// known leader or response.
     pub async fn leader_of(&self, asked: usize, partition: u16) -> Option<usize> {
         let statement = format!("show partitions where partition = {partition}");
         let api = self.nodes[asked].api;
@@ -365,9 +377,9 @@
     }
 }
 
-fn start_lab(
+fn start_lab_process(
     binaries: &Binaries,
-    scratch: &Path,
+    work_directory: &Path,
     name: &str,
     arguments: &[&str],
 ) -> Result<Process, HarnessError> {
@@ -375,19 +387,19 @@
     Process::start(
         &binaries.lab,
         &arguments,
-        &scratch.join(format!("{name}.log")),
+        &work_directory.join(format!("{name}.log")),
     )
 }
 
-async fn worker(
+async fn worker_process(
     process: Process,
     name: String,
     index: usize,
     kind: MachineKind,
     pool: &str,
 ) -> Result<WorkerProcess, HarnessError> {
-    let direct = address(process.announced("address"));
-    let link = Link::open(loopback(), Some(direct)).await?;
+    let direct_address = parse_address(process.announced("address"));
+    let link = Link::open(loopback(), Some(direct_address)).await?;
     let machine = Machine {
         id: name.as_str().into(),
         kind,
@@ -399,12 +411,12 @@
     Ok(WorkerProcess {
         process,
         link,
-        direct,
+        direct_address,
         machine,
     })
 }
 
-/// The fleet configuration of a test fleet.
+/// Returns the fleet configuration of a test fleet as TOML.
 pub fn fleet_configuration() -> String {
     format!(
         "[[tenants]]\nname = \"stolnica\"\ntoken_digests = [\"{}\"]\n\
--- a/crates/swiftshunt-lab/src/harness/wait.rs
+++ b/crates/swiftshunt-lab/src/harness/wait.rs
@@ -1,34 +1,37 @@
-//! Waiting for conditions.
+//! Polling until a condition holds.
 
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition that must come true; far above what any of them takes.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
+/// Time-out of [`eventually`], far above the time that any condition of the tests needs.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `condition` gives a value; panics with `what` if it never does.
-pub async fn eventually<T, F>(what: &str, condition: impl FnMut() -> F) -> T
+/// Polls `condition` until it returns a value. Panics with `description` if it returns none within 60 s.
+pub async fn eventually<T, F>(description: &str, condition: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
 {
-    eventually_within(LONGEST_WAIT, what, condition).await
+    eventually_within(DEFAULT_TIMEOUT, description, condition).await
 }
 
-/// The same with another bound.
+/// Like [`eventually`], with another time-out. A running call of `condition` is not interrupted by the time-out.
 pub async fn eventually_within<T, F>(
-    bound: Duration,
-    what: &str,
+    timeout: Duration,
+    description: &str,
     mut condition: impl FnMut() -> F,
 ) -> T
 where
     F: Future<Output = Option<T>>,
 {
-    let deadline = Instant::now() + bound;
+    let deadline = Instant::now() + timeout;
     loop {
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "never came true: {what}");
-        tokio::time::sleep(POLL).await;
+        assert!(
+            Instant::now() < deadline,
+            "condition did not hold within {timeout:?}: {description}"
+        );
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/swiftshunt-lab/src/log_service.rs
+++ b/crates/swiftshunt-lab/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The log service stand-in: streams in memory, and the faults of a real one.
+//! Stand-in for the log service: keeps streams in memory and injects the faults of a real log service.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,28 +14,28 @@
 
 use crate::stand_in::{RunningStandIn, lock};
 
-/// Largest append, in bytes.
+/// Largest accepted request body, in bytes.
 const BODY_LIMIT: usize = 64 << 20;
-/// Records answered at once, at most.
+/// Largest number of records in one response.
 const READ_LIMIT: usize = 4096;
-/// How long an answer that is lost is held: longer than any caller waits.
-const LOST_ANSWER_HOLD: Duration = Duration::from_secs(60);
+/// Delay of a response that counts as lost. Longer than the time-out of any caller.
+const LOST_ANSWER_DELAY: Duration = Duration::from_secs(60);
 
-/// Faults of the log; may be changed while it runs.
+/// Faults to inject. They can be changed while the stand-in runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogFaults {
-    /// Every call is refused without effect.
+    /// Refuse every append and read with `Unavailable` and `not_run`, without any effect.
     pub down: bool,
-    /// Time before each call takes effect.
+    /// Milliseconds by which each append and read is delayed before it takes effect.
     pub delay_ms: u64,
-    /// Appends take effect, but their answers are lost.
+    /// Apply appends, but hold back their responses until the callers time out.
     pub lose_append_answers: bool,
-    /// Reads answer from this much further back than asked.
+    /// Number of records by which reads start before the requested offset, so that records are delivered again.
     pub read_back: u64,
 }
 
-/// The state of the log.
+/// The streams of the stand-in and the faults that it injects.
 #[derive(Default)]
 pub struct LogState {
     streams: Mutex<HashMap<String, Vec<String>>>,
@@ -47,7 +47,7 @@
     fn observe_failure(&self, _failure: &Failure) {}
 }
 
-/// Starts a log as tasks of this process.
+/// Starts a log service in tasks of this process.
 pub async fn start(listen: SocketAddr) -> Result<(RunningStandIn, Arc<LogState>), BindError> {
     let state = Arc::new(LogState::default());
     let router = Router::new()
@@ -63,12 +63,13 @@
 }
 
 impl LogState {
-    /// Changes the faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: LogFaults) {
         *lock(&self.faults) = faults;
     }
 
-    async fn enter(&self) -> Result<LogFaults, Failure> {
+    /// Fails if the log is down; otherwise waits for the configured delay. Returns the faults as of before the delay.
+    async fn apply_faults(&self) -> Result<LogFaults, Failure> {
         let faults = lock(&self.faults).clone();
         if faults.down {
             return Err(Failure::not_run(ErrorKind::Unavailable, "the log is down"));
@@ -77,7 +78,7 @@
         Ok(faults)
     }
 
-    fn slice(&self, stream: &str, from: Offset, limit: usize) -> Vec<String> {
+    fn read_records(&self, stream: &str, from: Offset, limit: usize) -> Vec<String> {
         let streams = lock(&self.streams);
         let records = streams.get(stream).map_or(&[][..], Vec::as_slice);
         records
@@ -92,7 +93,7 @@
 async fn append(state: Arc<LogState>, mut call: Call) -> Result<Reply, Failure> {
     let stream = call.path_parameter("stream")?;
     let body: AppendBody = call.json(BODY_LIMIT).await?;
-    let faults = state.enter().await?;
+    let faults = state.apply_faults().await?;
     let offset = {
         let mut streams = lock(&state.streams);
         let records = streams.entry(stream).or_default();
@@ -102,14 +103,14 @@
     };
     state.appended.notify_waiters();
     if faults.lose_append_answers {
-        tokio::time::sleep(LOST_ANSWER_HOLD).await;
+        tokio::time::sleep(LOST_ANSWER_DELAY).await;
     }
     Ok(Reply::json(&AppendAnswer { offset }))
 }
 
 async fn read(state: Arc<LogState>, call: Call) -> Result<Reply, Failure> {
     let stream = call.path_parameter("stream")?;
-    let faults = state.enter().await?;
+    let faults = state.apply_faults().await?;
     let from: Offset = call.query("from").unwrap_or_default();
     let first = from.saturating_sub(faults.read_back);
     let limit = call.query("limit").unwrap_or(READ_LIMIT).min(READ_LIMIT);
@@ -117,7 +118,7 @@
     let deadline = tokio::time::Instant::now() + wait;
     loop {
         let appended = state.appended.notified();
-        let records = state.slice(&stream, first, limit);
+        let records = state.read_records(&stream, first, limit);
         let timed_out = tokio::time::Instant::now() >= deadline;
         if !records.is_empty() || timed_out {
             return Ok(Reply::json(&ReadAnswer { first, records }));
--- a/crates/swiftshunt-lab/src/platform/caller.rs
+++ b/crates/swiftshunt-lab/src/platform/caller.rs
@@ -1,4 +1,4 @@
-//! A caller in the platform's protocol.
+//! A client that sends requests and batch jobs to gateways in the platform's protocol.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,14 +12,14 @@
 use swiftshunt_platform::documents::{ItemDocument, JobDocument, PageDocument};
 use swiftshunt_platform::words::{headers, paths, queries, values};
 
-/// The host that callers name.
+/// Host header of all requests of callers; routes match on it.
 pub const HOST: &str = "caller.example";
-/// Tokens of each item of a caller's jobs.
+/// Number of tokens that each batch item declares.
 pub const ITEM_TOKENS: u64 = 100;
-/// Time that one call may take.
+/// Time limit of one HTTP exchange.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A caller.
+/// A caller of the gateways, with or without an API key. Clones share their connections.
 #[derive(Clone)]
 pub struct PlatformCaller {
     client: HttpClient,
@@ -36,7 +36,7 @@
 }
 
 impl PlatformCaller {
-    /// The same caller with a key.
+    /// Returns a caller that authenticates with `key` and shares this caller's connections.
     pub fn with_key(&self, key: &str) -> Self {
         Self {
             client: self.client.clone(),
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Adds the caller's host, and its key if it has one.
-    fn signed(&self, request: HttpRequest) -> HttpRequest {
+    /// Adds the host header and, if the caller has an API key, the authorization header.
+    fn with_caller_headers(&self, request: HttpRequest) -> HttpRequest {
         let request = request.with_header("host", HOST);
         match &self.key {
             Some(key) => {
@@ -55,17 +55,17 @@
         }
     }
 
-    fn question(
+    fn text_request(
         &self,
         gateway: SocketAddr,
         path: &str,
         id: &str,
         deadline: Duration,
     ) -> HttpRequest {
-        self.question_of(gateway, path, id, deadline, "a question")
+        self.text_request_with_body(gateway, path, id, deadline, "a question")
     }
 
-    fn question_of(
+    fn text_request_with_body(
         &self,
         gateway: SocketAddr,
         path: &str,
@@ -74,27 +74,28 @@
         body: &str,
     ) -> HttpRequest {
         let request = HttpRequest::post(gateway, path, "text/plain", body.to_owned());
-        self.signed(request)
+        self.with_caller_headers(request)
             .with_header(headers::REQUEST_ID, id)
             .with_header(headers::DEADLINE, deadline.as_millis().to_string())
     }
 
-    /// Sends a request with headers of the caller's choice.
+    /// Sends a request with additional headers and a deadline of 20 s.
     pub async fn ask_with_headers(
         &self,
         gateway: SocketAddr,
         path: &str,
         id: &str,
-        more: &[(&'static str, &str)],
+        extra_headers: &[(&'static str, &str)],
     ) -> Result<HttpAnswer, HttpError> {
-        let mut request = self.question(gateway, path, id, CALL_TIMEOUT);
-        for (name, value) in more {
+        let mut request = self.text_request(gateway, path, id, CALL_TIMEOUT);
+        for (name, value) in extra_headers {
             request = request.with_header(name, *value);
         }
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request on a route and reads the whole answer.
+    /// Sends a request that carries `deadline` in its deadline header, and reads the whole response. The
+    /// exchange itself is limited to 20 s.
     pub async fn ask(
         &self,
         gateway: SocketAddr,
@@ -102,11 +103,11 @@
         id: &str,
         deadline: Duration,
     ) -> Result<HttpAnswer, HttpError> {
-        let request = self.question(gateway, path, id, deadline);
+        let request = self.text_request(gateway, path, id, deadline);
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request with a body of the caller's choice.
+    /// Sends a request with the given body and a deadline of 20 s.
     pub async fn ask_with_body(
         &self,
         gateway: SocketAddr,
@@ -114,11 +115,11 @@
         id: &str,
         body: &str,
     ) -> Result<HttpAnswer, HttpError> {
-        let request = self.question_of(gateway, path, id, CALL_TIMEOUT, body);
+        let request = self.text_request_with_body(gateway, path, id, CALL_TIMEOUT, body);
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Sends a request whose prompt has `tokens` tokens.
+    /// Sends a request whose prompt consists of one part with `tokens` tokens.
     pub async fn ask_with_prompt(
         &self,
         gateway: SocketAddr,
@@ -130,7 +131,8 @@
         self.ask_with_parts(gateway, path, id, &parts).await
     }
 
-    /// Sends a request whose prompt has these parts, each a name and its tokens.
+    /// Sends a request whose prompt consists of `parts`: pairs of a part's identifier and its number of
+    /// tokens.
     pub async fn ask_with_parts(
         &self,
         gateway: SocketAddr,
@@ -139,30 +141,30 @@
         parts: &[(u64, u32)],
     ) -> Result<HttpAnswer, HttpError> {
         let tokens: u32 = parts.iter().map(|(_, tokens)| tokens).sum();
-        let named: Vec<String> = parts
+        let part_texts: Vec<String> = parts
             .iter()
             .map(|(part, tokens)| format!("{part:x}:{tokens}"))
             .collect();
         let request = self
-            .question(gateway, path, id, CALL_TIMEOUT)
+            .text_request(gateway, path, id, CALL_TIMEOUT)
             .with_header(headers::TOKENS, format!("{tokens},10"))
-            .with_header(headers::PROMPT, named.join(","));
+            .with_header(headers::PROMPT, part_texts.join(","));
         self.client.exchange(request, CALL_TIMEOUT).await
     }
 
-    /// Asks, and leaves after `patience`.
-    pub async fn ask_and_leave(
+    /// Sends a request and closes the connection after `leave_after` if the response is not complete by then.
+    pub async fn ask_and_disconnect(
         &self,
         gateway: SocketAddr,
         path: &str,
         id: &str,
-        patience: Duration,
+        leave_after: Duration,
     ) {
         let asked = self.ask(gateway, path, id, CALL_TIMEOUT);
-        drop(tokio::time::timeout(patience, asked).await);
+        drop(tokio::time::timeout(leave_after, asked).await);
     }
 
-    /// Hands a job in.
+    /// Submits a batch job with `items` items whose bodies are those of [`item_body`].
     pub async fn submit(
         &self,
         gateway: SocketAddr,
@@ -174,7 +176,7 @@
         self.submit_bodies(gateway, path, job, bodies).await
     }
 
-    /// Hands a job in whose items have these bodies.
+    /// Submits a batch job with one item for each body.
     pub async fn submit_bodies(
         &self,
         gateway: SocketAddr,
@@ -194,12 +196,15 @@
         };
         let body = serde_json::to_vec(&document).unwrap_or_default();
         let request = HttpRequest::post(gateway, path, "application/json", body);
-        let request = self.signed(request).with_header(headers::REQUEST_ID, job);
+        let request = self
+            .with_caller_headers(request)
+            .with_header(headers::REQUEST_ID, job);
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok(answer.status)
     }
 
-    /// Reads results from a position on.
+    /// Reads a job's results from position `from`; the gateway may delay its response by up to `wait` until
+    /// there is one. If the response contains no page, as error responses do, the returned page is empty.
     pub async fn results(
         &self,
         gateway: SocketAddr,
@@ -209,11 +214,11 @@
     ) -> Result<(StatusCode, PageDocument), HttpError> {
         let path = format!("{}{job}?{}={from}", paths::JOBS, queries::AFTER);
         let request = self
-            .signed(HttpRequest::get(gateway, path))
+            .with_caller_headers(HttpRequest::get(gateway, path))
             .with_header(headers::WAIT, wait.as_millis().to_string());
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         let document = serde_json::from_slice(&answer.body);
-        // An answer without a page says so by its status.
+        // Error responses have no page; their status tells why.
         let document = document.unwrap_or(PageDocument {
             total: 0,
             next_token: 0,
@@ -222,7 +227,7 @@
         Ok((answer.status, document))
     }
 
-    /// Reads the body of an item.
+    /// Reads the stored body of a batch item.
     pub async fn item(
         &self,
         gateway: SocketAddr,
@@ -230,21 +235,21 @@
         item: &str,
     ) -> Result<(StatusCode, Bytes), HttpError> {
         let path = format!("{}{job}?{}={item}", paths::ITEMS, queries::ITEM);
-        let request = self.signed(HttpRequest::get(gateway, path));
+        let request = self.with_caller_headers(HttpRequest::get(gateway, path));
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok((answer.status, answer.body))
     }
 
-    /// Ends a job.
+    /// Ends a job by a DELETE request and returns the status of the response.
     pub async fn end(&self, gateway: SocketAddr, job: &str) -> Result<StatusCode, HttpError> {
         let mut request = HttpRequest::get(gateway, format!("{}{job}", paths::JOBS));
         request.method = Method::DELETE;
-        let request = self.signed(request);
+        let request = self.with_caller_headers(request);
         let answer = self.client.exchange(request, CALL_TIMEOUT).await?;
         Ok(answer.status)
     }
 
-    /// All figures that a gateway tells; nothing if it does not answer.
+    /// Returns all metrics of a gateway in text format, or an empty string if it does not respond.
     pub async fn metrics(&self, metrics: SocketAddr) -> String {
         let request = HttpRequest::get(metrics, "/metrics");
         let Ok(answer) = self.client.exchange(request, CALL_TIMEOUT).await else {
@@ -253,15 +258,15 @@
         String::from_utf8_lossy(&answer.body).into_owned()
     }
 
-    /// A figure that a gateway tells: the value of the line that begins with `name`, 0 without one.
-    pub async fn figure(&self, metrics: SocketAddr, name: &str) -> f64 {
+    /// Returns the value of a gateway's metric, where `name` includes its labels; 0 if the gateway does not report it.
+    pub async fn metric_value(&self, metrics: SocketAddr, name: &str) -> f64 {
         let text = self.metrics(metrics).await;
         let mut lines = text.lines();
         let line = lines.find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
         line.and_then(|value| value.parse().ok()).unwrap_or(0.0)
     }
 
-    /// Asks whether a gateway is ready.
+    /// Whether a gateway's readiness endpoint responds with 200.
     pub async fn is_ready(&self, ready: SocketAddr) -> bool {
         let request = HttpRequest::get(ready, "/v1/ready");
         let answer = self.client.exchange(request, CALL_TIMEOUT).await;
@@ -269,12 +274,12 @@
     }
 }
 
-/// Identifier of an item.
+/// Identifier of the item with index `item` in a job.
 pub fn item_id(job: &str, item: usize) -> String {
     format!("{job}-item-{item}")
 }
 
-/// Body of an item.
+/// Body of the item with index `item` in a job that [`PlatformCaller::submit`] submits.
 pub fn item_body(job: &str, item: usize) -> String {
     format!("body of {job}/{item}")
 }
--- a/crates/swiftshunt-lab/src/platform/fleet.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet.rs
@@ -1,4 +1,4 @@
-//! Real gateways before stand-ins of the platform.
+//! A fleet of real gateway processes with stand-ins for the platform's store and workers.
 
 mod configuration;
 mod start;
@@ -12,46 +12,48 @@
 use swiftshunt_platform::words::{topics, values};
 
 use super::caller::PlatformCaller;
-use super::places::Places;
-use super::process::time_of_day_ms;
+use super::process::unix_ms;
 use super::server::any_port;
-use super::store::{Door, Store};
+use super::store::{Store, StoreListener};
 use super::worker::{Worker, WorkerSettings};
+use super::zone_layout::ZoneLayout;
 use crate::harness::{HarnessError, Process};
-use crate::proxy::{Link, Way, Width};
+use crate::proxy::{Bandwidth, Link, LinkConditions};
 use configuration::PublishedConfiguration;
 pub use configuration::{
-    ASK, BATCH, ONCE, STREAM, STREAM_ONCE, TenantText, first_configuration, route, split,
+    ASK, BATCH, ONCE, PublishedTenant, STREAM, STREAM_ONCE, first_configuration, route,
+    weighted_split,
 };
 pub(crate) use start::{
-    GatewaySettingsText, KeptAddresses, settings_text, start_gateway, start_gateway_anew,
+    GatewayAddresses, GatewaySettingsText, settings_text, start_gateway,
+    start_gateway_on_free_addresses,
 };
 
-/// Ports that are tried until one is free.
-const PORT_TRIES: usize = 100;
-/// Partitions of the store's topics.
+/// Maximum number of attempts to find a free port, or to bind one that another worker is releasing.
+const PORT_ATTEMPTS: usize = 100;
+/// Number of partitions of each of the store's topics.
 const PARTITIONS: u32 = 4;
-/// Time within which what is waited for must come about.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Pause between looks.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time limit of all waits for a condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A gateway process and its door to the store.
+/// A gateway process and its listener at the store.
 pub struct RunningGateway {
-    /// The process.
+    /// The running process.
     pub process: Process,
-    /// Where callers are served.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where readiness is told.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where other gateways reach it.
+    /// Address for other gateways.
     pub peers: SocketAddr,
-    /// Where its figures are told.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// Its door.
-    pub door: Door,
-    /// Its way to the door, if that leads over a line.
-    link: Option<Link>,
+    /// The store's listener that this gateway alone uses; its faults affect no other gateway.
+    pub store_listener: StoreListener,
+    /// Proxy in front of the listener, if the gateway reaches the store over a bandwidth-limited line.
+    store_link: Option<Link>,
     settings: PathBuf,
     program: PathBuf,
 }
@@ -62,7 +64,7 @@
         program: PathBuf,
         settings: PathBuf,
         metrics: SocketAddr,
-        door: Door,
+        store_listener: StoreListener,
     ) -> Result<Self, HarnessError> {
         let address = |field: &str| {
             let text = process.announced(field);
@@ -76,67 +78,70 @@
             peers: address("peers")?,
             metrics,
             process,
-            door,
-            link: None,
+            store_listener,
+            store_link: None,
             settings,
             program,
         })
     }
 }
 
-/// Gateways, store and workers.
+/// Gateway processes, and the stand-ins that they use. Dropping it stops all of them.
 pub struct PlatformFleet {
-    /// The store.
+    /// The store stand-in of all gateways.
     pub store: Store,
-    /// Workers of the service `whole`.
-    pub whole: Vec<Worker>,
-    /// Workers of the service `engine`.
-    pub engines: Vec<Worker>,
-    /// Gateways.
+    /// Workers of the service `whole`, whose responses are not streamed.
+    pub whole_workers: Vec<Worker>,
+    /// Workers of the service `engine`, whose responses are streamed.
+    pub engine_workers: Vec<Worker>,
+    /// The gateways by index; the index is part of their names.
     pub gateways: Vec<RunningGateway>,
-    /// A caller.
+    /// A caller without an API key.
     pub caller: PlatformCaller,
-    /// What gateways run, by turns.
+    /// Programs of the gateways, assigned in turn by index; at least one.
     programs: Vec<PathBuf>,
     scratch: PathBuf,
     version: u64,
     lease: Duration,
-    directory: String,
-    places: Places,
-    line: Option<Arc<Width>>,
+    extra_directory_settings: String,
+    zone_layout: ZoneLayout,
+    store_line: Option<Arc<Bandwidth>>,
 }
 
-/// How many there are of each, and how they serve.
+/// Size and settings of a fleet.
 #[derive(Clone, Debug)]
 pub struct PlatformOptions {
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Workers of each service.
+    /// Number of workers of each of the two services.
     pub workers: usize,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u64,
-    /// Pause between events.
-    pub event_pause: Duration,
-    /// Time of a whole answer.
-    pub whole_pause: Duration,
-    /// Lease of partitions.
+    /// Delay of the workers before each event of a stream.
+    pub event_interval: Duration,
+    /// Delay of the workers before a response that is not streamed.
+    pub answer_delay: Duration,
+    /// Duration of the lease on a partition of batch jobs.
     pub lease: Duration,
-    /// Seed of the store's faults.
+    /// Seed of the store's random faults.
     pub seed: u64,
-    /// More lines of the settings file.
-    pub settings: String,
-    /// More lines of its part on the directory.
-    pub directory: String,
-    /// The body of a request that ends each worker that begins to run it.
-    pub workers_ended_by: Option<String>,
-    /// Whether workers tell when they started, and keep their identifiers when they start again.
-    pub workers_tell_start: bool,
-    /// Where gateways and workers stand.
-    pub places: Places,
-    /// Programs that gateways run by turns in place of the one that the fleet is started with; none for that alone.
+    /// Lines to append to the gateways' settings files.
+    pub extra_settings: String,
+    /// Lines to append to the `[directory]` table of the gateways' settings files.
+    pub extra_directory_settings: String,
+    /// A request body that crashes each worker that begins to run it.
+    pub crash_workers_on_body: Option<String>,
+    /// Whether workers report their start times in the directory, which tells a restarted worker from its
+    /// predecessor under the same identifier.
+    pub report_start_times: bool,
+    /// Zones of the gateways and workers.
+    pub zone_layout: ZoneLayout,
+    /// Programs of the gateways, assigned in turn by index. If empty, all gateways run the program passed to
+    /// [`PlatformFleet::start`].
     pub programs: Vec<PathBuf>,
-    /// The line over which gateways outside the first region reach the store.
-    pub line: Option<Arc<Width>>,
+    /// Bandwidth-limited line that gateways outside the first region share to reach the store; `None` for
+    /// no limit.
+    pub store_line: Option<Arc<Bandwidth>>,
 }
 
 impl Default for PlatformOptions {
@@ -145,23 +150,24 @@
             gateways: 2,
             workers: 2,
             events: 8,
-            event_pause: Duration::from_millis(10),
-            whole_pause: Duration::from_millis(5),
+            event_interval: Duration::from_millis(10),
+            answer_delay: Duration::from_millis(5),
             lease: Duration::from_secs(1),
             seed: 1,
-            settings: String::new(),
-            directory: String::new(),
-            workers_ended_by: None,
-            workers_tell_start: false,
-            places: Places::default(),
+            extra_settings: String::new(),
+            extra_directory_settings: String::new(),
+            crash_workers_on_body: None,
+            report_start_times: false,
+            zone_layout: ZoneLayout::default(),
             programs: Vec::new(),
-            line: None,
+            store_line: None,
         }
     }
 }
 
 impl PlatformFleet {
-    /// Starts a fleet and waits until every gateway is ready.
+    /// Starts a fleet and waits until every gateway is ready. Settings and log files are written to a new
+    /// directory in `scratch`. Panics if a gateway is not ready within 20 s.
     pub async fn start(
         binary: &Path,
         scratch: &Path,
@@ -170,44 +176,44 @@
         let scratch = scratch.join(format!("fleet-{:016x}", rand::random::<u64>()));
         std::fs::create_dir_all(&scratch)?;
         let store = Store::new(PARTITIONS, options.seed);
-        let mut whole = Vec::new();
-        let mut engines = Vec::new();
+        let mut whole_workers = Vec::new();
+        let mut engine_workers = Vec::new();
         for index in 0..options.workers {
-            let settings = |name: &str, events, pause| WorkerSettings {
+            let settings = |name: &str, events, answer_delay| WorkerSettings {
                 incarnation: format!("{name}-{index}"),
                 slots: 16,
                 events,
-                pause,
-                ended_by: options.workers_ended_by.clone(),
-                started_unix_ms: options.workers_tell_start.then(time_of_day_ms),
-                zone: options.places.zone(index).to_owned(),
+                answer_delay,
+                crash_on_body: options.crash_workers_on_body.clone(),
+                started_unix_ms: options.report_start_times.then(unix_ms),
+                zone: options.zone_layout.zone(index).to_owned(),
             };
-            let of_whole = settings("whole", None, options.whole_pause);
-            whole.push(Worker::start(of_whole).await?);
-            let engine = settings("engine", Some(options.events), options.event_pause);
-            engines.push(Worker::start(engine).await?);
+            let whole_settings = settings("whole", None, options.answer_delay);
+            whole_workers.push(Worker::start(whole_settings).await?);
+            let engine_settings = settings("engine", Some(options.events), options.event_interval);
+            engine_workers.push(Worker::start(engine_settings).await?);
         }
         if options.programs.is_empty() {
             options.programs.push(binary.to_owned());
         }
         let mut fleet = Self {
             store,
-            whole,
-            engines,
+            whole_workers,
+            engine_workers,
             gateways: Vec::new(),
             caller: PlatformCaller::default(),
             programs: options.programs,
             scratch,
             version: 0,
             lease: options.lease,
-            directory: options.directory,
-            places: options.places,
-            line: options.line,
+            extra_directory_settings: options.extra_directory_settings,
+            zone_layout: options.zone_layout,
+            store_line: options.store_line,
         };
         fleet.configure(first_configuration());
         fleet.list_all(values::READY);
         for _ in 0..options.gateways {
-            fleet.add_gateway(&options.settings).await?;
+            fleet.add_gateway(&options.extra_settings).await?;
         }
         for gateway in &fleet.gateways {
             let ready = gateway.ready;
@@ -217,86 +223,100 @@
         Ok(fleet)
     }
 
-    /// Adds a gateway, without waiting until it is ready.
-    pub async fn add_gateway(&mut self, more_settings: &str) -> Result<(), HarnessError> {
-        let door = self.store.open_door().await?;
+    /// Starts one more gateway. Does not wait until it is ready.
+    pub async fn add_gateway(&mut self, extra_settings: &str) -> Result<(), HarnessError> {
+        let store_listener = self.store.open_listener().await?;
         let index = self.gateways.len();
-        let link = self.link_to(door.address, index).await?;
-        let store = link.as_ref().map_or(door.address, |link| link.address);
+        let link = self.open_store_link(store_listener.address, index).await?;
+        let store = link
+            .as_ref()
+            .map_or(store_listener.address, |link| link.address);
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
         let program = self.programs[index % self.programs.len()].clone();
-        let started = start_gateway_anew(&program, &settings, |addresses| {
+        let started = start_gateway_on_free_addresses(&program, &settings, |addresses| {
             settings_text(&GatewaySettingsText {
                 index,
-                places: &self.places,
+                zone_layout: &self.zone_layout,
                 peers: addresses.peers,
                 metrics: addresses.metrics,
                 store,
                 partitions: PARTITIONS,
                 lease: self.lease,
-                directory: &self.directory,
-                more: more_settings,
+                extra_directory_lines: &self.extra_directory_settings,
+                extra_lines: extra_settings,
             })
         });
         let (process, addresses) = started?;
         let metrics = addresses.metrics;
-        let mut gateway = RunningGateway::new(process, program, settings, metrics, door)?;
-        gateway.link = link;
+        let mut gateway = RunningGateway::new(process, program, settings, metrics, store_listener)?;
+        gateway.store_link = link;
         self.gateways.push(gateway);
         Ok(())
     }
 
-    /// The way of a gateway to the store, if it leads over a line.
-    async fn link_to(&self, door: SocketAddr, index: usize) -> std::io::Result<Option<Link>> {
-        let line = self.line.as_ref().filter(|_| self.places.is_far(index));
+    /// Starts the proxy through which the gateway reaches the store, if it is subject to the bandwidth limit.
+    async fn open_store_link(
+        &self,
+        store_listener: SocketAddr,
+        index: usize,
+    ) -> std::io::Result<Option<Link>> {
+        let line = self
+            .store_line
+            .as_ref()
+            .filter(|_| self.zone_layout.is_outside_first_region(index));
         let Some(line) = line else {
             return Ok(None);
         };
-        let link = Link::open(any_port(), Some(door)).await?;
-        link.set_way(Way {
+        let link = Link::open(any_port(), Some(store_listener)).await?;
+        link.set_conditions(LinkConditions {
             delay: Duration::ZERO,
-            width: Some(Arc::clone(line)),
+            bandwidth: Some(Arc::clone(line)),
         });
         Ok(Some(link))
     }
 
-    /// Kills a gateway and starts it again, without waiting until it is ready.
+    /// Kills a gateway and starts it again with the same program. Does not wait until it is ready.
     pub fn restart(&mut self, index: usize) -> Result<(), HarnessError> {
         self.gateways[index].process.kill();
         let program = self.gateways[index].program.clone();
-        self.start_again(index, program)
+        self.start_process(index, program)
     }
 
-    fn start_again(&mut self, index: usize, program: PathBuf) -> Result<(), HarnessError> {
+    fn start_process(&mut self, index: usize, program: PathBuf) -> Result<(), HarnessError> {
         let gateway = &self.gateways[index];
         let settings = gateway.settings.clone();
         let process = start_gateway(&program, &settings)?;
-        let (metrics, door) = (gateway.metrics, gateway.door.clone());
-        let link = self.gateways[index].link.take();
-        self.gateways[index] = RunningGateway::new(process, program, settings, metrics, door)?;
-        self.gateways[index].link = link;
+        let (metrics, store_listener) = (gateway.metrics, gateway.store_listener.clone());
+        let link = self.gateways[index].store_link.take();
+        self.gateways[index] =
+            RunningGateway::new(process, program, settings, metrics, store_listener)?;
+        self.gateways[index].store_link = link;
         Ok(())
     }
 
-    /// Stops a gateway as planned, and has another program take its place once it has ended.
+    /// Stops a gateway gracefully, starts `program` with the same settings once it has exited, and waits until the
+    /// new process is ready. Panics if the exit or the start takes more than 20 s.
     pub async fn replace(&mut self, index: usize, program: &Path) -> Result<(), HarnessError> {
         let gateway = &mut self.gateways[index];
         gateway.process.terminate();
         let ends = async {
             while gateway.process.is_running() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        let ended = tokio::time::timeout(PATIENCE, ends).await;
-        assert!(ended.is_ok(), "gateway {index} does not stop");
-        self.start_again(index, program.to_owned())?;
+        let ended = tokio::time::timeout(CONDITION_TIMEOUT, ends).await;
+        assert!(
+            ended.is_ok(),
+            "gateway {index} did not exit within {CONDITION_TIMEOUT:?} after SIGTERM"
+        );
+        self.start_process(index, program.to_owned())?;
         let ready = self.gateways[index].ready;
         let caller = &self.caller;
         eventually("the gateway is ready", || caller.is_ready(ready)).await;
         Ok(())
     }
 
-    /// Adds lines to a gateway's settings file, for its next start.
+    /// Appends lines to a gateway's settings file; they take effect when it restarts.
     pub fn add_settings(&self, index: usize, lines: &str) -> Result<(), HarnessError> {
         let file = &self.gateways[index].settings;
         let text = std::fs::read_to_string(file)?;
@@ -304,16 +324,16 @@
         Ok(())
     }
 
-    /// Publishes a configuration under the next version.
+    /// Publishes a configuration with the next version number, which replaces the version in `document`.
     pub fn configure(&mut self, document: ConfigurationDocument) {
-        self.configure_tenants(document, None);
+        self.configure_with_tenants(document, None);
     }
 
-    /// Publishes a configuration with tenants under the next version.
-    pub fn configure_tenants(
+    /// Publishes a configuration with tenants and the next version number.
+    pub fn configure_with_tenants(
         &mut self,
         mut document: ConfigurationDocument,
-        tenants: Option<&[TenantText]>,
+        tenants: Option<&[PublishedTenant]>,
     ) {
         self.version += 1;
         document.version = self.version;
@@ -323,37 +343,37 @@
         self.store.put(topics::OPERATOR, &key, body);
     }
 
-    /// Has the operator evacuate a zone.
+    /// Publishes the evacuation of a zone, as an operator does.
     pub fn evacuate(&self, zone: &str) {
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
         self.store.put(topics::OPERATOR, &key, "{}");
     }
 
-    /// Has the operator withdraw the evacuation of a zone.
+    /// Withdraws the evacuation of a zone, as an operator does.
     pub fn withdraw_evacuation(&self, zone: &str) {
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
         self.store.put(topics::OPERATOR, &key, bytes::Bytes::new());
     }
 
-    /// Lists every worker in a state.
+    /// Lists every worker in the directory with the given state.
     pub fn list_all(&self, state: &str) {
-        for worker in &self.whole {
+        for worker in &self.whole_workers {
             self.list(worker, "whole", state);
         }
-        for worker in &self.engines {
+        for worker in &self.engine_workers {
             self.list(worker, "engine", state);
         }
     }
 
-    /// Lists a worker in the directory.
+    /// Lists a worker in the directory as one of `service`, with the given state.
     pub fn list(&self, worker: &Worker, service: &str, state: &str) {
-        let document = Self::entry_of(worker, service, state);
+        let document = Self::directory_entry(worker, service, state);
         let body = serde_json::to_vec(&document).unwrap_or_default();
         self.store.put(topics::WORKERS, worker.incarnation(), body);
     }
 
-    /// What a worker says of itself.
-    pub fn entry_of(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
+    /// Returns the directory entry of a worker. It states 16 slots, whatever the worker's settings.
+    pub fn directory_entry(worker: &Worker, service: &str, state: &str) -> WorkerDocument {
         WorkerDocument {
             service: service.to_owned(),
             address: worker.address.to_string(),
@@ -367,54 +387,55 @@
         }
     }
 
-    /// Ends a worker of the service `whole` and starts it again, at its address and under its identifier; it
-    /// is listed as ready in its new life.
+    /// Crashes a worker of the service `whole` and restarts it with the same address and identifier. Lists it
+    /// as ready with the new start time.
     pub async fn restart_worker(&mut self, index: usize) -> std::io::Result<()> {
-        let old = &self.whole[index];
+        let old = &self.whole_workers[index];
         old.crash();
         let address = old.address;
         let settings = WorkerSettings {
-            started_unix_ms: Some(time_of_day_ms()),
+            started_unix_ms: Some(unix_ms()),
             ..old.settings().clone()
         };
         let worker = start_worker_at(address, settings).await?;
         self.list(&worker, "whole", values::READY);
-        self.whole[index] = worker;
+        self.whole_workers[index] = worker;
         Ok(())
     }
 
-    /// Takes a worker out of the directory.
+    /// Removes a worker from the directory.
     pub fn unlist(&self, worker: &Worker) {
         let nothing = bytes::Bytes::new();
         self.store
             .put(topics::WORKERS, worker.incarnation(), nothing);
     }
 
-    /// Runs of a request at all workers.
+    /// Returns the runs of a request at all workers.
     pub fn runs_of(&self, id: &str) -> Vec<super::worker::Run> {
-        let workers = self.whole.iter().chain(&self.engines);
+        let workers = self.whole_workers.iter().chain(&self.engine_workers);
         let runs = workers.flat_map(Worker::runs);
         runs.filter(|run| run.id == id).collect()
     }
 
-    /// What the gateways logged, for a look at a failure.
-    pub fn logs(&self) -> &Path {
+    /// Directory of the gateways' settings and log files.
+    pub fn log_directory(&self) -> &Path {
         &self.scratch
     }
 }
 
-/// Starts a worker at an address that another one may just be leaving.
+/// Starts a worker at an address. Retries while the previous worker has not released it yet, and fails with
+/// `AddrInUse` after [`PORT_ATTEMPTS`] attempts.
 async fn start_worker_at(address: SocketAddr, settings: WorkerSettings) -> std::io::Result<Worker> {
-    for _ in 0..PORT_TRIES {
+    for _ in 0..PORT_ATTEMPTS {
         match Worker::start_watched(address, settings.clone(), Arc::new(|_, _| {})).await {
             Ok(worker) => return Ok(worker),
-            Err(_) => tokio::time::sleep(LOOK).await,
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse))
 }
 
-/// Waits until a condition holds; panics if it does not within 20 s.
+/// Waits until `condition` holds. Panics with `what` if it does not within 20 s.
 pub async fn eventually<F, Holds>(what: &str, condition: F)
 where
     F: Fn() -> Holds,
@@ -422,9 +443,12 @@
 {
     let waited = async {
         while !condition().await {
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    let held = tokio::time::timeout(PATIENCE, waited).await;
-    assert!(held.is_ok(), "not within {PATIENCE:?}: {what}");
+    let held = tokio::time::timeout(CONDITION_TIMEOUT, waited).await;
+    assert!(
+        held.is_ok(),
+        "condition not met within {CONDITION_TIMEOUT:?}: {what}"
+    );
 }
--- a/crates/swiftshunt-lab/src/platform/fleet/start.rs
+++ b/crates/swiftshunt-lab/src/platform/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Gateway processes of a fleet: their addresses, their settings files, their start.
+//! Starts the gateway processes of a fleet: allocates addresses and writes settings files.
 
 use std::fs::{File, TryLockError};
 use std::net::SocketAddr;
@@ -9,12 +9,12 @@
 
 use rand::seq::SliceRandom;
 
-use super::PORT_TRIES;
+use super::PORT_ATTEMPTS;
 use crate::harness::{HarnessError, Process};
-use crate::platform::places::Places;
+use crate::platform::zone_layout::ZoneLayout;
 use crate::stand_in::lock;
 
-/// Starts a gateway by a settings file; its log lies beside that.
+/// Starts a gateway with a settings file. Its log is the file beside that with the extension `log`.
 pub(crate) fn start_gateway(binary: &Path, settings: &Path) -> Result<Process, HarnessError> {
     let arguments = [
         "gateway".to_owned(),
@@ -26,89 +26,94 @@
     Process::start(binary, &arguments, &settings.with_extension("log"))
 }
 
-/// Addresses that a gateway keeps when it starts again: others know it by them.
+/// Addresses that a gateway keeps across restarts, since other processes are configured with them.
 #[derive(Clone, Copy)]
-pub(crate) struct KeptAddresses {
-    /// Where it listens for other gateways.
+pub(crate) struct GatewayAddresses {
+    /// Address to listen on for other gateways.
     pub(crate) peers: SocketAddr,
-    /// Where it listens for who asks for its figures.
+    /// Address to listen on for requests for metrics.
     pub(crate) metrics: SocketAddr,
 }
 
-/// Times that a gateway is started with other addresses before it is given up.
-const STARTS: usize = 5;
-/// What the log of a gateway says whose address another process took first.
-const ADDRESS_TAKEN: &str = "in use";
+/// Maximum number of starts of a gateway, each with other addresses.
+const MAX_STARTS: usize = 5;
+/// Text in the log of a gateway that could not bind an address because another process uses it.
+const ADDRESS_IN_USE: &str = "in use";
 
-/// Starts a gateway for the first time, by the settings that `text` makes of its addresses. Another test program may
-/// take one of them between a look at it and the start: then others are drawn.
-pub(crate) fn start_gateway_anew(
+/// Starts a gateway for the first time, with the settings that `text` returns for its addresses. If another process
+/// binds one of them between the check that it is free and the start, tries again with other addresses.
+pub(crate) fn start_gateway_on_free_addresses(
     program: &Path,
     settings: &Path,
-    text: impl Fn(KeptAddresses) -> String,
-) -> Result<(Process, KeptAddresses), HarnessError> {
+    text: impl Fn(GatewayAddresses) -> String,
+) -> Result<(Process, GatewayAddresses), HarnessError> {
     for start in 1.. {
-        let addresses = KeptAddresses {
+        let addresses = GatewayAddresses {
             peers: free_address()?,
             metrics: free_address()?,
         };
         std::fs::write(settings, text(addresses))?;
         match start_gateway(program, settings) {
             Ok(process) => return Ok((process, addresses)),
-            Err(error) if start >= STARTS || !is_address_taken(settings) => return Err(error),
-            Err(_) => eprintln!("an address of {} was taken", settings.display()),
+            Err(error) if start >= MAX_STARTS || !is_address_in_use(settings) => return Err(error),
+            Err(_) => eprintln!(
+                "an address in {} is in use by another process; starting the gateway with other addresses",
+                settings.display()
+            ),
         }
     }
     Err(std::io::Error::from(std::io::ErrorKind::AddrInUse).into())
 }
 
-fn is_address_taken(settings: &Path) -> bool {
+fn is_address_in_use(settings: &Path) -> bool {
     let log = std::fs::read_to_string(settings.with_extension("log"));
-    log.is_ok_and(|log| log.contains(ADDRESS_TAKEN))
+    log.is_ok_and(|log| log.contains(ADDRESS_IN_USE))
 }
 
-/// Ports that the system gives to nobody by itself.
-const FIXED_PORTS: Range<u16> = 20_000..30_000;
+/// Ports outside the range from which the system assigns ports to sockets bound to port 0.
+const NON_EPHEMERAL_PORTS: Range<u16> = 20_000..30_000;
 
-/// Ports of a block.
-const BLOCK: u16 = 50;
-/// Directory, beside other temporary files, of a file for each block: who holds its lock has the block's ports, also
-/// for gateways that do not listen yet, or are to start again.
-const PORT_LOCKS: &str = "swiftshunt-lab-ports";
+/// Number of ports in a block.
+const PORTS_PER_BLOCK: u16 = 50;
+/// Subdirectory of the directory for temporary files, with a lock file for each block. The process that holds the lock
+/// owns the block's ports, also those of gateways that do not listen yet or are about to restart.
+const PORT_LOCK_DIRECTORY: &str = "swiftshunt-lab-ports";
 
-/// The ports of this process, among other test programs that run beside it.
-struct OwnPorts {
-    /// Those of the newest block that were not given to a gateway yet.
-    left: Range<u16>,
+/// Allocates ports that no other test program uses that runs at the same time.
+struct PortAllocator {
+    /// Ports of the last reserved block that are not allocated yet.
+    unused: Range<u16>,
     locks: Vec<File>,
 }
 
-static OWN_PORTS: Mutex<OwnPorts> = Mutex::new(OwnPorts {
-    left: 0..0,
+static PORT_ALLOCATOR: Mutex<PortAllocator> = Mutex::new(PortAllocator {
+    unused: 0..0,
     locks: Vec::new(),
 });
 
-impl OwnPorts {
+impl PortAllocator {
     fn next(&mut self) -> std::io::Result<u16> {
         loop {
-            if let Some(port) = self.left.next() {
+            if let Some(port) = self.unused.next() {
                 return Ok(port);
             }
-            self.take_block()?;
+            self.reserve_block()?;
         }
     }
 
-    /// Takes a block that no other process has, until this process ends.
-    fn take_block(&mut self) -> std::io::Result<()> {
-        let directory = std::env::temp_dir().join(PORT_LOCKS);
+    /// Reserves a block that no other process holds, until this process exits.
+    fn reserve_block(&mut self) -> std::io::Result<()> {
+        let directory = std::env::temp_dir().join(PORT_LOCK_DIRECTORY);
         std::fs::create_dir_all(&directory)?;
-        let mut firsts: Vec<u16> = FIXED_PORTS.step_by(BLOCK.into()).collect();
-        firsts.shuffle(&mut rand::rng());
-        for first in firsts {
+        let mut first_ports: Vec<u16> = NON_EPHEMERAL_PORTS
+            .step_by(PORTS_PER_BLOCK.into())
+            .collect();
+        first_ports.shuffle(&mut rand::rng());
+        for first in first_ports {
             let file = File::create(directory.join(first.to_string()))?;
             match file.try_lock() {
                 Ok(()) => {
-                    self.left = first..first + BLOCK;
+                    self.unused = first..first + PORTS_PER_BLOCK;
                     self.locks.push(file);
                     return Ok(());
                 }
@@ -120,11 +125,11 @@
     }
 }
 
-/// An address that nobody listens at, and that no other test program takes.
+/// Returns an address that was free for TCP and UDP when checked, at a port that no other test program allocates.
 fn free_address() -> std::io::Result<SocketAddr> {
     let mut last = std::io::Error::from(std::io::ErrorKind::AddrInUse);
-    for _ in 0..PORT_TRIES {
-        let port = lock(&OWN_PORTS).next()?;
+    for _ in 0..PORT_ATTEMPTS {
+        let port = lock(&PORT_ALLOCATOR).next()?;
         let address = SocketAddr::from(([127, 0, 0, 1], port));
         let stream = std::net::TcpListener::bind(address);
         match stream.and_then(|_| std::net::UdpSocket::bind(address)) {
@@ -135,39 +140,39 @@
     Err(last)
 }
 
-/// What a gateway's settings file says.
+/// Values of a gateway's settings file.
 pub(crate) struct GatewaySettingsText<'t> {
     pub(crate) index: usize,
-    pub(crate) places: &'t Places,
-    /// Where it listens for other gateways.
+    pub(crate) zone_layout: &'t ZoneLayout,
+    /// Address to listen on for other gateways.
     pub(crate) peers: SocketAddr,
-    /// Where it listens for who asks for its figures.
+    /// Address to listen on for requests for metrics.
     pub(crate) metrics: SocketAddr,
     pub(crate) store: SocketAddr,
     pub(crate) partitions: u32,
     pub(crate) lease: Duration,
-    /// More lines of its part on the directory.
-    pub(crate) directory: &'t str,
-    /// More lines.
-    pub(crate) more: &'t str,
+    /// Lines to append to the `[directory]` table.
+    pub(crate) extra_directory_lines: &'t str,
+    /// Lines to append to the file.
+    pub(crate) extra_lines: &'t str,
 }
 
-/// The settings file of a gateway.
+/// Returns the content of a gateway's settings file.
 pub(crate) fn settings_text(settings: &GatewaySettingsText<'_>) -> String {
     let GatewaySettingsText {
         index,
-        places,
+        zone_layout,
         peers,
         metrics,
         store,
         partitions,
-        directory,
-        more,
+        extra_directory_lines,
+        extra_lines,
         ..
     } = settings;
     let lease = settings.lease.as_millis();
-    let zone = places.zone(*index);
-    let zones = places.settings();
+    let zone = zone_layout.zone(*index);
+    let zones = zone_layout.settings_toml();
     format!(
         r#"name = "gateway-{index}"
 zone = "{zone}"
@@ -188,12 +193,12 @@
 
 [directory]
 obey_within = "2s"
-{directory}
+{extra_directory_lines}
 
 [batch]
 lease = "{lease}ms"
 
-{more}
+{extra_lines}
 "#
     )
 }
--- a/crates/swiftshunt-lab/src/platform/quickstart.rs
+++ b/crates/swiftshunt-lab/src/platform/quickstart.rs
@@ -1,4 +1,5 @@
-//! Two gateways before stand-ins of the platform on loopback, with a line to paste for each call.
+//! Runs two gateways with stand-ins for the platform on the loopback interface, and prints a curl command for
+//! each kind of call.
 
 use std::time::Duration;
 
@@ -8,21 +9,21 @@
 use super::fleet::{ASK, BATCH, PlatformFleet, PlatformOptions, STREAM};
 use crate::harness::{Binaries, HarnessError};
 
-/// Runs until the process is interrupted.
+/// Starts the fleet, prints the commands and runs until the process is interrupted (Ctrl-C).
 pub async fn run(binaries: &Binaries) -> Result<(), HarnessError> {
     let options = PlatformOptions {
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     };
     let scratch = std::env::temp_dir().join("swiftshunt-quickstart");
     let fleet = PlatformFleet::start(&binaries.node, &scratch, options).await?;
-    print!("{}", lines(&fleet));
+    print!("{}", commands(&fleet));
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
 
-/// What to paste.
-fn lines(fleet: &PlatformFleet) -> String {
+/// Returns the commands to print.
+fn commands(fleet: &PlatformFleet) -> String {
     let [one, two] = [&fleet.gateways[0], &fleet.gateways[1]];
     let (caller, other) = (one.callers, two.callers);
     let request_id = headers::REQUEST_ID;
@@ -38,7 +39,7 @@
          the body of an item:\n  curl -i -H 'Host: {HOST}' 'http://{other}{items_path}{job}?{item}=i1'\n\
          its end:\n  curl -i -X DELETE -H 'Host: {HOST}' http://{other}{jobs}{job}\n\
          readiness:\n  curl -i http://{ready}/v1/ready\n",
-        logs = fleet.logs().display(),
+        logs = fleet.log_directory().display(),
         after = queries::AFTER,
         item = queries::ITEM,
         jobs = paths::JOBS,
--- a/crates/swiftshunt-lab/src/platform/store/wire.rs
+++ b/crates/swiftshunt-lab/src/platform/store/wire.rs
@@ -1,4 +1,4 @@
-//! How calls and answers of the store's stand-in are written.
+//! Encoding of the calls and responses of the store stand-in.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,9 @@
 use serde::Serialize;
 use swiftshunt_platform::words::queries;
 
-use crate::platform::server::{Body, whole};
+use crate::platform::server::{Body, full_body};
 
-/// Names and values of a query.
+/// Parameters of a URL's query, without percent-decoding.
 pub(super) struct Query(HashMap<String, String>);
 
 impl Query {
@@ -24,29 +24,33 @@
         )
     }
 
+    /// Returns a parameter, or an empty string if it is absent.
     pub(super) fn text(&self, name: &str) -> &str {
         self.0.get(name).map_or("", String::as_str)
     }
 
+    /// Returns a parameter as a number, or 0 if it is absent or not a number.
     pub(super) fn number(&self, name: &str) -> u64 {
         self.text(name).parse().unwrap_or(0)
     }
 }
 
-/// An answer without a body.
-pub(super) fn status(status: StatusCode) -> Response<Body> {
-    let mut answer = Response::new(whole(Bytes::new()));
+/// Returns a response without a body.
+pub(super) fn status_answer(status: StatusCode) -> Response<Body> {
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer with a document.
-pub(super) fn json(document: &impl Serialize) -> Response<Body> {
+/// Returns a response whose body is `document` in JSON.
+pub(super) fn json_answer(document: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(document).unwrap_or_default();
-    Response::new(whole(body))
+    Response::new(full_body(body))
 }
 
-/// Records of a body: length, length of the key, key, value.
+/// Decodes the body of an append into keys and values. Each record is its length (`u32`, big-endian), the length of
+/// its key (`u8`), the key and the value; the record's length counts all that follows it. `None` if the body is
+/// malformed.
 pub(super) fn decode(mut body: Bytes) -> Option<Vec<(Vec<u8>, Bytes)>> {
     let mut records = Vec::new();
     while body.has_remaining() {
@@ -65,8 +69,8 @@
     Some(records)
 }
 
-/// The topic and partition that a call names.
-pub(super) fn place(query: &Query) -> (String, u32) {
+/// Returns the topic and partition that the query names.
+pub(super) fn topic_partition(query: &Query) -> (String, u32) {
     (
         query.text(queries::TOPIC).to_owned(),
         query.number(queries::PARTITION) as u32,
--- a/crates/swiftshunt-lab/src/platform/worker.rs
+++ b/crates/swiftshunt-lab/src/platform/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker in the platform's protocol, with its faults and a record of what ran.
+//! A stand-in for a worker that speaks the platform's protocol, with injected faults and a record of its runs.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -15,106 +15,123 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio_util::sync::CancellationToken;
 
-use super::server::{Body, BrokenOff, any_port, serve, whole};
+use super::server::{Body, BrokenOff, any_port, full_body, serve};
 use crate::stand_in::lock;
 
-/// What a worker does with the next requests.
+/// How a worker processes the requests that it receives from then on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
-    /// Serves them.
+pub enum WorkerBehaviour {
+    /// Runs them and responds.
     #[default]
-    Sound,
-    /// Runs them and does not answer.
-    Dark,
-    /// Runs them, and does not answer every second one.
-    HangSometimes,
-    /// Runs them and is silent for this long first.
-    Late(Duration),
-    /// Runs them and closes the connection.
-    LoseAnswer,
-    /// Breaks streams off after this many events.
-    BreakAfter(u64),
-    /// Does not run them and says so.
+    #[serde(rename = "sound")]
+    Normal,
+    /// Runs them and never responds. Each keeps its slot until the sender closes the connection.
+    #[serde(rename = "dark")]
+    Hang,
+    /// Runs them and never responds to every second one, beginning with the worker's first run. These release
+    /// their slots.
+    #[serde(rename = "hang_sometimes")]
+    HangEverySecond,
+    /// Runs them and delays the response by this time, in addition to [`WorkerSettings::answer_delay`].
+    #[serde(rename = "late")]
+    DelayAnswer(Duration),
+    /// Runs them and closes the connection without a response.
+    #[serde(rename = "lose_answer")]
+    CloseWithoutAnswer,
+    /// Runs them and closes the connection of a stream after this many events, not counting those before the
+    /// event at which it was resumed. Other responses are not affected.
+    #[serde(rename = "break_after")]
+    TruncateStreamAfter(u64),
+    /// Does not run them, and responds with 503 and the header which states that.
     Decline,
-    /// Runs them and answers for another request.
-    AnswerAnother,
-    /// Runs them and does not sign.
+    /// Runs them and sends a signed response with status 200 and the identifier of another request.
+    #[serde(rename = "answer_another")]
+    AnswerOtherRequestId,
+    /// Runs them and leaves the signature out of the response.
     Unsigned,
-    /// Runs them and fails.
+    /// Runs them and responds with 500.
     Fail,
-    /// Says that they can never be done.
-    Never,
-    /// Runs them and answers 503 without the word that they did not run.
-    FalseRefusal,
-    /// Runs them and signs another answer as theirs: no gateway can tell. Shows that a test would.
+    /// Runs them and responds with 422, which states that no worker can run them successfully.
+    #[serde(rename = "never")]
+    RejectPermanently,
+    /// Runs them and responds with 503, without the header which states that they did not run.
+    #[serde(rename = "false_refusal")]
+    RunAndAnswer503,
+    /// Runs them and responds with a signed body of another request, which no gateway can detect. Used to
+    /// verify that a test detects it. Streams are not affected.
     WrongBody,
-    /// Tells of each run twice. Shows that a test counts runs.
-    TellTwice,
-    /// Runs them and says that it did not. Shows that a test looks at runs.
-    LyingRefusal,
+    /// Runs them, responds, and reports the arrival of each request twice. Used to verify that a test counts
+    /// runs.
+    #[serde(rename = "tell_twice")]
+    ReportRunTwice,
+    /// Reports their arrival as if they ran, and states in the response that they did not run. Used to verify
+    /// that a test checks the reported runs.
+    #[serde(rename = "lying_refusal")]
+    ReportRunAndDecline,
 }
 
-/// What it serves.
+/// Settings of a worker stand-in.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Its incarnation.
+    /// The incarnation. Requests that expect another one get 421.
     pub incarnation: String,
-    /// Requests at once.
+    /// Number of requests that run at the same time; more wait.
     pub slots: usize,
-    /// Events of a stream; none for whole answers.
+    /// Number of events in a stream; `None` if responses are not streamed.
     pub events: Option<u64>,
-    /// Time before a whole answer, and between events.
-    pub pause: Duration,
-    /// The body of a request that ends it a pause after it began to run.
-    pub ended_by: Option<String>,
-    /// When it started, in milliseconds of Unix time, if it tells.
+    /// Delay before a response that is not streamed, and before each event of a stream.
+    pub answer_delay: Duration,
+    /// A request body that crashes the worker: it stops `answer_delay` after such a request began to run.
+    pub crash_on_body: Option<String>,
+    /// Start time in milliseconds since the Unix epoch, if the worker reports one in the directory.
     pub started_unix_ms: Option<u64>,
-    /// The zone in which it stands.
+    /// Name of the worker's zone.
     pub zone: String,
 }
 
-/// Where a test sets a worker's manner (a body of [`Manner`]).
-pub const CONTROL_MANNER: &str = "/stand-in/manner";
+/// Path at which a test sets the behaviour; the body is a [`WorkerBehaviour`] in JSON.
+pub const CONTROL_BEHAVIOUR_PATH: &str = "/stand-in/manner";
 
-/// What is told about a run as it happens.
+/// Events of a request at a worker, in the order in which they are reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
-    /// The request came; it may wait for a slot.
+    /// The worker received the request, which may have to wait for a slot.
     Arrived,
-    /// It got a slot.
+    /// The request got a slot and runs.
     Began,
-    /// It left its slot.
+    /// The request released its slot, completed or not.
     Ended,
 }
 
-/// Takes what happens to runs, at once and in order.
+/// Callback for events of runs, called synchronously as they happen.
 pub type RunWatcher = Arc<dyn Fn(RunEvent, &Run) + Send + Sync>;
 
-/// One run of a request.
+/// A run of a request at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
-    /// The request.
+    /// Identifier of the request; empty if it has none.
     pub id: String,
-    /// Its path.
+    /// Path of the request.
     pub path: String,
-    /// The last event that the sender had.
+    /// Number of the last event that the sender already has, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Milliseconds that the worker was told.
+    /// Value of the deadline header, in milliseconds; `None` if it is absent or not a number.
     pub deadline_ms: Option<u64>,
-    /// The tenants that were named to it, one for each header.
+    /// Values of all tenant headers.
     pub tenants: Vec<String>,
-    /// Whether it was shown a caller's credentials.
+    /// Whether the request had an authorization header; gateways with tenants must not forward it.
     pub has_credentials: bool,
-    /// Whether it came to its end.
-    pub ended: bool,
+    /// Whether the run produced its whole result. False if the worker closed the connection or sent a substitute
+    /// response, such as a failure status. Says nothing about whether the sender received the result.
+    pub completed: bool,
 }
 
 struct Shared {
     settings: WorkerSettings,
     watcher: RunWatcher,
-    manner: Mutex<Manner>,
+    behaviour: Mutex<WorkerBehaviour>,
     runs: Mutex<Vec<Run>>,
     slots: Arc<Semaphore>,
     stop: CancellationToken,
@@ -126,7 +143,7 @@
     }
 }
 
-/// A slot, held until this is dropped.
+/// An occupied slot. Dropping it releases the slot and reports the end of the run.
 struct HeldSlot {
     _permit: OwnedSemaphorePermit,
     shared: Arc<Shared>,
@@ -139,9 +156,9 @@
     }
 }
 
-/// The stand-in.
+/// The worker stand-in. Dropping it stops it.
 pub struct Worker {
-    /// Where it listens.
+    /// The bound address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -154,12 +171,13 @@
 }
 
 impl Worker {
-    /// Starts a worker.
+    /// Starts a worker at a free port of the loopback address.
     pub async fn start(settings: WorkerSettings) -> std::io::Result<Self> {
         Self::start_watched(any_port(), settings, Arc::new(|_, _| {})).await
     }
 
-    /// Starts a worker at an address, and tells `watcher` what happens to its runs.
+    /// Starts a worker at an address; `watcher` is called for each event of its runs. Fails if the address cannot
+    /// be bound.
     pub async fn start_watched(
         listen: SocketAddr,
         settings: WorkerSettings,
@@ -170,13 +188,13 @@
             slots: Arc::new(Semaphore::new(settings.slots)),
             settings,
             watcher,
-            manner: Mutex::default(),
+            behaviour: Mutex::default(),
             runs: Mutex::default(),
             stop: stop.clone(),
         });
-        let of_server = Arc::clone(&shared);
+        let server_shared = Arc::clone(&shared);
         let address = serve(listen, stop.clone(), move |request| {
-            answer(Arc::clone(&of_server), request)
+            handle_request(Arc::clone(&server_shared), request)
         })
         .await?;
         Ok(Self {
@@ -186,61 +204,61 @@
         })
     }
 
-    /// Its incarnation.
+    /// Returns the worker's incarnation.
     pub fn incarnation(&self) -> &str {
         &self.shared.settings.incarnation
     }
 
-    /// What it tells of its start.
+    /// Returns the start time that the worker reports in the directory, in milliseconds since the Unix epoch.
     pub fn started_unix_ms(&self) -> Option<u64> {
         self.shared.settings.started_unix_ms
     }
 
-    /// What it was started with.
+    /// Returns the settings with which the worker was started.
     pub fn settings(&self) -> &WorkerSettings {
         &self.shared.settings
     }
 
-    /// Changes its manner.
-    pub fn set(&self, manner: Manner) {
-        *lock(&self.shared.manner) = manner;
+    /// Sets the behaviour for requests received from now on; those that run keep theirs.
+    pub fn set_behaviour(&self, behaviour: WorkerBehaviour) {
+        *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// What ran so far.
+    /// Returns the runs so far, in the order in which they began.
     pub fn runs(&self) -> Vec<Run> {
         lock(&self.shared.runs).clone()
     }
 
-    /// Whether it has ended, and nothing runs on it any more.
-    pub fn has_ended(&self) -> bool {
+    /// Whether the worker has stopped, by [`Worker::crash`] or by a request body that crashes it.
+    pub fn has_crashed(&self) -> bool {
         self.stop.is_cancelled()
     }
 
-    /// Requests that hold a slot now.
+    /// Returns the number of occupied slots.
     pub fn running(&self) -> usize {
         self.shared.running()
     }
 
-    /// Ends at once, with everything that runs.
+    /// Stops the worker at once: all its connections and runs end.
     pub fn crash(&self) {
         self.stop.cancel();
     }
 }
 
-fn text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
+fn header_text<'h>(headers: &'h HeaderMap, name: &str) -> Option<&'h str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn all(headers: &HeaderMap, name: &str) -> Vec<String> {
+fn header_values(headers: &HeaderMap, name: &str) -> Vec<String> {
     let values = headers.get_all(name).iter();
     let values = values.map(|value| String::from_utf8_lossy(value.as_bytes()).into_owned());
     values.collect()
 }
 
-fn answer_with(status: StatusCode, set: &[(&'static str, &str)], body: Body) -> Response<Body> {
+fn answer_with(status: StatusCode, headers: &[(&'static str, &str)], body: Body) -> Response<Body> {
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
-    for (name, value) in set {
+    for (name, value) in headers {
         if let Ok(value) = HeaderValue::from_str(value) {
             answer
                 .headers_mut()
@@ -250,65 +268,71 @@
     answer
 }
 
-fn decline(status: StatusCode, id: &str) -> Response<Body> {
-    let set = [(headers::REQUEST_ID, id), (headers::DECLINED, "1")];
-    answer_with(status, &set, whole(Bytes::new()))
+fn declined_answer(status: StatusCode, id: &str) -> Response<Body> {
+    let answer_headers = [(headers::REQUEST_ID, id), (headers::DECLINED, "1")];
+    answer_with(status, &answer_headers, full_body(Bytes::new()))
 }
 
-/// Obeys a test.
-async fn control(shared: &Shared, request: Request<Incoming>) -> Result<Response<Body>, BrokenOff> {
+/// Sets the behaviour to that in the request's body. Responds with 400 if the body cannot be parsed.
+async fn handle_control_call(
+    shared: &Shared,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, BrokenOff> {
     let body = request.into_body().collect().await;
-    let wanted = serde_json::from_slice(&body.map_err(|_| BrokenOff)?.to_bytes());
-    let status = match wanted {
-        Ok(manner) => {
-            *lock(&shared.manner) = manner;
+    let behaviour = serde_json::from_slice(&body.map_err(|_| BrokenOff)?.to_bytes());
+    let status = match behaviour {
+        Ok(behaviour) => {
+            *lock(&shared.behaviour) = behaviour;
             StatusCode::OK
         }
         Err(_) => StatusCode::BAD_REQUEST,
     };
-    Ok(answer_with(status, &[], whole(Bytes::new())))
+    Ok(answer_with(status, &[], full_body(Bytes::new())))
 }
 
-async fn answer(
+async fn handle_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, BrokenOff> {
-    if request.uri().path() == CONTROL_MANNER {
-        return control(&shared, request).await;
+    if request.uri().path() == CONTROL_BEHAVIOUR_PATH {
+        return handle_control_call(&shared, request).await;
     }
-    let id = text(request.headers(), headers::REQUEST_ID).unwrap_or("");
+    let id = header_text(request.headers(), headers::REQUEST_ID).unwrap_or("");
     let id = id.to_owned();
-    let manner = *lock(&shared.manner);
-    let expected = text(request.headers(), headers::INCARNATION);
+    let behaviour = *lock(&shared.behaviour);
+    let expected = header_text(request.headers(), headers::INCARNATION);
     if expected.is_some_and(|expected| expected != shared.settings.incarnation) {
         return Ok(answer_with(
             StatusCode::MISDIRECTED_REQUEST,
             &[(headers::REQUEST_ID, &id)],
-            whole(Bytes::new()),
+            full_body(Bytes::new()),
         ));
     }
-    if manner == Manner::Decline {
-        return Ok(decline(StatusCode::SERVICE_UNAVAILABLE, &id));
+    if behaviour == WorkerBehaviour::Decline {
+        return Ok(declined_answer(StatusCode::SERVICE_UNAVAILABLE, &id));
     }
-    let last_event = text(request.headers(), headers::LAST_EVENT);
+    let last_event = header_text(request.headers(), headers::LAST_EVENT);
     let last_event = last_event.and_then(|last| last.parse().ok());
-    let deadline = text(request.headers(), headers::DEADLINE);
+    let deadline = header_text(request.headers(), headers::DEADLINE);
     let run = Run {
         id: id.clone(),
         path: request.uri().path().to_owned(),
         last_event,
         deadline_ms: deadline.and_then(|deadline| deadline.parse().ok()),
-        tenants: all(request.headers(), headers::TENANT),
+        tenants: header_values(request.headers(), headers::TENANT),
         has_credentials: request.headers().contains_key(AUTHORIZATION),
-        ended: false,
+        completed: false,
     };
-    // A slot is held for as long as the answer is made; the semaphore is never closed.
     (shared.watcher)(RunEvent::Arrived, &run);
-    match manner {
-        Manner::TellTwice => (shared.watcher)(RunEvent::Arrived, &run),
-        Manner::LyingRefusal => return Ok(decline(StatusCode::SERVICE_UNAVAILABLE, &id)),
+    match behaviour {
+        WorkerBehaviour::ReportRunTwice => (shared.watcher)(RunEvent::Arrived, &run),
+        WorkerBehaviour::ReportRunAndDecline => {
+            return Ok(declined_answer(StatusCode::SERVICE_UNAVAILABLE, &id));
+        }
         _ => {}
     }
+    // The slot is occupied until the response is returned or, for a stream, until its body ends. Acquiring it
+    // cannot fail, since the semaphore is never closed.
     let slots = Arc::clone(&shared.slots);
     let permit = slots.acquire_owned().await.map_err(|_| BrokenOff)?;
     (shared.watcher)(RunEvent::Began, &run);
@@ -322,102 +346,119 @@
         runs.push(run);
         runs.len() - 1
     };
-    if let Some(body) = &shared.settings.ended_by
+    if let Some(body) = &shared.settings.crash_on_body
         && has_body(request, body).await
     {
-        tokio::time::sleep(shared.settings.pause).await;
+        tokio::time::sleep(shared.settings.answer_delay).await;
         shared.stop.cancel();
         return Err(BrokenOff);
     }
-    match manner {
-        Manner::Dark => return std::future::pending().await,
-        Manner::HangSometimes if index % 2 == 0 => {
+    match behaviour {
+        WorkerBehaviour::Hang => return std::future::pending().await,
+        WorkerBehaviour::HangEverySecond if index % 2 == 0 => {
             drop(slot);
             return std::future::pending().await;
         }
-        Manner::Late(pause) => tokio::time::sleep(pause).await,
-        Manner::LoseAnswer => return Err(BrokenOff),
-        Manner::Fail => return Ok(signed(&shared, StatusCode::INTERNAL_SERVER_ERROR, &id)),
-        Manner::Never => return Ok(signed(&shared, StatusCode::UNPROCESSABLE_ENTITY, &id)),
-        Manner::FalseRefusal => return Ok(signed(&shared, StatusCode::SERVICE_UNAVAILABLE, &id)),
-        Manner::AnswerAnother => return Ok(signed(&shared, StatusCode::OK, "another")),
+        WorkerBehaviour::DelayAnswer(delay) => tokio::time::sleep(delay).await,
+        WorkerBehaviour::CloseWithoutAnswer => return Err(BrokenOff),
+        WorkerBehaviour::Fail => {
+            return Ok(signed_answer(
+                &shared,
+                StatusCode::INTERNAL_SERVER_ERROR,
+                &id,
+            ));
+        }
+        WorkerBehaviour::RejectPermanently => {
+            return Ok(signed_answer(
+                &shared,
+                StatusCode::UNPROCESSABLE_ENTITY,
+                &id,
+            ));
+        }
+        WorkerBehaviour::RunAndAnswer503 => {
+            return Ok(signed_answer(&shared, StatusCode::SERVICE_UNAVAILABLE, &id));
+        }
+        WorkerBehaviour::AnswerOtherRequestId => {
+            return Ok(signed_answer(&shared, StatusCode::OK, "another"));
+        }
         _ => {}
     }
     let signature = format!("signed-by-{}", shared.settings.incarnation);
-    let mut set = vec![(headers::REQUEST_ID, id.as_str())];
-    if manner != Manner::Unsigned {
-        set.push((headers::SIGNATURE, signature.as_str()));
+    let mut answer_headers = vec![(headers::REQUEST_ID, id.as_str())];
+    if behaviour != WorkerBehaviour::Unsigned {
+        answer_headers.push((headers::SIGNATURE, signature.as_str()));
     }
     let load = format!("{},0,{}", shared.running(), shared.settings.slots);
-    set.push((headers::LOAD, load.as_str()));
+    answer_headers.push((headers::LOAD, load.as_str()));
     let Some(events) = shared.settings.events else {
-        tokio::time::sleep(shared.settings.pause).await;
-        lock(&shared.runs)[index].ended = true;
-        let body = match manner {
-            Manner::WrongBody => whole("answer to another"),
-            _ => whole(format!("answer to {id}")),
+        tokio::time::sleep(shared.settings.answer_delay).await;
+        lock(&shared.runs)[index].completed = true;
+        let body = match behaviour {
+            WorkerBehaviour::WrongBody => full_body("answer to another"),
+            _ => full_body(format!("answer to {id}")),
         };
-        return Ok(answer_with(StatusCode::OK, &set, body));
+        return Ok(answer_with(StatusCode::OK, &answer_headers, body));
     };
-    let body = stream(&shared, slot, index, &id, events, last_event, manner);
-    let mut answer = answer_with(StatusCode::OK, &set, body);
+    let body = event_stream_body(&shared, slot, index, &id, events, last_event, behaviour);
+    let mut answer = answer_with(StatusCode::OK, &answer_headers, body);
     let content_type = HeaderValue::from_static("text/event-stream");
     answer.headers_mut().insert(CONTENT_TYPE, content_type);
     Ok(answer)
 }
 
-/// Whether a request's body is `expected`.
+/// Whether the request's body equals `expected`.
 async fn has_body(request: Request<Incoming>, expected: &str) -> bool {
     let body = request.into_body().collect().await;
     body.is_ok_and(|body| body.to_bytes() == expected)
 }
 
-fn signed(shared: &Shared, status: StatusCode, id: &str) -> Response<Body> {
+fn signed_answer(shared: &Shared, status: StatusCode, id: &str) -> Response<Body> {
     let signature = format!("signed-by-{}", shared.settings.incarnation);
-    let set = [
+    let answer_headers = [
         (headers::REQUEST_ID, id),
         (headers::SIGNATURE, signature.as_str()),
     ];
-    answer_with(status, &set, whole("the worker's own words"))
+    answer_with(status, &answer_headers, full_body("the worker's own words"))
 }
 
-/// Data of an event: the same at every worker.
+/// Returns the data of a stream's event. It depends only on its arguments, so that a stream can be resumed at any
+/// worker.
 pub fn event_data(id: &str, event: u64) -> String {
     format!("{id}-piece-{event}")
 }
 
-fn stream(
+fn event_stream_body(
     shared: &Arc<Shared>,
     slot: HeldSlot,
     index: usize,
     id: &str,
     events: u64,
     last_event: Option<u64>,
-    manner: Manner,
+    behaviour: WorkerBehaviour,
 ) -> Body {
     let first = last_event.map_or(0, |last| last + 1);
     let shared = Arc::clone(shared);
     let id = id.to_owned();
-    // The slot is free when the last event was sent, or when the sender closes the connection.
+    // The slot is released after the last event, or when the sender closes the connection.
     let slot = Arc::new(slot);
     let frames = futures_util::stream::iter(first..=events).then(move |event| {
         let shared = Arc::clone(&shared);
         let id = id.clone();
         let slot = Arc::clone(&slot);
         async move {
-            let _held = slot;
-            if let Manner::BreakAfter(most) = manner
-                && event >= first + most
+            let _held_slot = slot;
+            if let WorkerBehaviour::TruncateStreamAfter(limit) = behaviour
+                && event >= first + limit
             {
-                // What was sent before gets out first.
-                tokio::time::sleep(shared.settings.pause).await;
+                // The delay lets the events sent so far reach the sender before the connection is closed.
+                tokio::time::sleep(shared.settings.answer_delay).await;
                 return Err(BrokenOff);
             }
             if event == events {
-                lock(&shared.runs)[index].ended = true;
+                lock(&shared.runs)[index].completed = true;
                 return Ok(Frame::data(Bytes::new()));
             }
-            tokio::time::sleep(shared.settings.pause).await;
+            tokio::time::sleep(shared.settings.answer_delay).await;
             let text = format!("id: {event}\ndata: {}\n\n", event_data(&id, event));
             Ok(Frame::data(Bytes::from(text)))
         }
--- a/crates/swiftshunt-lab/src/proxy.rs
+++ b/crates/swiftshunt-lab/src/proxy.rs
@@ -1,7 +1,7 @@
-//! The fault-injecting proxy: TCP links whose behaviour is changed while they run.
+//! Fault-injecting proxy: TCP links whose faults and conditions can be changed while they run.
 //!
-//! A rule applies to a link and, if it names one, to connections from one source address: nodes of
-//! a zone connect from addresses of their own, so a zone can be cut from one side only.
+//! A fault applies to all connections of a link or to those from one source address. Each node connects from an
+//! address of its own, so a node, or all nodes of a zone, can be cut off in one direction only.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -18,101 +18,104 @@
 
 use crate::stand_in::lock;
 
-const BUFFER: usize = 64 * 1024;
+/// Largest chunk of bytes that is forwarded at once.
+const BUFFER_BYTES: usize = 64 * 1024;
 
-/// What a link does to its connections.
+/// Fault that a link applies to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Passes everything on.
+    /// Forward all bytes.
     #[default]
     None,
-    /// Passes everything on after a while.
+    /// Delay each chunk of bytes by this time. The next chunk in the same direction is read only afterwards.
     Delay(Duration),
-    /// Breaks open connections off and accepts none that lives.
+    /// Close open connections and reset new ones.
     Cut,
-    /// Holds everything back, both ways, and passes it on when the fault ends.
+    /// Hold back all bytes in both directions, and forward them when the fault ends.
     Freeze,
-    /// Passes requests on and discards answers.
+    /// Forward requests and discard responses.
     DropAnswers,
-    /// Passes answers on and discards requests.
+    /// Forward responses and discard requests.
     DropRequests,
-    /// Passes half of the next answer's bytes on and resets the connection.
+    /// Forward half of the next chunk of response bytes and end the responses. The client's socket is reset once the
+    /// requests have ended too.
     Truncate,
 }
 
-/// How wide a link is, for all that shares it together.
+/// Bandwidth shared by all connections of all links that hold it; unlimited by default.
 #[derive(Debug)]
-pub struct Width(Mutex<Occupied>);
+pub struct Bandwidth(Mutex<BandwidthState>);
 
 #[derive(Debug)]
-struct Occupied {
-    /// None where it is wide enough for anything.
-    bytes_per_s: Option<f64>,
-    /// Until when what was sent so far keeps it busy.
-    until: Instant,
-    /// Bytes that have passed.
-    passed: u64,
+struct BandwidthState {
+    /// `None` without a limit.
+    bytes_per_second: Option<f64>,
+    /// Time at which the bytes accepted so far have been transferred.
+    busy_until: Instant,
+    /// Bytes accepted for transfer so far, also without a limit.
+    transferred_bytes: u64,
 }
 
-impl Default for Width {
-    /// Wide enough for anything.
+impl Default for Bandwidth {
+    /// Creates a bandwidth without a limit.
     fn default() -> Self {
-        Self(Mutex::new(Occupied {
-            bytes_per_s: None,
-            until: Instant::now(),
-            passed: 0,
+        Self(Mutex::new(BandwidthState {
+            bytes_per_second: None,
+            busy_until: Instant::now(),
+            transferred_bytes: 0,
         }))
     }
 }
 
-impl Width {
-    /// A width in bytes a second.
-    pub fn new(bytes_per_s: u64) -> Self {
-        let width = Self::default();
-        width.limit(bytes_per_s);
-        width
+impl Bandwidth {
+    /// Creates a bandwidth limited to `bytes_per_second`.
+    pub fn new(bytes_per_second: u64) -> Self {
+        let bandwidth = Self::default();
+        bandwidth.set_limit(bytes_per_second);
+        bandwidth
     }
 
-    /// Limits it from now on, to bytes a second.
-    pub fn limit(&self, bytes_per_s: u64) {
-        lock(&self.0).bytes_per_s = Some(bytes_per_s as f64);
+    /// Limits transfers that begin after this call to `bytes_per_second`.
+    pub fn set_limit(&self, bytes_per_second: u64) {
+        lock(&self.0).bytes_per_second = Some(bytes_per_second as f64);
     }
 
-    /// Bytes that have passed.
-    pub fn passed(&self) -> u64 {
-        lock(&self.0).passed
+    /// Returns the number of bytes accepted for transfer so far.
+    pub fn transferred_bytes(&self) -> u64 {
+        lock(&self.0).transferred_bytes
     }
 
-    /// Waits until these bytes are through, behind all that came before them.
-    async fn pass(&self, bytes: usize) {
-        let until = {
-            let mut occupied = lock(&self.0);
-            occupied.passed += bytes as u64;
-            let Some(bytes_per_s) = occupied.bytes_per_s else {
+    /// Waits for the transfer of `bytes`, queued behind all earlier transfers. Returns at once without a limit.
+    async fn transmit(&self, bytes: usize) {
+        let busy_until = {
+            let mut state = lock(&self.0);
+            state.transferred_bytes += bytes as u64;
+            let Some(bytes_per_second) = state.bytes_per_second else {
                 return;
             };
-            let time = Duration::from_secs_f64(bytes as f64 / bytes_per_s);
-            occupied.until = Instant::now().max(occupied.until) + time;
-            occupied.until
+            let time = Duration::from_secs_f64(bytes as f64 / bytes_per_second);
+            state.busy_until = Instant::now().max(state.busy_until) + time;
+            state.busy_until
         };
-        tokio::time::sleep_until(until).await;
+        tokio::time::sleep_until(busy_until).await;
     }
 }
 
-/// What a link is like without any fault.
+/// Conditions of a link that apply in addition to its fault.
 #[derive(Clone, Debug, Default)]
-pub struct Way {
-    /// Time from one end to the other.
+pub struct LinkConditions {
+    /// Latency added to each chunk of bytes, in each direction. The next chunk in the same direction is read only
+    /// afterwards.
     pub delay: Duration,
-    /// Its width; none where it is wide enough for anything.
-    pub width: Option<Arc<Width>>,
+    /// Bandwidth of the link, possibly shared with other links; `None` without a limit.
+    pub bandwidth: Option<Arc<Bandwidth>>,
 }
 
-impl Way {
-    async fn pass(&self, bytes: usize) {
-        if let Some(width) = &self.width {
-            width.pass(bytes).await;
+impl LinkConditions {
+    async fn apply(&self, bytes: usize) {
+        if let Some(bandwidth) = &self.bandwidth {
+            bandwidth.transmit(bytes).await;
         }
         if !self.delay.is_zero() {
             tokio::time::sleep(self.delay).await;
@@ -120,28 +123,32 @@
     }
 }
 
-/// Rules of one link.
+/// Conditions and faults of one link.
 #[derive(Default)]
 struct Rules {
-    way: Way,
-    everyone: Fault,
-    by_source: HashMap<IpAddr, Fault>,
+    conditions: LinkConditions,
+    default_fault: Fault,
+    fault_by_source: HashMap<IpAddr, Fault>,
 }
 
 impl Rules {
     fn fault_for(&self, source: IpAddr) -> Fault {
-        let own = self.by_source.get(&source).copied().unwrap_or_default();
-        if own == Fault::None {
-            self.everyone
+        let source_fault = self
+            .fault_by_source
+            .get(&source)
+            .copied()
+            .unwrap_or_default();
+        if source_fault == Fault::None {
+            self.default_fault
         } else {
-            own
+            source_fault
         }
     }
 }
 
-/// One link through the proxy.
+/// A proxied TCP address. Dropping the link stops the listener and closes its open connections.
 pub struct Link {
-    /// Where the proxy listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
     rules: Arc<Mutex<Rules>>,
@@ -156,14 +163,16 @@
 }
 
 impl Link {
-    /// Opens a link; the target may be told later, when its port is known.
+    /// Opens a link. Until a target is set, accepted connections are closed.
+    ///
+    /// The target can be set later because the port of a process may be unknown before the process has started.
     pub async fn open(listen: SocketAddr, target: Option<SocketAddr>) -> std::io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
         let target = Arc::new(Mutex::new(target));
         let rules = Arc::new(Mutex::new(Rules::default()));
         let changed = watch::Sender::new(());
-        let task = tokio::spawn(accept(
+        let task = tokio::spawn(accept_connections(
             listener,
             Arc::clone(&target),
             Arc::clone(&rules),
@@ -178,30 +187,30 @@
         })
     }
 
-    /// Where connections go from now on.
+    /// Sets the address to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         *lock(&self.target) = Some(target);
     }
 
-    /// What the link is like from now on.
-    pub fn set_way(&self, way: Way) {
-        lock(&self.rules).way = way;
+    /// Replaces the conditions, also for open connections.
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        lock(&self.rules).conditions = conditions;
     }
 
-    /// What happens to every connection without a rule of its own.
+    /// Sets the fault of all connections whose source has no fault of its own.
     pub fn set_fault(&self, fault: Fault) {
-        lock(&self.rules).everyone = fault;
+        lock(&self.rules).default_fault = fault;
         self.changed.send_replace(());
     }
 
-    /// What happens to connections from `source`.
+    /// Sets the fault of connections from `source`. [`Fault::None`] leaves them to the fault of the link.
     pub fn set_fault_from(&self, source: IpAddr, fault: Fault) {
-        lock(&self.rules).by_source.insert(source, fault);
+        lock(&self.rules).fault_by_source.insert(source, fault);
         self.changed.send_replace(());
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     target: Arc<Mutex<Option<SocketAddr>>>,
     rules: Arc<Mutex<Rules>>,
@@ -211,44 +220,44 @@
         let Some(target) = *lock(&target) else {
             continue;
         };
-        let view = FaultView {
+        let connection = ConnectionRules {
             source: source.ip(),
             rules: Arc::clone(&rules),
             changed: changed.subscribe(),
         };
-        tokio::spawn(carry(client, target, view));
+        tokio::spawn(forward_connection(client, target, connection));
     }
 }
 
-/// One connection's view of the rules.
+/// The rules of a link as they apply to one connection.
 #[derive(Clone)]
-struct FaultView {
+struct ConnectionRules {
     source: IpAddr,
     rules: Arc<Mutex<Rules>>,
     changed: watch::Receiver<()>,
 }
 
-impl FaultView {
-    fn current(&self) -> Fault {
+impl ConnectionRules {
+    fn current_fault(&self) -> Fault {
         lock(&self.rules).fault_for(self.source)
     }
 
-    fn way(&self) -> Way {
-        lock(&self.rules).way.clone()
+    fn conditions(&self) -> LinkConditions {
+        lock(&self.rules).conditions.clone()
     }
 
-    /// Returns once the fault is `Cut`.
-    async fn cut(&mut self) {
-        while self.current() != Fault::Cut {
+    /// Returns once the fault is [`Fault::Cut`], or the link has been dropped.
+    async fn wait_until_cut(&mut self) {
+        while self.current_fault() != Fault::Cut {
             if self.changed.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Returns once the fault is not `Freeze`.
-    async fn thawed(&mut self) {
-        while self.current() == Fault::Freeze {
+    /// Returns once the fault is not [`Fault::Freeze`], or the link has been dropped.
+    async fn wait_while_frozen(&mut self) {
+        while self.current_fault() == Fault::Freeze {
             if self.changed.changed().await.is_err() {
                 return;
             }
@@ -256,52 +265,61 @@
     }
 }
 
-async fn carry(client: TcpStream, target: SocketAddr, mut view: FaultView) {
-    if view.current() == Fault::Cut {
-        reset(&client);
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    mut connection: ConnectionRules,
+) {
+    if connection.current_fault() == Fault::Cut {
+        reset_on_close(&client);
         return;
     }
     let Ok(server) = TcpStream::connect(target).await else {
-        reset(&client);
+        reset_on_close(&client);
         return;
     };
     drop(client.set_nodelay(true));
     drop(server.set_nodelay(true));
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
-    let requests = pump(from_client, to_server, view.clone(), false);
-    let answers = pump(from_server, to_client, view.clone(), true);
+    let requests = forward_direction(from_client, to_server, connection.clone(), false);
+    let answers = forward_direction(from_server, to_client, connection.clone(), true);
     tokio::select! {
         _ = async { tokio::join!(requests, answers) } => {}
-        () = view.cut() => {}
+        () = connection.wait_until_cut() => {}
     }
 }
 
-/// Lets the close be a reset, as a broken network's would be.
-fn reset(stream: &TcpStream) {
+/// Makes closing the stream send a reset, as a broken connection would.
+fn reset_on_close(stream: &TcpStream) {
     drop(stream.set_zero_linger());
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut view: FaultView, answers: bool) {
-    let mut buffer = vec![0; BUFFER];
+async fn forward_direction(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut connection: ConnectionRules,
+    carries_answers: bool,
+) {
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         if length == 0 {
             break;
         }
-        match view.current() {
-            Fault::DropAnswers if answers => continue,
-            Fault::DropRequests if !answers => continue,
-            Fault::Truncate if answers => {
+        match connection.current_fault() {
+            Fault::DropAnswers if carries_answers => continue,
+            Fault::DropRequests if !carries_answers => continue,
+            Fault::Truncate if carries_answers => {
                 drop(to.write_all(&buffer[..length / 2]).await);
                 drop(to.as_ref().set_zero_linger());
                 return;
             }
             Fault::Delay(delay) => tokio::time::sleep(delay).await,
-            Fault::Freeze => view.thawed().await,
+            Fault::Freeze => connection.wait_while_frozen().await,
             Fault::Cut => return,
             _ => {}
         }
-        view.way().pass(length).await;
+        connection.conditions().apply(length).await;
         if to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
--- a/crates/swiftshunt-lab/src/quickstart.rs
+++ b/crates/swiftshunt-lab/src/quickstart.rs
@@ -1,4 +1,4 @@
-//! The whole system in one process on loopback, with a line to paste for each interface.
+//! Runs the whole system in one process on loopback and prints an example command for each interface.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,60 +15,62 @@
 use crate::submission_worker::{self, Behaviour, Journal};
 use crate::{log_service, machine_list};
 
-/// The quickstart's tenant token. It is public and opens nothing but a process on loopback.
+/// Tenant token of the quickstart. It is public and gives access only to a process on loopback.
 pub const TENANT_TOKEN: &str = "quickstart-tenant";
-/// The quickstart's operator token, as public as the tenant's.
+/// Operator token of the quickstart, which is public like the tenant token.
 pub const OPERATOR_TOKEN: &str = "quickstart-operator";
 
 const ZONES: [&str; 3] = ["zg-a", "zg-b", "zg-c"];
 const ENGINES: usize = 3;
 const WORKERS: usize = 2;
-/// Where the three nodes listen, so that the printed lines stay the same; any free port otherwise.
+/// API ports of the nodes, fixed so that the printed commands are the same in each run. A node that cannot start with
+/// its port, for example because the port is taken, is started with any free port.
 const API_PORTS: [u16; 3] = [8421, 8422, 8423];
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-const READY_POLL: Duration = Duration::from_millis(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the quickstart did not come up.
+/// Why the quickstart could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum QuickstartError {
-    /// A stand-in cannot listen.
+    /// A stand-in cannot listen on its address.
     #[display("{_0}")]
     Bind(BindError),
-    /// A node cannot listen.
+    /// A node cannot start.
     #[display("{_0}")]
     Start(StartError),
-    /// The generated settings are wrong.
+    /// The generated settings are invalid.
     #[display("{_0}")]
     Config(ConfigError),
-    /// A node does not answer.
+    /// A call to a node failed.
     #[display("{_0}")]
     Http(HttpError),
-    /// The configuration was refused.
-    #[display("the configuration was refused: {reason}")]
+    /// A node refused the fleet configuration.
+    #[display("node refused the fleet configuration: {reason}")]
     #[from(ignore)]
     Refused {
-        /// The node's words.
+        /// Body of the response.
         #[error(not(source))]
         reason: String,
     },
-    /// The fleet did not become ready in time.
-    #[display("the fleet did not become ready in time")]
+    /// A node did not become ready within 30 s.
+    #[display("a node did not become ready within {READY_TIMEOUT:?}")]
     NotReady,
 }
 
-/// The parts that must stay alive.
+/// Nodes and stand-ins, which must be kept while the quickstart runs.
 struct Fleet {
     nodes: Vec<RunningNode>,
     _stand_ins: Vec<RunningStandIn>,
 }
 
-/// Starts everything, prints how to use it, and stays until interrupted.
+/// Starts the fleet, prints how to use it, and runs until Ctrl-C.
 pub async fn run() -> Result<(), QuickstartError> {
     let began = Instant::now();
-    let fleet = bring_up().await?;
+    let fleet = start_fleet().await?;
     let apis: Vec<SocketAddr> = fleet.nodes.iter().map(RunningNode::api_address).collect();
     print_usage(&apis, began.elapsed());
-    // Without a signal handler the process would end anyway; an error is an interrupt.
+    // An error means that no handler could be installed. Ctrl-C would end the process anyway, so the error is treated
+    // like Ctrl-C.
     drop(tokio::signal::ctrl_c().await);
     for node in fleet.nodes {
         node.abort();
@@ -76,16 +78,16 @@
     Ok(())
 }
 
-async fn bring_up() -> Result<Fleet, QuickstartError> {
+async fn start_fleet() -> Result<Fleet, QuickstartError> {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let (log, _) = log_service::start(any).await?;
     let (list, machines) = machine_list::start(any, Duration::ZERO).await?;
     let (journal, _) = Journal::start(any).await?;
     let mut stand_ins = Vec::new();
-    let mut listed = Vec::new();
+    let mut listed_machines = Vec::new();
     for index in 0..ENGINES {
         let (engine, _) = engine::start(any, EngineSettings::default()).await?;
-        listed.push(machine(
+        listed_machines.push(machine(
             "engine",
             index,
             MachineKind::Engine,
@@ -99,10 +101,10 @@
         let started = submission_worker::start(any, name, journal.address, Behaviour::default());
         let (worker, _) = started.await?;
         let kind = MachineKind::Submission;
-        listed.push(machine("book", index, kind, "stol-book", worker.address));
+        listed_machines.push(machine("book", index, kind, "stol-book", worker.address));
         stand_ins.push(worker);
     }
-    machines.update(listed);
+    machines.update(listed_machines);
     let nodes = start_nodes(log.address, list.address).await?;
     stand_ins.extend([log, list, journal]);
     configure(&nodes).await?;
@@ -220,7 +222,7 @@
             if Instant::now() > deadline {
                 return Err(QuickstartError::NotReady);
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
     Ok(())
@@ -229,22 +231,22 @@
 fn print_usage(apis: &[SocketAddr], elapsed: Duration) {
     let (first, second, third) = (apis[0], apis[1], apis[2]);
     println!(
-        r#"swiftshunt runs on loopback: three nodes, {ENGINES} engines, {WORKERS} submission workers (up in {elapsed:.1?}).
+        r#"swiftshunt runs on loopback: three nodes, {ENGINES} engines, {WORKERS} submission workers (started in {elapsed:.1?}).
 
-A chat answer, streamed:
+A streamed chat completion:
   curl -N http://{first}/v1/chat/completions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Content-Type: application/json' -d '{{"model":"stol-llm","stream":true,"max_tokens":24,"messages":[{{"role":"user","content":"Plan the Rijeka floor"}}]}}'
 
-A submission, and the same again through another node:
+A submission, and the same submission through another node:
   curl http://{first}/v1/submissions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Idempotency-Key: desk-17' -H 'Content-Type: application/json' -d '{{"pool":"stol-book","input":{{"desk":17}}}}'
   curl http://{second}/v1/submissions -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Idempotency-Key: desk-17' -H 'Content-Type: application/json' -d '{{"pool":"stol-book","input":{{"desk":17}}}}'
 
-A batch job: upload items, create the job with the answer's id, read its state and then its output file:
+A batch job: upload the items, create the job with the returned file id, read its state and then its output file:
   printf '%s\n' '{{"custom_id":"a","url":"/v1/chat/completions","body":{{"model":"stol-llm","max_tokens":24,"messages":[{{"role":"user","content":"Suggest a seat"}}]}}}}' | curl http://{first}/v1/files -H 'Authorization: Bearer {TENANT_TOKEN}' -F purpose=batch -F file=@-
   curl http://{first}/v1/batches -H 'Authorization: Bearer {TENANT_TOKEN}' -H 'Content-Type: application/json' -d '{{"input_file_id":"FILE_ID","endpoint":"/v1/chat/completions","completion_window":"24h"}}'
   curl http://{third}/v1/batches -H 'Authorization: Bearer {TENANT_TOKEN}'
   curl http://{third}/v1/files/OUTPUT_FILE_ID/content -H 'Authorization: Bearer {TENANT_TOKEN}'
 
-An operator's question:
+An operator statement:
   SWIFTSHUNT_TOKEN={OPERATOR_TOKEN} cargo run -q --bin swiftshunt -- ctl --node {first} "show partitions"
 
 Press Ctrl-C to stop."#
--- a/crates/swiftshunt-lab/src/soak/command.rs
+++ b/crates/swiftshunt-lab/src/soak/command.rs
@@ -1,4 +1,4 @@
-//! `swiftshunt-lab soak`.
+//! The command `swiftshunt-lab soak`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 /// Length of a round, in minutes.
 const ROUND_MINUTES: f64 = 0.75;
 
-/// run real gateways under a random plan of faults and check what must hold
+/// run real gateways under a random plan of faults and check the promises
 #[derive(FromArgs)]
 #[argh(
     subcommand,
@@ -22,38 +22,38 @@
     example = "{command_name} --minutes 10\n{command_name} --seed 42 --only not-run\n{command_name} --replay target/soak/42/shrunk.json"
 )]
 pub struct SoakArguments {
-    /// seed of the first round; each round after it has the next one. Drawn if left out
+    /// seed of the first round, increased by one for each further round; random by default
     #[argh(option)]
     seed: Option<u64>,
-    /// how long to go on, in minutes; a round is begun as long as time is left
+    /// total time in minutes; a new round starts as long as time is left, and at least one is run
     #[argh(option, default = "1.0")]
     minutes: f64,
-    /// a promise to check; may be given more than once, all are if it is left out
+    /// promise to check; can be repeated; all promises by default
     #[argh(option)]
     only: Vec<Promise>,
-    /// play a written plan instead
+    /// run the plan in this file instead of drawing one
     #[argh(option)]
     replay: Option<PathBuf>,
-    /// two regions with a thin, slow link between them, cold workers, evacuations
+    /// use two regions with a narrow, slow link between them, workers that start cold, and zone evacuations
     #[argh(switch)]
     regions: bool,
-    /// program of an earlier build: every second gateway runs it until its first planned stop
+    /// executable of an earlier build, which every second gateway runs until its first planned stop
     #[argh(option)]
     earlier: Option<PathBuf>,
-    /// where plans, histories, logs and plots are written
+    /// directory for plans, histories, logs and plots
     #[argh(option, default = "PathBuf::from(\"target/soak\")")]
     output: PathBuf,
-    /// plays at most to make the plan of a broken round smaller; 0 for none
+    /// maximum number of rounds played to reduce the faults of a failing plan; 0 disables this
     #[argh(option, default = "8")]
     shrink: usize,
 }
 
-/// Runs the soak; fails if a promise was broken.
+/// Runs the soak test. The exit code reports a failure if a promise was broken in any round.
 pub async fn run(arguments: SoakArguments) -> Result<ExitCode, SoakError> {
-    let soak = Soak {
+    let runner = Runner {
         binaries: Binaries {
-            earlier: arguments.earlier,
-            ..Binaries::own()?
+            earlier_node: arguments.earlier,
+            ..Binaries::beside_current_program()?
         },
         promises: if arguments.only.is_empty() {
             ALL.to_vec()
@@ -61,33 +61,33 @@
             arguments.only
         },
         output: arguments.output,
-        shrink: arguments.shrink,
+        max_shrink_rounds: arguments.shrink,
     };
     if let Some(file) = arguments.replay {
         let text = std::fs::read_to_string(file)?;
         let plan = serde_json::from_str(&text).map_err(std::io::Error::other)?;
-        let is_kept = soak.round(plan).await?;
-        return Ok(verdict(usize::from(!is_kept), 1));
+        let all_kept = runner.run_plan(plan).await?;
+        return Ok(exit_code(usize::from(!all_kept), 1));
     }
-    let until =
+    let deadline =
         std::time::Instant::now() + std::time::Duration::from_secs_f64(arguments.minutes * 60.0);
     let first = arguments
         .seed
         .unwrap_or_else(|| u64::from(rand::random::<u32>()));
-    let (mut broken, mut played) = (0, 0);
-    while played == 0 || std::time::Instant::now() < until {
-        let mut plan = Plan::draw(first + played as u64, ROUND_MINUTES);
+    let (mut broken, mut rounds_played) = (0, 0);
+    while rounds_played == 0 || std::time::Instant::now() < deadline {
+        let mut plan = Plan::draw(first + rounds_played as u64, ROUND_MINUTES);
         if arguments.regions {
             plan = plan.in_two_regions();
         }
-        broken += usize::from(!soak.round(plan).await?);
-        played += 1;
+        broken += usize::from(!runner.run_plan(plan).await?);
+        rounds_played += 1;
     }
-    Ok(verdict(broken, played))
+    Ok(exit_code(broken, rounds_played))
 }
 
-fn verdict(broken: usize, played: usize) -> ExitCode {
-    println!("{played} rounds, {broken} with a broken promise");
+fn exit_code(broken: usize, rounds_played: usize) -> ExitCode {
+    println!("played {rounds_played} rounds, {broken} of them with a broken promise");
     if broken == 0 {
         ExitCode::SUCCESS
     } else {
@@ -95,38 +95,41 @@
     }
 }
 
-struct Soak {
+struct Runner {
     binaries: Binaries,
     promises: Vec<Promise>,
     output: PathBuf,
-    shrink: usize,
+    max_shrink_rounds: usize,
 }
 
-impl Soak {
-    /// Plays a plan and tells what came of it; whether everything held.
-    async fn round(&self, plan: Plan) -> Result<bool, SoakError> {
+impl Runner {
+    /// Plays a plan and prints the report. Returns whether all checked promises were kept; otherwise also prints
+    /// timelines and writes a plan with fewer faults.
+    async fn run_plan(&self, plan: Plan) -> Result<bool, SoakError> {
         let folder = self.output.join(plan.seed.to_string());
-        let verdicts = self.play_in(&plan, &folder).await?;
+        let verdicts = self.play_into(&plan, &folder).await?;
         let broken: Vec<Promise> = verdicts
             .iter()
-            .filter(|verdict| !verdict.breaks.is_empty())
+            .filter(|verdict| !verdict.violations.is_empty())
             .map(|verdict| verdict.promise)
             .collect();
         if broken.is_empty() {
             return Ok(true);
         }
-        self.explain(&verdicts, &folder);
+        self.print_timelines(&verdicts, &folder);
         let shrunk = self.shrink(plan, &broken, &folder).await?;
         write_json(&folder.join("shrunk.json"), &shrunk)?;
         println!(
-            "  {} faults are enough: {}",
+            "  reduced to {} faults: {}",
             shrunk.faults.len(),
             folder.join("shrunk.json").display()
         );
         Ok(false)
     }
 
-    async fn play_in(&self, plan: &Plan, folder: &Path) -> Result<Vec<Verdict>, SoakError> {
+    /// Plays a plan and checks the promises. Writes the plan, the history, the report, a plot and all logs to `folder`,
+    /// whose earlier contents are deleted.
+    async fn play_into(&self, plan: &Plan, folder: &Path) -> Result<Vec<Verdict>, SoakError> {
         if folder.exists() {
             std::fs::remove_dir_all(folder)?;
         }
@@ -134,23 +137,23 @@
         write_json(&folder.join("plan.json"), plan)?;
         let history = play(plan.clone(), self.binaries.clone(), folder.join("logs")).await?;
         write_json(&folder.join("history.json"), &history)?;
-        let verdicts = self.judge(&history);
+        let verdicts = self.judge_all(&history);
         let report = report::Report::new(plan, &history, &verdicts);
         print!("{}", report.text());
         write_json(&folder.join("report.json"), &report)?;
         if let Err(error) = report::plot(&history, &folder.join("outcomes.svg")) {
-            eprintln!("the plot is not drawn: {error}");
+            eprintln!("cannot draw the plot of outcomes: {error}");
         }
         Ok(verdicts)
     }
 
-    fn judge(&self, history: &History) -> Vec<Verdict> {
+    fn judge_all(&self, history: &History) -> Vec<Verdict> {
         let promises = self.promises.iter();
         promises.map(|promise| judge(*promise, history)).collect()
     }
 
-    /// Writes the timeline of the first thing that broke of each promise.
-    fn explain(&self, verdicts: &[Verdict], folder: &Path) {
+    /// Prints the timeline of the first violation of each promise.
+    fn print_timelines(&self, verdicts: &[Verdict], folder: &Path) {
         let files = std::fs::read_dir(folder.join("logs")).into_iter().flatten();
         let paths = files.filter_map(|file| Some(file.ok()?.path()));
         let is_log = |path: &PathBuf| {
@@ -158,32 +161,35 @@
                 && path.extension().is_some_and(|it| it == "log")
         };
         let logs: Vec<PathBuf> = paths.filter(is_log).collect();
-        for one in verdicts.iter().filter_map(|verdict| verdict.breaks.first()) {
-            let subject = one.subject.split(' ').next().unwrap_or_default();
+        for violation in verdicts
+            .iter()
+            .filter_map(|verdict| verdict.violations.first())
+        {
+            let subject = violation.subject.split(' ').next().unwrap_or_default();
             let timeline = report::explain(&self.binaries.node, subject, &logs);
-            println!("  {} {}:\n{timeline}", one.promise, one.subject);
+            println!("  {} {}:\n{timeline}", violation.promise, violation.subject);
         }
     }
 
-    /// Leaves faults out one by one for as long as one of the promises still breaks.
+    /// Removes faults one by one; a fault stays out if one of the broken promises is broken without it too.
     async fn shrink(
         &self,
         mut plan: Plan,
         broken: &[Promise],
         folder: &Path,
     ) -> Result<Plan, SoakError> {
-        let mut plays = 0;
+        let mut rounds_played = 0;
         let mut index = 0;
-        while index < plan.faults.len() && plays < self.shrink {
-            let mut smaller = plan.clone();
-            smaller.faults.remove(index);
-            let verdicts = self.play_in(&smaller, &folder.join("shrink")).await?;
-            plays += 1;
-            let still = verdicts
+        while index < plan.faults.len() && rounds_played < self.max_shrink_rounds {
+            let mut candidate = plan.clone();
+            candidate.faults.remove(index);
+            let verdicts = self.play_into(&candidate, &folder.join("shrink")).await?;
+            rounds_played += 1;
+            let is_still_broken = verdicts
                 .iter()
-                .any(|it| broken.contains(&it.promise) && !it.breaks.is_empty());
-            if still {
-                plan = smaller;
+                .any(|it| broken.contains(&it.promise) && !it.violations.is_empty());
+            if is_still_broken {
+                plan = candidate;
             } else {
                 index += 1;
             }
--- a/crates/swiftshunt-lab/src/soak/load.rs
+++ b/crates/swiftshunt-lab/src/soak/load.rs
@@ -1,4 +1,4 @@
-//! Callers and job senders whose arrivals do not wait for answers.
+//! Open-loop load: callers and job senders that do not wait for earlier responses before they send more.
 
 mod jobs;
 mod online;
@@ -11,34 +11,34 @@
 use tokio::time::Instant;
 use tokio_util::task::TaskTracker;
 
-use super::history::{Ending, JobHistory, OnlineCall};
+use super::history::{JobHistory, OnlineCall, Outcome};
 use super::testbed::Testbed;
 use crate::platform::caller::PlatformCaller;
 use crate::stand_in::lock;
 
-/// Pause between requests on routes that configurations brought.
-const MARKER_PAUSE: Duration = Duration::from_millis(60);
-/// Time without a new result, once nothing is disturbed any more, after which jobs that are open stay
-/// so: several times what an item takes, a lease, and the pauses of items that failed.
-const STALL: Duration = Duration::from_secs(10);
+/// Interval of requests on the marker route of the latest configuration.
+const MARKER_INTERVAL: Duration = Duration::from_millis(60);
+/// Senders stop reading unfinished jobs if no job has listed a new result for this time after the end of load and
+/// faults. It is several times the run time of an item, a lease, and the retry delays of failed items.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What callers saw.
+/// Records of online requests whose outcome is known, and of finished jobs.
 #[derive(Default)]
-struct Seen {
+struct CallerRecords {
     online: Vec<OnlineCall>,
     jobs: Vec<JobHistory>,
 }
 
-/// The callers of a round.
+/// The load of a round: online callers and job senders.
 pub(super) struct Load {
     testbed: Arc<Testbed>,
     caller: PlatformCaller,
-    seen: Mutex<Seen>,
+    records: Mutex<CallerRecords>,
     tasks: TaskTracker,
-    /// When the load and the faults were over.
-    over: Mutex<Option<Instant>>,
-    /// When a new result was listed last.
-    progress: Mutex<Instant>,
+    /// End of the load and of the faults; `None` before it.
+    load_end: Mutex<Option<Instant>>,
+    /// Time at which a job listed a new result for the last time.
+    last_progress: Mutex<Instant>,
 }
 
 impl Load {
@@ -46,14 +46,14 @@
         Arc::new(Self {
             testbed,
             caller: PlatformCaller::default(),
-            seen: Mutex::default(),
+            records: Mutex::default(),
             tasks: TaskTracker::new(),
-            over: Mutex::default(),
-            progress: Mutex::new(Instant::now()),
+            load_end: Mutex::default(),
+            last_progress: Mutex::new(Instant::now()),
         })
     }
 
-    /// Sends load for as long as the plan says.
+    /// Sends load for the time given in the plan.
     pub(super) async fn send(self: &Arc<Self>) {
         let time = Duration::from_millis(self.testbed.plan.load_ms);
         let sending = async {
@@ -63,34 +63,37 @@
                 self.send_job_bursts()
             );
         };
-        // Sending does not end by itself.
+        // The senders run in endless loops, so the time-out always ends them.
         drop(tokio::time::timeout(time, sending).await);
     }
 
     async fn send_requests(self: &Arc<Self>) {
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            let rate = self.rate(began.elapsed());
+            let rate = self.rate(start.elapsed());
             let uniform: f64 = rand::rng().random_range(f64::EPSILON..1.0);
             tokio::time::sleep(Duration::from_secs_f64(-uniform.ln() / rate)).await;
             let load = Arc::clone(self);
-            self.tasks.spawn(async move { load.ask_something().await });
+            self.tasks
+                .spawn(async move { load.send_random_request().await });
         }
     }
 
-    /// Requests a second, in waves.
+    /// Returns the rate of online requests per second at a time since the start of the load. It rises and falls in
+    /// waves.
     fn rate(&self, at: Duration) -> f64 {
         let plan = &self.testbed.plan;
-        let turns = at.as_millis() as f64 / plan.wave_ms as f64;
-        let height = (turns * std::f64::consts::TAU).sin().max(0.0);
+        let phase = at.as_millis() as f64 / plan.wave_ms as f64;
+        let height = (phase * std::f64::consts::TAU).sin().max(0.0);
         plan.requests_per_s * (1.0 + plan.wave_height * height)
     }
 
     async fn send_markers(self: &Arc<Self>) {
         loop {
-            tokio::time::sleep(MARKER_PAUSE).await;
+            tokio::time::sleep(MARKER_INTERVAL).await;
             let load = Arc::clone(self);
-            self.tasks.spawn(async move { load.ask_marker().await });
+            self.tasks
+                .spawn(async move { load.send_marker_request().await });
         }
     }
 
@@ -106,38 +109,39 @@
         }
     }
 
-    /// Waits until every call and every job is over; jobs that make no progress stay open.
+    /// Marks the end of load and faults and waits until all calls have ended and all senders have finished. Senders
+    /// stop reading unfinished jobs after [`STALL_TIMEOUT`] without progress.
     pub(super) async fn finish(&self) {
-        *lock(&self.over) = Some(Instant::now());
+        *lock(&self.load_end) = Some(Instant::now());
         self.tasks.close();
         self.tasks.wait().await;
     }
 
-    /// Whether load and faults are over.
-    fn is_over(&self) -> bool {
-        lock(&self.over).is_some()
+    /// Whether load and faults have ended.
+    fn has_load_ended(&self) -> bool {
+        lock(&self.load_end).is_some()
     }
 
-    /// Whether open jobs make no progress though nothing is disturbed any more.
+    /// Whether no job has made progress for [`STALL_TIMEOUT`] after the end of load and faults.
     fn is_stalled(&self) -> bool {
-        let Some(over) = *lock(&self.over) else {
+        let Some(load_end) = *lock(&self.load_end) else {
             return false;
         };
-        let last = over.max(*lock(&self.progress));
-        last.elapsed() >= STALL
+        let last = load_end.max(*lock(&self.last_progress));
+        last.elapsed() >= STALL_TIMEOUT
     }
 
-    /// What callers saw.
-    pub(super) fn seen(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
-        let seen = std::mem::take(&mut *lock(&self.seen));
-        (seen.online, seen.jobs)
+    /// Takes the records of online requests and jobs, and leaves none.
+    pub(super) fn take_records(&self) -> (Vec<OnlineCall>, Vec<JobHistory>) {
+        let records = std::mem::take(&mut *lock(&self.records));
+        (records.online, records.jobs)
     }
 }
 
-/// How a failed call ended.
-fn failure(error: &HttpError) -> Ending {
+/// Maps the error of a failed call to its outcome.
+fn outcome_of_error(error: &HttpError) -> Outcome {
     match error {
-        HttpError::TimedOut { .. } => Ending::Unanswered,
-        _ => Ending::Broken,
+        HttpError::TimedOut { .. } => Outcome::Unanswered,
+        _ => Outcome::Broken,
     }
 }
--- a/crates/swiftshunt-lab/src/soak/load/online.rs
+++ b/crates/swiftshunt-lab/src/soak/load/online.rs
@@ -1,4 +1,4 @@
-//! Online requests.
+//! Callers of online requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,62 +6,63 @@
 use rand::Rng;
 use swiftshunt_http::HttpAnswer;
 
-use super::{Load, failure};
+use super::{Load, outcome_of_error};
 use crate::platform::fleet::{ASK, ONCE, STREAM, STREAM_ONCE};
 use crate::platform::worker::event_data;
-use crate::soak::history::{Ending, OnlineCall, OnlineKind};
+use crate::soak::history::{OnlineCall, OnlineKind, Outcome};
 use crate::soak::testbed::{EVENTS, marker};
 use crate::stand_in::lock;
 
-/// Times that callers allow, in milliseconds.
-const DEADLINES: std::ops::Range<u64> = 1_500..7_000;
-/// Share of callers that leave without waiting for their answers, and when, in milliseconds.
-const LEAVING_SHARE: f64 = 0.08;
-const LEAVING_MS: std::ops::Range<u64> = 5..400;
-/// How much longer a caller listens: an answer that comes late is still seen.
-const LISTENS_ON: Duration = Duration::from_secs(3);
+/// Time allowed by a caller for its request, in milliseconds.
+const DEADLINE_MS: std::ops::Range<u64> = 1_500..7_000;
+/// Share of callers that close the connection early.
+const DISCONNECT_SHARE: f64 = 0.08;
+/// Time after which a caller that does not wait for its response closes the connection, in milliseconds.
+const DISCONNECT_DELAY_MS: std::ops::Range<u64> = 5..400;
+/// Time for which a caller waits beyond the deadline, so that late responses are recorded as well.
+const LATE_RESPONSE_GRACE: Duration = Duration::from_secs(3);
 
 impl Load {
-    /// One request of a kind that is drawn.
-    pub(super) async fn ask_something(self: &Arc<Self>) {
+    /// Sends one request of a random kind.
+    pub(super) async fn send_random_request(self: &Arc<Self>) {
         let (kind, path) = match rand::rng().random_range(0..10) {
             0..=2 => (OnlineKind::Ask, ASK),
             3..=4 => (OnlineKind::Once, ONCE),
             5..=7 => (OnlineKind::Stream, STREAM),
             _ => (OnlineKind::StreamOnce, STREAM_ONCE),
         };
-        self.ask(kind, path.to_owned()).await;
+        self.send_request(kind, path.to_owned()).await;
     }
 
-    /// One request on the route that the newest configuration brought.
-    pub(super) async fn ask_marker(self: &Arc<Self>) {
-        let Some(configured) = self.testbed.configured() else {
+    /// Sends one request on the marker route of the latest acknowledged configuration.
+    pub(super) async fn send_marker_request(self: &Arc<Self>) {
+        let Some(configuration) = self.testbed.latest_configuration() else {
             return;
         };
-        let version = configured.version;
-        self.ask(OnlineKind::Marker { version }, marker(version))
+        let version = configuration.version;
+        self.send_request(OnlineKind::Marker { version }, marker(version))
             .await;
     }
 
-    async fn ask(&self, kind: OnlineKind, path: String) {
+    async fn send_request(&self, kind: OnlineKind, path: String) {
         let gateway = self.testbed.pick_gateway();
         let id = format!("r-{:016x}", rand::random::<u64>());
-        let deadline = rand::rng().random_range(DEADLINES);
-        let allowed = Duration::from_millis(deadline);
-        let (life, sent) = (self.testbed.life(gateway), self.testbed.now());
-        let asked = self
+        let deadline = rand::rng().random_range(DEADLINE_MS);
+        let timeout = Duration::from_millis(deadline);
+        let (generation, sent) = (self.testbed.generation(gateway), self.testbed.now());
+        let call = self
             .caller
-            .ask(self.testbed.callers(gateway), &path, &id, allowed);
-        let leaves_after = draw_leaving(kind);
-        let patience = leaves_after.unwrap_or(allowed + LISTENS_ON);
-        let answer = tokio::time::timeout(patience, asked).await;
-        let ending = match answer {
-            Err(_) if leaves_after.is_some() => Ending::Left,
-            Err(_) => Ending::Unanswered,
-            Ok(Err(error)) => failure(&error),
-            Ok(Ok(answer)) => Ending::Answered {
+            .ask(self.testbed.caller_address(gateway), &path, &id, timeout);
+        let disconnect_delay = draw_disconnect_delay(kind);
+        let wait_limit = disconnect_delay.unwrap_or(timeout + LATE_RESPONSE_GRACE);
+        let answer = tokio::time::timeout(wait_limit, call).await;
+        let outcome = match answer {
+            Err(_) if disconnect_delay.is_some() => Outcome::Left,
+            Err(_) => Outcome::Unanswered,
+            Ok(Err(error)) => outcome_of_error(&error),
+            Ok(Ok(answer)) => Outcome::Answered {
                 status: answer.status.as_u16(),
-                whole: answer.body == expected(kind, &id) && is_signed(&answer),
+                whole: answer.body == expected_body(kind, &id) && is_signed(&answer),
             },
         };
         let call = OnlineCall {
@@ -69,21 +70,23 @@
             path,
             kind,
             gateway,
-            life,
+            generation,
             sent,
             ended: self.testbed.now(),
             deadline,
-            ending,
+            outcome,
         };
-        lock(&self.seen).online.push(call);
+        lock(&self.records).online.push(call);
     }
 }
 
-/// When a caller leaves without waiting for its answer, if it does.
-fn draw_leaving(kind: OnlineKind) -> Option<Duration> {
+/// Draws the time after which a caller closes the connection early; `None` if it waits for the response. Callers of
+/// marker routes always wait.
+fn draw_disconnect_delay(kind: OnlineKind) -> Option<Duration> {
     let mut random = rand::rng();
-    let leaves = !matches!(kind, OnlineKind::Marker { .. }) && random.random_bool(LEAVING_SHARE);
-    leaves.then(|| Duration::from_millis(random.random_range(LEAVING_MS)))
+    let will_disconnect =
+        !matches!(kind, OnlineKind::Marker { .. }) && random.random_bool(DISCONNECT_SHARE);
+    will_disconnect.then(|| Duration::from_millis(random.random_range(DISCONNECT_DELAY_MS)))
 }
 
 fn is_signed(answer: &HttpAnswer) -> bool {
@@ -91,8 +94,8 @@
     answer.headers.contains_key(signature)
 }
 
-/// The worker's whole answer.
-fn expected(kind: OnlineKind, id: &str) -> String {
+/// Returns the complete body that a worker sends for a request.
+fn expected_body(kind: OnlineKind, id: &str) -> String {
     match kind {
         OnlineKind::Ask | OnlineKind::Once | OnlineKind::Marker { .. } => {
             format!("answer to {id}")
