--- a/crates/swiftshunt-lab/src/soak/plan.rs
+++ b/crates/swiftshunt-lab/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What a round of the soak plays: drawn from a seed, written out before it starts.
+//! The plan of a round: load and faults, drawn from a seed and written to a file before the round starts.
 
 use std::time::Duration;
 
@@ -8,248 +8,262 @@
 use serde::{Deserialize, Serialize};
 
 use crate::platform::caller::ITEM_TOKENS;
-use crate::platform::store::{Down, StoreFaults};
-use crate::platform::worker::Manner;
+use crate::platform::store::{StoreFaults, StoreOutage};
+use crate::platform::worker::WorkerBehaviour;
 use crate::proxy::Fault;
 
-/// Time without faults at the beginning: gateways hear of each other.
+/// Time without faults at the start of a round, in which the gateways discover each other.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// Time without faults before the load ends.
-const CALM_END: Duration = Duration::from_secs(7);
-/// Faults of a round, a minute.
-const FAULTS_A_MINUTE: std::ops::Range<u32> = 12..36;
-/// Shortest and longest fault, in milliseconds: from less than a time-out to more than a lease.
-const FAULT_MS: std::ops::Range<u64> = 150..6_000;
-/// Delay after an acknowledgement of faults that come at the worst moment, in milliseconds.
-const WORST_MOMENT_MS: std::ops::Range<u64> = 0..12;
+/// Time without faults at the end of the load. Faults that wait for a trigger, and those that
+/// [`Plan::in_two_regions`] adds, may last into it.
+const FAULT_FREE_END: Duration = Duration::from_secs(7);
+/// Number of faults per minute of a round.
+const FAULTS_PER_MINUTE: std::ops::Range<u32> = 12..36;
+/// Duration of a fault in milliseconds: from less than a time-out to more than a lease.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 150..6_000;
+/// Delay between a trigger and its fault, in milliseconds. It is short, since the worst time for a fault is right
+/// after an acknowledgement.
+const TRIGGER_DELAY_MS: std::ops::Range<u64> = 0..12;
 
-/// Zones of a round in two regions.
+/// Number of zones of a round in two regions.
 pub const ZONES: usize = 2;
-/// Keeps what is drawn for two regions apart from the rest of a round.
-const REGIONS_SEED: u64 = 0x7265_6769_6f6e_7321;
-/// The same for limits, which do not change what else is drawn from a seed.
-const LIMIT_SEED: u64 = 0x6c69_6d69_7473;
-/// Delay of the link between regions, one way, in milliseconds.
+/// XORed with the seed to draw the options of two regions, so that drawing them does not change the rest of the plan.
+const REGIONS_SEED_MASK: u64 = 0x7265_6769_6f6e_7321;
+/// XORed with the seed to draw the waiting limit, so that drawing it does not change the rest of the plan.
+const WAITING_LIMIT_SEED_MASK: u64 = 0x6c69_6d69_7473;
+/// One-way delay of the link between the regions, in milliseconds.
 const LINK_DELAY_MS: std::ops::Range<u64> = 5..60;
-/// Its width, in bytes a second.
+/// Bandwidth of the link between the regions, in bytes per second.
 const LINK_BYTES_PER_S: std::ops::Range<u64> = 500_000..8_000_000;
-/// How long a worker is cold, in milliseconds.
-const COLD_MS: std::ops::Range<u64> = 3_000..8_000;
-/// Evacuations of a round.
-const EVACUATIONS: usize = 2;
-/// How long one lasts, in milliseconds: beyond the time to obey it.
-const EVACUATED_MS: std::ops::Range<u64> = 6_000..12_000;
+/// Time for which a worker is cold after its start, in milliseconds.
+const COLD_DURATION_MS: std::ops::Range<u64> = 3_000..8_000;
+/// Number of evacuations of a round.
+const EVACUATION_COUNT: usize = 2;
+/// Duration of an evacuation in milliseconds: longer than the time in which it must take effect.
+const EVACUATION_DURATION_MS: std::ops::Range<u64> = 6_000..12_000;
 
-/// A round.
+/// The plan of a round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The seed that it was drawn from.
+    /// The seed that the plan was drawn from.
     pub seed: u64,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// Workers of each service.
+    /// Number of workers of each service.
     pub workers: usize,
-    /// Slots of each worker.
+    /// Number of slots of each worker.
     pub slots: usize,
-    /// How long load is sent.
+    /// Time for which requests and jobs are sent, in milliseconds.
     pub load_ms: u64,
-    /// Online requests a second at the foot of a wave.
+    /// Online requests per second between two waves.
     pub requests_per_s: f64,
-    /// A wave's height: so many times the foot.
+    /// Additional rate at the peak of a wave, as a multiple of `requests_per_s`.
     pub wave_height: f64,
-    /// From one wave to the next.
+    /// Time from one wave to the next, in milliseconds.
     pub wave_ms: u64,
-    /// From one burst of jobs to the next.
+    /// Time from one burst of jobs to the next, in milliseconds.
     pub job_burst_interval_ms: u64,
-    /// Jobs of a burst.
+    /// Number of jobs in a burst.
     pub jobs_per_burst: usize,
-    /// Items of a job.
+    /// Number of items in a job.
     pub job_items: usize,
-    /// What goes wrong.
-    pub faults: Vec<Step>,
-    /// Two regions; all stands in one zone without.
+    /// The faults, in the order of their start times.
+    pub faults: Vec<ScheduledFault>,
+    /// The link between two regions; `None` if all processes are in one zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub regions: Option<TwoRegions>,
-    /// How workers begin; at once with all their might without.
+    /// Limits for workers that start during the load; `None` if these get requests at the full rate at once.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold: Option<ColdStarts>,
-    /// The limit of what may wait on the batch route; none without.
+    /// Limit of waiting tokens on the batch route; `None` for no limit.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waiting_limit: Option<WaitingLimit>,
 }
 
-/// A limit of what may wait on the batch route.
+/// A limit of the tokens that may wait on the batch route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaitingLimit {
-    /// Tokens of unfinished items.
+    /// Maximum number of tokens of unfinished items of accepted jobs.
     pub tokens: u64,
-    /// Whether the configuration tells of it. Shows that a check looks.
-    pub is_told: bool,
+    /// Whether the configuration contains the limit. Tests set this to false and expect that the check finds
+    /// violations.
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
 /// Two regions and the link between the store and the gateways of the other region.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TwoRegions {
-    /// Time from one end to the other, in milliseconds.
+    /// One-way delay of the link, in milliseconds.
     pub delay_ms: u64,
-    /// Bytes a second, for all gateways together.
+    /// Bandwidth of the link in bytes per second, shared by all gateways.
     pub bytes_per_s: u64,
-    /// Whether entries of workers tell where they stand; else each names the first zone. Shows that a check looks.
-    pub is_told: bool,
+    /// Whether the directory entries of workers contain their zones. Tests set this to false, so that all entries
+    /// contain the first zone, and expect that the checks find violations.
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
-/// Workers that start during the load are cold.
+/// Limits for workers that start during the load.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdStarts {
-    /// Requests that such a worker bears a second.
+    /// Limit of the requests per second to a cold worker.
     pub per_second: f64,
-    /// For how long.
-    pub lasts_ms: u64,
-    /// Whether their entries and the configuration tell of it. Shows that a check looks.
-    pub is_told: bool,
+    /// Time for which a worker is cold after its start, in milliseconds.
+    #[serde(rename = "lasts_ms")]
+    pub duration_ms: u64,
+    /// Whether the directory entries of cold workers and the configuration contain the limits. Tests set this to false
+    /// and expect that the check finds violations.
+    #[serde(rename = "is_told")]
+    pub is_announced: bool,
 }
 
-/// A fault and its time.
+/// A fault and the time at which it starts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
-    /// When, from the start of the load.
+pub struct ScheduledFault {
+    /// Start in milliseconds from the start of the load.
     pub at_ms: u64,
-    /// Waits, from then on, for the next of these, and comes this much later.
+    /// A trigger to wait for from `at_ms` on, and the delay after it in milliseconds; `None` to start at `at_ms`.
     #[serde(default)]
-    pub after: Option<(Moment, u64)>,
-    /// How long it lasts.
-    pub for_ms: u64,
-    /// What.
+    pub after: Option<(Trigger, u64)>,
+    /// Time in milliseconds until the fault is withdrawn. Faults that happen at once, such as a rebalance, ignore it. A
+    /// drain lasts a fixed time and a quarter of this one.
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
+    /// What is done at the start of the fault, and withdrawn at its end.
     pub disruption: Disruption,
 }
 
-/// What a fault may follow at once.
+/// An event that a fault may wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Moment {
-    /// A job was accepted.
+pub enum Trigger {
+    /// A gateway accepted a job.
     JobAccepted,
-    /// The end of a job was acknowledged.
-    JobEnded,
-    /// A configuration was acknowledged.
+    /// A gateway acknowledged the cancellation of a job.
+    #[serde(rename = "job_ended")]
+    JobCancelled,
+    /// The store acknowledged a configuration.
     Configured,
-    /// Partitions were dealt anew.
-    DealtAnew,
-    /// A gateway was told to stop.
+    /// The store reassigned the partitions.
+    #[serde(rename = "dealt_anew")]
+    Rebalanced,
+    /// SIGTERM was sent to a gateway.
     PlannedStop,
 }
 
-/// The end of a link behind the proxy.
+/// A link through the fault proxy, with the index of its gateway or worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum LinkEnd {
+pub enum ProxiedLink {
     /// From a gateway to the store.
     Store(usize),
     /// From callers to a gateway.
     Callers(usize),
-    /// From all gateways to a worker of the service of whole answers.
+    /// From all gateways to a worker of the service with unary responses.
     Whole(usize),
-    /// From all gateways to an engine.
+    /// From all gateways to a worker of the engine service.
     Engine(usize),
 }
 
-/// A service of the fleet.
+/// A service in the configuration of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Service {
-    /// Whole answers.
+    /// Requests with unary responses.
     Whole,
     /// Streams and batch items.
     Engine,
 }
 
-/// What goes wrong, or is done on purpose.
+/// A fault, or an operation that is carried out under load. Gateways, workers and zones are given by index.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Disruption {
-    /// SIGKILL; started again when the fault ends.
+    /// SIGKILL of a gateway; it is restarted when the fault ends.
     KillGateway(usize),
-    /// SIGKILL of all, started again when the fault ends.
+    /// SIGKILL of all gateways; they are restarted when the fault ends.
     KillAllGateways,
-    /// SIGSTOP, and SIGCONT when the fault ends.
+    /// SIGSTOP of a gateway, and SIGCONT when the fault ends.
     PauseGateway(usize),
-    /// SIGTERM; started again once it has ended.
+    /// SIGTERM of a gateway; it is restarted as soon as its process has exited.
     StopGateway(usize),
-    /// SIGHUP with a settings file that can be read, or cannot.
+    /// SIGHUP of a gateway with a valid or an invalid settings file.
     HangUp {
-        /// The gateway.
+        /// Index of the gateway.
         gateway: usize,
-        /// Whether the file can be read.
+        /// Whether the settings file is valid.
         readable: bool,
     },
-    /// SIGKILL of a worker; its entry goes, and another comes when the fault ends.
+    /// SIGKILL of a worker; its directory entry is removed, and a new worker starts when the fault ends.
     CrashWorker {
-        /// Its service.
+        /// Service of the worker.
         service: Service,
-        /// Which.
+        /// Index of the worker in its service.
         index: usize,
-        /// Whether the new one has the old one's address.
+        /// Whether the new worker gets the address of the old one.
         same_address: bool,
     },
     /// SIGSTOP of a worker, and SIGCONT when the fault ends.
     PauseWorker {
-        /// Its service.
+        /// Service of the worker.
         service: Service,
-        /// Which.
+        /// Index of the worker in its service.
         index: usize,
     },
-    /// A worker leaves as planned, and another comes.
+    /// A worker is drained and replaced by a new one.
     DrainWorker {
-        /// Its service.
+        /// Service of the worker.
         service: Service,
-        /// Which.
+        /// Index of the worker in its service.
         index: usize,
     },
-    /// A worker serves badly.
+    /// A worker misbehaves.
     WorkerManner {
-        /// Its service.
+        /// Service of the worker.
         service: Service,
-        /// Which.
+        /// Index of the worker in its service.
         index: usize,
-        /// How.
-        manner: Manner,
+        /// The misbehaviour.
+        manner: WorkerBehaviour,
     },
-    /// All workers of a service serve badly.
+    /// All workers of a service misbehave.
     ServiceManner {
         /// The service.
         service: Service,
-        /// How.
-        manner: Manner,
+        /// The misbehaviour.
+        manner: WorkerBehaviour,
     },
-    /// The store misbehaves for some gateways, or for all if none is named.
+    /// The store misbehaves towards some gateways or all of them.
     Store {
-        /// For whom.
+        /// Affected gateways; all if empty.
         gateways: Vec<usize>,
-        /// How.
+        /// Faults of the store.
         faults: StoreFaults,
     },
-    /// The store drops its history.
+    /// The store drops its earlier records.
     DropHistory,
-    /// The store deals the partitions anew.
-    DealAnew,
-    /// A link misbehaves.
+    /// The store reassigns the partitions to the gateways.
+    #[serde(rename = "deal_anew")]
+    Rebalance,
+    /// The proxy injects a fault into a link.
     Link {
-        /// Which.
-        link: LinkEnd,
-        /// How.
+        /// The link.
+        link: ProxiedLink,
+        /// Fault of the link.
         fault: Fault,
     },
     /// The operator publishes a configuration.
     Configure,
-    /// The operator evacuates a zone, and withdraws that when the fault ends.
+    /// The operator evacuates a zone and withdraws the evacuation when the fault ends.
     Evacuate {
-        /// Its number.
+        /// Index of the zone.
         zone: usize,
     },
 }
 
 impl Plan {
-    /// Draws a round of `minutes` from a seed.
+    /// Draws a plan for a round of `minutes` from a seed. The same arguments give the same plan.
     pub fn draw(seed: u64, minutes: f64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let load_ms = (minutes * 60_000.0) as u64;
@@ -272,89 +286,92 @@
             cold: None,
             waiting_limit: None,
         };
-        plan.waiting_limit = plan.draw_limit();
-        let count = f64::from(random.random_range(FAULTS_A_MINUTE)) * minutes;
+        plan.waiting_limit = plan.draw_waiting_limit();
+        let count = f64::from(random.random_range(FAULTS_PER_MINUTE)) * minutes;
         plan.faults = (0..count.ceil() as u32)
-            .map(|_| plan.draw_step(&mut random))
+            .map(|_| plan.draw_scheduled_fault(&mut random))
             .collect();
-        plan.faults.sort_by_key(|step| step.at_ms);
+        plan.faults.sort_by_key(|fault| fault.at_ms);
         plan
     }
 
-    /// The same round in two regions with a thin, slow link between them, with workers that start cold, and zones
-    /// that are evacuated.
+    /// Adds a second region behind a narrow, slow link, limits for cold workers, evacuations, and one worker crash
+    /// for each service.
     pub fn in_two_regions(mut self) -> Self {
-        let mut random = StdRng::seed_from_u64(self.seed ^ REGIONS_SEED);
+        let mut random = StdRng::seed_from_u64(self.seed ^ REGIONS_SEED_MASK);
         self.regions = Some(TwoRegions {
             delay_ms: random.random_range(LINK_DELAY_MS),
             bytes_per_s: random.random_range(LINK_BYTES_PER_S),
-            is_told: true,
+            is_announced: true,
         });
         self.cold = Some(ColdStarts {
             per_second: hundredths(200..1_000, &mut random),
-            lasts_ms: random.random_range(COLD_MS),
-            is_told: true,
+            duration_ms: random.random_range(COLD_DURATION_MS),
+            is_announced: true,
         });
         let first = random.random_range(0..ZONES);
-        // Of different zones: the withdrawal of one ends all evacuations of its zone.
-        let evacuations = (0..EVACUATIONS.min(ZONES)).map(|number| Step {
+        // The evacuations are in different zones, since the withdrawal of one ends all evacuations of its zone.
+        let evacuations = (0..EVACUATION_COUNT.min(ZONES)).map(|number| ScheduledFault {
             disruption: Disruption::Evacuate {
                 zone: (first + number) % ZONES,
             },
-            for_ms: random.random_range(EVACUATED_MS),
+            duration_ms: random.random_range(EVACUATION_DURATION_MS),
             after: None,
             at_ms: random.random_range(WARM_UP.as_millis() as u64..self.load_ms),
         });
         self.faults.extend(evacuations);
         for service in [Service::Whole, Service::Engine] {
-            self.faults.push(Step {
+            self.faults.push(ScheduledFault {
                 disruption: Disruption::CrashWorker {
                     service,
                     index: random.random_range(0..self.workers),
                     same_address: false,
                 },
-                for_ms: random.random_range(FAULT_MS),
+                duration_ms: random.random_range(FAULT_DURATION_MS),
                 after: None,
                 at_ms: random.random_range(WARM_UP.as_millis() as u64..self.load_ms / 2),
             });
         }
-        self.faults.sort_by_key(|step| step.at_ms);
+        self.faults.sort_by_key(|fault| fault.at_ms);
         self
     }
 
-    /// In half of the rounds a limit near the load: of a job up to two bursts.
-    fn draw_limit(&self) -> Option<WaitingLimit> {
-        let mut random = StdRng::seed_from_u64(self.seed ^ LIMIT_SEED);
+    /// Draws a waiting limit for half of the seeds. The limit is close to the load: between one job and two bursts.
+    fn draw_waiting_limit(&self) -> Option<WaitingLimit> {
+        let mut random = StdRng::seed_from_u64(self.seed ^ WAITING_LIMIT_SEED_MASK);
         let jobs = random.random_range(1..=2 * self.jobs_per_burst);
         random.random_bool(0.5).then(|| WaitingLimit {
             tokens: ITEM_TOKENS * (self.job_items * jobs) as u64,
-            is_told: true,
+            is_announced: true,
         })
     }
 
-    fn draw_step(&self, random: &mut StdRng) -> Step {
+    fn draw_scheduled_fault(&self, random: &mut StdRng) -> ScheduledFault {
         let first = WARM_UP.as_millis() as u64;
         let last = self
             .load_ms
-            .saturating_sub(CALM_END.as_millis() as u64)
+            .saturating_sub(FAULT_FREE_END.as_millis() as u64)
             .max(first + 1);
         let at_ms = random.random_range(first..last);
-        let longest = FAULT_MS.end.min(last - at_ms).max(FAULT_MS.start + 1);
-        let moments = [
-            Moment::JobAccepted,
-            Moment::JobEnded,
-            Moment::Configured,
-            Moment::DealtAnew,
-            Moment::PlannedStop,
+        let max_duration = FAULT_DURATION_MS
+            .end
+            .min(last - at_ms)
+            .max(FAULT_DURATION_MS.start + 1);
+        let triggers = [
+            Trigger::JobAccepted,
+            Trigger::JobCancelled,
+            Trigger::Configured,
+            Trigger::Rebalanced,
+            Trigger::PlannedStop,
         ];
         let after = random.random_bool(0.3).then(|| {
-            let moment = *moments.choose(random).unwrap_or(&Moment::JobAccepted);
-            (moment, random.random_range(WORST_MOMENT_MS))
+            let trigger = *triggers.choose(random).unwrap_or(&Trigger::JobAccepted);
+            (trigger, random.random_range(TRIGGER_DELAY_MS))
         });
-        Step {
+        ScheduledFault {
             at_ms,
             after,
-            for_ms: random.random_range(FAULT_MS.start..longest),
+            duration_ms: random.random_range(FAULT_DURATION_MS.start..max_duration),
             disruption: self.draw_disruption(random),
         }
     }
@@ -393,7 +410,7 @@
                 faults: draw_store_faults(random),
             },
             18 => Disruption::DropHistory,
-            19 => Disruption::DealAnew,
+            19 => Disruption::Rebalance,
             20..=21 => Disruption::Link {
                 link: draw_link(gateway, index, random),
                 fault: draw_link_fault(random),
@@ -406,7 +423,7 @@
         }
     }
 
-    /// Some of the gateways, or none for all of them.
+    /// Draws the gateways affected by a store fault; an empty list stands for all of them.
     fn draw_gateways(&self, random: &mut StdRng) -> Vec<usize> {
         if random.random_bool(0.5) {
             return Vec::new();
@@ -417,54 +434,55 @@
     }
 }
 
-/// A number with two decimals: it is the same when a written plan is read again.
+/// Draws a number with two decimals, which stays the same when a plan is written to JSON and read again.
 fn hundredths(range: std::ops::Range<u32>, random: &mut StdRng) -> f64 {
     f64::from(random.random_range(range)) / 100.0
 }
 
-fn draw_manner(service: Service, random: &mut StdRng) -> Manner {
-    let late = Manner::Late(Duration::from_millis(random.random_range(50..2_500)));
-    let broken = Manner::BreakAfter(random.random_range(0..6));
+fn draw_manner(service: Service, random: &mut StdRng) -> WorkerBehaviour {
+    let delayed =
+        WorkerBehaviour::DelayAnswer(Duration::from_millis(random.random_range(50..2_500)));
+    let truncated = WorkerBehaviour::TruncateStreamAfter(random.random_range(0..6));
     let common = [
-        Manner::Dark,
-        Manner::HangSometimes,
-        late,
-        Manner::LoseAnswer,
-        Manner::Decline,
-        Manner::AnswerAnother,
-        Manner::Unsigned,
-        Manner::FalseRefusal,
+        WorkerBehaviour::Hang,
+        WorkerBehaviour::HangEverySecond,
+        delayed,
+        WorkerBehaviour::CloseWithoutAnswer,
+        WorkerBehaviour::Decline,
+        WorkerBehaviour::AnswerOtherRequestId,
+        WorkerBehaviour::Unsigned,
+        WorkerBehaviour::RunAndAnswer503,
     ];
     match service {
-        // Engines do not fail items: then giving one up is a fault of the gateways.
-        Service::Engine if random.random_bool(0.3) => broken,
-        Service::Whole if random.random_bool(0.2) => Manner::Fail,
-        _ => *common.choose(random).unwrap_or(&Manner::Dark),
+        // Engine workers never fail an item, so a gateway that gives one up before its time-out is at fault.
+        Service::Engine if random.random_bool(0.3) => truncated,
+        Service::Whole if random.random_bool(0.2) => WorkerBehaviour::Fail,
+        _ => *common.choose(random).unwrap_or(&WorkerBehaviour::Hang),
     }
 }
 
 fn draw_store_faults(random: &mut StdRng) -> StoreFaults {
     let mut faults = StoreFaults::default();
     match random.random_range(0..6) {
-        0 => faults.down = Some(Down::Silent),
-        1 => faults.down = Some(Down::Busy),
-        2 => faults.down = Some(Down::Reset),
+        0 => faults.outage = Some(StoreOutage::Unresponsive),
+        1 => faults.outage = Some(StoreOutage::Busy),
+        2 => faults.outage = Some(StoreOutage::Reset),
         3 => faults.delay = Duration::from_millis(random.random_range(20..600)),
-        4 => faults.lost_reads = true,
+        4 => faults.hang_reads = true,
         _ => {
-            faults.lost_answers = hundredths(10..70, random);
-            faults.done_late = Duration::from_millis(random.random_range(0..3_000));
+            faults.lost_answer_probability = hundredths(10..70, random);
+            faults.lost_append_delay = Duration::from_millis(random.random_range(0..3_000));
         }
     }
     faults
 }
 
-fn draw_link(gateway: usize, index: usize, random: &mut StdRng) -> LinkEnd {
+fn draw_link(gateway: usize, index: usize, random: &mut StdRng) -> ProxiedLink {
     match random.random_range(0..4) {
-        0 => LinkEnd::Store(gateway),
-        1 => LinkEnd::Callers(gateway),
-        2 => LinkEnd::Whole(index),
-        _ => LinkEnd::Engine(index),
+        0 => ProxiedLink::Store(gateway),
+        1 => ProxiedLink::Callers(gateway),
+        2 => ProxiedLink::Whole(index),
+        _ => ProxiedLink::Engine(index),
     }
 }
 
--- a/crates/swiftshunt-lab/src/soak/promises/runs.rs
+++ b/crates/swiftshunt-lab/src/soak/promises/runs.rs
@@ -1,124 +1,144 @@
-//! What workers ran.
+//! Promises about the runs at workers.
 
 use std::collections::{HashMap, HashSet};
 
 use super::Verdict;
 use crate::platform::fleet::{BATCH, STREAM, STREAM_ONCE};
 use crate::platform::worker::RunEvent;
-use crate::soak::calm::Calm;
-use crate::soak::history::{Ending, History, OnlineCall, OnlineKind, RunRecord};
+use crate::soak::disturbances::DisturbanceLog;
+use crate::soak::history::{History, OnlineCall, OnlineKind, Outcome, RunRecord};
 
-/// Statuses that say that a request has not run.
-const REFUSALS: [u16; 4] = [408, 421, 429, 503];
-/// Time within which every gateway obeys a worker's leaving, in milliseconds.
-const LEAVES_WITHIN_MS: u64 = 2_000;
-/// A little more, for what is on its way.
-pub(super) const ON_ITS_WAY_MS: u64 = 400;
-/// Time within which a request is gone from its worker once its caller has left, in milliseconds.
-const GONE_WITHIN_MS: u64 = 500;
-/// Wait for a slot from which a stream counts as one that waits behind others, in milliseconds.
-const WAITS_MS: u64 = 1_500;
+/// HTTP statuses of responses that guarantee that the request has not run.
+const REFUSAL_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// Time within which the drain of a worker must take effect at every gateway, in milliseconds.
+const DRAIN_EFFECTIVE_WITHIN_MS: u64 = 2_000;
+/// Additional time for requests that a gateway sent before a change took effect to arrive, in milliseconds.
+pub(super) const IN_FLIGHT_MS: u64 = 400;
+/// Time within which a request must be aborted at its worker after its caller has closed the connection, in
+/// milliseconds.
+const ABORT_WITHIN_MS: u64 = 500;
+/// Time for which a stream may wait for a slot behind a batch item, in milliseconds.
+const MAX_STREAM_WAIT_MS: u64 = 1_500;
 
+/// Returns the arrivals of requests and items at workers, also of those that never got a slot.
 pub(super) fn arrivals(history: &History) -> impl Iterator<Item = &RunRecord> {
     let runs = history.runs.iter();
     runs.filter(|run| run.event == RunEvent::Arrived)
 }
 
-/// How often each request came to a worker.
-fn counts(history: &History) -> HashMap<&str, usize> {
-    let mut counts = HashMap::new();
+/// Returns the number of arrivals at workers for each request and item.
+fn arrival_counts(history: &History) -> HashMap<&str, usize> {
+    let mut arrival_counts = HashMap::new();
     for run in arrivals(history) {
-        *counts.entry(run.id.as_str()).or_default() += 1;
+        *arrival_counts.entry(run.id.as_str()).or_default() += 1;
     }
-    counts
+    arrival_counts
 }
 
-/// What was refused with a word that says so has not run.
+/// Checks that requests with a refusal status have not run, nor any item of a job that was refused at every attempt.
 pub(super) fn not_run(history: &History, verdict: &mut Verdict) {
-    let counts = counts(history);
-    let ran = |id: &str| counts.get(id).copied().unwrap_or(0);
+    let arrival_counts = arrival_counts(history);
+    let run_count = |id: &str| arrival_counts.get(id).copied().unwrap_or(0);
     for call in &history.online {
-        if let Some(status) = call.ending.status().filter(|it| REFUSALS.contains(it)) {
-            let times = ran(&call.id);
-            let seen = (times > 0).then(|| format!("status {status}, and {times} runs"));
+        if let Some(status) = call
+            .outcome
+            .status()
+            .filter(|it| REFUSAL_STATUSES.contains(it))
+        {
+            let times = run_count(&call.id);
+            let seen = (times > 0).then(|| format!("status {status}, but {times} runs"));
             verdict.check(call.ended, &call.id, seen);
         }
     }
     for job in &history.jobs {
-        let is_refusal = |status: Option<u16>| status.is_some_and(|it| REFUSALS.contains(&it));
-        let tries = &job.submissions;
-        if tries.is_empty() || !tries.iter().all(|it| is_refusal(it.status)) {
+        let is_refusal =
+            |status: Option<u16>| status.is_some_and(|it| REFUSAL_STATUSES.contains(&it));
+        let submissions = &job.submissions;
+        if submissions.is_empty() || !submissions.iter().all(|it| is_refusal(it.status)) {
             continue;
         }
-        let times: usize = job.items.iter().map(|item| ran(item)).sum();
-        let seen = (times > 0).then(|| format!("refused each time, and {times} runs of items"));
-        let at = tries.iter().map(|it| it.ended).max().unwrap_or(0);
+        let times: usize = job.items.iter().map(|item| run_count(item)).sum();
+        let seen =
+            (times > 0).then(|| format!("refused at every attempt, but {times} runs of items"));
+        let at = submissions.iter().map(|it| it.ended).max().unwrap_or(0);
         verdict.check(at, &job.id, seen);
     }
 }
 
-/// What may not be repeated ran once at most.
+/// Checks that requests that must not be retried ran at most once.
 pub(super) fn at_most_once(history: &History, verdict: &mut Verdict) {
-    let counts = counts(history);
-    let once = |kind: OnlineKind| matches!(kind, OnlineKind::Once | OnlineKind::StreamOnce);
-    for call in history.online.iter().filter(|call| once(call.kind)) {
-        let times = counts.get(call.id.as_str()).copied().unwrap_or(0);
+    let arrival_counts = arrival_counts(history);
+    let is_non_repeatable =
+        |kind: OnlineKind| matches!(kind, OnlineKind::Once | OnlineKind::StreamOnce);
+    for call in history
+        .online
+        .iter()
+        .filter(|call| is_non_repeatable(call.kind))
+    {
+        let times = arrival_counts.get(call.id.as_str()).copied().unwrap_or(0);
         let seen = (times > 1).then(|| format!("{times} runs on {}", call.path));
         verdict.check(call.ended, &call.id, seen);
     }
 }
 
-/// Every run is one that a caller asked for, on the path that it named.
+/// Checks that every run belongs to a request or item that was sent, and has its path.
 pub(super) fn asked_for(history: &History, verdict: &mut Verdict) {
     let online = history.online.iter();
-    let mut asked: HashSet<(&str, String)> = online
+    let mut expected_runs: HashSet<(&str, String)> = online
         .map(|call| (call.id.as_str(), call.path.clone()))
         .collect();
     for job in &history.jobs {
         let paths = job.items.iter().enumerate();
-        asked.extend(paths.map(|(index, id)| (id.as_str(), format!("{BATCH}{index}"))));
+        expected_runs.extend(paths.map(|(index, id)| (id.as_str(), format!("{BATCH}{index}"))));
     }
     for run in arrivals(history) {
-        let is_asked = asked.contains(&(run.id.as_str(), run.path.clone()));
-        let seen = (!is_asked).then(|| format!("{} ran {}", run.incarnation, run.path));
+        let is_expected = expected_runs.contains(&(run.id.as_str(), run.path.clone()));
+        let seen = (!is_expected).then(|| format!("{} ran {}", run.incarnation, run.path));
         verdict.check(run.at, &run.id, seen);
     }
 }
 
-/// A worker whose leaving was acknowledged gets nothing new from gateways that are left alone.
-pub(super) fn leaving(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    for left in &history.leaving {
-        let from = left.at + LEAVES_WITHIN_MS + ON_ITS_WAY_MS;
+/// Checks that a draining worker gets no new requests, if neither the gateways nor the store have a fault.
+pub(super) fn draining(history: &History, verdict: &mut Verdict) {
+    let disturbances = DisturbanceLog(&history.disturbances);
+    for drain in &history.drains {
+        let from = drain.at + DRAIN_EFFECTIVE_WITHIN_MS + IN_FLIGHT_MS;
         let late: Vec<&RunRecord> = arrivals(history)
-            .filter(|run| run.incarnation == left.incarnation && run.at >= from)
-            .filter(|run| calm.all_gateways(left.at, run.at))
+            .filter(|run| run.incarnation == drain.incarnation && run.at >= from)
+            .filter(|run| disturbances.are_gateways_undisturbed(drain.at, run.at))
             .collect();
         let seen = late.first().map(|run| {
-            let after = run.at - left.at;
-            format!("{} came {after} ms after; {} in all", run.id, late.len())
+            let after = run.at - drain.at;
+            format!(
+                "{} arrived {after} ms after the start of the drain; {} requests in total",
+                run.id,
+                late.len()
+            )
         });
-        verdict.check(from, &left.incarnation, seen);
+        verdict.check(from, &drain.incarnation, seen);
     }
 }
 
-/// While nothing is disturbed, a stream or a request that may be repeated leaves its worker soon after
-/// its caller has left, and does not come to one any more.
+/// Checks that without faults, a stream or a request that may be retried is aborted at its worker soon after its caller
+/// has closed the connection, and does not arrive at a worker after that.
 pub(super) fn caller_left(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    let left = |call: &&OnlineCall| call.ending == Ending::Left && call.kind != OnlineKind::Once;
-    for call in history.online.iter().filter(left) {
-        let gone_by = call.ended + GONE_WITHIN_MS;
-        if !calm.everything(call.sent, gone_by) {
+    let disturbances = DisturbanceLog(&history.disturbances);
+    let has_left =
+        |call: &&OnlineCall| call.outcome == Outcome::Left && call.kind != OnlineKind::Once;
+    for call in history.online.iter().filter(has_left) {
+        let abort_deadline = call.ended + ABORT_WITHIN_MS;
+        if !disturbances.is_undisturbed(call.sent, abort_deadline) {
             continue;
         }
         let of_call = || history.runs.iter().filter(|run| run.id == call.id);
-        let came = of_call().find(|run| run.event == RunEvent::Arrived && run.at > gone_by);
-        let stayed = of_call().find(|run| run.event == RunEvent::Ended && run.at > gone_by);
-        let seen = came.or(stayed).map(|run| {
+        let late_arrival =
+            of_call().find(|run| run.event == RunEvent::Arrived && run.at > abort_deadline);
+        let late_end =
+            of_call().find(|run| run.event == RunEvent::Ended && run.at > abort_deadline);
+        let seen = late_arrival.or(late_end).map(|run| {
             let after = run.at - call.ended;
             format!(
-                "{:?} at {} {after} ms after the caller had left",
+                "{:?} at {} {after} ms after the caller closed the connection",
                 run.event, run.incarnation
             )
         });
@@ -126,39 +146,43 @@
     }
 }
 
-/// Slots of one worker over time.
-struct Slots<'h> {
-    /// Runs that hold a slot: request, path, since when.
+/// The current use of the slots of one worker.
+struct SlotUsage<'h> {
+    /// Requests that hold a slot, with the path and the time from which they hold it.
     held: HashMap<&'h str, (&'h str, u64)>,
-    /// Requests that wait for one, and since when.
+    /// Requests that wait for a slot, with their time of arrival.
     waiting: HashMap<&'h str, u64>,
 }
 
-/// While nothing is disturbed, no stream waits for long at an engine where a batch item holds a slot
-/// all the while.
+/// Checks that without faults, no stream waits for long at an engine worker while a batch item holds a slot for the
+/// whole wait.
 pub(super) fn online_first(history: &History, verdict: &mut Verdict) {
-    let calm = Calm(&history.disturbances);
-    let mut workers: HashMap<&str, Slots> = HashMap::new();
+    let disturbances = DisturbanceLog(&history.disturbances);
+    let mut workers: HashMap<&str, SlotUsage> = HashMap::new();
     for run in &history.runs {
-        let slots = workers.entry(&run.incarnation).or_insert_with(|| Slots {
-            held: HashMap::new(),
-            waiting: HashMap::new(),
-        });
+        let slots = workers
+            .entry(&run.incarnation)
+            .or_insert_with(|| SlotUsage {
+                held: HashMap::new(),
+                waiting: HashMap::new(),
+            });
         match run.event {
             RunEvent::Arrived => drop(slots.waiting.insert(&run.id, run.at)),
             RunEvent::Ended => drop(slots.held.remove(run.id.as_str())),
             RunEvent::Began => {
                 let arrived = slots.waiting.remove(run.id.as_str()).unwrap_or(run.at);
                 let is_stream = run.path == STREAM || run.path == STREAM_ONCE;
-                if is_stream && calm.everything(arrived, run.at) {
+                if is_stream && disturbances.is_undisturbed(arrived, run.at) {
                     let item = slots
                         .held
                         .values()
                         .find(|(path, since)| path.starts_with(BATCH) && *since <= arrived);
                     let waited = run.at - arrived;
-                    let seen = item.filter(|_| waited > WAITS_MS).map(|(path, _)| {
-                        format!("waited {waited} ms at {} behind {path}", run.incarnation)
-                    });
+                    let seen = item
+                        .filter(|_| waited > MAX_STREAM_WAIT_MS)
+                        .map(|(path, _)| {
+                            format!("waited {waited} ms at {} behind {path}", run.incarnation)
+                        });
                     verdict.check(run.at, &run.id, seen);
                 }
                 slots.held.insert(&run.id, (&run.path, run.at));
--- a/crates/swiftshunt-lab/src/soak/round.rs
+++ b/crates/swiftshunt-lab/src/soak/round.rs
@@ -1,4 +1,4 @@
-//! One round: the processes are started, load and faults run, and what was seen is gathered.
+//! Plays one round: starts the processes, runs load and faults, and collects the history.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -9,78 +9,78 @@
 
 use super::history::History;
 use super::load::Load;
-use super::plan::{Plan, Step};
+use super::plan::{Plan, ScheduledFault};
 use super::testbed::Testbed;
 use crate::harness::{Binaries, HarnessError};
 
-/// How long a fault waits for the moment that it is to follow; then it comes all the same.
-const MOMENT_PATIENCE: Duration = Duration::from_secs(8);
+/// Time that a fault waits for its trigger; after that it is injected without the trigger.
+const TRIGGER_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Why a round was not played.
+/// Errors that prevent a round from being played, or make its history unusable.
 #[derive(Debug, Display, Error, From)]
 pub enum SoakError {
-    /// A process did not start.
+    /// A process could not be started.
     #[display("{_0}")]
     Harness(HarnessError),
-    /// The system refused.
+    /// A file or socket operation failed.
     #[display("{_0}")]
     System(std::io::Error),
-    /// A process or a stand-in did not do what the plan says.
-    #[display("the plan was not played: {}", failures.join("; "))]
+    /// A process or a stand-in did not carry out a step of the plan, so the history does not show what was planned.
+    #[display("could not carry out the plan: {}", failures.join("; "))]
     #[from(ignore)]
     NotPlayed {
-        /// What did not work.
+        /// Description of each failed step.
         #[error(not(source))]
         failures: Vec<String>,
     },
-    /// A stand-in did not say where it listens.
-    #[display("a process did not tell its address")]
+    /// A process did not print an address on which it listens, or printed one that cannot be parsed.
+    #[display("a process did not print a valid listen address")]
     #[from(ignore)]
-    NoDoor,
+    MissingAddress,
 }
 
-/// Plays a round; logs, settings and workers' outputs stay in `scratch`.
+/// Plays a round. Logs, settings and the output of workers remain in the directory `scratch`.
 pub async fn play(plan: Plan, binaries: Binaries, scratch: PathBuf) -> Result<History, SoakError> {
     let testbed = Arc::new(Testbed::start(plan, binaries, scratch).await?);
     let load = Load::new(Arc::clone(&testbed));
-    let mut asking = JoinSet::new();
+    let mut readiness_polls = JoinSet::new();
     for gateway in 0..testbed.gateway_count() {
         let testbed = Arc::clone(&testbed);
-        asking.spawn(async move { testbed.poll_readiness(gateway).await });
+        readiness_polls.spawn(async move { testbed.poll_readiness(gateway).await });
     }
     let mut faults = JoinSet::new();
-    for step in testbed.plan.faults.clone() {
+    for fault in testbed.plan.faults.clone() {
         let testbed = Arc::clone(&testbed);
-        faults.spawn(async move { disturb(&testbed, &step).await });
+        faults.spawn(async move { inject_fault(&testbed, &fault).await });
     }
     load.send().await;
     while faults.join_next().await.is_some() {}
     load.finish().await;
-    asking.shutdown().await;
+    readiness_polls.shutdown().await;
     let failures = testbed.failures();
     if !failures.is_empty() {
         return Err(SoakError::NotPlayed { failures });
     }
-    let mut history = testbed.facts()?;
-    (history.online, history.jobs) = load.seen();
+    let mut history = testbed.history()?;
+    (history.online, history.jobs) = load.take_records();
     Ok(history)
 }
 
-/// Applies a fault at its time.
-async fn disturb(testbed: &Testbed, step: &Step) {
-    tokio::time::sleep(Duration::from_millis(step.at_ms)).await;
-    if let Some((moment, delay)) = step.after {
-        let mut moments = testbed.moments();
-        let comes = async {
-            while let Ok(reached) = moments.recv().await {
-                if reached == moment {
+/// Waits for the time and the trigger of a fault, then injects it.
+async fn inject_fault(testbed: &Testbed, fault: &ScheduledFault) {
+    tokio::time::sleep(Duration::from_millis(fault.at_ms)).await;
+    if let Some((trigger, delay)) = fault.after {
+        let mut triggers = testbed.subscribe_triggers();
+        let wait = async {
+            while let Ok(fired) = triggers.recv().await {
+                if fired == trigger {
                     return;
                 }
             }
         };
-        if tokio::time::timeout(MOMENT_PATIENCE, comes).await.is_ok() {
+        if tokio::time::timeout(TRIGGER_TIMEOUT, wait).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(delay)).await;
         }
     }
-    testbed.apply(step).await;
+    testbed.apply(fault).await;
 }
--- a/crates/swiftshunt-lab/src/soak/testbed.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed.rs
@@ -1,4 +1,4 @@
-//! The processes of a round, the links between them, and the faults that are applied to them.
+//! The processes of a round, the links between them, and the injection of faults.
 
 mod gateways;
 mod operator;
@@ -11,58 +11,59 @@
 use swiftshunt_http::{HttpClient, HttpRequest};
 use tokio::sync::broadcast;
 
-use self::gateways::GatewaySlot;
+use self::gateways::GatewayHandle;
 use self::operator::Operator;
 pub(super) use self::operator::marker;
 pub(super) use self::workers::EVENTS;
-use self::workers::WorkerSlot;
-use super::calm::{Disturbance, Scope};
+use self::workers::WorkerHandle;
+use super::disturbances::{Disturbance, Scope};
 use super::history::{History, RunRecord};
-use super::plan::{Disruption, LinkEnd, Moment, Plan, Service, Step, ZONES};
-use super::{SoakError, journal};
+use super::plan::{Disruption, Plan, ProxiedLink, ScheduledFault, Service, Trigger, ZONES};
+use super::{SoakError, run_log};
 use crate::harness::{Binaries, Process};
-use crate::platform::places::{Place, Places};
-use crate::platform::process::time_of_day_ms;
+use crate::platform::process::unix_ms;
 use crate::platform::store::{
-    CONTROL_DEAL_ANEW, CONTROL_DROP_HISTORY, CONTROL_FAULTS, StoreFaults,
+    CONTROL_DROP_HISTORY_PATH, CONTROL_FAULTS_PATH, CONTROL_REASSIGN_PATH, StoreFaults,
 };
-use crate::proxy::{Fault, Way, Width};
+use crate::platform::zone_layout::{ZoneAndRegion, ZoneLayout};
+use crate::proxy::{Bandwidth, Fault, LinkConditions};
 use crate::stand_in::lock;
 
-/// Partitions of the store's topics.
+/// Number of partitions of the store's topics.
 const PARTITIONS: u32 = 6;
-/// Time that a call to a stand-in may take.
+/// Time-out of a control request to a stand-in.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The zones of a round in two regions.
-const TWO_REGIONS: [Place; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
-/// The zone in which the store stands, by its number.
-const STORE_STANDS: usize = 0;
-/// Moments that a slow follower may miss.
-const MOMENTS_KEPT: usize = 256;
+/// Zones of a round in two regions, each with its region.
+const TWO_REGIONS: [ZoneAndRegion; ZONES] = [("zone-a", "region-a"), ("zone-b", "region-b")];
+/// Index of the zone in which the store runs.
+const STORE_ZONE: usize = 0;
+/// Number of triggers that the channel keeps for a slow receiver. A receiver that falls further behind gets an error
+/// instead of the older ones.
+const TRIGGER_CHANNEL_CAPACITY: usize = 256;
 
-/// A round's processes.
+/// The processes of a round and the history recorded so far.
 pub(super) struct Testbed {
     pub(super) plan: Plan,
     pub(super) scratch: PathBuf,
     binaries: Binaries,
-    /// The time of day when the round began, in milliseconds.
-    began: u64,
+    /// Start of the round as time of day in milliseconds.
+    start_ms: u64,
     client: HttpClient,
-    /// What operators did and what was struck.
-    facts: Mutex<History>,
+    /// History without online requests, jobs, runs and unexpected exits, which are added at the end.
+    history: Mutex<History>,
     failures: Mutex<Vec<String>>,
-    moments: broadcast::Sender<Moment>,
-    gateways: Vec<GatewaySlot>,
-    whole: Vec<WorkerSlot>,
-    engines: Vec<WorkerSlot>,
+    triggers: broadcast::Sender<Trigger>,
+    gateways: Vec<GatewayHandle>,
+    whole_workers: Vec<WorkerHandle>,
+    engine_workers: Vec<WorkerHandle>,
     operator: Operator,
-    /// How wide the link between the regions is.
-    width: Option<Arc<Width>>,
+    /// Bandwidth of the link between the regions, shared by all gateways; `None` in a round with a single zone.
+    region_link_width: Option<Arc<Bandwidth>>,
     _store: Process,
 }
 
 impl Testbed {
-    /// Starts everything and waits until the gateways are ready.
+    /// Starts the store, workers and gateways, publishes a configuration, and waits until the gateways are ready.
     pub(super) async fn start(
         plan: Plan,
         binaries: Binaries,
@@ -70,23 +71,23 @@
     ) -> Result<Self, SoakError> {
         std::fs::create_dir_all(&scratch)?;
         let store = start_store(&plan, &binaries, &scratch)?;
-        let doors = addresses(store.announced("doors"))?;
-        let Some((operators_door, doors)) = doors.split_last() else {
-            return Err(SoakError::NoDoor);
+        let store_addresses = parse_addresses(store.announced("doors"))?;
+        let Some((operator_address, store_addresses)) = store_addresses.split_last() else {
+            return Err(SoakError::MissingAddress);
         };
         let mut testbed = Self {
-            began: time_of_day_ms(),
+            start_ms: unix_ms(),
             client: HttpClient::new(None),
-            facts: Mutex::default(),
+            history: Mutex::default(),
             failures: Mutex::default(),
-            moments: broadcast::channel(MOMENTS_KEPT).0,
+            triggers: broadcast::channel(TRIGGER_CHANNEL_CAPACITY).0,
             gateways: Vec::new(),
-            whole: Vec::new(),
-            engines: Vec::new(),
-            operator: Operator::new(*operators_door),
-            width: plan
+            whole_workers: Vec::new(),
+            engine_workers: Vec::new(),
+            operator: Operator::new(*operator_address),
+            region_link_width: plan
                 .regions
-                .map(|regions| Arc::new(Width::new(regions.bytes_per_s))),
+                .map(|regions| Arc::new(Bandwidth::new(regions.bytes_per_s))),
             _store: store,
             plan,
             scratch,
@@ -94,83 +95,87 @@
         };
         for index in 0..testbed.plan.workers {
             let whole = testbed.new_worker(Service::Whole, index).await?;
-            testbed.whole.push(whole);
+            testbed.whole_workers.push(whole);
             let engine = testbed.new_worker(Service::Engine, index).await?;
-            testbed.engines.push(engine);
+            testbed.engine_workers.push(engine);
         }
         testbed.configure().await;
-        for (index, door) in doors.iter().enumerate() {
-            let gateway = testbed.new_gateway(index, *door).await?;
+        for (index, store_address) in store_addresses.iter().enumerate() {
+            let gateway = testbed.new_gateway(index, *store_address).await?;
             testbed.gateways.push(gateway);
         }
         for index in 0..testbed.gateways.len() {
-            testbed.until_ready(index).await;
+            testbed.wait_until_ready(index).await;
         }
         Ok(testbed)
     }
 
-    /// The zones of the round.
-    fn places(&self) -> Places {
+    /// Returns the zones of the round.
+    fn zones(&self) -> ZoneLayout {
         match self.plan.regions {
-            Some(_) => Places::new(&TWO_REGIONS),
-            None => Places::default(),
+            Some(_) => ZoneLayout::new(&TWO_REGIONS),
+            None => ZoneLayout::default(),
         }
     }
 
-    /// The way from the store to a gateway: thin and slow to those of the other region.
-    fn way_to_store(&self, gateway: usize) -> Way {
+    /// Returns the delay and bandwidth of the link from a gateway to the store. Only links to the other region are
+    /// restricted.
+    fn store_link_way(&self, gateway: usize) -> LinkConditions {
         let Some(regions) = self.plan.regions else {
-            return Way::default();
+            return LinkConditions::default();
         };
-        if self.places().region(gateway) == self.places().region(STORE_STANDS) {
-            return Way::default();
+        if self.zones().region(gateway) == self.zones().region(STORE_ZONE) {
+            return LinkConditions::default();
         }
-        Way {
+        LinkConditions {
             delay: Duration::from_millis(regions.delay_ms),
-            width: self.width.clone(),
+            bandwidth: self.region_link_width.clone(),
         }
     }
 
-    /// Milliseconds since the round began.
+    /// Returns the milliseconds since the start of the round.
     pub(super) fn now(&self) -> u64 {
-        time_of_day_ms().saturating_sub(self.began)
+        unix_ms().saturating_sub(self.start_ms)
     }
 
-    /// Tells what follows moments that one has come.
-    pub(super) fn reached(&self, moment: Moment) {
-        // Nobody may be waiting for one.
-        drop(self.moments.send(moment));
+    /// Notifies the faults that wait for a trigger.
+    pub(super) fn notify_trigger(&self, trigger: Trigger) {
+        // Sending fails if no fault is waiting for a trigger, which is not an error.
+        drop(self.triggers.send(trigger));
     }
 
-    pub(super) fn moments(&self) -> broadcast::Receiver<Moment> {
-        self.moments.subscribe()
+    pub(super) fn subscribe_triggers(&self) -> broadcast::Receiver<Trigger> {
+        self.triggers.subscribe()
     }
 
-    /// Something of the round's own did not work: what it would show is not what the plan says.
+    /// Records a failure of the test setup. The history of the round is then discarded, since the plan was not carried
+    /// out.
     fn record_failure(&self, failure: String) {
         lock(&self.failures).push(failure);
     }
 
-    /// What of the round's own did not work.
+    /// Returns the failures of the test setup.
     pub(super) fn failures(&self) -> Vec<String> {
         lock(&self.failures).clone()
     }
 
-    fn record(&self, scope: Scope, from: u64) {
+    /// Records a fault from `from`, in milliseconds since the start of the round, to the present.
+    fn record_disturbance(&self, scope: Scope, from: u64) {
         let to = self.now();
-        lock(&self.facts)
+        lock(&self.history)
             .disturbances
             .push(Disturbance { scope, from, to });
     }
 
-    /// What operators did and what was struck, and what workers told.
-    pub(super) fn facts(&self) -> Result<History, SoakError> {
-        let mut facts = lock(&self.facts).clone();
-        facts.own_ends = self.own_ends();
-        facts.runs = self.runs()?;
-        Ok(facts)
+    /// Returns the history so far, with the runs that workers reported and the unexpected exits of gateways.
+    pub(super) fn history(&self) -> Result<History, SoakError> {
+        let mut history = lock(&self.history).clone();
+        history.unexpected_exits = self.unexpected_exits();
+        history.runs = self.runs()?;
+        Ok(history)
     }
 
+    /// Reads the run events from the output of all workers and sorts them by time.
     fn runs(&self) -> Result<Vec<RunRecord>, SoakError> {
         let mut runs = Vec::new();
         for file in std::fs::read_dir(&self.scratch)? {
@@ -181,153 +186,171 @@
                 .to_string_lossy()
                 .into_owned();
             if name.starts_with("worker-") {
-                runs.extend(journal::read(&file, self.began)?);
+                runs.extend(run_log::read(&file, self.start_ms)?);
             }
         }
         runs.sort_by_key(|run: &RunRecord| run.at);
         Ok(runs)
     }
 
-    fn worker(&self, service: Service, index: usize) -> Option<&WorkerSlot> {
+    fn worker(&self, service: Service, index: usize) -> Option<&WorkerHandle> {
         match service {
-            Service::Whole => self.whole.get(index),
-            Service::Engine => self.engines.get(index),
+            Service::Whole => self.whole_workers.get(index),
+            Service::Engine => self.engine_workers.get(index),
         }
     }
 
-    /// Applies a fault for its time. What it names and is not there is passed over.
-    pub(super) async fn apply(&self, step: &Step) {
-        let time = Duration::from_millis(step.for_ms);
-        match &step.disruption {
-            Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, time).await,
+    /// Injects a fault and withdraws it after its duration. A fault of a gateway or worker that does not exist has no
+    /// effect.
+    pub(super) async fn apply(&self, fault: &ScheduledFault) {
+        let duration = Duration::from_millis(fault.duration_ms);
+        match &fault.disruption {
+            Disruption::KillGateway(gateway) => self.kill_gateway(*gateway, duration).await,
             Disruption::KillAllGateways => {
-                let all = (0..self.gateways.len()).map(|gateway| self.kill_gateway(gateway, time));
+                let all =
+                    (0..self.gateways.len()).map(|gateway| self.kill_gateway(gateway, duration));
                 futures_util::future::join_all(all).await;
             }
-            Disruption::PauseGateway(gateway) => self.pause_gateway(*gateway, time).await,
+            Disruption::PauseGateway(gateway) => self.pause_gateway(*gateway, duration).await,
             Disruption::StopGateway(gateway) => self.stop_gateway(*gateway).await,
             Disruption::HangUp { gateway, readable } => {
-                self.hang_up(*gateway, *readable, time).await;
+                self.hang_up(*gateway, *readable, duration).await;
             }
             Disruption::CrashWorker {
                 service,
                 index,
                 same_address,
             } => {
-                self.crash_worker(*service, *index, *same_address, time)
+                self.crash_worker(*service, *index, *same_address, duration)
                     .await
             }
             Disruption::PauseWorker { service, index } => {
-                self.pause_worker(*service, *index, time).await;
+                self.pause_worker(*service, *index, duration).await;
             }
             Disruption::DrainWorker { service, index } => {
-                self.drain_worker(*service, *index, time).await;
+                self.drain_worker(*service, *index, duration).await;
             }
             Disruption::WorkerManner {
                 service,
                 index,
                 manner,
             } => {
-                self.set_worker_manner(*service, *index, *manner, time)
+                self.set_worker_manner(*service, *index, *manner, duration)
                     .await
             }
             Disruption::ServiceManner { service, manner } => {
                 let all = (0..self.plan.workers)
-                    .map(|index| self.set_worker_manner(*service, index, *manner, time));
+                    .map(|index| self.set_worker_manner(*service, index, *manner, duration));
                 futures_util::future::join_all(all).await;
             }
             Disruption::Store { gateways, faults } => {
-                self.disturb_store(gateways, faults, time).await;
+                self.inject_store_faults(gateways, faults, duration).await;
             }
             Disruption::DropHistory => {
                 let from = self.now();
-                self.command_store(CONTROL_DROP_HISTORY).await;
-                self.record(Scope::Store, from);
+                self.send_store_command(CONTROL_DROP_HISTORY_PATH).await;
+                self.record_disturbance(Scope::Store, from);
             }
-            Disruption::DealAnew => {
-                self.command_store(CONTROL_DEAL_ANEW).await;
-                self.reached(Moment::DealtAnew);
+            Disruption::Rebalance => {
+                self.send_store_command(CONTROL_REASSIGN_PATH).await;
+                self.notify_trigger(Trigger::Rebalanced);
+            }
+            Disruption::Link { link, fault } => {
+                self.inject_link_fault(*link, *fault, duration).await
             }
-            Disruption::Link { link, fault } => self.disturb_link(*link, *fault, time).await,
             Disruption::Configure => self.configure().await,
-            Disruption::Evacuate { zone } => self.evacuate(*zone, time).await,
+            Disruption::Evacuate { zone } => self.evacuate(*zone, duration).await,
         }
     }
 
-    async fn command_store(&self, path: &str) {
-        let request = HttpRequest::post(self.operator.door, path, "application/json", "");
+    async fn send_store_command(&self, path: &str) {
+        let request = HttpRequest::post(self.operator.store_address, path, "application/json", "");
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
             self.record_failure(format!(
-                "the store's stand-in does not obey {path}: {error}"
+                "the store stand-in did not carry out {path}: {error}"
             ));
         }
     }
 
     async fn set_store_faults(&self, gateway: usize, faults: &StoreFaults) {
-        let Some(slot) = self.gateways.get(gateway) else {
+        let Some(handle) = self.gateways.get(gateway) else {
             return;
         };
         let body = serde_json::to_vec(faults).unwrap_or_default();
-        let request = HttpRequest::post(slot.door, CONTROL_FAULTS, "application/json", body);
+        let request = HttpRequest::post(
+            handle.store_address,
+            CONTROL_FAULTS_PATH,
+            "application/json",
+            body,
+        );
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
-            self.record_failure(format!(
-                "the store's stand-in does not take faults: {error}"
-            ));
+            self.record_failure(format!("the store stand-in did not accept faults: {error}"));
         }
     }
 
-    async fn disturb_store(&self, gateways: &[usize], faults: &StoreFaults, time: Duration) {
+    /// Injects faults into the store for some gateways, or for all gateways and as a fault of the whole store if
+    /// `gateways` is empty.
+    async fn inject_store_faults(
+        &self,
+        gateways: &[usize],
+        faults: &StoreFaults,
+        duration: Duration,
+    ) {
         let from = self.now();
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let struck = if gateways.is_empty() { &all } else { gateways };
-        for gateway in struck {
+        let affected = if gateways.is_empty() { &all } else { gateways };
+        for gateway in affected {
             self.set_store_faults(*gateway, faults).await;
         }
-        tokio::time::sleep(time).await;
-        for gateway in struck {
+        tokio::time::sleep(duration).await;
+        for gateway in affected {
             self.set_store_faults(*gateway, &StoreFaults::default())
                 .await;
         }
-        // What was done late may come this much after the fault.
-        tokio::time::sleep(faults.done_late).await;
+        // An append whose response was lost is carried out `done_late` later, which may be after the end of the fault.
+        tokio::time::sleep(faults.lost_append_delay).await;
         if gateways.is_empty() {
-            return self.record(Scope::Store, from);
+            return self.record_disturbance(Scope::Store, from);
         }
         for gateway in gateways {
-            self.record(Scope::Gateway(*gateway), from);
+            self.record_disturbance(Scope::Gateway(*gateway), from);
         }
     }
 
-    async fn disturb_link(&self, end: LinkEnd, fault: Fault, time: Duration) {
+    async fn inject_link_fault(&self, proxied_link: ProxiedLink, fault: Fault, duration: Duration) {
         let from = self.now();
-        let (link, scope) = match end {
-            LinkEnd::Store(gateway) | LinkEnd::Callers(gateway) => {
-                let Some(slot) = self.gateways.get(gateway) else {
+        let (link, scope) = match proxied_link {
+            ProxiedLink::Store(gateway) | ProxiedLink::Callers(gateway) => {
+                let Some(handle) = self.gateways.get(gateway) else {
                     return;
                 };
-                let is_store = matches!(end, LinkEnd::Store(_));
-                let link = if is_store { &slot.store } else { &slot.callers };
+                let is_store = matches!(proxied_link, ProxiedLink::Store(_));
+                let link = if is_store {
+                    &handle.store_link
+                } else {
+                    &handle.caller_link
+                };
                 (std::sync::Arc::clone(link), Scope::Gateway(gateway))
             }
-            LinkEnd::Whole(index) | LinkEnd::Engine(index) => {
-                let is_whole = matches!(end, LinkEnd::Whole(_));
+            ProxiedLink::Whole(index) | ProxiedLink::Engine(index) => {
+                let is_whole = matches!(proxied_link, ProxiedLink::Whole(_));
                 let service = if is_whole {
                     Service::Whole
                 } else {
                     Service::Engine
                 };
-                let Some(slot) = self.worker(service, index) else {
+                let Some(handle) = self.worker(service, index) else {
                     return;
                 };
-                let worker = slot.state.lock().await;
+                let worker = handle.state.lock().await;
                 let scope = Scope::Worker(worker.incarnation.clone());
                 (std::sync::Arc::clone(&worker.link), scope)
             }
         };
         link.set_fault(fault);
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         link.set_fault(Fault::None);
-        self.record(scope, from);
+        self.record_disturbance(scope, from);
     }
 }
 
@@ -349,9 +372,9 @@
     Ok(Process::start(&binaries.lab, &arguments, &log)?)
 }
 
-fn addresses(text: &str) -> Result<Vec<std::net::SocketAddr>, SoakError> {
+fn parse_addresses(text: &str) -> Result<Vec<std::net::SocketAddr>, SoakError> {
     let parsed = text
         .split(',')
-        .map(|one| one.parse().map_err(|_| SoakError::NoDoor));
+        .map(|one| one.parse().map_err(|_| SoakError::MissingAddress));
     parsed.collect()
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateway processes: started, killed, paused, stopped, and taken in or out by callers.
+//! Gateway processes: start, faults, planned stops, and the readiness checks that decide which gateways get requests.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,103 +13,108 @@
 use crate::harness::Process;
 use crate::platform::caller::PlatformCaller;
 use crate::platform::fleet::{
-    GatewaySettingsText, KeptAddresses, settings_text, start_gateway, start_gateway_anew,
+    GatewayAddresses, GatewaySettingsText, settings_text, start_gateway,
+    start_gateway_on_free_addresses,
 };
 use crate::proxy::Link;
 use crate::soak::SoakError;
-use crate::soak::calm::Scope;
+use crate::soak::disturbances::Scope;
 use crate::soak::history::PlannedStop;
-use crate::soak::plan::Moment;
+use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
-/// Two gateways read the directory and the configuration for the others.
+/// Setting for shared reads: one gateway for every two, but at least two in total, read the directory and the
+/// configuration for the others.
 const SHARED_READS: &str = "gateways_per_reader = 2";
-/// Lease of a partition.
+/// Duration of a partition lease.
 const LEASE: Duration = Duration::from_secs(1);
-/// Gateways that a later one is told of.
-const SEEDS: usize = 3;
-/// Pause between questions whether a gateway is ready; two misses in a row take it out.
-const READY_LOOK: Duration = Duration::from_millis(500);
-/// Misses after which callers are no longer sent to a gateway.
-const MISSES: u32 = 2;
-/// Longest time that a started gateway is waited for: the log may be away.
-const READY_PATIENCE: Duration = Duration::from_secs(10);
-/// Longest time of a planned stop, well beyond its grace period.
-const STOP_PATIENCE: Duration = Duration::from_secs(15);
-/// Pause between looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
+/// Maximum number of earlier gateways in the seed list of a gateway.
+const MAX_SEEDS: usize = 3;
+/// Interval between readiness checks of a gateway, and time-out of each check.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Number of consecutive failed readiness checks after which a gateway gets no more requests.
+const MAX_READY_FAILURES: u32 = 2;
+/// Maximum wait for a started gateway to become ready. It is limited because the store may be unavailable.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time-out of a planned stop, well beyond the grace period of a gateway.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
+/// Interval at which the state of a process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A gateway's process, links and state.
-pub(super) struct GatewaySlot {
+/// The process, links and state of a gateway.
+pub(super) struct GatewayHandle {
     process: Mutex<Process>,
-    pub(super) callers: Arc<Link>,
-    pub(super) store: Arc<Link>,
-    /// Its door of the store, behind the link.
-    pub(super) door: SocketAddr,
-    /// Where other gateways reach it.
-    peers: SocketAddr,
-    ready: StdMutex<SocketAddr>,
+    pub(super) caller_link: Arc<Link>,
+    pub(super) store_link: Arc<Link>,
+    /// Address at which the store serves this gateway, behind `store_link`.
+    pub(super) store_address: SocketAddr,
+    /// Address at which other gateways reach this one.
+    peer_address: SocketAddr,
+    readiness_address: StdMutex<SocketAddr>,
     settings: PathBuf,
     program: StdMutex<PathBuf>,
-    /// Starts of the process so far.
-    life: AtomicUsize,
-    is_in: AtomicBool,
-    /// Whether the process has ended without being told to.
-    ended_itself: AtomicBool,
+    /// Number of restarts of the process so far.
+    generation: AtomicUsize,
+    is_in_rotation: AtomicBool,
+    /// Whether the process has exited without a signal to do so.
+    has_exited_unexpectedly: AtomicBool,
 }
 
 impl Testbed {
     pub(super) async fn new_gateway(
         &self,
         index: usize,
-        door: SocketAddr,
-    ) -> Result<GatewaySlot, SoakError> {
-        let any = ([127, 0, 0, 1], 0).into();
-        let store = Link::open(any, Some(door)).await?;
+        store_address: SocketAddr,
+    ) -> Result<GatewayHandle, SoakError> {
+        let any_port = ([127, 0, 0, 1], 0).into();
+        let store = Link::open(any_port, Some(store_address)).await?;
         let settings = self.scratch.join(format!("gateway-{index}.toml"));
-        let seeds = self.gateways.iter().take(SEEDS);
-        let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peers)).collect();
+        let seeds = self.gateways.iter().take(MAX_SEEDS);
+        let seeds: Vec<String> = seeds.map(|it| format!("\"{}\"", it.peer_address)).collect();
         let more = format!("[gateways]\nseeds = [{}]\n", seeds.join(", "));
-        store.set_way(self.way_to_store(index));
-        let program = self.program(index);
-        let places = self.places();
-        let text = |addresses: KeptAddresses| {
+        store.set_conditions(self.store_link_way(index));
+        let program = self.initial_program(index);
+        let places = self.zones();
+        let text = |addresses: GatewayAddresses| {
             settings_text(&GatewaySettingsText {
                 index,
-                places: &places,
+                zone_layout: &places,
                 peers: addresses.peers,
                 metrics: addresses.metrics,
                 store: store.address,
                 partitions: PARTITIONS,
                 lease: LEASE,
-                directory: SHARED_READS,
-                more: &more,
+                extra_directory_lines: SHARED_READS,
+                extra_lines: &more,
             })
         };
-        let start = || start_gateway_anew(&program, &settings, text);
+        let start = || start_gateway_on_free_addresses(&program, &settings, text);
         let (process, addresses) = tokio::task::block_in_place(start)?;
         let callers = Link::open(
-            any,
-            Some(super::addresses(process.announced("callers"))?[0]),
+            any_port,
+            Some(super::parse_addresses(process.announced("callers"))?[0]),
         );
-        Ok(GatewaySlot {
-            callers: Arc::new(callers.await?),
-            store: Arc::new(store),
-            door,
-            peers: addresses.peers,
-            ready: StdMutex::new(super::addresses(process.announced("ready"))?[0]),
+        Ok(GatewayHandle {
+            caller_link: Arc::new(callers.await?),
+            store_link: Arc::new(store),
+            store_address,
+            peer_address: addresses.peers,
+            readiness_address: StdMutex::new(
+                super::parse_addresses(process.announced("ready"))?[0],
+            ),
             settings,
             program: StdMutex::new(program),
-            life: AtomicUsize::new(0),
-            is_in: AtomicBool::new(true),
-            ended_itself: AtomicBool::new(false),
+            generation: AtomicUsize::new(0),
+            is_in_rotation: AtomicBool::new(true),
+            has_exited_unexpectedly: AtomicBool::new(false),
             process: Mutex::new(process),
         })
     }
 
-    /// The program of a gateway at the beginning: half of them run an earlier build, if there is one.
-    fn program(&self, index: usize) -> PathBuf {
-        let earlier = self.binaries.earlier.as_ref();
+    /// Returns the executable for the first start of a gateway: every second gateway runs the earlier build, if one is
+    /// given.
+    fn initial_program(&self, index: usize) -> PathBuf {
+        let earlier = self.binaries.earlier_node.as_ref();
         let earlier = earlier.filter(|_| index % 2 == 1);
         earlier.unwrap_or(&self.binaries.node).clone()
     }
@@ -119,88 +124,93 @@
         Ok(tokio::task::block_in_place(start)?)
     }
 
-    /// Starts a gateway whose process has ended, and waits until it is ready.
-    async fn start_again(&self, index: usize, process: &mut Process) {
-        let slot = &self.gateways[index];
-        let program = lock(&slot.program).clone();
-        let started = self.start_gateway(&program, &slot.settings);
+    /// Starts a gateway whose process has exited, and waits until it is ready.
+    async fn restart_gateway(&self, index: usize, process: &mut Process) {
+        let handle = &self.gateways[index];
+        let program = lock(&handle.program).clone();
+        let started = self.start_gateway(&program, &handle.settings);
         let addresses = started.and_then(|started| {
-            let callers = super::addresses(started.announced("callers"))?[0];
-            let ready = super::addresses(started.announced("ready"))?[0];
+            let callers = super::parse_addresses(started.announced("callers"))?[0];
+            let ready = super::parse_addresses(started.announced("ready"))?[0];
             *process = started;
             Ok((callers, ready))
         });
         match addresses {
             Ok((callers, ready)) => {
-                slot.life.fetch_add(1, Ordering::SeqCst);
-                slot.callers.set_target(callers);
-                *lock(&slot.ready) = ready;
+                handle.generation.fetch_add(1, Ordering::SeqCst);
+                handle.caller_link.set_target(callers);
+                *lock(&handle.readiness_address) = ready;
             }
-            Err(error) => self.record_failure(format!("a gateway does not start: {error}")),
+            Err(error) => self.record_failure(format!("cannot restart gateway {index}: {error}")),
         }
-        self.until_ready(index).await;
+        self.wait_until_ready(index).await;
     }
 
-    /// Waits until a gateway is ready, or for as long as it is worth.
-    pub(super) async fn until_ready(&self, index: usize) {
+    /// Waits until a gateway is ready, at most for [`READY_TIMEOUT`].
+    pub(super) async fn wait_until_ready(&self, index: usize) {
         let caller = PlatformCaller::default();
-        let ready = *lock(&self.gateways[index].ready);
-        let waited = async {
+        let ready = *lock(&self.gateways[index].readiness_address);
+        let until_ready = async {
             while !caller.is_ready(ready).await {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        drop(tokio::time::timeout(READY_PATIENCE, waited).await);
+        drop(tokio::time::timeout(READY_TIMEOUT, until_ready).await);
     }
 
-    fn note_own_end(&self, index: usize, process: &mut Process) {
+    fn detect_unexpected_exit(&self, index: usize, process: &mut Process) {
         if !process.is_running() {
-            let slot = &self.gateways[index];
-            slot.ended_itself.store(true, Ordering::SeqCst);
+            let handle = &self.gateways[index];
+            handle.has_exited_unexpectedly.store(true, Ordering::SeqCst);
         }
     }
 
-    pub(super) async fn kill_gateway(&self, index: usize, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+    pub(super) async fn kill_gateway(&self, index: usize, duration: Duration) {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let mut process = slot.process.lock().await;
+        let mut process = handle.process.lock().await;
         let from = self.now();
-        self.note_own_end(index, &mut process);
+        self.detect_unexpected_exit(index, &mut process);
         tokio::task::block_in_place(|| process.kill());
-        tokio::time::sleep(time).await;
-        self.start_again(index, &mut process).await;
-        self.record(Scope::Gateway(index), from);
+        tokio::time::sleep(duration).await;
+        self.restart_gateway(index, &mut process).await;
+        self.record_disturbance(Scope::Gateway(index), from);
     }
 
-    pub(super) async fn pause_gateway(&self, index: usize, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+    pub(super) async fn pause_gateway(&self, index: usize, duration: Duration) {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let process = slot.process.lock().await;
+        let process = handle.process.lock().await;
         let from = self.now();
         process.pause();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         process.resume();
-        self.record(Scope::Gateway(index), from);
+        self.record_disturbance(Scope::Gateway(index), from);
     }
 
     pub(super) async fn stop_gateway(&self, index: usize) {
-        let Some(slot) = self.gateways.get(index) else {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let mut process = slot.process.lock().await;
-        self.note_own_end(index, &mut process);
+        let mut process = handle.process.lock().await;
+        self.detect_unexpected_exit(index, &mut process);
         let at = self.now();
         process.terminate();
-        self.reached(Moment::PlannedStop);
-        let ends = async {
+        self.notify_trigger(Trigger::PlannedStop);
+        let until_exit = async {
             while process.is_running() {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(STOP_PATIENCE, ends).await.is_err() {
-            self.record_failure(format!("gateway {index} does not stop"));
+        if tokio::time::timeout(STOP_TIMEOUT, until_exit)
+            .await
+            .is_err()
+        {
+            self.record_failure(format!(
+                "gateway {index} did not exit within {STOP_TIMEOUT:?} after SIGTERM"
+            ));
             tokio::task::block_in_place(|| process.kill());
         }
         let ended = self.now();
@@ -209,87 +219,95 @@
             at,
             ended,
         };
-        lock(&self.facts).stops.push(stop);
-        // A planned stop is how a gateway comes to the newest build.
-        lock(&slot.program).clone_from(&self.binaries.node);
-        self.start_again(index, &mut process).await;
-        self.record(Scope::PlannedStop(index), at);
+        lock(&self.history).stops.push(stop);
+        // A gateway with the earlier build is upgraded to the current one by its planned stop.
+        lock(&handle.program).clone_from(&self.binaries.node);
+        self.restart_gateway(index, &mut process).await;
+        self.record_disturbance(Scope::PlannedStop(index), at);
     }
 
-    /// SIGHUP with the settings as they are, or with a file that cannot be read.
-    pub(super) async fn hang_up(&self, index: usize, readable: bool, time: Duration) {
-        let Some(slot) = self.gateways.get(index) else {
+    /// Sends SIGHUP with the unchanged settings file or with an invalid one, which is restored after `duration`.
+    pub(super) async fn hang_up(&self, index: usize, readable: bool, duration: Duration) {
+        let Some(handle) = self.gateways.get(index) else {
             return;
         };
-        let process = slot.process.lock().await;
-        let text = std::fs::read_to_string(&slot.settings).unwrap_or_default();
+        let process = handle.process.lock().await;
+        let text = std::fs::read_to_string(&handle.settings).unwrap_or_default();
         let changed = if readable {
             text.clone()
         } else {
             format!("{text}\nnot = [settings")
         };
-        if let Err(error) = std::fs::write(&slot.settings, changed) {
-            self.record_failure(format!("settings are not written: {error}"));
+        if let Err(error) = std::fs::write(&handle.settings, changed) {
+            self.record_failure(format!(
+                "cannot write the settings of gateway {index}: {error}"
+            ));
         }
         process.hang_up();
-        tokio::time::sleep(time).await;
-        if let Err(error) = std::fs::write(&slot.settings, text) {
-            self.record_failure(format!("settings are not written: {error}"));
+        tokio::time::sleep(duration).await;
+        if let Err(error) = std::fs::write(&handle.settings, text) {
+            self.record_failure(format!(
+                "cannot write the settings of gateway {index}: {error}"
+            ));
         }
     }
 
-    /// Gateways whose process ended without being told to.
-    pub(super) fn own_ends(&self) -> Vec<usize> {
-        let ended = |index: &usize| {
-            let slot = &self.gateways[*index];
-            if let Ok(mut process) = slot.process.try_lock() {
-                self.note_own_end(*index, &mut process);
+    /// Returns the indexes of gateways whose process exited without a signal to do so.
+    pub(super) fn unexpected_exits(&self) -> Vec<usize> {
+        let has_exited = |index: &usize| {
+            let handle = &self.gateways[*index];
+            if let Ok(mut process) = handle.process.try_lock() {
+                self.detect_unexpected_exit(*index, &mut process);
             }
-            slot.ended_itself.load(Ordering::SeqCst)
+            handle.has_exited_unexpectedly.load(Ordering::SeqCst)
         };
-        (0..self.gateways.len()).filter(ended).collect()
+        (0..self.gateways.len()).filter(has_exited).collect()
     }
 
-    /// Asks a gateway from time to time whether it is ready, as a platform does.
+    /// Checks the readiness of a gateway periodically, as a platform does, and takes it out of rotation or back in.
+    /// Never returns.
     pub(in crate::soak) async fn poll_readiness(&self, index: usize) {
         let caller = PlatformCaller::default();
-        let mut misses = 0;
+        let mut consecutive_failures = 0;
         loop {
-            let ready = *lock(&self.gateways[index].ready);
-            let answer = tokio::time::timeout(READY_LOOK, caller.is_ready(ready)).await;
-            misses = if answer.unwrap_or(false) {
+            let ready = *lock(&self.gateways[index].readiness_address);
+            let answer = tokio::time::timeout(READY_POLL_INTERVAL, caller.is_ready(ready)).await;
+            consecutive_failures = if answer.unwrap_or(false) {
                 0
             } else {
-                misses + 1
+                consecutive_failures + 1
             };
-            let is_in = misses < MISSES;
-            self.gateways[index].is_in.store(is_in, Ordering::SeqCst);
-            tokio::time::sleep(READY_LOOK).await;
+            let is_in_rotation = consecutive_failures < MAX_READY_FAILURES;
+            self.gateways[index]
+                .is_in_rotation
+                .store(is_in_rotation, Ordering::SeqCst);
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// A gateway that a caller is sent to: one that is in, or any if too few are.
+    /// Returns a random gateway for a request: one in rotation, or any if fewer than half are in rotation.
     pub(in crate::soak) fn pick_gateway(&self) -> usize {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let is_in = |index: &usize| self.gateways[*index].is_in.load(Ordering::SeqCst);
-        let there: Vec<usize> = all.iter().copied().filter(is_in).collect();
-        let few = there.len() * 2 < all.len();
-        let choice = if few { &all } else { &there };
+        let is_in_rotation =
+            |index: &usize| self.gateways[*index].is_in_rotation.load(Ordering::SeqCst);
+        let in_rotation: Vec<usize> = all.iter().copied().filter(is_in_rotation).collect();
+        let are_too_few = in_rotation.len() * 2 < all.len();
+        let choice = if are_too_few { &all } else { &in_rotation };
         choice.choose(&mut rand::rng()).copied().unwrap_or(0)
     }
 
-    /// How many gateways there are.
+    /// Returns the number of gateways.
     pub(in crate::soak) fn gateway_count(&self) -> usize {
         self.gateways.len()
     }
 
-    /// Where callers reach a gateway.
-    pub(in crate::soak) fn callers(&self, index: usize) -> SocketAddr {
-        self.gateways[index].callers.address
+    /// Returns the address at which callers reach a gateway.
+    pub(in crate::soak) fn caller_address(&self, index: usize) -> SocketAddr {
+        self.gateways[index].caller_link.address
     }
 
-    /// The start of a gateway's process that runs, counted from 0.
-    pub(in crate::soak) fn life(&self, index: usize) -> usize {
-        self.gateways[index].life.load(Ordering::SeqCst)
+    /// Returns the number of restarts of a gateway's process so far.
+    pub(in crate::soak) fn generation(&self, index: usize) -> usize {
+        self.gateways[index].generation.load(Ordering::SeqCst)
     }
 }
--- a/crates/swiftshunt-lab/src/soak/testbed/operator.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator and the directory write to the store.
+//! Records that the operator and the directory write to the store.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,123 +11,133 @@
 
 use super::{CONTROL_TIMEOUT, Testbed};
 use crate::platform::fleet::{BATCH, STREAM_ONCE, first_configuration, route};
-use crate::soak::history::{Configured, Evacuation, Residence};
-use crate::soak::plan::Moment;
+use crate::soak::history::{Evacuation, PublishedConfiguration, ResidencyRule};
+use crate::soak::plan::Trigger;
 use crate::stand_in::lock;
 
-/// Routes of earlier versions that a configuration keeps.
-const MARKERS_KEPT: u64 = 4;
+/// Number of marker routes of earlier versions that a configuration keeps.
+const MAX_EARLIER_MARKERS: u64 = 4;
 
-/// The zone to whose region a route is bound, by its number.
-const BOUND_TO: usize = 0;
+/// Index of the zone whose region is the only region allowed for the route of non-resumable streams.
+const RESIDENCY_ZONE: usize = 0;
 
-/// The operator.
+/// The operator, who publishes configurations and evacuations.
 pub(super) struct Operator {
-    /// A door of the store without faults.
-    pub(super) door: SocketAddr,
+    /// Address at which the store serves the operator, without faults.
+    pub(super) store_address: SocketAddr,
+    /// Version of the last configuration sent to the store, acknowledged or not; 0 before the first.
     version: AtomicU64,
 }
 
 impl Operator {
-    pub(super) fn new(door: SocketAddr) -> Self {
+    pub(super) fn new(store_address: SocketAddr) -> Self {
         Self {
-            door,
+            store_address,
             version: AtomicU64::new(0),
         }
     }
 }
 
-/// The path of the route that version `version` brought.
+/// Returns the path of the marker route of a configuration version.
 pub(in crate::soak) fn marker(version: u64) -> String {
     format!("/marker-{version}/")
 }
 
 impl Testbed {
-    /// Writes a record under a key; gives whether the store acknowledged it.
-    pub(super) async fn put(&self, topic: &str, key: &[u8], value: &[u8]) -> bool {
+    /// Writes a record under a key and returns whether the store acknowledged it.
+    pub(super) async fn put_record(&self, topic: &str, key: &[u8], value: &[u8]) -> bool {
         let path = format!(
             "{}?{}={topic}&{}=0",
             paths::APPEND,
             queries::TOPIC,
             queries::PARTITION
         );
-        let body = record(key, value);
-        let request = HttpRequest::post(self.operator.door, path, "application/octet-stream", body);
+        let body = encode_record(key, value);
+        let request = HttpRequest::post(
+            self.operator.store_address,
+            path,
+            "application/octet-stream",
+            body,
+        );
         let answer = self.client.expect_success(request, CONTROL_TIMEOUT).await;
         if let Err(error) = &answer {
             self.record_failure(format!(
-                "the store's stand-in does not take a record: {error}"
+                "the store stand-in did not accept a record: {error}"
             ));
         }
         answer.is_ok()
     }
 
-    /// Publishes a configuration under the next version, with a route of its number.
+    /// Publishes a configuration with the next version and a marker route for it.
     pub(super) async fn configure(&self) {
         let version = self.operator.version.fetch_add(1, Ordering::SeqCst) + 1;
         let mut document = first_configuration();
         document.version = version;
-        self.bind(&mut document);
-        self.limit(&mut document);
-        let oldest = version.saturating_sub(MARKERS_KEPT).max(1);
+        self.apply_regions_and_cold_limits(&mut document);
+        self.apply_waiting_limit(&mut document);
+        let oldest = version.saturating_sub(MAX_EARLIER_MARKERS).max(1);
         for marked in oldest..=version {
             let marker = route(&marker(marked), values::IDEMPOTENT, "whole");
             document.routes.push(marker);
         }
         let body = serde_json::to_vec(&document).unwrap_or_default();
         if self
-            .put(topics::OPERATOR, topics::CONFIGURATION_KEY, &body)
+            .put_record(topics::OPERATOR, topics::CONFIGURATION_KEY, &body)
             .await
         {
             let at = self.now();
-            let configured = Configured { version, at };
-            lock(&self.facts).configurations.push(configured);
-            self.reached(Moment::Configured);
+            let published = PublishedConfiguration { version, at };
+            lock(&self.history).configurations.push(published);
+            self.notify_trigger(Trigger::Configured);
         }
     }
 
-    /// Limits what may wait on the batch route.
-    fn limit(&self, document: &mut ConfigurationDocument) {
+    /// Sets the waiting limit of the batch route, unless the plan keeps it out of the configuration. The history gets
+    /// the limit in both cases.
+    fn apply_waiting_limit(&self, document: &mut ConfigurationDocument) {
         let Some(limit) = self.plan.waiting_limit else {
             return;
         };
-        lock(&self.facts).waiting_limit = Some(limit.tokens);
-        let batch = document.routes.iter_mut();
-        for route in batch.filter(|route| route.path_prefix == BATCH && limit.is_told) {
+        lock(&self.history).waiting_limit = Some(limit.tokens);
+        let routes = document.routes.iter_mut();
+        for route in routes.filter(|route| route.path_prefix == BATCH && limit.is_announced) {
             route.max_queued_tokens = Some(limit.tokens as f64);
         }
     }
 
-    /// Binds a route to one region, and tells how workers start.
-    fn bind(&self, document: &mut ConfigurationDocument) {
+    /// Restricts the route of non-resumable streams to one region, and sets the limits of cold workers.
+    fn apply_regions_and_cold_limits(&self, document: &mut ConfigurationDocument) {
         if self.plan.regions.is_some() {
-            let region = self.places().region(BOUND_TO);
-            let bound = document.routes.iter_mut();
-            for route in bound.filter(|route| route.path_prefix == STREAM_ONCE) {
+            let region = self.zones().region(RESIDENCY_ZONE);
+            let routes = document.routes.iter_mut();
+            for route in routes.filter(|route| route.path_prefix == STREAM_ONCE) {
                 route.allowed_regions = vec![region.to_owned()];
             }
-            let residence = Residence {
+            let rule = ResidencyRule {
                 path_prefix: STREAM_ONCE.to_owned(),
                 regions: vec![region.to_owned()],
             };
-            lock(&self.facts).residences = vec![residence];
+            lock(&self.history).residency_rules = vec![rule];
         }
-        if let Some(cold) = self.plan.cold.filter(|cold| cold.is_told) {
+        if let Some(cold) = self.plan.cold.filter(|cold| cold.is_announced) {
             for service in &mut document.services {
-                service.cold_s = cold.lasts_ms as f64 / 1e3;
+                service.cold_s = cold.duration_ms as f64 / 1e3;
                 service.cold_per_s = cold.per_second;
             }
         }
     }
 
-    /// Evacuates a zone for a while. Without two regions there is none that could be spared.
-    pub(super) async fn evacuate(&self, zone: usize, time: Duration) {
+    /// Evacuates a zone for a time. Has no effect in a round with a single zone, which has to keep serving.
+    pub(super) async fn evacuate(&self, zone: usize, duration: Duration) {
         if self.plan.regions.is_none() {
             return;
         }
-        let zone = self.places().zone(zone).to_owned();
+        let zone = self.zones().zone(zone).to_owned();
         let key = format!("{}{zone}", topics::EVACUATION_KEY);
-        if !self.put(topics::OPERATOR, key.as_bytes(), b"{}").await {
+        if !self
+            .put_record(topics::OPERATOR, key.as_bytes(), b"{}")
+            .await
+        {
             return;
         }
         let mut evacuation = Evacuation {
@@ -135,37 +145,38 @@
             at: self.now(),
             withdrawn: None,
         };
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         evacuation.withdrawn = Some(self.now());
-        lock(&self.facts).evacuations.push(evacuation);
-        self.put(topics::OPERATOR, key.as_bytes(), &[]).await;
+        lock(&self.history).evacuations.push(evacuation);
+        self.put_record(topics::OPERATOR, key.as_bytes(), &[]).await;
     }
 
-    /// The newest configuration that was acknowledged.
-    pub(in crate::soak) fn configured(&self) -> Option<Configured> {
-        let facts = lock(&self.facts);
-        facts
+    /// Returns the acknowledged configuration with the highest version.
+    pub(in crate::soak) fn latest_configuration(&self) -> Option<PublishedConfiguration> {
+        let history = lock(&self.history);
+        history
             .configurations
             .iter()
             .max_by_key(|it| it.version)
             .copied()
     }
 
-    /// Lists a worker in a state.
-    pub(super) async fn list(&self, incarnation: &str, document: &WorkerDocument) -> bool {
+    /// Writes the directory entry of a worker and returns whether the store acknowledged it.
+    pub(super) async fn put_worker(&self, incarnation: &str, document: &WorkerDocument) -> bool {
         let body = serde_json::to_vec(document).unwrap_or_default();
-        self.put(topics::WORKERS, incarnation.as_bytes(), &body)
+        self.put_record(topics::WORKERS, incarnation.as_bytes(), &body)
             .await
     }
 
-    /// Takes a worker out of the directory.
-    pub(super) async fn unlist(&self, incarnation: &str) {
-        self.put(topics::WORKERS, incarnation.as_bytes(), &[]).await;
+    /// Deletes the directory entry of a worker.
+    pub(super) async fn remove_worker(&self, incarnation: &str) {
+        self.put_record(topics::WORKERS, incarnation.as_bytes(), &[])
+            .await;
     }
 }
 
-/// A record of a keyed topic as it is appended.
-fn record(key: &[u8], value: &[u8]) -> Bytes {
+/// Encodes a record of a keyed topic for an append request.
+fn encode_record(key: &[u8], value: &[u8]) -> Bytes {
     let mut body = BytesMut::new();
     body.put_u32((1 + key.len() + value.len()) as u32);
     body.put_u8(key.len() as u8);
--- a/crates/swiftshunt-lab/src/soak/testbed/workers.rs
+++ b/crates/swiftshunt-lab/src/soak/testbed/workers.rs
@@ -1,4 +1,4 @@
-//! Worker processes behind their links.
+//! Worker processes behind proxied links: start, directory entries and faults.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,41 +10,43 @@
 
 use super::{CONTROL_TIMEOUT, Testbed};
 use crate::harness::Process;
-use crate::platform::worker::{CONTROL_MANNER, Manner};
+use crate::platform::worker::{CONTROL_BEHAVIOUR_PATH, WorkerBehaviour};
 use crate::proxy::Link;
 use crate::soak::SoakError;
-use crate::soak::calm::Scope;
-use crate::soak::history::{ColdSpell, Leaving, WorkerPlace};
+use crate::soak::disturbances::Scope;
+use crate::soak::history::{ColdPeriod, WorkerDrain, WorkerLocation};
 use crate::soak::plan::{ColdStarts, Service};
 use crate::stand_in::lock;
 
-/// Events of a stream.
+/// Number of events of a stream.
 pub(in crate::soak) const EVENTS: u64 = 12;
-/// Time before a whole answer and between events, in milliseconds.
+/// Delay before a unary response and between the events of a stream, in milliseconds.
 const PAUSE_MS: u64 = 15;
-/// Silence after which the entry of a worker goes: three heartbeats of a second.
-const ENTRY_GOES_AFTER: Duration = Duration::from_secs(3);
-/// Time for which a leaving worker serves on: what it has may take, and twice the time within which
-/// gateways must obey.
-const SERVES_ON: Duration = Duration::from_secs(5);
+/// Maximum time after a crash until the directory entry of a worker is removed: three missed heartbeats at intervals of
+/// 1 s. The entry is removed earlier if the fault is shorter.
+const ENTRY_TTL: Duration = Duration::from_secs(3);
+/// Minimum time for which a draining worker continues to serve: the time for its open requests, and twice the time
+/// within which the drain must take effect at the gateways.
+const DRAIN_DURATION: Duration = Duration::from_secs(5);
 
-/// A worker and those that take its place.
-pub(super) struct WorkerSlot {
+/// A position in the fleet, held by a worker and its successive replacements.
+pub(super) struct WorkerHandle {
     pub(super) state: Mutex<WorkerState>,
 }
 
-/// The present worker of a slot.
+/// The current worker of a [`WorkerHandle`].
 pub(super) struct WorkerState {
     process: Process,
     pub(super) incarnation: String,
     pub(super) link: Arc<Link>,
+    /// Number of workers that held the position before this one.
     generation: u32,
     zone: &'static str,
-    /// When it started.
+    /// Start time in milliseconds since the start of the round.
     started: u64,
 }
 
-fn name(service: Service) -> &'static str {
+fn service_name(service: Service) -> &'static str {
     match service {
         Service::Whole => "whole",
         Service::Engine => "engine",
@@ -56,13 +58,13 @@
         &self,
         service: Service,
         index: usize,
-    ) -> Result<WorkerSlot, SoakError> {
+    ) -> Result<WorkerHandle, SoakError> {
         let state = self.start_worker(service, index, 0, None).await?;
         let state = Mutex::new(state);
-        Ok(WorkerSlot { state })
+        Ok(WorkerHandle { state })
     }
 
-    /// Starts a worker behind `link`, or a new one, and lists it.
+    /// Starts a worker and lists it in the directory. Opens a new link if `link` is `None`.
     async fn start_worker(
         &self,
         service: Service,
@@ -70,7 +72,7 @@
         generation: u32,
         link: Option<Arc<Link>>,
     ) -> Result<WorkerState, SoakError> {
-        let incarnation = format!("{}-{index}-{generation}", name(service));
+        let incarnation = format!("{}-{index}-{generation}", service_name(service));
         let mut arguments = vec!["platform-worker".to_owned()];
         let mut option = |name: &str, value: String| {
             arguments.extend([format!("--{name}"), value]);
@@ -84,7 +86,7 @@
         let log = self.scratch.join(format!("worker-{incarnation}.log"));
         let process =
             tokio::task::block_in_place(|| Process::start(&self.binaries.lab, &arguments, &log))?;
-        let target = super::addresses(process.announced("address"))?[0];
+        let target = super::parse_addresses(process.announced("address"))?[0];
         let link = match link {
             Some(link) => {
                 link.set_target(target);
@@ -93,44 +95,44 @@
             None => Arc::new(Link::open(([127, 0, 0, 1], 0).into(), Some(target)).await?),
         };
         let state = WorkerState {
-            zone: self.places().zone(index),
+            zone: self.zones().zone(index),
             started: self.now(),
             process,
             incarnation,
             link,
             generation,
         };
-        self.note_start(index, &state);
-        self.list_worker(service, &state, values::READY).await;
+        self.record_worker_start(index, &state);
+        self.publish_worker(service, &state, values::READY).await;
         Ok(state)
     }
 
-    /// The zone that a worker's entry names.
-    fn told_zone(&self, worker: &WorkerState) -> String {
+    /// Returns the zone in the directory entry of a worker.
+    fn announced_zone(&self, worker: &WorkerState) -> String {
         let regions = self.plan.regions;
-        let is_told = regions.is_none_or(|regions| regions.is_told);
-        let zone = if is_told {
+        let is_announced = regions.is_none_or(|regions| regions.is_announced);
+        let zone = if is_announced {
             worker.zone
         } else {
-            self.places().zone(0)
+            self.zones().zone(0)
         };
         zone.to_owned()
     }
 
-    /// For how long a worker tells that it is cold.
+    /// Returns the remaining cold time in the directory entry of a worker, in milliseconds; 0 if none is announced.
     fn cold_left_ms(&self, worker: &WorkerState) -> f64 {
         let cold = self.cold_start(worker.generation);
-        let told = cold.filter(|cold| cold.is_told);
-        let until = told.map_or(0, |cold| worker.started + cold.lasts_ms);
+        let announced = cold.filter(|cold| cold.is_announced);
+        let until = announced.map_or(0, |cold| worker.started + cold.duration_ms);
         until.saturating_sub(self.now()) as f64
     }
 
-    /// What is to be known of a worker that starts.
-    fn note_start(&self, index: usize, worker: &WorkerState) {
-        let mut facts = lock(&self.facts);
+    /// Records the location and the cold period of a worker that starts.
+    fn record_worker_start(&self, index: usize, worker: &WorkerState) {
+        let mut history = lock(&self.history);
         if self.plan.regions.is_some() {
-            let places = self.places();
-            facts.places.push(WorkerPlace {
+            let places = self.zones();
+            history.worker_locations.push(WorkerLocation {
                 incarnation: worker.incarnation.clone(),
                 zone: places.zone(index).to_owned(),
                 region: places.region(index).to_owned(),
@@ -138,25 +140,25 @@
         }
         if let Some(cold) = self.cold_start(worker.generation) {
             let from = self.now();
-            facts.cold.push(ColdSpell {
+            history.cold_periods.push(ColdPeriod {
                 incarnation: worker.incarnation.clone(),
                 per_second: cold.per_second,
                 from,
-                to: from + cold.lasts_ms,
+                to: from + cold.duration_ms,
             });
         }
     }
 
-    /// How a worker starts, if it is cold: one that takes the place of another is.
+    /// Returns the limits of a cold start; `None` if the worker is not cold. Only replacements start cold.
     fn cold_start(&self, generation: u32) -> Option<ColdStarts> {
         self.plan.cold.filter(|_| generation > 0)
     }
 
-    async fn list_worker(&self, service: Service, worker: &WorkerState, state: &str) -> bool {
+    async fn publish_worker(&self, service: Service, worker: &WorkerState, state: &str) -> bool {
         let document = WorkerDocument {
-            service: name(service).to_owned(),
+            service: service_name(service).to_owned(),
             address: worker.link.address.to_string(),
-            zone: self.told_zone(worker),
+            zone: self.announced_zone(worker),
             version: "v1".to_owned(),
             slots: self.plan.slots as u32,
             state: state.to_owned(),
@@ -164,11 +166,11 @@
             call_seq: 1,
             born: None,
         };
-        self.list(&worker.incarnation, &document).await
+        self.put_worker(&worker.incarnation, &document).await
     }
 
-    /// Puts another worker in the place of one that has gone.
-    async fn replace(
+    /// Starts a replacement for a worker that has been killed.
+    async fn replace_worker(
         &self,
         service: Service,
         index: usize,
@@ -178,7 +180,9 @@
         let generation = worker.generation + 1;
         match self.start_worker(service, index, generation, link).await {
             Ok(state) => *worker = state,
-            Err(error) => self.record_failure(format!("a worker does not start: {error}")),
+            Err(error) => {
+                self.record_failure(format!("cannot start a replacement worker: {error}"))
+            }
         }
     }
 
@@ -187,80 +191,92 @@
         service: Service,
         index: usize,
         same_address: bool,
-        time: Duration,
+        duration: Duration,
     ) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let mut worker = slot.state.lock().await;
+        let mut worker = handle.state.lock().await;
         let from = self.now();
         worker.process.kill();
-        tokio::time::sleep(time.min(ENTRY_GOES_AFTER)).await;
-        self.unlist(&worker.incarnation).await;
-        tokio::time::sleep(time.saturating_sub(ENTRY_GOES_AFTER)).await;
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        tokio::time::sleep(duration.min(ENTRY_TTL)).await;
+        self.remove_worker(&worker.incarnation).await;
+        tokio::time::sleep(duration.saturating_sub(ENTRY_TTL)).await;
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
         let link = same_address.then(|| Arc::clone(&worker.link));
-        self.replace(service, index, &mut worker, link).await;
+        self.replace_worker(service, index, &mut worker, link).await;
     }
 
-    pub(super) async fn pause_worker(&self, service: Service, index: usize, time: Duration) {
-        let Some(slot) = self.worker(service, index) else {
+    pub(super) async fn pause_worker(&self, service: Service, index: usize, duration: Duration) {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let worker = slot.state.lock().await;
+        let worker = handle.state.lock().await;
         let from = self.now();
         worker.process.pause();
-        tokio::time::sleep(time).await;
+        tokio::time::sleep(duration).await;
         worker.process.resume();
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
-    pub(super) async fn drain_worker(&self, service: Service, index: usize, time: Duration) {
-        let Some(slot) = self.worker(service, index) else {
+    /// Announces a worker as draining, and kills and replaces it later. Only the kill is recorded as a fault: the drain
+    /// itself excuses no time limit.
+    pub(super) async fn drain_worker(&self, service: Service, index: usize, duration: Duration) {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let mut worker = slot.state.lock().await;
-        if self.list_worker(service, &worker, values::DRAINING).await {
-            let leaving = Leaving {
+        let mut worker = handle.state.lock().await;
+        if self
+            .publish_worker(service, &worker, values::DRAINING)
+            .await
+        {
+            let drain = WorkerDrain {
                 incarnation: worker.incarnation.clone(),
                 at: self.now(),
             };
-            lock(&self.facts).leaving.push(leaving);
+            lock(&self.history).drains.push(drain);
         }
-        tokio::time::sleep(SERVES_ON + time / 4).await;
-        self.unlist(&worker.incarnation).await;
+        tokio::time::sleep(DRAIN_DURATION + duration / 4).await;
+        self.remove_worker(&worker.incarnation).await;
         let from = self.now();
         worker.process.kill();
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
-        self.replace(service, index, &mut worker, None).await;
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
+        self.replace_worker(service, index, &mut worker, None).await;
     }
 
     pub(super) async fn set_worker_manner(
         &self,
         service: Service,
         index: usize,
-        manner: Manner,
-        time: Duration,
+        manner: WorkerBehaviour,
+        duration: Duration,
     ) {
-        let Some(slot) = self.worker(service, index) else {
+        let Some(handle) = self.worker(service, index) else {
             return;
         };
-        let worker = slot.state.lock().await;
+        let worker = handle.state.lock().await;
         let from = self.now();
-        self.set_manner(&worker, manner).await;
-        tokio::time::sleep(time).await;
-        self.set_manner(&worker, Manner::Sound).await;
-        self.record(Scope::Worker(worker.incarnation.clone()), from);
+        self.send_manner(&worker, manner).await;
+        tokio::time::sleep(duration).await;
+        self.send_manner(&worker, WorkerBehaviour::Normal).await;
+        self.record_disturbance(Scope::Worker(worker.incarnation.clone()), from);
     }
 
-    async fn set_manner(&self, worker: &WorkerState, manner: Manner) {
+    async fn send_manner(&self, worker: &WorkerState, manner: WorkerBehaviour) {
         let body = serde_json::to_vec(&manner).unwrap_or_default();
-        let Ok(addresses) = super::addresses(worker.process.announced("address")) else {
+        let Ok(addresses) = super::parse_addresses(worker.process.announced("address")) else {
             return;
         };
-        let request = HttpRequest::post(addresses[0], CONTROL_MANNER, "application/json", body);
+        let request = HttpRequest::post(
+            addresses[0],
+            CONTROL_BEHAVIOUR_PATH,
+            "application/json",
+            body,
+        );
         if let Err(error) = self.client.expect_success(request, CONTROL_TIMEOUT).await {
-            self.record_failure(format!("a worker's stand-in does not obey: {error}"));
+            self.record_failure(format!(
+                "the worker stand-in did not accept a behaviour: {error}"
+            ));
         }
     }
 }
--- a/crates/swiftshunt-ledger/src/raft/election.rs
+++ b/crates/swiftshunt-ledger/src/raft/election.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, votes, and stepping up or down.
+//! Elections: pre-vote, votes, becoming the leader and stepping down.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use super::{LogPosition, Message, Payload, Raft, Role, StateMachine, Term};
 
 impl<M: StateMachine> Raft<M> {
-    /// Draws the next election time from one to two election timeouts.
+    /// Restarts the election timer with a random time between one and two election timeouts.
     pub(super) fn reset_election_timer(&mut self, now: Monotonic) {
         let timeout = self.settings.election_timeout;
         let span = u64::try_from(timeout.as_micros())
@@ -58,13 +58,14 @@
         voters.iter().copied().filter(|id| *id != self.id).collect()
     }
 
-    /// Whether a leader was heard so recently that its lease may still stand.
+    /// Whether a leader lease may still be valid: this leader's own one, or that of a leader whose
+    /// last message arrived less than one election timeout ago.
     fn in_leader_lease(&self, now: Monotonic) -> bool {
         if self.role == Role::Leader {
             return self.lease_end().is_some_and(|end| now < end);
         }
-        self.heard_leader_at
-            .is_some_and(|heard| now < heard + self.settings.election_timeout)
+        self.last_leader_contact
+            .is_some_and(|last_contact| now < last_contact + self.settings.election_timeout)
     }
 
     pub(super) fn on_pre_vote(
@@ -114,8 +115,11 @@
         if term > self.term && !refused_by_lease {
             self.step_down(term, now);
         }
-        let free = self.voted_for.is_none_or(|voted| voted == from);
-        let granted = !refused_by_lease && term == self.term && free && last >= self.log.last();
+        let may_vote_for_sender = self.voted_for.is_none_or(|voted| voted == from);
+        let granted = !refused_by_lease
+            && term == self.term
+            && may_vote_for_sender
+            && last >= self.log.last();
         if granted {
             self.voted_for = Some(from);
             self.reset_election_timer(now);
@@ -153,10 +157,10 @@
     fn become_leader(&mut self, now: Monotonic) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.leading_since = now;
-        self.hand_over = None;
+        self.leader_since = now;
+        self.leadership_transfer = None;
         self.progress.clear();
-        self.append_own(Payload::Noop, now);
+        self.append_as_leader(Payload::Noop, now);
     }
 
     pub(super) fn on_timeout_now(&mut self, term: Term, now: Monotonic) {
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Becomes a follower of `term`, forgetting the vote only if the term is new.
+    /// Becomes a follower in `term`; clears the recorded vote only if the term is newer.
     pub(super) fn step_down(&mut self, term: Term, now: Monotonic) {
         if term > self.term {
             self.term = term;
@@ -174,13 +178,13 @@
         }
         self.role = Role::Follower;
         self.leader = None;
-        self.hand_over = None;
+        self.leadership_transfer = None;
         self.progress.clear();
         self.reset_election_timer(now);
     }
 
-    /// Whether the sender leads the current term; adopts its term if newer. A stale leader is told
-    /// the current term.
+    /// Returns whether the sender is the leader of the current term, after adopting its term if that
+    /// is newer. A stale leader receives a reply with the current term.
     pub(super) fn accept_leader(
         &mut self,
         from: NodeId,
@@ -205,7 +209,7 @@
             self.step_down(term, now);
         }
         self.leader = Some(from);
-        self.heard_leader_at = Some(now);
+        self.last_leader_contact = Some(now);
         self.reset_election_timer(now);
         true
     }
--- a/crates/swiftshunt-ledger/src/raft/replication.rs
+++ b/crates/swiftshunt-ledger/src/raft/replication.rs
@@ -1,18 +1,18 @@
-//! Appending, acknowledging, committing, and the leader's lease.
+//! Log replication, commit, check-quorum, leadership transfer and the leader lease.
 
 use swiftshunt_types::{Monotonic, NodeId};
 
-use super::node::HandOver;
+use super::node::LeadershipTransfer;
 use super::progress::Progress;
 use super::{
     AppendOutcome, ArchiveMark, Entry, Index, LogPosition, Message, Raft, Role, Snapshot,
     StateMachine, Term,
 };
 
-/// Entries in one message.
-const MAXIMUM_ENTRIES_PER_APPEND: usize = 256;
-/// A message that is not answered within this many heartbeats is sent again.
-const RESEND_AFTER_HEARTBEATS: u32 = 4;
+/// Most entries in one append message.
+const MAX_ENTRIES_PER_APPEND: usize = 256;
+/// Number of heartbeat intervals after which an unacknowledged message is sent again.
+const RESEND_TIMEOUT_HEARTBEATS: u32 = 4;
 
 impl<M: StateMachine> Raft<M> {
     pub(super) fn tick_leader(&mut self, now: Monotonic) {
@@ -20,7 +20,7 @@
             self.step_down(self.term, now);
             return;
         }
-        self.advance_hand_over(now);
+        self.advance_leadership_transfer(now);
         if self.role != Role::Leader {
             return;
         }
@@ -32,53 +32,64 @@
         }
     }
 
-    /// Offers leadership once the target's log is complete, and ends an attempt that took too long.
-    pub(super) fn advance_hand_over(&mut self, now: Monotonic) {
-        let Some(hand_over) = self.hand_over else {
+    /// Sends [`Message::TimeoutNow`] once the target's log is complete; ends a transfer whose
+    /// deadline has passed.
+    pub(super) fn advance_leadership_transfer(&mut self, now: Monotonic) {
+        let Some(leadership_transfer) = self.leadership_transfer else {
             return;
         };
-        if now >= hand_over.gives_up_at {
-            // An offer may still arrive late and override leases, so leadership that was offered is
-            // never taken back within the term.
-            if hand_over.offered {
+        if now >= leadership_transfer.deadline {
+            // The TimeoutNow message may still arrive late and lead to an election that ignores
+            // leases, so this leader does not resume within the term.
+            if leadership_transfer.timeout_now_sent {
                 self.step_down(self.term, now);
             }
-            self.hand_over = None;
-        } else if !hand_over.offered && self.matched(hand_over.target) == self.log.last().index {
-            self.hand_over = Some(HandOver {
-                offered: true,
-                ..hand_over
+            self.leadership_transfer = None;
+        } else if !leadership_transfer.timeout_now_sent
+            && self.matched(leadership_transfer.target) == self.log.last().index
+        {
+            self.leadership_transfer = Some(LeadershipTransfer {
+                timeout_now_sent: true,
+                ..leadership_transfer
             });
-            self.send(hand_over.target, Message::TimeoutNow { term: self.term });
+            self.send(
+                leadership_transfer.target,
+                Message::TimeoutNow { term: self.term },
+            );
         }
     }
 
-    /// The highest index known to be the same at a follower.
+    /// The highest index up to which a follower's log is known to match; 0 if unknown.
     pub(super) fn matched(&self, follower: NodeId) -> Index {
         let progress = self.progress.get(&follower);
         progress.map_or(0, |progress| progress.matched)
     }
 
-    /// Check-quorum: a leader that a majority has not answered for an election timeout steps down.
+    /// Check-quorum: whether a majority acknowledged a message sent within the last two election
+    /// timeouts, or the leader was elected within them. Otherwise the leader steps down.
     fn has_recent_quorum(&self, now: Monotonic) -> bool {
         let grace = self.settings.election_timeout * 2;
-        let heard = self.quorum_send_time(now).unwrap_or(self.leading_since);
-        now < heard.max(self.leading_since) + grace
+        let last_contact = self.quorum_send_time(now).unwrap_or(self.leader_since);
+        now < last_contact.max(self.leader_since) + grace
     }
 
-    /// The latest time such that a majority answered messages sent at or after it.
+    /// The latest time such that a majority acknowledged messages sent at or after it; `None` if
+    /// there is no such time. The leader itself counts with `now`.
     fn quorum_send_time(&self, now: Monotonic) -> Option<Monotonic> {
         self.configuration().quorum_value(|id| {
             if id == self.id {
                 return Some(now);
             }
-            self.progress.get(&id)?.acknowledged_send
+            self.progress.get(&id)?.last_acknowledged_send
         })
     }
 
-    /// When the leader's lease ends. Followers refuse votes for one election timeout after hearing
-    /// the leader, which is later than when the leader sent; a tenth is kept back for clock rates.
+    /// End of the leader lease. Followers refuse votes for one election timeout after a message of
+    /// the leader arrives, which is later than its sending; the lease is a tenth shorter than the
+    /// timeout to allow for differing clock rates.
     pub(super) fn lease_end(&self) -> Option<Monotonic> {
+        // The leader's own time must not limit the lease, so the leader counts with a time that no
+        // message reaches; half the maximum leaves room to add the timeout.
         let sent = self.quorum_send_time(Monotonic::MAX / 2)?;
         Some(sent + self.settings.election_timeout * 9 / 10)
     }
@@ -88,20 +99,21 @@
         members.filter(|id| *id != self.id).collect()
     }
 
-    /// Drops followers that left the configuration; new ones appear at their first send.
+    /// Removes the progress of followers that left the configuration. Progress of new followers is
+    /// created when the first message is sent to them.
     pub(super) fn adopt_configuration(&mut self) {
         let configuration = self.log.configuration().clone();
         self.progress.retain(|id, _| configuration.contains(*id));
     }
 
-    /// Sends what is new to every follower that has no message outstanding.
+    /// Sends new entries to every follower without an unacknowledged message.
     pub(super) fn replicate(&mut self, now: Monotonic) {
         for to in self.followers() {
-            let waiting = self
+            let is_in_flight = self
                 .progress
                 .get(&to)
                 .is_some_and(|progress| progress.in_flight_since.is_some());
-            if !waiting {
+            if !is_in_flight {
                 self.send_append(to, now);
             }
         }
@@ -109,24 +121,25 @@
 
     fn send_append(&mut self, to: NodeId, now: Monotonic) {
         let next_index = self.log.last().index + 1;
-        let resend_after = self.settings.heartbeat_interval * RESEND_AFTER_HEARTBEATS;
+        let resend_timeout = self.settings.heartbeat_interval * RESEND_TIMEOUT_HEARTBEATS;
         let progress = self
             .progress
             .entry(to)
             .or_insert_with(|| Progress::starting_at(next_index));
-        let outstanding = progress
+        let is_in_flight = progress
             .in_flight_since
-            .is_some_and(|since| now < since + resend_after);
-        if !outstanding {
+            .is_some_and(|since| now < since + resend_timeout);
+        if !is_in_flight {
             progress.in_flight_since = Some(now);
         }
         let next = progress.next;
-        let message = self.append_message(next, outstanding, now);
+        let message = self.append_message(next, is_in_flight, now);
         self.send(to, message);
     }
 
-    /// An append from `next`, without entries while others are outstanding; a snapshot if the
-    /// entries are gone.
+    /// An append message with entries from `next`, or without entries if `heartbeat_only`. If the
+    /// entry before `next` is compacted, its term is unknown: the message is then a snapshot, or a
+    /// heartbeat that matches any log if `heartbeat_only`.
     fn append_message(&self, next: Index, heartbeat_only: bool, now: Monotonic) -> Message<M> {
         let previous_index = next - 1;
         let Some(term) = self.log.term_at(previous_index) else {
@@ -138,7 +151,7 @@
         let limit = if heartbeat_only {
             0
         } else {
-            MAXIMUM_ENTRIES_PER_APPEND
+            MAX_ENTRIES_PER_APPEND
         };
         Message::Append {
             term: self.term,
@@ -153,7 +166,7 @@
         }
     }
 
-    /// An append that claims nothing about the follower's log.
+    /// An append message without entries that matches any log.
     fn heartbeat(&self, now: Monotonic) -> Message<M> {
         Message::Append {
             term: self.term,
@@ -210,9 +223,9 @@
         entries: Vec<Entry<M::Command>>,
     ) -> AppendOutcome {
         let base = self.log.base_index();
-        let known =
+        let previous_matches =
             previous.index < base || self.log.term_at(previous.index) == Some(previous.term);
-        if !known {
+        if !previous_matches {
             let hint = self.log.last().index.min(previous.index.saturating_sub(1));
             return AppendOutcome::Mismatch {
                 hint: hint.max(self.commit),
@@ -221,12 +234,12 @@
         let mut matched = previous.index;
         for entry in entries {
             matched = entry.position.index;
-            self.append_one(entry);
+            self.append_entry(entry);
         }
         AppendOutcome::Matched(matched)
     }
 
-    fn append_one(&mut self, entry: Entry<M::Command>) {
+    fn append_entry(&mut self, entry: Entry<M::Command>) {
         let index = entry.position.index;
         if index <= self.log.base_index() {
             return;
@@ -280,8 +293,8 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        let acknowledged = progress.acknowledged_send.unwrap_or_default();
-        progress.acknowledged_send = Some(acknowledged.max(sent_at));
+        let acknowledged = progress.last_acknowledged_send.unwrap_or_default();
+        progress.last_acknowledged_send = Some(acknowledged.max(sent_at));
         if progress.in_flight_since == Some(sent_at) {
             progress.in_flight_since = None;
         }
@@ -294,34 +307,35 @@
                 progress.next = (hint + 1).max(progress.matched + 1).min(progress.next);
             }
         }
-        let behind = progress.next <= last && progress.in_flight_since.is_none();
+        let is_behind = progress.next <= last && progress.in_flight_since.is_none();
         self.advance_commit(now);
-        self.advance_hand_over(now);
-        if behind && self.role == Role::Leader {
+        self.advance_leadership_transfer(now);
+        if is_behind && self.role == Role::Leader {
             self.send_append(from, now);
         }
     }
 
-    /// Commits the newest entry of this term that a majority holds.
+    /// Advances the commit index to the newest entry that a majority holds, provided that it is of
+    /// the current term.
     pub(super) fn advance_commit(&mut self, now: Monotonic) {
         let last = self.log.last().index;
-        let reached = self.configuration().quorum_value(|id| {
+        let majority_matched = self.configuration().quorum_value(|id| {
             if id == self.id {
                 return Some(last);
             }
             Some(self.progress.get(&id)?.matched)
         });
-        let Some(index) = reached else {
+        let Some(index) = majority_matched else {
             return;
         };
         if index > self.commit && self.log.term_at(index) == Some(self.term) {
             self.commit = index;
-            self.retire_if_removed(now);
+            self.step_down_if_removed(now);
         }
     }
 
-    /// A leader that a committed change removed leads no longer.
-    fn retire_if_removed(&mut self, now: Monotonic) {
+    /// Steps down if a committed configuration change removed this leader from the voters.
+    fn step_down_if_removed(&mut self, now: Monotonic) {
         let committed = self.log.configuration_index() <= self.commit;
         if committed && !self.configuration().voters.contains(&self.id) {
             for to in self.followers() {
--- a/crates/swiftshunt-ledger/src/replacement.rs
+++ b/crates/swiftshunt-ledger/src/replacement.rs
@@ -1,4 +1,5 @@
-//! The next change to a group's members: replacing lost replicas one at a time, through learners.
+//! Chooses the next change to a group's members. Replicas are replaced one at a time: the new replica
+//! joins as a learner, becomes a voter once it has caught up, and then the old voter is removed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,106 +7,111 @@
 
 use crate::raft::GroupConfiguration;
 
-/// What a leader believes of a node, for replacement.
+/// A leader's view of a replica's node, for replacement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// Takes part.
+    /// The node is reachable and stays.
     Alive,
-    /// Takes part, but will go.
+    /// The node is reachable but is shutting down.
     Leaving,
-    /// Silent, but not for long enough to be replaced.
-    Silent,
-    /// Lost for good, or silent for longer than the replace delay.
+    /// The node is unreachable, but for less than the replace delay.
+    Unreachable,
+    /// The node has left, is unknown, or has been unreachable for at least the replace delay.
     Lost,
 }
 
-/// What a leader knows of one replica.
+/// A leader's view of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// What is believed of its node.
+    /// Health of the replica's node.
     pub health: ReplicaHealth,
-    /// Its zone, if its node is still remembered.
+    /// Zone of the replica's node; `None` if membership has no record of the node.
     pub zone: Option<ZoneName>,
-    /// Whether it holds the committed log.
+    /// Whether the replica is known to hold every committed entry. Used only for learners.
     pub caught_up: bool,
 }
 
-/// What a leader knows when it looks for a change.
+/// A leader's view of its group, the input of [`next_replacement_step`].
 #[derive(Clone, Debug)]
 pub struct ReplacementView<'a> {
-    /// The leader itself; never removed by its own decision.
+    /// The leader itself. It is never removed by its own proposal.
     pub leader: NodeId,
-    /// The members in force.
+    /// The configuration in force.
     pub configuration: &'a GroupConfiguration,
-    /// Every member of the group, the leader included.
+    /// Every member of the group, including the leader.
     pub replicas: BTreeMap<NodeId, ReplicaView>,
-    /// For each zone, the node that should hold a replica.
+    /// The node that should hold the replica, for each zone.
     pub candidates: BTreeMap<ZoneName, NodeId>,
 }
 
-/// What a leader should do next about the group's members.
+/// The next action of a leader on its group's members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Propose these members; at most one voter differs.
+pub enum ReplacementStep {
+    /// Propose this configuration, which differs by at most one voter.
     Change(GroupConfiguration),
-    /// Hand leadership over: this replica itself has been replaced.
-    HandOver,
+    /// Transfer leadership, since the leader's own replica has been replaced.
+    TransferLeadership,
 }
 
-/// The next step, if any is needed.
-pub fn next_step(view: &ReplacementView<'_>) -> Option<Step> {
-    drop_lost_learner(view)
+/// The next step; `None` if no change is needed or possible at present.
+pub fn next_replacement_step(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
+    remove_lost_learner(view)
         .or_else(|| promote_learner(view))
         .or_else(|| remove_replaced_voter(view))
-        .map(Step::Change)
-        .or_else(|| hand_over(view))
-        .or_else(|| add_learner(view).map(Step::Change))
+        .map(ReplacementStep::Change)
+        .or_else(|| transfer_leadership(view))
+        .or_else(|| add_learner(view).map(ReplacementStep::Change))
 }
 
-fn hand_over(view: &ReplacementView<'_>) -> Option<Step> {
+fn transfer_leadership(view: &ReplacementView<'_>) -> Option<ReplacementStep> {
     let replaced = view.removal_rank(view.leader).is_some();
-    replaced.then_some(Step::HandOver)
+    replaced.then_some(ReplacementStep::TransferLeadership)
 }
 
-fn drop_lost_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let useless = |id: &NodeId| {
+fn remove_lost_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
+    let is_lost_or_leaving = |id: &NodeId| {
         matches!(
             view.health(*id),
             ReplicaHealth::Lost | ReplicaHealth::Leaving
         )
     };
-    let lost = *view.configuration.learners.iter().find(|id| useless(id))?;
+    let lost = *view
+        .configuration
+        .learners
+        .iter()
+        .find(|id| is_lost_or_leaving(id))?;
     let mut next = view.configuration.clone();
     next.learners.remove(&lost);
     Some(next)
 }
 
 fn promote_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let ready = |id: &NodeId| {
+    let is_ready = |id: &NodeId| {
         let replica = view.replicas.get(id);
         replica.is_some_and(|replica| replica.caught_up && replica.health == ReplicaHealth::Alive)
     };
-    let learner = *view.configuration.learners.iter().find(|id| ready(id))?;
+    let learner = *view.configuration.learners.iter().find(|id| is_ready(id))?;
     let mut next = view.configuration.clone();
     next.learners.remove(&learner);
     next.voters.insert(learner);
     Some(next)
 }
 
-/// Removes a voter whose zone has another voter alive, worst health first.
+/// Removes a voter that has been replaced, in the order of [`ReplacementView::removal_rank`], provided
+/// that the remaining voters have a live quorum.
 fn remove_replaced_voter(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
-    let mut by_need: Vec<(u8, NodeId)> = view
+    let mut removable: Vec<(u8, NodeId)> = view
         .configuration
         .voters
         .iter()
         .filter(|id| **id != view.leader)
         .filter_map(|id| Some((view.removal_rank(*id)?, *id)))
         .collect();
-    by_need.sort_unstable();
-    by_need
+    removable.sort_unstable();
+    removable
         .into_iter()
         .map(|(_, removed)| without_voter(view.configuration, removed))
-        .find(|next| view.has_working_majority(next))
+        .find(|next| view.has_live_quorum(next))
 }
 
 fn without_voter(configuration: &GroupConfiguration, removed: NodeId) -> GroupConfiguration {
@@ -116,7 +122,7 @@
 
 fn add_learner(view: &ReplacementView<'_>) -> Option<GroupConfiguration> {
     let candidate = view.candidates.iter().find(|(zone, node)| {
-        !view.configuration.contains(**node) && !view.zone_is_waited_for(zone)
+        !view.configuration.contains(**node) && !view.is_replica_pending_in(zone)
     });
     let (_, node) = candidate?;
     let mut next = view.configuration.clone();
@@ -130,34 +136,34 @@
         replica.map_or(ReplicaHealth::Lost, |replica| replica.health)
     }
 
-    /// Whether a majority of the voters takes part now. Removing a voter that takes part while
-    /// another is down would otherwise leave a group that cannot decide anything.
-    fn has_working_majority(&self, configuration: &GroupConfiguration) -> bool {
-        let working = configuration.voters.iter().filter(|id| {
+    /// Whether a majority of the voters is reachable. Without this check, removing a reachable voter
+    /// while another is down could leave a group that cannot commit anything.
+    fn has_live_quorum(&self, configuration: &GroupConfiguration) -> bool {
+        let live = configuration.voters.iter().filter(|id| {
             matches!(
                 self.health(**id),
                 ReplicaHealth::Alive | ReplicaHealth::Leaving
             )
         });
-        working.count() >= configuration.quorum()
+        live.count() >= configuration.quorum()
     }
 
     fn zone(&self, id: NodeId) -> Option<&ZoneName> {
         self.replicas.get(&id)?.zone.as_ref()
     }
 
-    /// Whether a new replica of the zone would come too early: one may still come back, or one is
-    /// being brought up already. A replica that takes part is no reason: the candidate takes its
-    /// place, so that partitions spread over nodes that join.
-    fn zone_is_waited_for(&self, zone: &ZoneName) -> bool {
+    /// Whether the zone must not get a new replica yet, because an unreachable one may still return
+    /// or a learner is catching up. A live replica does not count: the candidate replaces it, so that
+    /// partitions spread to nodes that join.
+    fn is_replica_pending_in(&self, zone: &ZoneName) -> bool {
         self.configuration.members().any(|id| {
-            let silent = self.health(id) == ReplicaHealth::Silent;
-            let learns = self.configuration.learners.contains(&id);
-            (silent || learns) && self.zone(id) == Some(zone)
+            let is_unreachable = self.health(id) == ReplicaHealth::Unreachable;
+            let is_learner = self.configuration.learners.contains(&id);
+            (is_unreachable || is_learner) && self.zone(id) == Some(zone)
         })
     }
 
-    /// Lower goes first; none if the voter is still needed.
+    /// Order in which a replaced voter is removed, lowest first; `None` if the voter is still needed.
     fn removal_rank(&self, id: NodeId) -> Option<u8> {
         let health = self.health(id);
         let zone = self.zone(id);
@@ -169,20 +175,22 @@
             .filter(|other| *other != id && self.health(*other) == ReplicaHealth::Alive)
             .collect();
         let replaced = others_alive.iter().any(|other| self.zone(*other) == zone);
-        // A voter of an unknown zone is lost and forgotten: any complete set replaces it.
-        let forgotten = zone.is_none() && others_alive.len() >= self.candidates.len();
+        // A voter without a known zone has left the membership records: it counts as replaced once
+        // at least as many other voters are alive as there are candidates.
+        let is_unknown_and_replaceable =
+            zone.is_none() && others_alive.len() >= self.candidates.len();
         match health {
-            ReplicaHealth::Lost if replaced || forgotten => Some(0),
+            ReplicaHealth::Lost if replaced || is_unknown_and_replaceable => Some(0),
             ReplicaHealth::Leaving if replaced => Some(1),
-            // Only by the candidate itself: two others of a zone would hand over to each other for
-            // ever.
-            ReplicaHealth::Alive if self.candidate_votes_beside(id, &others_alive) => Some(2),
+            // A live voter is replaced only by its zone's candidate. Otherwise two voters of a zone,
+            // neither of them the candidate, would transfer leadership to each other endlessly.
+            ReplicaHealth::Alive if self.is_candidate_a_live_voter(id, &others_alive) => Some(2),
             _ => None,
         }
     }
 
-    /// Whether the node that should hold the replica of this one's zone is a voter beside it.
-    fn candidate_votes_beside(&self, id: NodeId, others_alive: &BTreeSet<NodeId>) -> bool {
+    /// Whether the candidate of this voter's zone is another voter that is alive.
+    fn is_candidate_a_live_voter(&self, id: NodeId, others_alive: &BTreeSet<NodeId>) -> bool {
         let candidate = self.zone(id).and_then(|zone| self.candidates.get(zone));
         candidate.is_some_and(|candidate| others_alive.contains(candidate))
     }
--- a/crates/swiftshunt-ledger/tests/simulation/cluster.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! A group of replicas in three zones, driven step by step.
+//! A simulated replica group in three zones, advanced step by step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
     ArchiveMark, GroupConfiguration, LogPosition, Raft, RaftStart, Role,
 };
 use swiftshunt_ledger::replacement::{
-    ReplacementView, ReplicaHealth, ReplicaView, Step, next_step,
+    ReplacementStep, ReplacementView, ReplicaHealth, ReplicaView, next_replacement_step,
 };
 use swiftshunt_ledger::state::{
     Command, DispatchId, DispatchOutcome, LedgerState, NewSubmission, Outcome, SubmissionResult,
@@ -22,34 +22,35 @@
 const STEP: Duration = Duration::from_millis(10);
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const SUBMISSIONS: u64 = 12;
-/// One disaster in so many steps.
-const DISASTER_ODDS: u32 = 40;
-/// Processes alive at once.
-const MOST_REPLICAS: usize = 7;
-/// Steps within which a leaving leader must be followed; stragglers may hold a vote up.
-const SUCCESSION_STEPS: u32 = 600;
-/// Steps within which a healed group must commit.
-const HEALED_STEPS: u32 = 600;
-/// A replica that is down for this long is replaced.
-const REPLACE_AFTER: Duration = Duration::from_millis(500);
-
-/// What goes wrong.
+/// One replica fault in this many steps, on average.
+const REPLICA_FAULT_ODDS: u32 = 40;
+/// Number of live replicas at which no further node joins.
+const MAX_REPLICAS: usize = 7;
+/// Steps within which a leader that shuts down must have a successor; the limit allows for votes that
+/// are delayed as stragglers.
+const MAX_SUCCESSION_STEPS: u32 = 600;
+/// Steps within which the group must make progress after the faults have ended.
+const RECOVERY_STEPS: u32 = 600;
+/// Time after which a crashed replica is replaced.
+const REPLACE_DELAY: Duration = Duration::from_millis(500);
+
+/// Faults that the simulation injects.
 #[derive(Clone, Copy, Debug)]
 pub struct Faults {
     pub loss_percent: u32,
-    pub doubling_percent: u32,
-    pub longest_delay_steps: u32,
-    /// Whether replicas are paused, cut off and crashed.
-    pub disasters: bool,
+    pub duplication_percent: u32,
+    pub max_delay_steps: u32,
+    /// Whether replicas are paused, isolated, crashed and joined, and leadership is transferred.
+    pub replica_faults: bool,
 }
 
 impl Faults {
     pub fn none() -> Self {
         Self {
             loss_percent: 0,
-            doubling_percent: 0,
-            longest_delay_steps: 0,
-            disasters: false,
+            duplication_percent: 0,
+            max_delay_steps: 0,
+            replica_faults: false,
         }
     }
 }
@@ -58,14 +59,17 @@
     raft: Raft<LedgerState>,
     zone: ZoneName,
     paused_until: u32,
-    cut_until: u32,
+    isolated_until: u32,
 }
 
-/// What every replica must agree on.
+/// Events of the whole group, against which every replica is checked.
 #[derive(Default)]
-struct Record {
+struct History {
+    /// The leader of each term.
     leaders: BTreeMap<u64, NodeId>,
+    /// The first entry that a replica applied at each index: its position and its command as text.
     applied: BTreeMap<u64, (LogPosition, String)>,
+    /// Granted dispatches of each submission.
     granted: BTreeMap<SubmissionId, BTreeSet<DispatchId>>,
 }
 
@@ -77,10 +81,10 @@
     network: Network,
     replicas: BTreeMap<NodeId, Replica>,
     crashed_at: BTreeMap<NodeId, u32>,
-    record: Record,
+    history: History,
     next_id: u64,
-    /// A replica that hands leadership over whenever it has it.
-    leaving: Option<NodeId>,
+    /// A replica that transfers leadership whenever it is the leader.
+    stopping: Option<NodeId>,
 }
 
 fn settings() -> LedgerConfig {
@@ -100,9 +104,9 @@
             network: Network::default(),
             replicas: BTreeMap::new(),
             crashed_at: BTreeMap::new(),
-            record: Record::default(),
+            history: History::default(),
             next_id: 1,
-            leaving: None,
+            stopping: None,
         };
         let voters = (1..=3).map(NodeId);
         for zone in ZONES {
@@ -130,89 +134,89 @@
             raft,
             zone,
             paused_until: 0,
-            cut_until: 0,
+            isolated_until: 0,
         };
         self.replicas.insert(id, replica);
     }
 
     pub fn step(&mut self) {
         self.step += 1;
-        if self.faults.disasters {
-            self.cause_disaster();
+        if self.faults.replica_faults {
+            self.inject_replica_fault();
         }
-        self.propose_something();
+        self.propose_random_command();
         self.deliver();
         self.tick();
-        self.replace_lost();
+        self.replace_replicas();
         self.archive();
         self.collect_messages();
         self.check();
     }
 
-    fn cause_disaster(&mut self) {
+    fn inject_replica_fault(&mut self) {
         for replica in self.replicas.values_mut() {
-            if replica.cut_until == self.step {
-                self.network.cut.remove(&replica.raft.id());
+            if replica.isolated_until == self.step {
+                self.network.isolated.remove(&replica.raft.id());
             }
         }
-        if self.random.random_range(0..DISASTER_ODDS) != 0 {
+        if self.random.random_range(0..REPLICA_FAULT_ODDS) != 0 {
             return;
         }
         let ids: Vec<NodeId> = self.replicas.keys().copied().collect();
-        let victim = ids[self.random.random_range(0..ids.len())];
+        let target = ids[self.random.random_range(0..ids.len())];
         let duration = self.random.random_range(5..150);
         match self.random.random_range(0..5) {
-            0 => self.pause(victim, duration),
-            1 => self.cut(victim, duration),
-            2 => self.hand_over(),
+            0 => self.pause(target, duration),
+            1 => self.isolate(target, duration),
+            2 => self.transfer_leadership(),
             3 => self.join(),
-            _ => self.crash(victim),
+            _ => self.crash(target),
         }
     }
 
-    fn pause(&mut self, victim: NodeId, duration: u32) {
-        if let Some(replica) = self.replicas.get_mut(&victim) {
+    fn pause(&mut self, target: NodeId, duration: u32) {
+        if let Some(replica) = self.replicas.get_mut(&target) {
             replica.paused_until = self.step + duration;
         }
     }
 
-    fn cut(&mut self, victim: NodeId, duration: u32) {
-        if let Some(replica) = self.replicas.get_mut(&victim) {
-            replica.cut_until = self.step + duration;
-            self.network.cut.insert(victim);
+    fn isolate(&mut self, target: NodeId, duration: u32) {
+        if let Some(replica) = self.replicas.get_mut(&target) {
+            replica.isolated_until = self.step + duration;
+            self.network.isolated.insert(target);
         }
     }
 
-    /// A further node of some zone comes up, and is to hold the zone's replica.
+    /// Starts another node in a random zone, which becomes the zone's candidate.
     fn join(&mut self) {
-        if self.replicas.len() < MOST_REPLICAS {
+        if self.replicas.len() < MAX_REPLICAS {
             let zone = ZONES[self.random.random_range(0..ZONES.len())];
             self.add_replica(zone.into(), GroupConfiguration::default());
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let now = self.now();
         for replica in self.replicas.values_mut() {
-            replica.raft.hand_over(now);
+            replica.raft.transfer_leadership(now);
         }
     }
 
-    /// Crashes a replica for good, if every configuration that may be in force keeps a majority of
-    /// replicas that have forgotten nothing. A process in the same zone comes up under a new name.
-    fn crash(&mut self, victim: NodeId) {
-        let survives = self.replicas.values().all(|replica| {
+    /// Crashes a replica permanently, provided that every configuration that may be in force keeps a
+    /// quorum of replicas with their state. A new node with another identity starts in the same zone.
+    fn crash(&mut self, target: NodeId) {
+        let keeps_quorum = self.replicas.values().all(|replica| {
             let voters = &replica.raft.configuration().voters;
-            let left = voters.iter().filter(|id| **id != victim);
+            let left = voters.iter().filter(|id| **id != target);
             let left = left.filter(|id| self.replicas.contains_key(id)).count();
             voters.is_empty() || left >= replica.raft.configuration().quorum()
         });
-        if !survives {
+        if !keeps_quorum {
             return;
         }
-        if let Some(replica) = self.replicas.remove(&victim) {
-            self.network.cut.remove(&victim);
-            self.crashed_at.insert(victim, self.step);
+        if let Some(replica) = self.replicas.remove(&target) {
+            self.network.isolated.remove(&target);
+            self.crashed_at.insert(target, self.step);
             self.add_replica(replica.zone, GroupConfiguration::default());
         }
     }
@@ -226,7 +230,7 @@
             .map(|replica| replica.raft.id())
     }
 
-    fn propose_something(&mut self) {
+    fn propose_random_command(&mut self) {
         if self.random.random_range(0..3) != 0 {
             return;
         }
@@ -238,7 +242,7 @@
         if let Some(replica) = self.replicas.get_mut(&chosen)
             && replica.paused_until <= step
         {
-            // Not every replica leads; a refusal is what is expected of the others.
+            // Replicas that do not lead are expected to reject the proposal.
             replica.raft.propose(command, now).ok();
         }
     }
@@ -264,7 +268,7 @@
             },
             2 => Command::DispatchSubmission {
                 dispatch: DispatchId(self.random.random()),
-                supersedes: self.latest_grant(&submission),
+                supersedes: self.highest_granted_dispatch(&submission),
                 submission,
                 worker: "worker".into(),
             },
@@ -278,8 +282,10 @@
         }
     }
 
-    fn latest_grant(&self, submission: &SubmissionId) -> Option<DispatchId> {
-        self.record.granted.get(submission)?.last().copied()
+    /// The granted dispatch with the highest identifier. Identifiers are random, so a newer dispatch may
+    /// have superseded it.
+    fn highest_granted_dispatch(&self, submission: &SubmissionId) -> Option<DispatchId> {
+        self.history.granted.get(submission)?.last().copied()
     }
 
     fn deliver(&mut self) {
@@ -300,45 +306,50 @@
             if replica.paused_until <= self.step {
                 replica.raft.tick(now);
             }
-            if self.leaving == Some(replica.raft.id()) {
-                replica.raft.hand_over(now);
+            if self.stopping == Some(replica.raft.id()) {
+                replica.raft.transfer_leadership(now);
             }
         }
     }
 
-    /// The leader's process begins a planned stop.
-    pub fn leave_with_leader(&mut self) {
+    /// Starts a planned shutdown of the leader, which transfers leadership from then on.
+    pub fn start_leader_shutdown(&mut self) {
         while self.leader().is_none() {
             self.step();
         }
-        self.leaving = self.leader();
+        self.stopping = self.leader();
     }
 
-    /// Another replica comes to lead in place of the leaving one.
+    /// Checks that another replica becomes the leader within [`MAX_SUCCESSION_STEPS`].
     pub fn check_successor(&mut self) {
-        for _ in 0..SUCCESSION_STEPS {
+        for _ in 0..MAX_SUCCESSION_STEPS {
             if self
                 .leader()
-                .is_some_and(|leader| Some(leader) != self.leaving)
+                .is_some_and(|leader| Some(leader) != self.stopping)
             {
                 return;
             }
             self.step();
         }
-        panic!("nobody followed the leaving leader, seed {}", self.seed);
+        panic!(
+            "no successor of the leader that shuts down, seed {}",
+            self.seed
+        );
     }
 
-    /// What a leader's driver does: plans and proposes changes of members.
-    fn replace_lost(&mut self) {
+    /// Determines and executes the leader's next replacement step, as its driver does.
+    fn replace_replicas(&mut self) {
         let Some(leader) = self.leader() else {
             return;
         };
         let raft = &self.replicas[&leader].raft;
         let members = raft.configuration().members();
-        let replicas = members.map(|id| (id, self.view_of(raft, id))).collect();
+        let replicas = members
+            .map(|id| (id, self.replica_view(raft, id)))
+            .collect();
         let candidates = self.candidates().into_iter();
         let candidates = candidates.map(|(zone, id)| (zone.clone(), id)).collect();
-        let step = next_step(&ReplacementView {
+        let step = next_replacement_step(&ReplacementView {
             leader,
             configuration: raft.configuration(),
             replicas,
@@ -349,19 +360,20 @@
             return;
         };
         match step {
-            // Refused while another change is under way; planned again at the next step.
-            Some(Step::Change(change)) => {
+            // Rejected while another change is uncommitted; retried at the next step.
+            Some(ReplacementStep::Change(change)) => {
                 replica.raft.propose_configuration(change, now).ok();
             }
-            Some(Step::HandOver) => replica.raft.hand_over(now),
+            Some(ReplacementStep::TransferLeadership) => replica.raft.transfer_leadership(now),
             None => {}
         }
     }
 
-    /// The archive follows now and then, which lets replicas compact and learners need snapshots.
+    /// Advances the archive in some steps, so that replicas compact their logs and learners need
+    /// snapshots.
     fn archive(&mut self) {
-        let follows = self.random.random_range(0..10) == 0;
-        let Some(leader) = self.leader().filter(|_| follows) else {
+        let archive_advances = self.random.random_range(0..10) == 0;
+        let Some(leader) = self.leader().filter(|_| archive_advances) else {
             return;
         };
         if let Some(replica) = self.replicas.get_mut(&leader) {
@@ -373,7 +385,7 @@
         }
     }
 
-    /// The youngest process of each zone.
+    /// The candidate of each zone, which is its newest node.
     fn candidates(&self) -> BTreeMap<&ZoneName, NodeId> {
         let alive = self.replicas.values();
         alive
@@ -381,14 +393,15 @@
             .collect()
     }
 
-    fn view_of(&self, raft: &Raft<LedgerState>, id: NodeId) -> ReplicaView {
+    fn replica_view(&self, raft: &Raft<LedgerState>, id: NodeId) -> ReplicaView {
         let replica = self.replicas.get(&id);
         let down_since = self.crashed_at.get(&id);
-        let long = down_since.is_some_and(|at| STEP * (self.step - at) >= REPLACE_AFTER);
+        let replace_delay_passed =
+            down_since.is_some_and(|at| STEP * (self.step - at) >= REPLACE_DELAY);
         let health = match replica {
             Some(_) => ReplicaHealth::Alive,
-            None if long => ReplicaHealth::Lost,
-            None => ReplicaHealth::Silent,
+            None if replace_delay_passed => ReplicaHealth::Lost,
+            None => ReplicaHealth::Unreachable,
         };
         ReplicaView {
             health,
@@ -414,8 +427,8 @@
             self.network.send(
                 message,
                 self.faults.loss_percent,
-                self.faults.doubling_percent,
-                self.faults.longest_delay_steps,
+                self.faults.duplication_percent,
+                self.faults.max_delay_steps,
                 &mut self.random,
             );
         }
@@ -423,83 +436,86 @@
 
     fn check(&mut self) {
         let (seed, now) = (self.seed, self.now());
-        let mut leases = Vec::new();
+        let mut lease_holders = Vec::new();
         for replica in self.replicas.values_mut() {
             let raft = &mut replica.raft;
             if raft.role() == Role::Leader {
-                let first = self.record.leaders.entry(raft.term()).or_insert(raft.id());
-                assert_eq!(*first, raft.id(), "two leaders in a term, seed {seed}");
+                let first = self.history.leaders.entry(raft.term()).or_insert(raft.id());
+                assert_eq!(*first, raft.id(), "two leaders in one term, seed {seed}");
             }
             if raft.holds_lease(now) {
-                leases.push(raft.id());
+                lease_holders.push(raft.id());
             }
             for entry in raft.apply_committed() {
-                let what = format!("{:?}", entry.command);
-                let applied = (entry.position, what);
+                let command = format!("{:?}", entry.command);
+                let applied = (entry.position, command);
                 let index = entry.position.index;
                 let first = self
-                    .record
+                    .history
                     .applied
                     .entry(index)
                     .or_insert_with(|| applied.clone());
                 assert_eq!(
                     *first, applied,
-                    "replicas applied different entries, seed {seed}"
+                    "replicas applied different entries at one index, seed {seed}"
                 );
                 if let Some(Outcome::Dispatch(DispatchOutcome::Granted(granted))) = &entry.outcome
                     && let Some(Command::DispatchSubmission { submission, .. }) = &entry.command
                 {
-                    let grants = self.record.granted.entry(submission.clone()).or_default();
+                    let grants = self.history.granted.entry(submission.clone()).or_default();
                     grants.insert(granted.id);
                 }
             }
         }
         assert!(
-            leases.len() <= 1,
-            "two leases at once: {leases:?}, seed {seed}"
+            lease_holders.len() <= 1,
+            "several replicas hold a lease: {lease_holders:?}, seed {seed}"
         );
-        self.check_grants();
+        self.check_dispatches();
     }
 
-    fn check_grants(&self) {
-        for (submission, grants) in &self.record.granted {
-            let number: u64 = submission.as_str()[4..].parse().expect("a number");
+    fn check_dispatches(&self) {
+        for (submission, grants) in &self.history.granted {
+            let number: u64 = submission.as_str()[4..]
+                .parse()
+                .expect("submission identifier does not end with a number");
             if !number.is_multiple_of(2) {
                 assert!(
                     grants.len() <= 1,
-                    "{submission} dispatched twice, seed {}",
+                    "{submission} is not repeatable but was dispatched twice, seed {}",
                     self.seed
                 );
             }
         }
     }
 
-    /// Ends every fault.
-    pub fn heal(&mut self) {
+    /// Ends all faults.
+    pub fn clear_faults(&mut self) {
         self.faults = Faults::none();
-        self.network.cut.clear();
+        self.network.isolated.clear();
         for replica in self.replicas.values_mut() {
             replica.paused_until = 0;
         }
     }
 
-    /// After the faults: a leader holds everything ever applied, and commits something new.
+    /// Checks the group after the faults have ended: the leader has applied every entry that any
+    /// replica applied, new entries are committed, and the voters are exactly the zones' candidates.
     pub fn check_progress(&mut self) {
-        let known = self.record.applied.len();
-        for _ in 0..HEALED_STEPS {
+        let applied_before = self.history.applied.len();
+        for _ in 0..RECOVERY_STEPS {
             self.step();
         }
         let leader = self.leader();
         let leader = leader.unwrap_or_else(|| {
             panic!(
-                "no leader after healing, seed {}: {}",
+                "no leader after the faults ended, seed {}: {}",
                 self.seed,
                 self.describe()
             )
         });
         let applied = self.replicas[&leader].raft.applied_index();
         let highest = self
-            .record
+            .history
             .applied
             .keys()
             .last()
@@ -507,25 +523,25 @@
             .unwrap_or_default();
         assert!(
             applied >= highest,
-            "an applied entry was lost, seed {}",
+            "the leader has not applied every applied entry, seed {}",
             self.seed
         );
         assert!(
-            self.record.applied.len() > known,
-            "no progress, seed {}",
+            self.history.applied.len() > applied_before,
+            "no entry was applied after the faults ended, seed {}",
             self.seed
         );
         let voters = &self.replicas[&leader].raft.configuration().voters;
         assert_eq!(
             voters.len(),
             ZONES.len(),
-            "the group was not made whole, seed {}",
+            "the group does not have one voter per zone, seed {}",
             self.seed
         );
         let expected: BTreeSet<NodeId> = self.candidates().into_values().collect();
         assert_eq!(
             *voters, expected,
-            "others vote than should, seed {}",
+            "the voters are not the candidates of the zones, seed {}",
             self.seed
         );
     }
@@ -546,8 +562,8 @@
         lines.collect()
     }
 
-    /// How many terms had a leader.
+    /// Number of terms that had a leader.
     pub fn terms_led(&self) -> usize {
-        self.record.leaders.len()
+        self.history.leaders.len()
     }
 }
--- a/crates/swiftshunt-ledger/tests/simulation/main.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/main.rs
@@ -1,10 +1,11 @@
-//! Randomised schedules over one replica group: messages lost, doubled, delayed and reordered;
-//! replicas paused, cut off, crashed without memory and replaced.
+//! Randomised simulation of one replica group: messages are lost, duplicated, delayed and reordered;
+//! replicas are paused, isolated, crashed with loss of their state, and replaced.
 //!
-//! Checked at every step: one leader a term; at most one lease at a time; what one replica applied
-//! at an index every replica applies there; a submission that is not repeatable is dispatched at
-//! most once. Checked at the end: after the faults end, everything ever committed is in the state
-//! of the leader, and the group makes progress.
+//! Invariants checked at every step: a term has at most one leader; at most one replica holds a lease;
+//! all replicas apply the same entry at the same index; a submission that is not repeatable is
+//! dispatched at most once. Checked after the faults have ended: the leader has applied every entry
+//! that any replica applied, the group commits new entries, and the voters are exactly the zones'
+//! candidates.
 
 mod cluster;
 mod network;
@@ -12,7 +13,7 @@
 use cluster::{Cluster, Faults};
 use proptest::prelude::*;
 
-/// Steps under faults; ten milliseconds each.
+/// Number of steps under faults, of 10 ms each.
 const FAULTY_STEPS: u32 = 800;
 
 fn run(seed: u64, faults: Faults) {
@@ -20,32 +21,32 @@
     for _ in 0..FAULTY_STEPS {
         cluster.step();
     }
-    cluster.heal();
+    cluster.clear_faults();
     cluster.check_progress();
 }
 
-/// Found by the schedules below: a leader removed a replaced voter that took part while another was
-/// down, and left a group of two with one of them dead.
+/// Guards against a leader that removes a replaced but live voter while another voter is down, which
+/// leaves a group of two voters without a quorum. Found by the randomised test below.
 #[test]
-fn a_working_voter_is_not_removed_while_another_is_down() {
+fn a_live_voter_is_not_removed_while_another_is_down() {
     let faults = Faults {
         loss_percent: 3,
-        doubling_percent: 17,
-        longest_delay_steps: 11,
-        disasters: true,
+        duplication_percent: 17,
+        max_delay_steps: 11,
+        replica_faults: true,
     };
     run(10_864_679_861_337_264_830, faults);
 }
 
-/// Found by the schedules below: two voters of one zone, neither of which was to stay, handed
-/// leadership to each other for ever.
+/// Guards against two voters of one zone, neither of them the zone's candidate, that transfer
+/// leadership to each other endlessly. Found by the randomised test below.
 #[test]
-fn leadership_is_not_handed_to_and_fro() {
+fn leadership_does_not_alternate_between_replaced_voters() {
     let faults = Faults {
         loss_percent: 17,
-        doubling_percent: 6,
-        longest_delay_steps: 7,
-        disasters: true,
+        duplication_percent: 6,
+        max_delay_steps: 7,
+        replica_faults: true,
     };
     run(14_908_898_343_401_277_168, faults);
 }
@@ -54,18 +55,18 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_schedule_keeps_the_invariants(seed in any::<u64>(), loss in 0_u32..30, doubling in 0_u32..20, delay in 0_u32..12) {
-        run(seed, Faults { loss_percent: loss, doubling_percent: doubling, longest_delay_steps: delay, disasters: true });
+    fn invariants_hold_under_random_faults(seed in any::<u64>(), loss in 0_u32..30, duplication in 0_u32..20, delay in 0_u32..12) {
+        run(seed, Faults { loss_percent: loss, duplication_percent: duplication, max_delay_steps: delay, replica_faults: true });
     }
 
     #[test]
-    fn a_leader_that_is_leaving_is_followed_by_another(seed in any::<u64>(), delay in 0_u32..6) {
-        let faults = Faults { longest_delay_steps: delay, disasters: false, ..Faults::none() };
+    fn a_leader_that_shuts_down_has_a_successor(seed in any::<u64>(), delay in 0_u32..6) {
+        let faults = Faults { max_delay_steps: delay, replica_faults: false, ..Faults::none() };
         let mut cluster = Cluster::new(seed, faults);
         for _ in 0..FAULTY_STEPS / 8 {
             cluster.step();
         }
-        cluster.leave_with_leader();
+        cluster.start_leader_shutdown();
         for _ in 0..FAULTY_STEPS / 4 {
             cluster.step();
         }
@@ -73,7 +74,7 @@
     }
 
     #[test]
-    fn a_quiet_group_keeps_its_leader(seed in any::<u64>()) {
+    fn a_group_without_faults_keeps_its_leader(seed in any::<u64>()) {
         let mut cluster = Cluster::new(seed, Faults::none());
         for _ in 0..FAULTY_STEPS {
             cluster.step();
--- a/crates/swiftshunt-ledger/tests/simulation/network.rs
+++ b/crates/swiftshunt-ledger/tests/simulation/network.rs
@@ -1,4 +1,4 @@
-//! A network that loses, doubles, delays and reorders.
+//! A simulated network that loses, duplicates, delays and reorders messages.
 
 use std::collections::BTreeSet;
 
@@ -8,12 +8,13 @@
 use swiftshunt_ledger::state::LedgerState;
 use swiftshunt_types::NodeId;
 
-/// One in so many messages is delayed far beyond the others.
+/// One in this many messages, on average, is a straggler, which may be delayed far longer than the
+/// others. Without a delay setting there are none.
 const STRAGGLER_ODDS: u32 = 40;
-/// Longest delay of such a message.
-const STRAGGLER_STEPS: u32 = 250;
+/// Maximum delay of a straggler, in steps.
+const MAX_STRAGGLER_DELAY_STEPS: u32 = 250;
 
-/// A message under way.
+/// A message in flight.
 pub struct InFlight {
     pub from: NodeId,
     pub to: NodeId,
@@ -21,33 +22,33 @@
     pub message: Message<LedgerState>,
 }
 
-/// Messages under way and nodes that are cut off.
+/// Messages in flight and isolated nodes.
 #[derive(Default)]
 pub struct Network {
     in_flight: Vec<InFlight>,
-    pub cut: BTreeSet<NodeId>,
+    pub isolated: BTreeSet<NodeId>,
 }
 
 impl Network {
-    /// Sends, or loses, or doubles.
+    /// Sends a message with a random delay, and may lose it or send a duplicate.
     pub fn send(
         &mut self,
         message: InFlight,
         loss_percent: u32,
-        doubling_percent: u32,
-        longest_delay: u32,
+        duplication_percent: u32,
+        max_delay: u32,
         random: &mut SmallRng,
     ) {
         let delay = |random: &mut SmallRng| {
-            let straggles = longest_delay > 0 && random.random_range(0..STRAGGLER_ODDS) == 0;
-            let longest = if straggles {
-                STRAGGLER_STEPS
+            let is_straggler = max_delay > 0 && random.random_range(0..STRAGGLER_ODDS) == 0;
+            let limit = if is_straggler {
+                MAX_STRAGGLER_DELAY_STEPS
             } else {
-                longest_delay
+                max_delay
             };
-            1 + random.random_range(0..=longest)
+            1 + random.random_range(0..=limit)
         };
-        if random.random_range(0..100) < doubling_percent {
+        if random.random_range(0..100) < duplication_percent {
             self.in_flight.push(InFlight {
                 due: message.due + delay(random),
                 message: message.message.clone(),
@@ -60,11 +61,12 @@
         }
     }
 
-    /// Messages that arrive at `step`, in random order.
+    /// Removes and returns the messages that are due at `step`, in random order. Before that, drops
+    /// every message in flight from or to an isolated node.
     pub fn arrivals(&mut self, step: u32, random: &mut SmallRng) -> Vec<InFlight> {
-        let cut = &self.cut;
+        let isolated = &self.isolated;
         self.in_flight
-            .retain(|message| !cut.contains(&message.from) && !cut.contains(&message.to));
+            .retain(|message| !isolated.contains(&message.from) && !isolated.contains(&message.to));
         let mut arrived = Vec::new();
         let mut index = 0;
         while index < self.in_flight.len() {
--- a/crates/swiftshunt-node/src/api/chat.rs
+++ b/crates/swiftshunt-node/src/api/chat.rs
@@ -13,17 +13,17 @@
 
 use super::auth::admit;
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lifecycle::InProgress;
 use crate::online::{
-    Answer, AnswerRequest, ChatRequest, CompletionRequest, chat_chunk, chat_completion,
+    AnswerRequest, AnswerStream, ChatRequest, CompletionRequest, chat_chunk, chat_completion,
     chat_usage_chunk, collect, completion_chunk, start, text_completion,
 };
 
-/// Header with which a caller says how long it waits, in milliseconds.
+/// Header that states how long the caller waits for the answer, in milliseconds.
 const TIMEOUT_HEADER: &str = "x-request-timeout-ms";
 
-/// A chat completion, whole or streamed.
+/// Answers a chat request, in one body or as a stream.
 pub(super) async fn chat(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let body: ChatRequest = call.json(context.settings.limits.body_bytes).await?;
@@ -34,22 +34,22 @@
     let model = body.model.clone();
     let answer = start(&context, request).await?;
     if !body.stream {
-        let whole = collect(answer).await?;
-        let completion = chat_completion(&id, created, &model, &prompt, &whole);
+        let answer_text = collect(answer).await?;
+        let completion = chat_completion(&id, created, &model, &prompt, &answer_text);
         return Ok(Reply::json(&completion));
     }
-    let usage = body.includes_usage();
+    let includes_usage = body.includes_usage();
     let render = move |event: &TokenEvent| {
         let mut chunks = vec![chat_chunk(&id, created, &model, event)];
-        if usage && event.finish.is_some() {
+        if includes_usage && event.finish.is_some() {
             chunks.push(chat_usage_chunk(&id, created, &model, &prompt, event.index));
         }
         chunks
     };
-    Ok(events(answer, render, admitted.in_progress))
+    Ok(event_stream(answer, render, admitted.in_progress))
 }
 
-/// A text completion, whole or streamed.
+/// Answers a completion request, in one body or as a stream.
 pub(super) async fn completions(context: Arc<Context>, mut call: Call) -> Result<Reply, Failure> {
     let admitted = admit(&context, &call)?;
     let body: CompletionRequest = call.json(context.settings.limits.body_bytes).await?;
@@ -61,12 +61,12 @@
     let model = body.model.clone();
     let answer = start(&context, request).await?;
     if !body.stream {
-        let whole = collect(answer).await?;
-        let completion = text_completion(&id, created, &model, &body.prompt, &whole);
+        let answer_text = collect(answer).await?;
+        let completion = text_completion(&id, created, &model, &body.prompt, &answer_text);
         return Ok(Reply::json(&completion));
     }
     let render = move |event: &TokenEvent| vec![completion_chunk(&id, created, &model, event)];
-    Ok(events(answer, render, admitted.in_progress))
+    Ok(event_stream(answer, render, admitted.in_progress))
 }
 
 fn answer_request(
@@ -76,10 +76,10 @@
     prompt: String,
     max_tokens: u32,
 ) -> Result<AnswerRequest, Failure> {
-    let pool = pool_of(context, model)?;
+    let pool = pool_of_model(context, model)?;
     context.metrics.online_requests.inc();
     Ok(AnswerRequest {
-        id: RequestId(format!("{:016x}", draw())),
+        id: RequestId(format!("{:016x}", random_u64())),
         pool: pool.name,
         model: model.clone(),
         prompt,
@@ -88,7 +88,8 @@
     })
 }
 
-fn pool_of(context: &Context, model: &ModelName) -> Result<Pool, Failure> {
+/// Returns the pool that serves the model; `ModelNotFound` if there is none.
+fn pool_of_model(context: &Context, model: &ModelName) -> Result<Pool, Failure> {
     let history = context.configuration.borrow();
     let pool = history.configuration.pool_of_model(model).cloned();
     pool.ok_or_else(|| {
@@ -97,7 +98,7 @@
     })
 }
 
-/// When the caller gives up, if it says so.
+/// When the caller stops waiting; `None` without the header [`TIMEOUT_HEADER`].
 pub(super) fn deadline(context: &Context, call: &Call) -> Result<Option<Monotonic>, Failure> {
     let Some(text) = call.header(TIMEOUT_HEADER) else {
         return Ok(None);
@@ -111,9 +112,10 @@
     ))
 }
 
-/// An answer as server-sent events, closed by `[DONE]`; a failure becomes a last error event.
-fn events(
-    answer: Answer,
+/// Streams an answer as server-sent events. `[DONE]` follows the last token; after a failure the last
+/// event is the error. The request counts as in progress until the stream is dropped.
+fn event_stream(
+    answer: AnswerStream,
     render: impl Fn(&TokenEvent) -> Vec<Value> + Send + 'static,
     in_progress: InProgress,
 ) -> Reply {
--- a/crates/swiftshunt-node/src/batch/item.rs
+++ b/crates/swiftshunt-node/src/batch/item.rs
@@ -1,5 +1,5 @@
-//! One item of a job: a slot, a token stream, a result line. A stream that yields or breaks goes on
-//! from its last token in the next slot.
+//! Execution of one item of a job: acquires a slot, generates the answer, builds the result line. A
+//! stream that is preempted or fails resumes after its last token in the next slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,19 @@
 use super::slots::Slot;
 use crate::context::Context;
 use crate::ledger::LeaseClock;
-use crate::online::WholeAnswer;
+use crate::online::AnswerText;
 use crate::online::{ChatRequest, CompletionRequest, chat_completion, text_completion};
 
-/// Time for an engine to take an item.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for one cancel call.
+/// Timeout for an engine to accept a request and send the response head.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one cancel call to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after an engine failed.
-const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-/// Pause until a lease that is over is looked at again.
-const LEASE_PAUSE: Duration = Duration::from_millis(50);
-/// How long an engine may pause a batch stream; online work may hold it up for long.
+/// Delay before an item waits for another slot after an engine failed to accept it.
+const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Delay before an expired lease is checked again.
+const LEASE_RECHECK_DELAY: Duration = Duration::from_millis(50);
+/// Timeout for the next token. It is long because engines pause batch streams in favour of online
+/// requests.
 const TOKEN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One line of a job's input.
@@ -39,7 +40,7 @@
     body: Value,
 }
 
-/// What an item asks of an engine.
+/// A parsed item.
 #[derive(Clone, Debug)]
 pub(super) struct Item {
     index: u32,
@@ -49,34 +50,41 @@
     is_chat: bool,
 }
 
-/// What the job lends to its items.
-pub(super) struct ItemScope {
+/// State that the items of a job share.
+pub(super) struct ItemRunner {
     pub(super) context: Arc<Context>,
     pub(super) job: swiftshunt_types::JobId,
+    /// Endpoint of items whose line names none.
     pub(super) endpoint: String,
+    /// Deadline of the job in seconds of Unix time.
     pub(super) deadline: u64,
+    /// Creation time of the job in seconds of Unix time.
     pub(super) created: u64,
     pub(super) lease: LeaseClock,
     pub(super) stopped: CancellationToken,
 }
 
-/// How one stay in a slot ended.
-enum Stay {
-    Whole(FinishReason),
-    /// The slot was taken back or the engine failed; the tokens so far are kept.
+/// How the use of one slot ended.
+enum SlotOutcome {
+    Completed(FinishReason),
+    /// The slot was preempted, the lease had expired or the engine failed. The tokens received so far
+    /// are kept.
     Interrupted,
-    /// The engine refuses the item itself.
+    /// The engine rejected the request as invalid, for the given reason.
     Refused(String),
-    /// The job or the leadership is over.
-    Over,
+    /// The job or the leadership ended.
+    Stopped,
 }
 
-impl ItemScope {
-    /// Runs one line of the input; none if the job or the leadership ended first.
+impl ItemRunner {
+    /// Runs one line of the input; `None` if the job or the leadership ended first. `remaining` is the
+    /// number of items that were incomplete when the job started on this node.
     pub(super) async fn run(&self, index: u32, line: &str, remaining: u32) -> Option<ItemResult> {
         match self.parse(index, line) {
             Ok(item) => self.run_item(item, remaining).await,
-            Err((custom_id, failure)) => Some(refused(&self.job, index, &custom_id, &failure)),
+            Err((custom_id, failure)) => {
+                Some(refused_result(&self.job, index, &custom_id, &failure))
+            }
         }
     }
 
@@ -139,78 +147,83 @@
     }
 
     async fn run_item(&self, item: Item, remaining: u32) -> Option<ItemResult> {
-        let mut so_far = WholeAnswer::empty();
+        let mut partial = AnswerText::empty();
         loop {
             let slot = tokio::select! {
                 slot = self.context.batch.acquire(&self.job, &item.pool, self.deadline, remaining) => slot?,
                 () = self.stopped.cancelled() => return None,
             };
-            match self.stay(&item, &slot, &mut so_far).await {
-                Stay::Whole(finish) => {
-                    so_far.finish = finish;
-                    return Some(self.result(&item, &so_far));
+            match self.run_in_slot(&item, &slot, &mut partial).await {
+                SlotOutcome::Completed(finish) => {
+                    partial.finish = finish;
+                    return Some(self.result(&item, &partial));
                 }
-                Stay::Interrupted => {}
-                Stay::Over => return None,
-                Stay::Refused(reason) => {
+                SlotOutcome::Interrupted => {}
+                SlotOutcome::Stopped => return None,
+                SlotOutcome::Refused(reason) => {
                     let failure = Failure::not_run(ErrorKind::InvalidRequest, reason);
-                    return Some(refused(&self.job, item.index, &item.custom_id, &failure));
+                    return Some(refused_result(
+                        &self.job,
+                        item.index,
+                        &item.custom_id,
+                        &failure,
+                    ));
                 }
             }
         }
     }
 
-    /// Generates in one slot until the answer is whole or the slot is lost.
-    async fn stay(&self, item: &Item, slot: &Slot, so_far: &mut WholeAnswer) -> Stay {
+    /// Generates in one slot until the answer is complete or the slot is lost.
+    async fn run_in_slot(&self, item: &Item, slot: &Slot, partial: &mut AnswerText) -> SlotOutcome {
         let request = GenerateRequest {
-            resume_from: so_far.tokens,
+            resume_from: partial.tokens,
             ..item.request.clone()
         };
         if self.stopped.is_cancelled() {
-            return Stay::Over;
+            return SlotOutcome::Stopped;
         }
-        // A lease that is over may still be renewed; if it is not, the leadership ends.
+        // An expired lease may still be renewed; otherwise the leadership ends and cancels `stopped`.
         if !self.lease.is_valid(self.context.clock.now()) {
-            tokio::time::sleep(LEASE_PAUSE).await;
-            return Stay::Interrupted;
+            tokio::time::sleep(LEASE_RECHECK_DELAY).await;
+            return SlotOutcome::Interrupted;
         }
         let engines = &self.context.engines;
         let opened = engines
-            .generate(slot.address, &request, self.permit(), HEAD_TIMEOUT)
+            .generate(slot.address, &request, self.permit(), RESPONSE_HEAD_TIMEOUT)
             .await;
         let mut stream = match opened {
             Ok(stream) => stream,
-            Err(EngineError::Refused { reason }) => return Stay::Refused(reason),
+            Err(EngineError::Refused { reason }) => return SlotOutcome::Refused(reason),
             Err(_) => {
-                tokio::time::sleep(FAILURE_PAUSE).await;
-                return Stay::Interrupted;
+                tokio::time::sleep(FAILURE_RETRY_DELAY).await;
+                return SlotOutcome::Interrupted;
             }
         };
         loop {
             let received = tokio::select! {
                 received = tokio::time::timeout(TOKEN_TIMEOUT, stream.next()) => received,
-                () = slot.taken_back.cancelled() => {
+                () = slot.preempted.cancelled() => {
                     self.cancel(slot, &request.request).await;
-                    return Stay::Interrupted;
+                    return SlotOutcome::Interrupted;
                 }
                 () = self.stopped.cancelled() => {
                     self.cancel(slot, &request.request).await;
-                    return Stay::Over;
+                    return SlotOutcome::Stopped;
                 }
             };
             let Ok(Some(Ok(event))) = received else {
-                return Stay::Interrupted;
+                return SlotOutcome::Interrupted;
             };
-            match take_event(&event, &request.request, so_far) {
-                Taken::More => {}
-                Taken::End(finish) => return Stay::Whole(finish),
-                Taken::Wrong => return Stay::Interrupted,
+            match apply_event(&event, &request.request, partial) {
+                EventEffect::Continue => {}
+                EventEffect::Finished(finish) => return SlotOutcome::Completed(finish),
+                EventEffect::Unusable => return SlotOutcome::Interrupted,
             }
         }
     }
 
-    /// Holds as long as the job and the lease do: a process that was stopped on the way to the engine, and
-    /// replaced or told of a cancellation meanwhile, starts nothing more.
+    /// Permits the send only while the job runs and the lease is valid: a process that is suspended
+    /// before the send, while another leader takes over or the job is cancelled, must not start the item.
     fn permit(&self) -> SendPermit {
         let clock = self.context.clock;
         let lease = self.lease.clone();
@@ -223,7 +236,7 @@
         drop(engines.cancel(slot.address, request, CANCEL_TIMEOUT).await);
     }
 
-    fn result(&self, item: &Item, whole: &WholeAnswer) -> ItemResult {
+    fn result(&self, item: &Item, answer: &AnswerText) -> ItemResult {
         let request = &item.request;
         let id = request.request.as_str();
         let render = if item.is_chat {
@@ -231,7 +244,7 @@
         } else {
             text_completion
         };
-        let body = render(id, self.created, &request.model, &request.prompt, whole);
+        let body = render(id, self.created, &request.model, &request.prompt, answer);
         let line = json!({
             "id": format!("batch_req_{id}"),
             "custom_id": item.custom_id,
@@ -245,30 +258,32 @@
     }
 }
 
-/// What an event did to the answer so far.
-enum Taken {
-    More,
-    End(FinishReason),
-    Wrong,
+/// Effect of an event on the partial answer.
+enum EventEffect {
+    Continue,
+    Finished(FinishReason),
+    /// The event belongs to another request, leaves a gap or reports a cancellation.
+    Unusable,
 }
 
-fn take_event(event: &TokenEvent, request: &RequestId, so_far: &mut WholeAnswer) -> Taken {
-    if event.request != *request || event.index > so_far.tokens {
-        return Taken::Wrong;
+/// Appends the token of an event to the partial answer if it is the next one. A repeated token is skipped.
+fn apply_event(event: &TokenEvent, request: &RequestId, partial: &mut AnswerText) -> EventEffect {
+    if event.request != *request || event.index > partial.tokens {
+        return EventEffect::Unusable;
     }
     match event.finish {
-        Some(FinishReason::Cancelled) => Taken::Wrong,
-        Some(finish) if event.index == so_far.tokens => Taken::End(finish),
-        None if event.index == so_far.tokens => {
-            so_far.text.push_str(&event.text);
-            so_far.tokens += 1;
-            Taken::More
+        Some(FinishReason::Cancelled) => EventEffect::Unusable,
+        Some(finish) if event.index == partial.tokens => EventEffect::Finished(finish),
+        None if event.index == partial.tokens => {
+            partial.text.push_str(&event.text);
+            partial.tokens += 1;
+            EventEffect::Continue
         }
-        _ => Taken::More,
+        _ => EventEffect::Continue,
     }
 }
 
-fn refused(
+fn refused_result(
     job: &swiftshunt_types::JobId,
     index: u32,
     custom_id: &str,
