--- a/crates/swiftshunt-node/src/batch/slots.rs
+++ b/crates/swiftshunt-node/src/batch/slots.rs
@@ -1,8 +1,8 @@
-//! Batch slots at the node that runs items: which job may run an item on which engine now, and which
-//! running items yield.
+//! Batch slots of the node that runs items: assigns granted slots to waiting items, and preempts running
+//! items.
 //!
-//! Items wait here. Each time something changes, granted slots are given to the job with the least
-//! slack, and items beyond what an engine may run are stopped, their resume point kept.
+//! Whenever the state changes, free slots go to the job with the least slack first, and items in excess
+//! of what an engine may run are preempted. A preempted item resumes after its last token.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -19,17 +19,17 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Slots are looked at this often even if nothing is heard.
+/// Longest time between two reviews of the slots while no change is notified.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(10);
-/// Assumed time per item until one is measured, in seconds.
+/// Assumed time per item from which the slack of a job is computed, in seconds.
 const ASSUMED_SECONDS_PER_ITEM: f64 = 0.5;
 
-/// A slot on an engine, held until dropped.
+/// A slot on an engine, released when dropped.
 pub(crate) struct Slot {
     pub(crate) worker: WorkerId,
     pub(crate) address: SocketAddr,
-    /// Cancelled when the slot is taken back.
-    pub(crate) taken_back: CancellationToken,
+    /// Cancelled when the holder must stop using the slot.
+    pub(crate) preempted: CancellationToken,
     pool: PoolName,
     context: Arc<Context>,
 }
@@ -40,42 +40,45 @@
     }
 }
 
-/// A job that has items waiting.
+/// The items of a job that wait for a slot.
 struct Queue {
     pool: PoolName,
+    /// Deadline of the job in seconds of Unix time.
     deadline: u64,
+    /// Number of items that were incomplete when the job started on this node.
     remaining: u32,
     waiting: VecDeque<oneshot::Sender<Slot>>,
 }
 
-/// A slot that is in use.
-struct Running {
+/// An item that occupies a slot.
+struct RunningItem {
     pool: PoolName,
-    taken_back: CancellationToken,
+    preempted: CancellationToken,
 }
 
-/// What a granter allowed on one engine.
+/// The slots that a zone's granter allows this node on one engine.
 #[derive(Clone, Debug)]
-struct Granted {
+struct ZoneGrant {
     pool: PoolName,
     zone: ZoneName,
     slots: u32,
     expires_at: Monotonic,
 }
 
-/// Waiting items, granted slots and running items of this node.
+/// Waiting items, running items and granted slots of this node.
 #[derive(Default)]
 pub(crate) struct BatchState {
     queues: Mutex<BTreeMap<JobId, Queue>>,
-    running: Mutex<BTreeMap<WorkerId, Vec<Running>>>,
-    granted: Mutex<BTreeMap<WorkerId, Granted>>,
+    running: Mutex<BTreeMap<WorkerId, Vec<RunningItem>>>,
+    granted: Mutex<BTreeMap<WorkerId, ZoneGrant>>,
     changed: Notify,
-    /// Items began to wait: grants are asked for at once.
+    /// Notified when an item starts to wait, so that grants are requested without delay.
     pub(super) demand: Notify,
 }
 
 impl BatchState {
-    /// Waits for a slot for an item of `job`.
+    /// Waits for a slot for an item of `job`. `deadline` is in seconds of Unix time, `remaining` is the
+    /// number of items that were incomplete when the job started on this node. `None` if the wait was dropped without a slot.
     pub(crate) async fn acquire(
         &self,
         job: &JobId,
@@ -97,31 +100,32 @@
             queue.waiting.push_back(sender);
         }
         self.demand.notify_one();
-        self.wake();
+        self.notify_changed();
         receiver.await.ok()
     }
 
-    /// Something changed: slots are looked at again.
-    pub(crate) fn wake(&self) {
+    /// Triggers a review of the slots.
+    pub(crate) fn notify_changed(&self) {
         self.changed.notify_one();
     }
 
-    /// An online request was placed: its engine's batch items may have to yield now.
-    pub(crate) fn online_arrived(&self, context: &Context) {
-        self.take_back_excess(context);
+    /// Preempts batch items whose engine has no capacity left for them, after an online request was
+    /// placed.
+    pub(crate) fn preempt_for_online(&self, context: &Context) {
+        self.preempt_excess(context);
     }
 
-    /// Gives and takes back slots until the process ends.
+    /// Assigns and preempts slots until the process ends.
     pub(crate) async fn run(context: Arc<Context>) {
         loop {
             let changed = context.batch.changed.notified();
             drop(tokio::time::timeout(REVIEW_INTERVAL, changed).await);
-            context.batch.take_back_excess(&context);
-            context.batch.give(&context);
+            context.batch.preempt_excess(&context);
+            context.batch.assign_slots(&context);
         }
     }
 
-    /// Slots wanted for each pool: what waits and what runs.
+    /// Number of slots wanted for each pool: waiting and running items.
     pub(super) fn wanted(&self) -> BTreeMap<PoolName, u32> {
         let mut wanted: BTreeMap<PoolName, u32> = BTreeMap::new();
         for queue in lock(&self.queues).values() {
@@ -134,7 +138,7 @@
         wanted
     }
 
-    /// Takes over what the granter of a zone allows of a pool, in place of what it allowed before.
+    /// Replaces the grants of a pool in a zone; the new ones all expire at `expires_at`.
     pub(super) fn set_granted(
         &self,
         pool: &PoolName,
@@ -145,7 +149,7 @@
         let mut granted = lock(&self.granted);
         granted.retain(|_, held| held.pool != *pool || held.zone != *zone);
         for grant in grants {
-            let held = Granted {
+            let held = ZoneGrant {
                 pool: pool.clone(),
                 zone: zone.clone(),
                 slots: grant.slots,
@@ -154,41 +158,42 @@
             granted.insert(grant.worker, held);
         }
         drop(granted);
-        self.wake();
+        self.notify_changed();
     }
 
-    fn give(&self, context: &Arc<Context>) {
+    /// Gives free granted slots to waiting items, the jobs with the least slack first.
+    fn assign_slots(&self, context: &Arc<Context>) {
         let mut queues = lock(&self.queues);
         queues.retain(|_, queue| {
             queue.waiting.retain(|waiting| !waiting.is_closed());
             !queue.waiting.is_empty()
         });
-        for job in by_slack(&queues) {
+        for job in jobs_by_slack(&queues) {
             let Some(queue) = queues.get_mut(&job) else {
                 continue;
             };
             while !queue.waiting.is_empty() {
-                let Some(slot) = self.take_slot(context, &queue.pool) else {
+                let Some(slot) = self.occupy_slot(context, &queue.pool) else {
                     break;
                 };
                 if let Some(waiting) = queue.waiting.pop_front() {
-                    // A slot that nobody takes any more is freed by its drop.
+                    // If the receiver has gone, dropping the slot releases it.
                     drop(waiting.send(slot));
                 }
             }
         }
     }
 
-    /// Occupies a slot on the pool's engine with the most granted room.
-    fn take_slot(&self, context: &Arc<Context>, pool: &PoolName) -> Option<Slot> {
+    /// Occupies a slot on the engine of the pool with the most free granted slots.
+    fn occupy_slot(&self, context: &Arc<Context>, pool: &PoolName) -> Option<Slot> {
         let mut workers = lock(&context.workers);
         let mut running = lock(&self.running);
         let granted = lock(&self.granted);
         let now = context.clock.now();
-        let rooms = granted
+        let unexpired = granted
             .iter()
             .filter(|(_, held)| held.pool == *pool && now < held.expires_at);
-        let (worker, address) = rooms
+        let (worker, address) = unexpired
             .filter_map(|(id, held)| {
                 let worker = workers
                     .get(id)
@@ -201,64 +206,71 @@
             .max_by_key(|(free, _)| *free)
             .map(|(_, worker)| (worker.machine.id.clone(), worker.machine.address))?;
         workers.get_mut(&worker)?.own_batch += 1;
-        let taken_back = CancellationToken::new();
-        running.entry(worker.clone()).or_default().push(Running {
-            pool: pool.clone(),
-            taken_back: taken_back.clone(),
-        });
+        let preempted = CancellationToken::new();
+        running
+            .entry(worker.clone())
+            .or_default()
+            .push(RunningItem {
+                pool: pool.clone(),
+                preempted: preempted.clone(),
+            });
         Some(Slot {
             worker,
             address,
-            taken_back,
+            preempted,
             pool: pool.clone(),
             context: Arc::clone(context),
         })
     }
 
-    /// Stops the youngest items on engines that hold more than they may: what was granted, and of
-    /// the node's own zone also what the engine's load leaves at this moment.
-    fn take_back_excess(&self, context: &Context) {
+    /// Preempts the youngest items on engines that run more of this node's items than allowed. The limit
+    /// is the granted number of slots; on engines with online requests of this node it is also the
+    /// number that the engine's load permits.
+    fn preempt_excess(&self, context: &Context) {
         let workers = lock(&context.workers);
         let running = lock(&self.running);
         let granted = lock(&self.granted);
         let now = context.clock.now();
-        for (id, slots) in running.iter() {
+        for (id, items) in running.iter() {
             let held = granted.get(id).filter(|held| now < held.expires_at);
             let mut allowed = held.map_or(0, |held| held.slots);
             if let Some(worker) = workers.get(id).filter(|worker| worker.own_online > 0) {
                 let scheduler = &context.settings.scheduler;
                 allowed = allowed.min(batch_slots(worker, 0, scheduler));
             }
-            let live = slots.iter().filter(|slot| !slot.taken_back.is_cancelled());
-            let live: Vec<&Running> = live.collect();
-            let excess = live.len().saturating_sub(allowed as usize);
-            for slot in live.into_iter().rev().take(excess) {
-                slot.taken_back.cancel();
+            let active = items.iter().filter(|item| !item.preempted.is_cancelled());
+            let active: Vec<&RunningItem> = active.collect();
+            let excess = active.len().saturating_sub(allowed as usize);
+            for item in active.into_iter().rev().take(excess) {
+                item.preempted.cancel();
                 context.metrics.preempted_items.inc();
             }
         }
     }
 
+    /// Frees a slot and removes its item from the running items.
     fn release(&self, context: &Context, slot: &Slot) {
         if let Some(worker) = lock(&context.workers).get_mut(&slot.worker) {
             worker.own_batch = worker.own_batch.saturating_sub(1);
         }
-        slot.taken_back.cancel();
+        slot.preempted.cancel();
         let mut running = lock(&self.running);
-        if let Some(slots) = running.get_mut(&slot.worker) {
-            let own = slots
+        if let Some(items) = running.get_mut(&slot.worker) {
+            // Entries of cancelled items of one pool are interchangeable, so any of them may be removed.
+            let cancelled = items
                 .iter()
-                .position(|held| held.pool == slot.pool && held.taken_back.is_cancelled());
-            if let Some(index) = own {
-                slots.remove(index);
+                .position(|item| item.pool == slot.pool && item.preempted.is_cancelled());
+            if let Some(index) = cancelled {
+                items.remove(index);
             }
         }
         drop(running);
-        self.wake();
+        self.notify_changed();
     }
 }
 
-fn by_slack(queues: &BTreeMap<JobId, Queue>) -> Vec<JobId> {
+/// The queued jobs, the one with the least slack first.
+fn jobs_by_slack(queues: &BTreeMap<JobId, Queue>) -> Vec<JobId> {
     let demands = queues.iter().map(|(job, queue)| JobDemand {
         job: job.clone(),
         deadline: queue.deadline,
--- a/crates/swiftshunt-node/src/context.rs
+++ b/crates/swiftshunt-node/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share.
+//! State and services shared by the modules of a node.
 
 use std::sync::{Arc, Mutex};
 
@@ -21,16 +21,17 @@
 use crate::batch::{BatchState, Granter};
 use crate::clock::Clock;
 use crate::decisions::DecisionJournal;
-use crate::fleet::{Beliefs, Expectations, PlacementCache};
+use crate::fleet::{AnnouncedEvents, GossipStability, PlacementCache};
 use crate::ledger::Ledger;
 use crate::lifecycle::Lifecycle;
 use crate::limiter::TenantLimiter;
 use crate::metrics::Metrics;
 use crate::peer::PeerClient;
 
-/// Everything that the parts of a node share.
+/// State and services shared by the modules of a node.
 pub(crate) struct Context {
     pub(crate) settings: Settings,
+    /// This node as a member of the fleet.
     pub(crate) own: Member,
     pub(crate) clock: Clock,
     pub(crate) log: Arc<dyn LogService>,
@@ -43,37 +44,39 @@
     pub(crate) configuration: watch::Sender<ConfigurationHistory>,
     pub(crate) machine_list: Mutex<MachineList>,
     pub(crate) workers: Mutex<WorkerTable>,
+    /// Budget for retries of online requests, shared by all requests of this node.
     pub(crate) retries: Mutex<RetryBudget>,
     pub(crate) limiter: TenantLimiter,
     pub(crate) ledger: Ledger,
     pub(crate) batch: BatchState,
     pub(crate) granter: Granter,
     pub(crate) placement: PlacementCache,
-    pub(crate) expectations: Expectations,
+    pub(crate) announced_events: AnnouncedEvents,
+    /// `None` if the settings name no weight store.
     pub(crate) weights: Option<WeightStore>,
     pub(crate) decisions: DecisionJournal,
-    pub(crate) beliefs: Beliefs,
+    pub(crate) gossip_stability: GossipStability,
     pub(crate) lifecycle: Lifecycle,
-    /// Cancelled when the node's tasks are to end at once.
+    /// Cancelled when the node's tasks must end immediately.
     pub(crate) aborted: CancellationToken,
     pub(crate) metrics: Metrics,
 }
 
-/// Known leaders and which news of them still travels.
+/// Known leaders of the partitions, and the updates that are still being disseminated.
 #[derive(Default)]
 pub(crate) struct Routes {
     pub(crate) table: RouteTable,
-    pub(crate) news: Dissemination<PartitionId>,
-    /// Rises with each piece of news.
+    pub(crate) updates: Dissemination<PartitionId>,
+    /// Incremented with each hint that changes the table.
     pub(crate) version: u64,
 }
 
 impl Routes {
-    /// Takes in a hint and passes it on if it is new.
-    pub(crate) fn take(&mut self, hint: LeaderHint, fleet_size: usize) {
+    /// Merges a hint, and disseminates it if it changes the table.
+    pub(crate) fn merge(&mut self, hint: LeaderHint, fleet_size: usize) {
         if self.table.merge(hint) {
             self.version += 1;
-            self.news.announce(hint.partition, fleet_size);
+            self.updates.announce(hint.partition, fleet_size);
         }
     }
 }
@@ -112,10 +115,10 @@
             batch: BatchState::default(),
             granter: Granter::default(),
             placement: PlacementCache::default(),
-            expectations: Expectations::default(),
+            announced_events: AnnouncedEvents::default(),
             weights,
             decisions: DecisionJournal::default(),
-            beliefs: Beliefs::default(),
+            gossip_stability: GossipStability::default(),
             lifecycle: Lifecycle::default(),
             aborted: CancellationToken::new(),
             metrics,
@@ -129,11 +132,11 @@
         if failure.execution == Execution::NotRun {
             self.metrics.refused_requests.inc();
         }
-        log::debug!("request refused: {failure}");
+        log::debug!("request failed: {failure}");
     }
 }
 
-/// A random number, for identities and nonces.
-pub(crate) fn draw() -> u64 {
+/// Returns a random number for identifiers and nonces.
+pub(crate) fn random_u64() -> u64 {
     rand::rng().next_u64()
 }
--- a/crates/swiftshunt-node/src/fleet/configuration.rs
+++ b/crates/swiftshunt-node/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! The fleet configuration at this node: replayed from the log, fetched from peers, published.
+//! The fleet configuration at this node: replay from the log, transfer from peers, publication.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,40 +12,45 @@
 };
 use swiftshunt_http::{decode_cbor, encode_cbor};
 
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lifecycle::Stage;
 
-/// Records read at a time.
+/// Limit of the records in one read.
 const READ_LIMIT: usize = 256;
-/// How long a read waits at the end of the stream.
-const TAIL_WAIT: Duration = Duration::from_millis(1000);
-/// Pause after a failed read.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// How long a publisher looks for its own record.
-const PUBLISH_WAIT: Duration = Duration::from_secs(5);
+/// How long a read at the end of the stream waits for a record.
+const TAIL_READ_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Delay before a failed read is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// How long a publisher waits until replay reaches its own record.
+const PUBLISH_CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Replays the configuration stream until the process ends.
 pub(crate) async fn follow_configuration(context: Arc<Context>) {
     let stream = StreamName::configuration();
     loop {
         let from = context.configuration.borrow().next_offset;
-        match context.log.read(&stream, from, READ_LIMIT, TAIL_WAIT).await {
-            Ok(read) if read.records.is_empty() => start_if_alone(&context),
+        match context
+            .log
+            .read(&stream, from, READ_LIMIT, TAIL_READ_TIMEOUT)
+            .await
+        {
+            Ok(read) if read.records.is_empty() => start_serving_if_configured(&context),
             Ok(read) => {
                 apply_records(&context, &read);
                 if context.configuration.borrow().next_offset == from {
-                    log::warn!(offset = from; "the log answers from an old offset");
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    log::warn!(offset = from; "the log returned only records that were replayed before, retrying");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
             Err(error) => {
-                log::debug!("configuration cannot be read: {error}");
-                tokio::time::sleep(RETRY_PAUSE).await;
+                log::debug!("reading the configuration stream failed, retrying: {error}");
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
+/// Applies records in order. Records that cannot be decoded are skipped, so that replay continues.
 fn apply_records(context: &Context, read: &ReadRecords) {
     let mut last = None;
     for (index, bytes) in read.records.iter().enumerate() {
@@ -58,7 +63,7 @@
                 }
             }
             Err(reason) => {
-                log::error!(offset = offset; "configuration record cannot be read: {reason}");
+                log::error!(offset = offset; "configuration record cannot be decoded and is skipped: {reason}");
                 context
                     .configuration
                     .send_modify(|history| history.skip(offset));
@@ -75,70 +80,72 @@
     context
         .configuration
         .send_modify(|history| outcome = history.apply(offset, record));
-    note_version(context);
+    record_version_metric(context);
     outcome
 }
 
-fn note_version(context: &Context) {
+fn record_version_metric(context: &Context) {
     let version = context.configuration.borrow().version;
     context.metrics.configuration_version.set(version);
 }
 
-/// A node that has read the stream to its end and knows no peer may serve.
-fn start_if_alone(context: &Context) {
-    let starting = context.lifecycle.stage() == Stage::Starting;
-    let configured = context.configuration.borrow().version > 0;
-    if starting && configured {
+/// Starts serving at the end of the stream if a configuration is in force. Without reachable peers,
+/// this is the only way for a node to start serving.
+fn start_serving_if_configured(context: &Context) {
+    let is_starting = context.lifecycle.stage() == Stage::Starting;
+    let is_configured = context.configuration.borrow().version > 0;
+    if is_starting && is_configured {
         context.lifecycle.start_serving();
     }
 }
 
-/// Takes over a newer configuration from a peer.
+/// Fetches the configuration from a peer and adopts it if it is newer.
 pub(crate) async fn fetch(context: Arc<Context>, peer: SocketAddr) {
-    let Ok(theirs) = context.peers.configuration(peer).await else {
+    let Ok(peer_history) = context.peers.configuration(peer).await else {
         return;
     };
-    adopt(&context, theirs);
+    adopt(&context, peer_history);
 }
 
-fn adopt(context: &Context, theirs: ConfigurationHistory) {
-    let version = theirs.version;
-    let newer = context
+fn adopt(context: &Context, peer_history: ConfigurationHistory) {
+    let version = peer_history.version;
+    let is_newer = context
         .configuration
-        .send_if_modified(|history| history.adopt(theirs));
-    if newer {
-        note_version(context);
-        log::info!(version = version; "configuration in force, from a peer");
+        .send_if_modified(|history| history.adopt(peer_history));
+    if is_newer {
+        record_version_metric(context);
+        log::info!(version = version; "configuration in force, fetched from a peer");
     }
 }
 
-/// Why a configuration is not in force.
+/// Why a publication did not succeed.
 #[derive(Debug, Display, Error)]
 pub(crate) enum PublishError {
-    /// Another one came first.
+    /// The base is not the version in force; the configuration was not applied.
     #[display(
         "version {in_force} by `{author}` is in force; the change was based on version {base}"
     )]
     Stale {
-        /// What the author saw.
+        /// The version that the configuration was based on.
         base: Version,
-        /// What is in force.
+        /// The version in force.
         in_force: Version,
-        /// Who published that.
+        /// Name of the operator who published the version in force.
         author: String,
     },
-    /// The log cannot be reached: nothing was published.
+    /// The log cannot be reached; nothing was appended.
     #[display("the log cannot be reached: {source}")]
     NotPublished {
-        /// The reason.
+        /// The failure of the log service.
         source: LogError,
     },
-    /// The answer was lost, and the record was not seen in time.
+    /// The outcome is unknown: replay did not reach the record in time, and the configuration may still
+    /// come into force. Also returned if the record cannot be encoded; then nothing was appended.
     #[display("the log did not confirm; the change may come into force")]
     Unknown,
 }
 
-/// Publishes a configuration based on version `base` and waits until replay has decided on it.
+/// Publishes a configuration based on version `base` and waits until replay has applied or ignored it.
 pub(crate) async fn publish(
     context: &Context,
     base: Version,
@@ -156,7 +163,7 @@
     let record = ConfigurationRecord {
         base,
         author,
-        nonce: draw(),
+        nonce: random_u64(),
         configuration,
     };
     let stream = StreamName::configuration();
@@ -165,13 +172,15 @@
     if let Err(source @ LogError::NotReached { .. }) = appended {
         return Err(PublishError::NotPublished { source });
     }
-    let search = find_decision(context, &record, current);
-    let found = tokio::time::timeout(PUBLISH_WAIT, search).await;
+    // After any other failure, the log may have stored the record.
+    let search = find_outcome(context, &record, current);
+    let found = tokio::time::timeout(PUBLISH_CONFIRM_TIMEOUT, search).await;
     found.unwrap_or(Err(PublishError::Unknown))
 }
 
-/// Replays from `history` on until the author's own record is decided.
-async fn find_decision(
+/// Replays the stream from `history` on until the record `own`, recognised by its nonce, is applied or
+/// ignored.
+async fn find_outcome(
     context: &Context,
     own: &ConfigurationRecord,
     mut history: ConfigurationHistory,
@@ -179,8 +188,12 @@
     let stream = StreamName::configuration();
     loop {
         let from = history.next_offset;
-        let Ok(read) = context.log.read(&stream, from, READ_LIMIT, TAIL_WAIT).await else {
-            tokio::time::sleep(RETRY_PAUSE).await;
+        let Ok(read) = context
+            .log
+            .read(&stream, from, READ_LIMIT, TAIL_READ_TIMEOUT)
+            .await
+        else {
+            tokio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         for (index, bytes) in read.records.iter().enumerate() {
@@ -192,13 +205,13 @@
             let outcome = history.apply(offset, &record);
             if record.nonce == own.nonce {
                 adopt(context, history);
-                return decided(own.base, outcome);
+                return publish_result(own.base, outcome);
             }
         }
     }
 }
 
-fn decided(base: Version, outcome: RecordOutcome) -> Result<Version, PublishError> {
+fn publish_result(base: Version, outcome: RecordOutcome) -> Result<Version, PublishError> {
     match outcome {
         RecordOutcome::Applied(version) => Ok(version),
         RecordOutcome::Stale { in_force, author } => Err(PublishError::Stale {
--- a/crates/swiftshunt-node/src/fleet/expectations.rs
+++ b/crates/swiftshunt-node/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Online work that events announce, as this node has last heard from the pools' partitions.
+//! Online load announced by events, as last read from the partitions that hold the pools' state.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -13,33 +13,33 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// How often the pools' partitions are asked.
-const INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which the events of the pools are read.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Known events of each pool.
+/// The announced events of each pool for which this node grants batch slots.
 #[derive(Default)]
-pub(crate) struct Expectations {
+pub(crate) struct AnnouncedEvents {
     events: Mutex<BTreeMap<PoolName, Vec<Event>>>,
 }
 
-impl Expectations {
-    /// Requests a second that events announce for now.
+impl AnnouncedEvents {
+    /// Requests per second that the active events of a pool announce. An event is active from the
+    /// configured lead before its start until its end.
     pub(crate) fn requests_per_second(&self, context: &Context, pool: &PoolName) -> u64 {
-        let lead = context.settings.scheduler.event_lead.as_secs();
+        let lead_seconds = context.settings.scheduler.event_lead.as_secs();
         let now = unix_seconds();
         let events = lock(&self.events);
-        let active = events
-            .get(pool)
-            .into_iter()
-            .flatten()
-            .filter(|event| now + lead >= event.start && now < event.start + event.lasting);
+        let active =
+            events.get(pool).into_iter().flatten().filter(|event| {
+                now + lead_seconds >= event.start && now < event.start + event.lasting
+            });
         active.map(|event| event.requests_per_second).sum()
     }
 }
 
-/// Keeps the known events up to date until the process ends.
+/// Reads the events of the pools periodically until the process ends.
 pub(crate) async fn follow_events(context: Arc<Context>) {
-    let mut ticker = tokio::time::interval(INTERVAL);
+    let mut ticker = tokio::time::interval(POLL_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         ticker.tick().await;
@@ -48,23 +48,23 @@
             let pools = history.configuration.pools.iter();
             pools.map(|pool| pool.name.clone()).collect()
         };
-        // Only a granter uses what events announce; if every node asked, the pools' partitions
-        // would be asked more the larger the fleet is.
-        let granted = pools.into_iter().filter(|pool| {
+        // Only granters use the events. If every node read them, the load on the pools' partitions
+        // would grow with the fleet.
+        let granted_pools = pools.into_iter().filter(|pool| {
             let granters = context.placement.granters(&context, pool);
             granters.get(&context.own.zone) == Some(&context.own.id)
         });
-        let granted: Vec<PoolName> = granted.collect();
-        for pool in granted {
+        let granted_pools: Vec<PoolName> = granted_pools.collect();
+        for pool in granted_pools {
             if let Some(state) = read_pool(&context, &pool).await {
                 let events = state.events.into_values().collect();
-                lock(&context.expectations.events).insert(pool, events);
+                lock(&context.announced_events.events).insert(pool, events);
             }
         }
     }
 }
 
-/// What is declared of a pool, from its partition's leader.
+/// Reads a pool's state from the leader of its partition; `None` if that fails.
 async fn read_pool(context: &Context, pool: &PoolName) -> Option<PoolState> {
     let partition = partition_of(&pool_key(pool), context.settings.ledger.partitions);
     let operation = LedgerOperation::Query(LedgerQuery::Pool(pool.clone()));
--- a/crates/swiftshunt-node/src/fleet/gossip.rs
+++ b/crates/swiftshunt-node/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! The probe cycle and the news on it.
+//! The probe cycle, and the gossip that is piggybacked on probes.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -14,16 +14,16 @@
 use crate::lock;
 use crate::peer::{Gossip, StateVersions};
 
-/// How often time is looked at.
-const TICK: Duration = Duration::from_millis(25);
-/// How often seeds that are not known members are tried.
+/// Interval at which the membership's timers are checked.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval at which seeds that are not known members are contacted.
 const SEED_INTERVAL: Duration = Duration::from_secs(1);
-/// How often a node that knows nobody else tries its seeds.
-const ALONE_SEED_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which a node without reachable peers contacts its seeds.
+const ISOLATED_SEED_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Probes members until the process ends.
 pub(crate) async fn run_gossip(context: Arc<Context>) {
-    let mut ticker = tokio::time::interval(TICK);
+    let mut ticker = tokio::time::interval(TICK_INTERVAL);
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     let mut seeds_due = context.clock.now();
     loop {
@@ -40,54 +40,57 @@
     }
 }
 
-/// Greets the seeds that are not known members; returns when to look again.
+/// Sends a join message to the nodes of the machine list and the seeds that are not known members.
+/// Returns the time until the next attempt.
 fn join_through_seeds(context: &Arc<Context>) -> Duration {
     let listed = lock(&context.machine_list).clone();
     let nodes = listed.machines.iter();
     let nodes = nodes.filter(|machine| machine.kind == swiftshunt_types::MachineKind::Node);
     let mut addresses: Vec<SocketAddr> = nodes.map(|machine| machine.address).collect();
     addresses.extend(&context.settings.seeds);
-    let alone = {
+    let is_alone = {
         let membership = lock(&context.membership);
         addresses
             .retain(|address| *address != context.own.peer && !membership.knows_address(*address));
         membership.reachable().count() == 1
     };
     for address in addresses {
-        tokio::spawn(greet(Arc::clone(context), address));
+        tokio::spawn(join_seed(Arc::clone(context), address));
     }
-    if alone {
-        ALONE_SEED_INTERVAL
+    if is_alone {
+        ISOLATED_SEED_INTERVAL
     } else {
         SEED_INTERVAL
     }
 }
 
-async fn greet(context: Arc<Context>, address: SocketAddr) {
+async fn join_seed(context: Arc<Context>, address: SocketAddr) {
     let message = own_gossip(&context, true);
     let timeout = context.settings.membership.probe_timeout;
     if let Ok(answer) = context.peers.gossip(address, &message, timeout).await {
-        take_gossip(&context, answer, address);
+        merge_gossip(&context, answer, address);
     }
 }
 
+/// Probes a member directly, and through helpers one after another if it does not answer.
 async fn probe(context: Arc<Context>, plan: ProbePlan) {
     let target = plan.target;
     let mut message = own_gossip(&context, false);
-    // What is believed of the target always travels on its probe, so that it can refute.
-    let belief = lock(&context.membership).record(target.id).cloned();
-    message.members.extend(belief);
+    // This node's record of the target is always included, so that the target can refute a suspicion.
+    let target_record = lock(&context.membership).record(target.id).cloned();
+    message.members.extend(target_record);
     let timeout = context.settings.membership.probe_timeout;
     let answer = context.peers.gossip(target.peer, &message, timeout).await;
     let now = context.clock.now();
     if let Ok(answer) = answer {
         let answered_by = answer.from.id;
-        take_gossip(&context, answer, target.peer);
+        merge_gossip(&context, answer, target.peer);
         let changes = lock(&context.membership).probe_answered(target.id, answered_by, now);
         log_changes(&changes);
         return;
     }
     for helper in &plan.helpers {
+        // The helper's own probe of the target may take one timeout.
         let timeout = timeout * 2;
         let answer = context.peers.probe(helper.peer, target.peer, timeout).await;
         if let Some(answered_by) = answer.ok().and_then(|answer| answer.answered_by) {
@@ -101,7 +104,8 @@
     log_changes(&changes);
 }
 
-/// The message that this node sends now.
+/// Builds this node's gossip message: all records and leader hints if `complete`, else the next
+/// updates to disseminate.
 pub(crate) fn own_gossip(context: &Context, complete: bool) -> Gossip {
     let digest = digest(context);
     let members = {
@@ -118,7 +122,7 @@
         if complete {
             routes.table.hints().copied().collect()
         } else {
-            let chosen = routes.news.next(limit);
+            let chosen = routes.updates.next(limit);
             let hints = chosen
                 .iter()
                 .filter_map(|partition| routes.table.hint(*partition));
@@ -141,88 +145,93 @@
     }
 }
 
-/// Takes a message and answers it. The answer is complete if the sender joins, or if the two sides
-/// still believe different things although nothing has been news here for a while: before that the
-/// difference is news under way.
+/// Merges a message and builds the answer. The answer is complete if the sender joins, or if the
+/// digests differ although this node's view has not changed for [`STABLE_DELAY`]: before that, updates
+/// still being disseminated may explain the difference.
 pub(crate) fn answer_gossip(context: &Arc<Context>, received: Gossip) -> Gossip {
     let sender = received.from.peer;
-    let joins = received.complete;
-    let differs = received.digest != digest(context);
-    let settled = context.beliefs.are_settled(context);
-    take_gossip(context, received, sender);
-    own_gossip(context, joins || (differs && settled))
+    let sender_joins = received.complete;
+    let digests_differ = received.digest != digest(context);
+    let is_stable = context.gossip_stability.is_stable(context);
+    merge_gossip(context, received, sender);
+    own_gossip(context, sender_joins || (digests_differ && is_stable))
 }
 
-/// When the node's beliefs last changed.
+/// Tracks when this node's view of members and leaders last changed.
 #[derive(Default)]
-pub(crate) struct Beliefs {
-    seen: Mutex<(u64, Monotonic)>,
+pub(crate) struct GossipStability {
+    /// The version of the view, and when it was first observed.
+    last_change: Mutex<(u64, Monotonic)>,
 }
 
-/// Beliefs that have not changed for this long are settled: news has reached everybody by then.
-const SETTLED_AFTER: Duration = Duration::from_secs(5);
+/// Time without a change after which the view is stable; updates have reached every node by then.
+const STABLE_DELAY: Duration = Duration::from_secs(5);
 
-impl Beliefs {
-    fn are_settled(&self, context: &Context) -> bool {
+impl GossipStability {
+    fn is_stable(&self, context: &Context) -> bool {
         let version = lock(&context.membership).version() + lock(&context.routes).version;
         let now = context.clock.now();
-        let mut seen = lock(&self.seen);
-        if seen.0 != version {
-            *seen = (version, now);
+        let mut last_change = lock(&self.last_change);
+        if last_change.0 != version {
+            *last_change = (version, now);
         }
-        now >= seen.1 + SETTLED_AFTER
+        now >= last_change.1 + STABLE_DELAY
     }
 }
 
-/// Takes in news. `heard_at` is the address under which the sender was, or can be, reached.
-fn take_gossip(context: &Arc<Context>, received: Gossip, heard_at: SocketAddr) {
+/// Merges a peer's message. `sender_address` is the peer address of the sender.
+fn merge_gossip(context: &Arc<Context>, received: Gossip, sender_address: SocketAddr) {
     if received.partitions != context.settings.ledger.partitions {
         log::error!(peer = received.from.id.to_string().as_str();
-            "peer has {} ledger partitions, this node {}; its messages are ignored",
+            "peer is configured with {} ledger partitions and this node with {}; ignoring its messages",
             received.partitions, context.settings.ledger.partitions);
         return;
     }
     let now = context.clock.now();
     let changes = lock(&context.membership).merge(received.members, now);
     log_changes(&changes);
-    take_routes(context, received.routes);
-    take_leaving_workers(context, received.leaving_workers);
-    catch_up(context, received.versions, heard_at);
+    merge_routes(context, received.routes);
+    merge_leaving_workers(context, received.leaving_workers);
+    fetch_newer_state(context, received.versions, sender_address);
     if context.lifecycle.stage() == Stage::Starting {
-        settle_start(context, received.versions);
+        start_serving_if_current(context, received.versions);
     }
 }
 
-fn take_routes(context: &Context, hints: Vec<swiftshunt_ledger::routes::LeaderHint>) {
+/// Merges leader hints, and disseminates those that change the table.
+fn merge_routes(context: &Context, hints: Vec<swiftshunt_ledger::routes::LeaderHint>) {
     let fleet_size = lock(&context.membership).records().count();
     let mut routes = lock(&context.routes);
     for hint in hints {
-        routes.take(hint, fleet_size);
+        routes.merge(hint, fleet_size);
     }
 }
 
-fn take_leaving_workers(context: &Context, leaving: Vec<(swiftshunt_types::WorkerId, SocketAddr)>) {
+fn merge_leaving_workers(
+    context: &Context,
+    leaving: Vec<(swiftshunt_types::WorkerId, SocketAddr)>,
+) {
     let mut workers = lock(&context.workers);
     for (worker, address) in leaving {
         workers.mark_leaving(worker, address);
     }
 }
 
-/// Fetches from a peer what it holds in a newer version.
-fn catch_up(context: &Arc<Context>, theirs: StateVersions, peer: SocketAddr) {
-    let ours = versions(context);
-    if theirs.configuration > ours.configuration {
+/// Fetches the configuration and the machine list from a peer, each if the peer's version is newer.
+fn fetch_newer_state(context: &Arc<Context>, peer_versions: StateVersions, peer: SocketAddr) {
+    let own_versions = versions(context);
+    if peer_versions.configuration > own_versions.configuration {
         tokio::spawn(super::configuration::fetch(Arc::clone(context), peer));
     }
-    if theirs.machines > ours.machines {
+    if peer_versions.machines > own_versions.machines {
         tokio::spawn(super::machines::fetch(Arc::clone(context), peer));
     }
 }
 
-/// A starting node serves once its configuration is as new as that of a peer that it reached.
-fn settle_start(context: &Context, theirs: StateVersions) {
-    let ours = versions(context).configuration;
-    if ours > 0 && ours >= theirs.configuration {
+/// Starts serving if this node's configuration is at least as new as that of the peer.
+fn start_serving_if_current(context: &Context, peer_versions: StateVersions) {
+    let own_version = versions(context).configuration;
+    if own_version > 0 && own_version >= peer_versions.configuration {
         context.lifecycle.start_serving();
     }
 }
@@ -234,12 +243,13 @@
     }
 }
 
-/// Hash of all beliefs on members and leaders: equal on nodes that have heard the same.
+/// Hash of the known members and leaders; equal on nodes with the same view. Suspected, dead and left
+/// members are not included.
 fn digest(context: &Context) -> u64 {
     let mut hasher = DefaultHasher::new();
     for record in lock(&context.membership).records() {
-        let settled = matches!(record.state, MemberState::Alive | MemberState::Leaving);
-        if settled {
+        let is_confirmed = matches!(record.state, MemberState::Alive | MemberState::Leaving);
+        if is_confirmed {
             (record.member.id, record.incarnation, record.state).hash(&mut hasher);
         }
     }
@@ -249,7 +259,7 @@
     hasher.finish()
 }
 
-/// Tells a few others that this node is gone, so that nobody waits to find out.
+/// Tells some peers that this node has left, so that its departure needs no failure detection.
 pub(crate) async fn announce_left(context: &Arc<Context>) {
     lock(&context.membership).announce_left(context.clock.now());
     let message = own_gossip(context, true);
@@ -258,7 +268,10 @@
         let others = membership
             .reachable()
             .filter(|member| member.id != context.own.id);
-        others.take(FAREWELLS).map(|member| member.peer).collect()
+        others
+            .take(MAX_LEAVE_NOTICES)
+            .map(|member| member.peer)
+            .collect()
     };
     let timeout = context.settings.membership.probe_timeout;
     for other in others {
@@ -266,8 +279,8 @@
     }
 }
 
-/// Nodes that are told of a departure at once; they pass it on.
-const FAREWELLS: usize = 6;
+/// Number of peers that are told directly that this node has left; gossip disseminates it further.
+const MAX_LEAVE_NOTICES: usize = 6;
 
 fn log_changes(changes: &[Change]) {
     for change in changes {
--- a/crates/swiftshunt-node/src/fleet/placement.rs
+++ b/crates/swiftshunt-node/src/fleet/placement.rs
@@ -1,4 +1,5 @@
-//! Which node of each zone holds what, derived from the member list and kept until that changes.
+//! Placement of partition replicas and slot granters on nodes, derived from the member list and cached
+//! until the list changes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -9,33 +10,34 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Derived placements, all of one version of the member list.
+/// Cached placements, all derived from the same version of the member list.
 #[derive(Default)]
 pub(crate) struct PlacementCache {
-    derived: Mutex<Derived>,
+    placements: Mutex<Placements>,
 }
 
 #[derive(Default)]
-struct Derived {
+struct Placements {
     version: Option<u64>,
     by_zone: BTreeMap<ZoneName, Vec<NodeId>>,
     candidates: HashMap<PartitionId, BTreeMap<ZoneName, NodeId>>,
 }
 
 impl PlacementCache {
-    /// For each zone with an eligible node, the node that should hold the partition's replica.
+    /// The node that should hold the partition's replica, for each of its replica zones that has an
+    /// eligible node.
     pub(crate) fn candidates(
         &self,
         context: &Context,
         partition: PartitionId,
     ) -> BTreeMap<ZoneName, NodeId> {
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        if let Some(known) = derived.candidates.get(&partition) {
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        if let Some(known) = placements.candidates.get(&partition) {
             return known.clone();
         }
         let zones = replica_zones_of(context, partition);
-        let found: BTreeMap<ZoneName, NodeId> = derived
+        let found: BTreeMap<ZoneName, NodeId> = placements
             .by_zone
             .iter()
             .filter(|(zone, _)| zones.contains(zone))
@@ -44,31 +46,31 @@
                 Some((zone.clone(), node))
             })
             .collect();
-        derived.candidates.insert(partition, found.clone());
+        placements.candidates.insert(partition, found.clone());
         found
     }
 
-    /// For each zone with an eligible node, the node that grants the batch slots of a pool there.
+    /// The node that grants the pool's batch slots, for each zone that has an eligible node.
     pub(crate) fn granters(
         &self,
         context: &Context,
         pool: &PoolName,
     ) -> BTreeMap<ZoneName, NodeId> {
         let key = u64::from(partition_of(pool.as_str(), u16::MAX).0);
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        let zones = derived.by_zone.iter();
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        let zones = placements.by_zone.iter();
         let granters = zones.filter_map(|(zone, nodes)| {
             Some((zone.clone(), rendezvous(key, nodes.iter().copied())?))
         });
         granters.collect()
     }
 
-    /// Version of the member list that placements were last derived from.
+    /// Version of the current member list, from which placements are derived.
     pub(crate) fn version(&self, context: &Context) -> Option<u64> {
-        let mut derived = lock(&self.derived);
-        derived.refresh(context);
-        derived.version
+        let mut placements = lock(&self.placements);
+        placements.refresh(context);
+        placements.version
     }
 }
 
@@ -78,7 +80,8 @@
     replica_zones(partition, &settings.zones, settings.ledger.replicas)
 }
 
-impl Derived {
+impl Placements {
+    /// Derives the nodes of each zone again if the member list has changed, and clears the candidates.
     fn refresh(&mut self, context: &Context) {
         let membership = lock(&context.membership);
         if self.version == Some(membership.version()) {
--- a/crates/swiftshunt-node/src/fleet/plans.rs
+++ b/crates/swiftshunt-node/src/fleet/plans.rs
@@ -1,5 +1,5 @@
-//! Serving targets at the leader of the pool's partition: plan backward from the deadline, commit
-//! each load order, send it with a fence.
+//! Planning of model loads for serving targets, at the leader of the pool's partition. Loads start early
+//! enough to end by the target's deadline. Each load order is committed, then sent with a fencing token.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,16 +19,17 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery, PartitionView};
 
-/// How often targets are looked at.
-const INTERVAL: Duration = Duration::from_millis(500);
-/// Time for one order.
+/// Interval at which targets are planned.
+const PLAN_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of sending one order to an engine.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(2);
-/// An order that has not led to a loaded model after this long, in seconds, is given up.
-const ORDER_LIFETIME: u64 = 120;
-/// Seconds assumed for a load while the weight store does not say.
+/// Time for which an order that has not failed counts as outstanding, in seconds. After it, the load may
+/// be ordered again if the engine does not have the model.
+const ORDER_TTL_SECONDS: u64 = 120;
+/// Assumed duration of a load if the weight store is not configured or fails, in seconds.
 const ASSUMED_SECONDS_PER_LOAD: f64 = 10.0;
 
-/// The plans of one partition's pools, under one leadership.
+/// Planner of the pools of one partition, for the duration of one leadership.
 pub(crate) struct Planner {
     pub(crate) context: Arc<Context>,
     pub(crate) partition: PartitionId,
@@ -36,44 +37,45 @@
 }
 
 impl Planner {
-    /// Plans until the leadership is over.
+    /// Plans periodically until `stopped` is cancelled at the end of the leadership.
     pub(crate) async fn run(self, stopped: CancellationToken) {
-        let mut ticker = tokio::time::interval(INTERVAL);
+        let mut ticker = tokio::time::interval(PLAN_INTERVAL);
         ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = ticker.tick() => self.plan_all().await,
+                _ = ticker.tick() => self.plan_all_targets().await,
                 () = stopped.cancelled() => return,
             }
         }
     }
 
-    async fn plan_all(&self) {
+    async fn plan_all_targets(&self) {
         let Some(LedgerAnswer::Pools(pools)) = self.query(LedgerQuery::Pools).await else {
             return;
         };
         for (pool, state) in pools {
-            self.end_left_orders(&pool, &state).await;
+            self.resend_given_orders(&pool, &state).await;
             for target in state.targets.values() {
-                self.plan(&pool, &state, target).await;
+                self.plan_target(&pool, &state, target).await;
             }
         }
     }
 
-    /// Sends orders that an earlier planner committed and did not see ended: it may have died before
-    /// it sent them. Orders of this planner are ended before it plans again.
-    async fn end_left_orders(&self, pool: &PoolName, state: &PoolState) {
-        let left = state
+    /// Sends orders that were committed without a recorded outcome: an earlier planner may have
+    /// crashed before it sent them. This planner records the outcome of its own orders before it plans
+    /// again.
+    async fn resend_given_orders(&self, pool: &PoolName, state: &PoolState) {
+        let given = state
             .orders
             .iter()
             .filter(|order| matches!(order.status, OrderStatus::Given));
-        for order in left {
+        for order in given {
             let Some(LedgerAnswer::Partition(view)) = self.query(LedgerQuery::Partition).await
             else {
                 return;
             };
             let sequence = order.sequence;
-            log::info!(sequence, worker = order.worker.as_str(); "an order that was left is sent");
+            log::info!(sequence, worker = order.worker.as_str(); "resending a load order without a recorded outcome");
             let status = self
                 .send(&view, &order.worker, &order.model, sequence)
                 .await;
@@ -82,7 +84,7 @@
         }
     }
 
-    async fn plan(&self, pool: &PoolName, state: &PoolState, target: &Target) {
+    async fn plan_target(&self, pool: &PoolName, state: &PoolState, target: &Target) {
         let now = unix_seconds();
         let demand = ReplicaTarget {
             model: target.model.clone(),
@@ -120,6 +122,7 @@
         views.collect()
     }
 
+    /// Duration of one load of the model, from its size and the rate of the weight store.
     async fn seconds_per_load(&self, model: &ModelName) -> f64 {
         let Some(store) = &self.context.weights else {
             return ASSUMED_SECONDS_PER_LOAD;
@@ -133,7 +136,7 @@
         }
     }
 
-    /// Commits an order, then sends it.
+    /// Commits an order, sends it and records its outcome.
     async fn order(&self, pool: &PoolName, target: &Target, worker: &WorkerId, now: u64) {
         let change = PoolCommand::GiveOrder {
             target: target.name.clone(),
@@ -147,7 +150,7 @@
         let Some(LedgerAnswer::Partition(view)) = self.query(LedgerQuery::Partition).await else {
             return;
         };
-        self.explain(target, worker, sequence);
+        self.record_decisions(target, worker, sequence);
         let status = self.send(&view, worker, &target.model, sequence).await;
         self.change(pool, PoolCommand::EndOrder { sequence, status })
             .await;
@@ -197,7 +200,12 @@
             change,
         };
         let operation = LedgerOperation::Propose(command);
-        match self.context.ledger.local(self.partition, operation).await {
+        match self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await
+        {
             Ok(LedgerAnswer::Outcome(Outcome::Pool(outcome))) => Some(outcome),
             _ => None,
         }
@@ -207,12 +215,14 @@
         let operation = LedgerOperation::Query(query);
         self.context
             .ledger
-            .local(self.partition, operation)
+            .execute_local(self.partition, operation)
             .await
             .ok()
     }
 
-    fn explain(&self, target: &Target, worker: &WorkerId, sequence: u64) {
+    /// Records the decision under the target, the order and the worker, as operators may ask for any of
+    /// them.
+    fn record_decisions(&self, target: &Target, worker: &WorkerId, sequence: u64) {
         let decision = format!("order {sequence}: worker {worker} loads {}", target.model);
         let reason = format!(
             "target {} needs {} replicas in each zone by {}",
@@ -233,10 +243,12 @@
     }
 }
 
+/// Whether an order to load the model on the worker has not failed and is younger than
+/// [`ORDER_TTL_SECONDS`].
 fn is_outstanding(state: &PoolState, worker: &WorkerId, model: &ModelName, now: u64) -> bool {
-    let same = |order: &&Order| order.worker == *worker && order.model == *model;
-    state.orders.iter().filter(same).any(|order| {
+    let is_same_load = |order: &&Order| order.worker == *worker && order.model == *model;
+    state.orders.iter().filter(is_same_load).any(|order| {
         let failed = matches!(order.status, OrderStatus::Failed { .. });
-        !failed && now < order.given_at + ORDER_LIFETIME
+        !failed && now < order.given_at + ORDER_TTL_SECONDS
     })
 }
--- a/crates/swiftshunt-node/src/ledger/acknowledgements.rs
+++ b/crates/swiftshunt-node/src/ledger/acknowledgements.rs
@@ -1,4 +1,4 @@
-//! Answers that wait: for their entry to commit, and then for the archive.
+//! Pending replies: each waits until its entry is applied and then until the entry is archived.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -9,57 +9,71 @@
 use super::input::Reply;
 use crate::peer::{LedgerAnswer, LedgerRefusal};
 
-/// Answers that wait.
+/// Pending replies of one replica.
 #[derive(Default)]
 pub(super) struct Acknowledgements {
+    /// Replies to proposals that wait until the entry at this index is applied, with the position of
+    /// the proposed entry.
     proposed: BTreeMap<Index, (LogPosition, Reply)>,
+    /// Replies that wait until the submission has ended.
     awaited: HashMap<SubmissionId, Vec<Reply>>,
+    /// Replies, with their answers, that wait until the entry at this index is archived; ordered by
+    /// index.
     committed: VecDeque<(Index, Reply, LedgerAnswer)>,
 }
 
 impl Acknowledgements {
-    /// Answers when the entry at `position` is applied.
-    pub(super) fn on_applied(&mut self, position: LogPosition, reply: Reply) {
+    /// Replies once the entry at `position` is applied and archived.
+    pub(super) fn reply_on_applied(&mut self, position: LogPosition, reply: Reply) {
         self.proposed.insert(position.index, (position, reply));
     }
 
-    /// Answers when the submission ends.
-    pub(super) fn on_result(&mut self, id: SubmissionId, reply: Reply) {
+    /// Replies once the submission has ended and its result is archived. Pending replies for the
+    /// submission whose caller has gone are dropped.
+    pub(super) fn reply_on_completion(&mut self, id: SubmissionId, reply: Reply) {
         let waiting = self.awaited.entry(id).or_default();
         waiting.retain(|reply| !reply.is_closed());
         waiting.push(reply);
     }
 
-    /// Answers when the archive has reached `index`.
-    pub(super) fn on_archived(&mut self, index: Index, reply: Reply, answer: LedgerAnswer) {
+    /// Replies once the archive contains the entry at `index`.
+    pub(super) fn reply_on_archived(&mut self, index: Index, reply: Reply, answer: LedgerAnswer) {
         self.committed.push_back((index, reply, answer));
     }
 
-    /// An entry was applied.
-    pub(super) fn applied(&mut self, position: LogPosition, outcome: Option<&Outcome>) {
+    /// Handles an applied entry: its reply then waits for the archive, or fails with
+    /// [`LedgerRefusal::Lost`] if another entry took the proposed entry's place.
+    pub(super) fn on_entry_applied(&mut self, position: LogPosition, outcome: Option<&Outcome>) {
         let Some((proposed, reply)) = self.proposed.remove(&position.index) else {
             return;
         };
         match outcome {
             Some(outcome) if proposed == position => {
                 let answer = LedgerAnswer::Outcome(outcome.clone());
-                self.on_archived(position.index, reply, answer);
+                self.reply_on_archived(position.index, reply, answer);
             }
             _ => drop(reply.send(Err(LedgerRefusal::Lost))),
         }
     }
 
-    /// A submission ended with the entry at `index`.
-    pub(super) fn ended(&mut self, index: Index, id: &SubmissionId, result: &SubmissionResult) {
+    /// Handles the end of a submission by the entry at `index`: replies that wait for it then wait
+    /// for the archive.
+    pub(super) fn on_submission_completed(
+        &mut self,
+        index: Index,
+        id: &SubmissionId,
+        result: &SubmissionResult,
+    ) {
         for reply in self.awaited.remove(id).unwrap_or_default() {
-            self.on_archived(index, reply, LedgerAnswer::Result(Some(result.clone())));
+            self.reply_on_archived(index, reply, LedgerAnswer::Result(Some(result.clone())));
         }
     }
 
-    /// Gives the answers that the archive, up to `archived`, allows.
-    pub(super) fn flush(&mut self, archived: Index) {
+    /// Sends the replies whose entry has an index up to `up_to`: the archived index, or the commit
+    /// index while the archive counts as unavailable.
+    pub(super) fn flush(&mut self, up_to: Index) {
         while let Some((index, _, _)) = self.committed.front() {
-            if *index > archived {
+            if *index > up_to {
                 return;
             }
             if let Some((_, reply, answer)) = self.committed.pop_front() {
@@ -68,8 +82,9 @@
         }
     }
 
-    /// Leadership is lost: nobody here can tell what becomes of these.
-    pub(super) fn lose_all(&mut self) {
+    /// Fails every pending reply with [`LedgerRefusal::Lost`], because leadership has ended and this
+    /// node cannot tell their outcome.
+    pub(super) fn fail_all(&mut self) {
         let proposed = std::mem::take(&mut self.proposed).into_values();
         let awaited = std::mem::take(&mut self.awaited).into_values().flatten();
         let committed = std::mem::take(&mut self.committed).into_iter();
--- a/crates/swiftshunt-node/src/ledger/archive_writer.rs
+++ b/crates/swiftshunt-node/src/ledger/archive_writer.rs
@@ -1,24 +1,30 @@
-//! What a leader still owes the archive, and whether the archive counts as available.
+//! Decides what a leader appends to the archive next and whether the archive counts as available.
 
 use std::time::Duration;
 
 use swiftshunt_ledger::raft::Index;
 use swiftshunt_types::Monotonic;
 
-/// An append whose answer is missing is repeated after this long, unless the tail shows it.
-const REPEAT_AFTER: Duration = Duration::from_millis(250);
+/// Delay after which acknowledged entries are appended again if the tail does not show them.
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The leader's side of the archive.
+/// State of the leader's appends to the archive.
 #[derive(Debug, Default)]
 pub(super) struct ArchiveWriter {
     in_flight: bool,
+    /// Index of the last entry whose append was acknowledged; set back to the archived index if the
+    /// entries after that must be appended again.
     sent_up_to: Index,
+    /// Time at which the last append was started, acknowledged or reported as failed.
     sent_at: Monotonic,
+    /// Time since which committed entries have been missing in the archive without progress; `None`
+    /// if none are missing or the tail has just advanced.
     behind_since: Option<Monotonic>,
 }
 
 impl ArchiveWriter {
-    /// Notes progress: `archived` is what the tail has shown.
+    /// Updates the time since which committed entries have been missing in the archive. `archived` is
+    /// the index that the tail shows.
     pub(super) fn observe(&mut self, committed: Index, archived: Index, now: Monotonic) {
         if archived >= committed {
             self.behind_since = None;
@@ -27,18 +33,20 @@
         }
     }
 
-    /// The tail advanced: what is left counts as new.
-    pub(super) fn advanced(&mut self) {
+    /// Restarts the wait for the archive, because the tail has advanced.
+    pub(super) fn on_tail_advanced(&mut self) {
         self.behind_since = None;
     }
 
-    /// Whether acknowledgements no longer wait for the archive.
+    /// Whether the archive has made no progress on committed entries for `wait`; acknowledgements
+    /// then do not wait for it.
     pub(super) fn is_unavailable(&self, wait: Duration, now: Monotonic) -> bool {
         self.behind_since.is_some_and(|since| now >= since + wait)
     }
 
-    /// After which index to append now, if at all.
-    pub(super) fn next_append(
+    /// The index after which to append entries at `now`; `None` if an append is in flight or no
+    /// committed entry is missing.
+    pub(super) fn next_append_after(
         &mut self,
         committed: Index,
         archived: Index,
@@ -47,29 +55,30 @@
         if self.in_flight || committed <= archived {
             return None;
         }
-        let unconfirmed = self.sent_up_to > archived;
-        if unconfirmed && now >= self.sent_at + REPEAT_AFTER {
+        let is_unconfirmed = self.sent_up_to > archived;
+        if is_unconfirmed && now >= self.sent_at + APPEND_RETRY_DELAY {
             self.sent_up_to = archived;
         }
         let after = self.sent_up_to.max(archived);
         (committed > after).then_some(after)
     }
 
-    pub(super) fn started(&mut self, now: Monotonic) {
+    pub(super) fn on_append_started(&mut self, now: Monotonic) {
         self.in_flight = true;
         self.sent_at = now;
     }
 
-    pub(super) fn answered(&mut self, up_to: Index, now: Monotonic) {
+    pub(super) fn on_append_succeeded(&mut self, up_to: Index, now: Monotonic) {
         self.in_flight = false;
         self.sent_up_to = self.sent_up_to.max(up_to);
         self.sent_at = now;
     }
 
-    /// The append may have taken effect: the tail is given time to show it.
-    pub(super) fn failed(&mut self, up_to_archived: Index, now: Monotonic) {
+    /// Handles a failed append. Entries after `archived` count as not appended, although the append may
+    /// have taken effect; replay drops the entries of a repeated append.
+    pub(super) fn on_append_failed(&mut self, archived: Index, now: Monotonic) {
         self.in_flight = false;
-        self.sent_up_to = up_to_archived;
+        self.sent_up_to = archived;
         self.sent_at = now;
     }
 }
--- a/crates/swiftshunt-node/src/ledger/driver.rs
+++ b/crates/swiftshunt-node/src/ledger/driver.rs
@@ -1,5 +1,5 @@
-//! The task that drives one partition's replica: carries its messages, applies what is committed,
-//! answers operations, and recovers the group from the archive when it is lost.
+//! The task that drives one partition's replica: it delivers consensus messages, applies committed
+//! entries, executes operations and rebuilds a lost group from the archive.
 
 mod archive;
 
@@ -10,7 +10,7 @@
 use swiftshunt_backends::log_service::StreamName;
 use swiftshunt_ledger::archive::Generation;
 use swiftshunt_ledger::raft::{Message, Role};
-use swiftshunt_ledger::replacement::Step;
+use swiftshunt_ledger::replacement::ReplacementStep;
 use swiftshunt_ledger::routes::LeaderAddress;
 use swiftshunt_ledger::state::LedgerState;
 use swiftshunt_types::{Monotonic, NodeId, PartitionId};
@@ -18,8 +18,8 @@
 
 use super::archive_io::ArchiveIo;
 use super::effects;
-use super::hints::LeaderHints;
-use super::input::{DriverInput, Reply, Standing};
+use super::hints::LeaderHintPublisher;
+use super::input::{DriverInput, ReplicaStatus, Reply};
 use super::leadership::{Leadership, replacement};
 use super::queries;
 use super::recovery::Recovery;
@@ -29,25 +29,27 @@
 use crate::lock;
 use crate::peer::{LedgerOperation, LedgerRefusal, RaftBatch};
 
-/// Inputs taken before time is looked at again.
-const INPUTS_PER_ROUND: usize = 256;
+/// Most inputs handled before the replica's timers are checked again.
+const MAX_INPUTS_PER_CYCLE: usize = 256;
 
-/// Drives one partition's replica.
+/// The driver of this node's replica of one partition.
 pub(super) struct Driver {
     context: Arc<Context>,
     partition: PartitionId,
     archive: ArchiveIo,
     replica: Option<Replica>,
     recovery: Recovery,
-    /// Replicas of generations up to this one are gone for good: starting one again would forget
-    /// its vote.
-    retired: Generation,
-    verifying: bool,
-    hints: LeaderHints,
+    /// Replicas of generations up to this one are never started again, since a restarted replica
+    /// would not know its vote.
+    retired_generation: Generation,
+    /// Whether a read of the archive is running that checks whether the replica's generation is still
+    /// current.
+    is_verifying: bool,
+    hints: LeaderHintPublisher,
 }
 
 impl Driver {
-    /// Starts the task and returns its inbox.
+    /// Starts the driver task and returns the sender of its inputs.
     pub(super) fn start(
         context: Arc<Context>,
         partition: PartitionId,
@@ -65,9 +67,9 @@
             archive,
             replica: None,
             recovery,
-            retired: 0,
-            verifying: false,
-            hints: LeaderHints::new(partition),
+            retired_generation: 0,
+            is_verifying: false,
+            hints: LeaderHintPublisher::new(partition),
         };
         tokio::spawn(driver.run(receiver));
         sender
@@ -82,7 +84,7 @@
         loop {
             tokio::select! {
                 () = aborted.cancelled() => return,
-                received = inbox.recv_many(&mut inputs, INPUTS_PER_ROUND) => {
+                received = inbox.recv_many(&mut inputs, MAX_INPUTS_PER_CYCLE) => {
                     if received == 0 {
                         return;
                     }
@@ -91,13 +93,13 @@
             }
             let now = self.context.clock.now();
             for input in inputs.drain(..) {
-                self.take(input, now);
+                self.handle_input(input, now);
             }
-            self.advance(now);
+            self.run_cycle(now);
         }
     }
 
-    fn take(&mut self, input: DriverInput, now: Monotonic) {
+    fn handle_input(&mut self, input: DriverInput, now: Monotonic) {
         match input {
             DriverInput::Raft {
                 from,
@@ -105,32 +107,32 @@
                 messages,
             } => self.on_messages(from, generation, messages, now),
             DriverInput::Operation { operation, reply } => self.on_operation(operation, reply, now),
-            DriverInput::Standing { reply } => drop(reply.send(self.standing())),
+            DriverInput::Status { reply } => drop(reply.send(self.status())),
             DriverInput::Archive(event) => self.on_archive(event, now),
         }
     }
 
-    fn standing(&self) -> Standing {
+    fn status(&self) -> ReplicaStatus {
         let own = self.context.own.id;
-        let leads = |replica: &Replica| replica.raft.role() == Role::Leader;
+        let is_leader = |replica: &Replica| replica.raft.role() == Role::Leader;
         let votes = |replica: &Replica| replica.raft.configuration().voters.contains(&own);
         let candidates = self
             .context
             .placement
             .candidates(&self.context, self.partition);
         let needed = candidates.get(&self.context.own.zone) == Some(&own);
-        Standing {
-            leads: self.replica.as_ref().is_some_and(leads),
-            settled: !needed || self.replica.as_ref().is_some_and(votes),
+        ReplicaStatus {
+            is_leader: self.replica.as_ref().is_some_and(is_leader),
+            is_settled: !needed || self.replica.as_ref().is_some_and(votes),
         }
     }
 
-    /// Everything that follows from new input or the passing of time.
-    fn advance(&mut self, now: Monotonic) {
+    /// Runs everything that can follow from new inputs or elapsed time.
+    fn run_cycle(&mut self, now: Monotonic) {
         self.tick_replica(now);
-        self.apply();
+        self.apply_committed();
         self.update_leadership(now);
-        self.maintain_group(now);
+        self.propose_member_change(now);
         self.write_archive(now);
         self.acknowledge(now);
         self.send_messages();
@@ -150,7 +152,7 @@
             .replica
             .as_ref()
             .map_or(0, |replica| replica.generation);
-        if generation < current || generation <= self.retired {
+        if generation < current || generation <= self.retired_generation {
             return;
         }
         if generation > current {
@@ -160,7 +162,7 @@
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
-        if !replica.may_act(config, now) {
+        if !replica.may_participate(config, now) {
             return;
         }
         for message in messages {
@@ -176,10 +178,10 @@
         self.replica = Some(Replica::learner(own, config, generation, now));
     }
 
-    /// Gives the replica up for good; its generation is over.
+    /// Drops the replica and ensures that no replica of its generation is started again.
     fn retire(&mut self) {
         if let Some(replica) = self.replica.take() {
-            self.retired = self.retired.max(replica.generation);
+            self.retired_generation = self.retired_generation.max(replica.generation);
             if let Some(leadership) = &replica.leadership {
                 let term = leadership.term;
                 self.hints.withdraw(&self.context, replica.generation, term);
@@ -193,14 +195,14 @@
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
-        if replica.may_act(config, now) {
+        if replica.may_participate(config, now) {
             replica.raft.tick(now);
             if draining {
-                replica.raft.hand_over(now);
+                replica.raft.transfer_leadership(now);
             }
-            replica.note_contact(now);
-        } else if !self.verifying {
-            self.verifying = true;
+            replica.update_group_contact(now);
+        } else if !self.is_verifying {
+            self.is_verifying = true;
             self.archive.verify(replica.archive_position(), now);
         }
     }
@@ -235,14 +237,16 @@
 
     // The state machine.
 
-    fn apply(&mut self) {
+    fn apply_committed(&mut self) {
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
         for entry in replica.raft.apply_committed() {
             let outcome = entry.outcome.as_ref();
-            replica.acknowledgements.applied(entry.position, outcome);
-            effects::apply(replica, &entry);
+            replica
+                .acknowledgements
+                .on_entry_applied(entry.position, outcome);
+            effects::on_entry_applied(replica, &entry);
         }
     }
 
@@ -251,13 +255,13 @@
             hint: self.known_leader(),
         };
         let partition = self.partition;
-        let Some(replica) = self.leading(now) else {
+        let Some(replica) = self.lease_holder(now) else {
             drop(reply.send(Err(refusal)));
             return;
         };
         match operation {
             LedgerOperation::Propose(command) => match replica.raft.propose(command, now) {
-                Ok(position) => replica.acknowledgements.on_applied(position, reply),
+                Ok(position) => replica.acknowledgements.reply_on_applied(position, reply),
                 Err(_) => drop(reply.send(Err(refusal))),
             },
             LedgerOperation::AwaitSubmission { id, .. } => {
@@ -270,11 +274,11 @@
         }
     }
 
-    /// The replica, if it leads and its lease stands.
-    fn leading(&mut self, now: Monotonic) -> Option<&mut Replica> {
+    /// The replica, if it is the leader and holds a valid lease.
+    fn lease_holder(&mut self, now: Monotonic) -> Option<&mut Replica> {
         let config = &self.context.settings.ledger;
         self.replica.as_mut().filter(|replica| {
-            replica.may_act(config, now)
+            replica.may_participate(config, now)
                 && replica.leadership.is_some()
                 && replica.raft.holds_lease(now)
         })
@@ -291,25 +295,27 @@
             return;
         };
         let term = replica.raft.term();
-        let leads = replica.raft.role() == Role::Leader;
-        let led = replica
+        let is_leader = replica.raft.role() == Role::Leader;
+        let led_term = replica
             .leadership
             .as_ref()
             .map(|leadership| leadership.term);
-        if let Some(ended) = led.filter(|led| !leads || *led != term) {
+        if let Some(ended_term) = led_term.filter(|led_term| !is_leader || *led_term != term) {
             replica.leadership = None;
-            replica.acknowledgements.lose_all();
+            replica.acknowledgements.fail_all();
             self.hints
-                .withdraw(&self.context, replica.generation, ended);
-            log::info!(partition = self.partition.0, term = ended; "leadership ended");
+                .withdraw(&self.context, replica.generation, ended_term);
+            log::info!(partition = self.partition.0, term = ended_term;
+                "leadership ended; stopping the partition's submissions, jobs and planner");
         }
         if replica.leadership.is_none() && replica.raft.holds_lease(now) {
-            let tail = self.archive.follow(replica.archive_position());
+            let tail_task = self.archive.follow(replica.archive_position());
             let context = Arc::clone(&self.context);
             replica.writer = Default::default();
-            let leadership = Leadership::start(context, self.partition, &replica.raft, tail);
+            let leadership = Leadership::start(context, self.partition, &replica.raft, tail_task);
             replica.leadership = Some(leadership);
-            log::info!(partition = self.partition.0, term = term; "leadership began");
+            log::info!(partition = self.partition.0, term = term;
+                "leadership began; running the partition's submissions, jobs and planner");
             self.hints.publish(&self.context, replica.generation, term);
         }
         if let Some(leadership) = &replica.leadership {
@@ -320,7 +326,7 @@
         }
     }
 
-    fn maintain_group(&mut self, now: Monotonic) {
+    fn propose_member_change(&mut self, now: Monotonic) {
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
@@ -328,9 +334,9 @@
             return;
         }
         let change = match replacement(&self.context, self.partition, &replica.raft, now) {
-            Some(Step::Change(change)) => change,
-            Some(Step::HandOver) => {
-                replica.raft.hand_over(now);
+            Some(ReplacementStep::Change(change)) => change,
+            Some(ReplacementStep::TransferLeadership) => {
+                replica.raft.transfer_leadership(now);
                 return;
             }
             None => return,
@@ -347,10 +353,9 @@
             );
         }
     }
-
-    // The archive.
 }
 
+/// Peer address of a node, from membership or else from the claim; `None` if neither has it.
 fn address_of(context: &Context, replica: &Replica, node: NodeId) -> Option<SocketAddr> {
     let membership = lock(&context.membership);
     let known = membership.record(node).map(|record| record.member.peer);
--- a/crates/swiftshunt-node/src/ledger/driver/archive.rs
+++ b/crates/swiftshunt-node/src/ledger/driver/archive.rs
@@ -1,4 +1,5 @@
-//! The archive side of a driver: entries written to it, news of it, recovery of a lost group from it.
+//! A driver's use of the archive: appending committed entries, handling the results of archive tasks
+//! and rebuilding a lost group.
 
 use swiftshunt_backends::log_service::LogError;
 use swiftshunt_ledger::archive::{ArchivePosition, ArchiveRecord, Generation, Replay};
@@ -11,10 +12,11 @@
 use crate::ledger::replica::Replica;
 use crate::lock;
 
-/// Entries in one archive record.
-const ENTRIES_PER_RECORD: usize = 256;
+/// Most entries in one archive record.
+const MAX_ENTRIES_PER_RECORD: usize = 256;
 
 impl Driver {
+    /// Starts to append committed entries to the archive, if this replica leads and an append is due.
     pub(super) fn write_archive(&mut self, now: Monotonic) {
         let Some(replica) = self.replica.as_mut() else {
             return;
@@ -25,15 +27,15 @@
         let committed = replica.raft.commit_index();
         let archived = replica.raft.archived().index;
         replica.writer.observe(committed, archived, now);
-        let Some(after) = replica.writer.next_append(committed, archived, now) else {
+        let Some(after) = replica.writer.next_append_after(committed, archived, now) else {
             return;
         };
-        let entries = replica.raft.committed_after(after, ENTRIES_PER_RECORD);
+        let entries = replica.raft.committed_after(after, MAX_ENTRIES_PER_RECORD);
         let Some(last) = entries.last() else {
             return;
         };
         let up_to = last.position.index;
-        replica.writer.started(now);
+        replica.writer.on_append_started(now);
         let record = ArchiveRecord::Entries {
             generation: replica.generation,
             entries,
@@ -41,6 +43,7 @@
         self.archive.append(record, up_to);
     }
 
+    /// Sends the replies whose entries are archived, or committed while the archive is unavailable.
     pub(super) fn acknowledge(&mut self, now: Monotonic) {
         let wait = self.context.settings.ledger.archive_wait;
         let Some(replica) = self.replica.as_mut() else {
@@ -58,14 +61,15 @@
         match event {
             ArchiveEvent::Appended { up_to } => {
                 if let Some(replica) = self.replica.as_mut() {
-                    replica.writer.answered(up_to, now);
+                    replica.writer.on_append_succeeded(up_to, now);
                 }
             }
             ArchiveEvent::AppendFailed { reason } => {
-                log::warn!(partition = self.partition.0; "archive append failed: {reason}");
+                log::warn!(partition = self.partition.0;
+                    "append to the archive failed or was not acknowledged; appending its entries again unless the archive shows them: {reason}");
                 if let Some(replica) = self.replica.as_mut() {
                     let archived = replica.raft.archived().index;
-                    replica.writer.failed(archived, now);
+                    replica.writer.on_append_failed(archived, now);
                 }
             }
             ArchiveEvent::Tail(position) => self.on_tail(&position),
@@ -74,7 +78,7 @@
                 outcome,
             } => self.on_verified(started_at, outcome, now),
             ArchiveEvent::Replayed(outcome) => self.on_replayed(outcome, now),
-            ArchiveEvent::ClaimAppended => self.recovery.hasten(now),
+            ArchiveEvent::ClaimAppended => self.recovery.schedule_replay_now(now),
         }
     }
 
@@ -86,7 +90,7 @@
             self.recovery.known_generation = position.generation;
             self.retire();
         } else if position.generation == replica.generation {
-            replica.writer.advanced();
+            replica.writer.on_tail_advanced();
             replica.raft.set_archived(ArchiveMark {
                 index: position.last.index,
                 next_offset: position.next_offset,
@@ -100,7 +104,7 @@
         outcome: Result<ArchivePosition, LogError>,
         now: Monotonic,
     ) {
-        self.verifying = false;
+        self.is_verifying = false;
         let Some(replica) = self.replica.as_mut() else {
             return;
         };
@@ -111,35 +115,37 @@
             replica.verified_at = started_at;
             return;
         }
-        log::warn!(partition = self.partition.0, generation = position.generation; "generation was superseded");
+        log::warn!(partition = self.partition.0, generation = position.generation;
+            "a newer generation has superseded the replica; dropping the replica");
         self.recovery.known_generation = position.generation;
         self.retire();
-        self.recovery.hasten(now);
+        self.recovery.schedule_replay_now(now);
     }
 
     // Recovery.
 
     pub(super) fn recover(&mut self, now: Monotonic) {
-        if self.leader_works(now) {
-            self.recovery.leader_seen(now);
+        if self.has_working_leader(now) {
+            self.recovery.restart_leaderless_time(now);
             return;
         }
         let delay = self.context.settings.ledger.rebuild_delay;
         let has_replica = self.replica.is_some();
-        if self.recovery.begin_replay(has_replica, delay, now) {
+        if self.recovery.try_begin_replay(has_replica, delay, now) {
             self.archive.replay();
         }
     }
 
-    /// Whether a leader is known to work: followed here, or led by a node that is reachable.
-    pub(super) fn leader_works(&self, now: Monotonic) -> bool {
+    /// Whether the partition has a working leader: this replica leads or has recent contact to the
+    /// leader, or the last known leader is another node that is reachable.
+    pub(super) fn has_working_leader(&self, now: Monotonic) -> bool {
         let timeout = self.context.settings.ledger.election_timeout * 2;
-        let follows = self.replica.as_ref().is_some_and(|replica| {
-            let heard = replica.raft.heard_leader_at();
-            let recently = heard.is_some_and(|heard| now < heard + timeout);
-            replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && recently)
+        let has_leader_contact = self.replica.as_ref().is_some_and(|replica| {
+            let last_contact = replica.raft.last_leader_contact();
+            let is_recent = last_contact.is_some_and(|last_contact| now < last_contact + timeout);
+            replica.raft.holds_lease(now) || (replica.raft.leader().is_some() && is_recent)
         });
-        if follows {
+        if has_leader_contact {
             return true;
         }
         let Some(leader) = self.known_leader() else {
@@ -156,8 +162,9 @@
         let replay = match outcome {
             Ok(replay) => replay,
             Err(error) => {
-                log::warn!(partition = self.partition.0; "archive cannot be replayed: {error}");
-                self.recovery.ended(now);
+                log::warn!(partition = self.partition.0;
+                    "replay of the archive failed; it will be retried: {error}");
+                self.recovery.finish_replay(now);
                 return;
             }
         };
@@ -167,16 +174,16 @@
             .as_ref()
             .map_or(0, |replica| replica.generation);
         self.recovery.known_generation = self.recovery.known_generation.max(generation);
-        let names_me = replay.position.members.iter();
-        let names_me = names_me
+        let members = replay.position.members.iter();
+        let is_member = members
             .clone()
             .any(|member| member.node == self.context.own.id);
-        if generation > current && names_me && generation > self.retired {
+        if generation > current && is_member && generation > self.retired_generation {
             self.start_claimed(&replay, now);
         } else if generation > current {
             self.retire();
         }
-        self.recovery.ended(now);
+        self.recovery.finish_replay(now);
         self.claim_if_due(generation, now);
     }
 
@@ -184,15 +191,16 @@
         self.retire();
         let config = self.context.settings.ledger.clone();
         let replica = Replica::from_claim(self.context.own.id, config, replay, now);
-        log::info!(partition = self.partition.0, generation = replica.generation; "replica started");
+        log::info!(partition = self.partition.0, generation = replica.generation;
+            "started a replica as a voter of a claimed generation");
         self.replica = Some(replica);
-        self.recovery.leader_seen(now);
+        self.recovery.restart_leaderless_time(now);
     }
 
     pub(super) fn claim_if_due(&mut self, generation: Generation, now: Monotonic) {
         let delay = self.context.settings.ledger.rebuild_delay;
         let lost = self.recovery.is_lost(delay, now);
-        if self.leader_works(now) || generation < self.recovery.known_generation {
+        if self.has_working_leader(now) || generation < self.recovery.known_generation {
             return;
         }
         let Some(claim) = claim_after(&self.context, self.partition, generation, lost) else {
--- a/crates/swiftshunt-node/src/ledger/leadership.rs
+++ b/crates/swiftshunt-node/src/ledger/leadership.rs
@@ -1,4 +1,5 @@
-//! What a leader does beside consensus: run what is accepted, follow the archive, replace replicas.
+//! Work of a leader besides consensus: it runs submissions, jobs and the planner, reads the archive's
+//! tail and replaces replicas.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 
 use swiftshunt_ledger::raft::{Raft, Term};
 use swiftshunt_ledger::replacement::{
-    ReplacementView, ReplicaHealth, ReplicaView, Step, next_step,
+    ReplacementStep, ReplacementView, ReplicaHealth, ReplicaView, next_replacement_step,
 };
 use swiftshunt_ledger::state::{Job, JobStatus, LedgerState, Submission};
 use swiftshunt_membership::MemberState;
@@ -21,41 +22,44 @@
 use crate::lock;
 use crate::submissions::run_submission;
 
-/// The end of a leader's lease, readable by the tasks that act under it.
+/// End of a leader's lease, shared with the tasks that may act only while it is valid.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LeaseClock(Arc<AtomicU64>);
 
 impl LeaseClock {
+    /// Sets the end of the lease, on this node's clock; `None` makes the lease invalid.
     pub(super) fn set(&self, end: Option<Monotonic>) {
         let nanoseconds = end.map_or(0, |end| end.as_nanos());
         let nanoseconds = u64::try_from(nanoseconds).unwrap_or(u64::MAX);
         self.0.store(nanoseconds, Ordering::Release);
     }
 
-    /// Whether no other leader can have been elected before `now`.
+    /// Whether the lease is valid at `now`, so that no other leader can have been elected before.
     pub(crate) fn is_valid(&self, now: Monotonic) -> bool {
         now < Duration::from_nanos(self.0.load(Ordering::Acquire))
     }
 }
 
-/// One term of leadership, from the moment its lease stands.
+/// One term of leadership, from the first valid lease on. Dropping it stops its tasks.
 pub(super) struct Leadership {
     pub(super) term: Term,
     pub(super) lease: LeaseClock,
     context: Arc<Context>,
     partition: PartitionId,
-    tail: JoinHandle<()>,
+    tail_task: JoinHandle<()>,
+    /// Tokens that cancel the tasks of jobs.
     jobs: BTreeMap<JobId, CancellationToken>,
+    /// Cancelled when leadership ends.
     stopped: CancellationToken,
 }
 
 impl Leadership {
-    /// Starts to run everything that has not ended.
+    /// Starts the planner and every submission and job that has not ended.
     pub(super) fn start(
         context: Arc<Context>,
         partition: PartitionId,
         raft: &Raft<LedgerState>,
-        tail: JoinHandle<()>,
+        tail_task: JoinHandle<()>,
     ) -> Self {
         context.metrics.led_partitions.inc();
         let mut leadership = Self {
@@ -63,11 +67,11 @@
             lease: LeaseClock::default(),
             context,
             partition,
-            tail,
+            tail_task,
             jobs: BTreeMap::new(),
             stopped: CancellationToken::new(),
         };
-        leadership.run_plans();
+        leadership.spawn_planner();
         let state = raft.state();
         for submission in state
             .submissions()
@@ -81,8 +85,8 @@
         leadership
     }
 
-    /// Plans for the partition's pools until leadership ends.
-    fn run_plans(&self) {
+    /// Starts the planner of the partition's pools, which runs until leadership ends.
+    fn spawn_planner(&self) {
         let planner = Planner {
             context: Arc::clone(&self.context),
             partition: self.partition,
@@ -91,7 +95,7 @@
         tokio::spawn(planner.run(self.stopped.clone()));
     }
 
-    /// Runs a submission until it ends or leadership does.
+    /// Starts a task that runs a submission until it or the leadership ends.
     pub(super) fn run_submission(&self, submission: &Submission) {
         let id: SubmissionId = submission.request.id.clone();
         let context = Arc::clone(&self.context);
@@ -100,7 +104,7 @@
         tokio::spawn(run_submission(context, partition, id, lease, stopped));
     }
 
-    /// Runs a job until it ends or leadership does.
+    /// Starts a task that runs a job until it or the leadership ends.
     pub(super) fn run_job(&mut self, job: &Job) {
         let id = job.request.id.clone();
         let token = self.stopped.child_token();
@@ -109,7 +113,7 @@
         tokio::spawn(run_job(context, job.clone(), self.lease.clone(), token));
     }
 
-    /// Stops a job's items. Once this returns, none starts.
+    /// Cancels the task of a job. No item of the job starts after this returns.
     pub(super) fn stop_job(&mut self, job: &JobId) {
         if let Some(token) = self.jobs.remove(job) {
             token.cancel();
@@ -121,25 +125,25 @@
     fn drop(&mut self) {
         self.lease.set(None);
         self.stopped.cancel();
-        self.tail.abort();
+        self.tail_task.abort();
         self.context.metrics.led_partitions.dec();
     }
 }
 
-/// What the leader should do next about the group's members.
+/// The leader's next step of replacing replicas; `None` if none is needed or possible at present.
 pub(super) fn replacement(
     context: &Context,
     partition: PartitionId,
     raft: &Raft<LedgerState>,
     now: Monotonic,
-) -> Option<Step> {
+) -> Option<ReplacementStep> {
     let configuration = raft.configuration();
     let candidates: BTreeMap<ZoneName, NodeId> = context.placement.candidates(context, partition);
     let replicas = configuration.members();
     let replicas = replicas
-        .map(|id| (id, view_of(context, raft, id, now)))
+        .map(|id| (id, replica_view(context, raft, id, now)))
         .collect();
-    next_step(&ReplacementView {
+    next_replacement_step(&ReplacementView {
         leader: raft.id(),
         configuration,
         replicas,
@@ -147,7 +151,12 @@
     })
 }
 
-fn view_of(context: &Context, raft: &Raft<LedgerState>, id: NodeId, now: Monotonic) -> ReplicaView {
+fn replica_view(
+    context: &Context,
+    raft: &Raft<LedgerState>,
+    id: NodeId,
+    now: Monotonic,
+) -> ReplicaView {
     let membership = lock(&context.membership);
     let record = membership.record(id);
     let age = membership.age(id, now).unwrap_or_default();
@@ -155,7 +164,7 @@
     let health = match record.map(|record| record.state) {
         Some(MemberState::Alive | MemberState::Suspect) => ReplicaHealth::Alive,
         Some(MemberState::Leaving) => ReplicaHealth::Leaving,
-        Some(MemberState::Dead) if age < delay => ReplicaHealth::Silent,
+        Some(MemberState::Dead) if age < delay => ReplicaHealth::Unreachable,
         Some(MemberState::Dead | MemberState::Left) | None => ReplicaHealth::Lost,
     };
     ReplicaView {
--- a/crates/swiftshunt-node/src/ledger/mod.rs
+++ b/crates/swiftshunt-node/src/ledger/mod.rs
@@ -1,5 +1,5 @@
-//! The ledger's I/O: one driver task for each partition that this node takes part in, the archive's
-//! reader and writer, and the client that finds a partition's leader.
+//! The ledger's I/O: a driver task for each partition of which this node holds a replica, reads and
+//! appends of the archive, and the client that finds a partition's leader.
 
 mod acknowledgements;
 mod archive_io;
@@ -21,7 +21,7 @@
 use swiftshunt_types::PartitionId;
 use tokio::sync::{mpsc, oneshot};
 
-pub(crate) use client::{call, failure, propose};
+pub(crate) use client::{call, propose, to_failure};
 pub(crate) use leadership::LeaseClock;
 pub(crate) use supervisor::supervise;
 
@@ -29,29 +29,31 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerRefusal, RaftBatch};
 use driver::Driver;
-use input::{DriverInput, Standing};
+use input::{DriverInput, ReplicaStatus};
 
-/// The drivers of this node.
+/// The driver tasks of this node, by partition.
 #[derive(Default)]
 pub(crate) struct Ledger {
     drivers: Mutex<BTreeMap<PartitionId, mpsc::UnboundedSender<DriverInput>>>,
 }
 
 impl Ledger {
-    /// The driver of a partition, started if it does not run.
-    pub(crate) fn ensure(&self, context: &Arc<Context>, partition: PartitionId) {
+    /// Starts the driver of a partition unless it is running.
+    pub(crate) fn ensure_driver(&self, context: &Arc<Context>, partition: PartitionId) {
         let mut drivers = lock(&self.drivers);
         drivers
             .entry(partition)
             .or_insert_with(|| Driver::start(Arc::clone(context), partition));
     }
 
-    /// Takes consensus messages, if they are meant for this process life.
+    /// Passes consensus messages to the partition's driver. Drops them if the partition does
+    /// not exist or if they are addressed to another node identity, such as that of an earlier process
+    /// on this address.
     pub(crate) fn receive(&self, context: &Arc<Context>, batch: RaftBatch) {
         if batch.to != context.own.id || batch.partition.0 >= context.settings.ledger.partitions {
             return;
         }
-        self.ensure(context, batch.partition);
+        self.ensure_driver(context, batch.partition);
         let input = DriverInput::Raft {
             from: batch.from,
             generation: batch.generation,
@@ -62,15 +64,19 @@
         }
     }
 
-    /// Carries out an operation if this node leads the partition.
-    pub(crate) async fn local(
+    /// Executes an operation if this node leads the partition; otherwise fails with
+    /// [`LedgerRefusal::NotLeader`].
+    ///
+    /// [`LedgerRefusal::Lost`] means that leadership ended before the outcome was known. A wait for
+    /// a submission answers `LedgerAnswer::Result(None)` if its time runs out.
+    pub(crate) async fn execute_local(
         &self,
         partition: PartitionId,
         operation: LedgerOperation,
     ) -> Result<LedgerAnswer, LedgerRefusal> {
-        let not_here = LedgerRefusal::NotLeader { hint: None };
+        let not_leader = LedgerRefusal::NotLeader { hint: None };
         let Some(driver) = self.driver(partition) else {
-            return Err(not_here);
+            return Err(not_leader);
         };
         let wait = match &operation {
             LedgerOperation::AwaitSubmission { wait, .. } => Some(*wait),
@@ -79,7 +85,7 @@
         let (reply, answer) = oneshot::channel();
         let input = DriverInput::Operation { operation, reply };
         if driver.send(input).is_err() {
-            return Err(not_here);
+            return Err(not_leader);
         }
         let Some(wait) = wait else {
             return answer.await.unwrap_or(Err(LedgerRefusal::Lost));
@@ -90,28 +96,29 @@
         }
     }
 
-    /// Whether any partition is led here.
+    /// Whether this node leads any partition.
     pub(crate) async fn leads_any(&self) -> bool {
-        let standings = self.standings().await;
-        standings.iter().any(|standing| standing.leads)
+        let statuses = self.statuses().await;
+        statuses.iter().any(|status| status.is_leader)
     }
 
-    /// Whether every replica that this node should hold votes and has caught up.
+    /// Whether this node is a voter, and so has caught up once, in every partition of which it should
+    /// hold a replica. Only partitions whose driver runs are considered.
     pub(crate) async fn is_settled(&self) -> bool {
-        let standings = self.standings().await;
-        standings.iter().all(|standing| standing.settled)
+        let statuses = self.statuses().await;
+        statuses.iter().all(|status| status.is_settled)
     }
 
-    async fn standings(&self) -> Vec<Standing> {
+    async fn statuses(&self) -> Vec<ReplicaStatus> {
         let drivers: Vec<_> = lock(&self.drivers).values().cloned().collect();
-        let mut standings = Vec::new();
+        let mut statuses = Vec::new();
         for driver in drivers {
             let (reply, answer) = oneshot::channel();
-            if driver.send(DriverInput::Standing { reply }).is_ok() {
-                standings.extend(answer.await);
+            if driver.send(DriverInput::Status { reply }).is_ok() {
+                statuses.extend(answer.await);
             }
         }
-        standings
+        statuses
     }
 
     fn driver(&self, partition: PartitionId) -> Option<mpsc::UnboundedSender<DriverInput>> {
--- a/crates/swiftshunt-node/src/ledger/queries.rs
+++ b/crates/swiftshunt-node/src/ledger/queries.rs
@@ -1,4 +1,4 @@
-//! Reads of a partition's state at its leader.
+//! Queries of a partition's state at its leader.
 
 use swiftshunt_ledger::state::SubmissionStatus;
 use swiftshunt_types::{PartitionId, SubmissionId};
@@ -7,21 +7,24 @@
 use super::replica::Replica;
 use crate::peer::{LedgerAnswer, LedgerQuery, PartitionView};
 
-/// Answers when the submission ends, or at once if it has.
+/// Replies when the submission has ended and its result is archived; replies at once without a result
+/// if the submission does not exist.
 pub(super) fn await_submission(replica: &mut Replica, id: SubmissionId, reply: Reply) {
     let status = replica.raft.state().submission(&id);
     match status.map(|submission| &submission.status) {
         Some(SubmissionStatus::Completed(result)) => {
             let answer = LedgerAnswer::Result(Some(result.clone()));
             let index = replica.raft.applied_index();
-            replica.acknowledgements.on_archived(index, reply, answer);
+            replica
+                .acknowledgements
+                .reply_on_archived(index, reply, answer);
         }
-        Some(_) => replica.acknowledgements.on_result(id, reply),
+        Some(_) => replica.acknowledgements.reply_on_completion(id, reply),
         None => drop(reply.send(Ok(LedgerAnswer::Result(None)))),
     }
 }
 
-/// Answers a read from the applied state.
+/// Answers a query from the applied state.
 pub(super) fn answer(
     replica: &Replica,
     partition: PartitionId,
--- a/crates/swiftshunt-node/src/ledger/recovery.rs
+++ b/crates/swiftshunt-node/src/ledger/recovery.rs
@@ -1,4 +1,5 @@
-//! When a partition has no group, or has lost it: reading the archive and claiming a generation.
+//! Recovery of a partition without a working group: when to replay the archive and when to claim a
+//! generation.
 
 use std::time::Duration;
 
@@ -8,18 +9,20 @@
 use crate::context::Context;
 use crate::lock;
 
-/// Pause between replays while no group exists yet.
-const FIRST_REPLAY_PAUSE: Duration = Duration::from_millis(100);
-/// Pause between replays while a group is lost.
-const REPLAY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay between replays while no generation is known.
+const INITIAL_REPLAY_DELAY: Duration = Duration::from_millis(100);
+/// Delay between replays while the group of a known generation has no leader.
+const REPLAY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a driver keeps about the archive while it has no working group.
+/// A driver's state of recovery from the archive.
 #[derive(Debug)]
 pub(super) struct Recovery {
-    /// The newest generation that the archive or another replica has shown.
+    /// The newest generation seen in the archive or in messages of other replicas.
     pub(super) known_generation: Generation,
-    busy: bool,
+    is_replaying: bool,
     next_replay: Monotonic,
+    /// Time since which this node has seen no working leader of the partition; at least the start of
+    /// the driver and of the last replica that it started from a claim.
     leaderless_since: Monotonic,
 }
 
@@ -27,65 +30,68 @@
     pub(super) fn new(now: Monotonic) -> Self {
         Self {
             known_generation: 0,
-            busy: false,
+            is_replaying: false,
             next_replay: now,
             leaderless_since: now,
         }
     }
 
-    /// Notes that some leader works.
-    pub(super) fn leader_seen(&mut self, now: Monotonic) {
+    /// Restarts the time without a leader, because the partition has a working leader or a group that
+    /// has just been claimed.
+    pub(super) fn restart_leaderless_time(&mut self, now: Monotonic) {
         self.leaderless_since = now;
     }
 
-    /// Whether the archive should be replayed now; marks it as under way.
-    pub(super) fn begin_replay(
+    /// Whether a replay of the archive is due; if so, marks a replay as running.
+    pub(super) fn try_begin_replay(
         &mut self,
         has_replica: bool,
         rebuild_delay: Duration,
         now: Monotonic,
     ) -> bool {
-        let unborn = !has_replica && self.known_generation == 0;
-        let lost = now >= self.leaderless_since + rebuild_delay;
-        if self.busy || now < self.next_replay || !(unborn || lost) {
+        let never_claimed = !has_replica && self.known_generation == 0;
+        let is_lost = now >= self.leaderless_since + rebuild_delay;
+        if self.is_replaying || now < self.next_replay || !(never_claimed || is_lost) {
             return false;
         }
-        self.busy = true;
+        self.is_replaying = true;
         true
     }
 
-    /// A replay or a claim ended.
-    pub(super) fn ended(&mut self, now: Monotonic) {
-        self.busy = false;
-        let pause = if self.known_generation == 0 {
-            FIRST_REPLAY_PAUSE
+    /// Marks the replay as ended and schedules the next one.
+    pub(super) fn finish_replay(&mut self, now: Monotonic) {
+        self.is_replaying = false;
+        let delay = if self.known_generation == 0 {
+            INITIAL_REPLAY_DELAY
         } else {
-            REPLAY_PAUSE
+            REPLAY_DELAY
         };
-        self.next_replay = now + pause;
+        self.next_replay = now + delay;
     }
 
-    /// The next replay is due at once.
-    pub(super) fn hasten(&mut self, now: Monotonic) {
-        self.busy = false;
+    /// Marks any replay as ended and makes the next one due at once.
+    pub(super) fn schedule_replay_now(&mut self, now: Monotonic) {
+        self.is_replaying = false;
         self.next_replay = now;
     }
 
-    /// Whether the partition has been without a leader for the whole rebuild delay.
+    /// Whether the partition has had no leader for the rebuild delay.
     pub(super) fn is_lost(&self, rebuild_delay: Duration, now: Monotonic) -> bool {
         now >= self.leaderless_since + rebuild_delay
     }
 }
 
-/// The claim that this node should make after generation `last`, if it is the one to make it.
+/// The claim that this node should append after generation `last`; `None` if no claim is due or this
+/// node is not its zone's candidate.
 ///
-/// A claim needs members in a majority of zones. The first one of all waits for every zone, or for
-/// the rebuild delay, so that a fleet that starts does not leave a zone out.
+/// A claim needs candidates in a majority of the zones. The first claim of a partition also waits for
+/// candidates in every zone, or for the rebuild delay, so that a starting fleet does not leave out a
+/// zone.
 pub(super) fn claim_after(
     context: &Context,
     partition: PartitionId,
     last: Generation,
-    leaderless_long_enough: bool,
+    is_lost: bool,
 ) -> Option<ArchiveRecord> {
     let candidates = context.placement.candidates(context, partition);
     let replicas = context.settings.ledger.replicas;
@@ -93,10 +99,10 @@
     if candidates.get(own_zone) != Some(&context.own.id) {
         return None;
     }
-    let complete = candidates.len() == replicas;
-    let majority = candidates.len() > replicas / 2;
-    let timely = leaderless_long_enough || (last == 0 && complete);
-    if !majority || !timely {
+    let has_all_zones = candidates.len() == replicas;
+    let has_majority = candidates.len() > replicas / 2;
+    let is_due = is_lost || (last == 0 && has_all_zones);
+    if !has_majority || !is_due {
         return None;
     }
     let membership = lock(&context.membership);
--- a/crates/swiftshunt-node/src/ledger/supervisor.rs
+++ b/crates/swiftshunt-node/src/ledger/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts the drivers of the partitions that this node should hold.
+//! Starts the drivers of the partitions of which this node should hold a replica.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 
 const SUPERVISE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs until the process ends. Looks again only when the member list has changed.
+/// Runs until the process ends. Evaluates the placement only when its version has changed.
 pub(crate) async fn supervise(context: Arc<Context>) {
     let mut ticker = tokio::time::interval(SUPERVISE_INTERVAL);
-    let mut seen = None;
+    let mut seen_version = None;
     loop {
         ticker.tick().await;
         let version = context.placement.version(&context);
-        if version == seen {
+        if version == seen_version {
             continue;
         }
-        seen = version;
+        seen_version = version;
         for index in 0..context.settings.ledger.partitions {
             let partition = PartitionId(index);
             let candidates = context.placement.candidates(&context, partition);
             if candidates.get(&context.own.zone) == Some(&context.own.id) {
-                context.ledger.ensure(&context, partition);
+                context.ledger.ensure_driver(&context, partition);
             }
         }
     }
--- a/crates/swiftshunt-node/src/online/answer.rs
+++ b/crates/swiftshunt-node/src/online/answer.rs
@@ -1,7 +1,8 @@
-//! A token stream that survives its engine: it goes on elsewhere from the tokens already passed on.
+//! Answer streams that survive the failure of an engine: another engine resumes generation after the
+//! last relayed token.
 //!
-//! Events are matched by request and index, never by arrival: an index seen before is dropped, a
-//! gap ends the stream's engine as if it had broken.
+//! Events are matched by request and token index, never by arrival order: an index that was already
+//! relayed is dropped, and a gap is handled like a broken stream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,16 +23,16 @@
 use crate::fleet::subset;
 use crate::lock;
 
-/// Time for an engine to take a request and answer its head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time for one cancel call.
+/// Timeout for an engine to accept a request and send the response head.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of one cancel call to an engine.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(500);
-/// When a caller should come back to a fleet without capacity.
+/// `Retry-After` of failures for lack of capacity.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Tokens that wait for a slow caller.
-const BUFFERED_TOKENS: usize = 256;
+/// Tokens buffered for a slow caller; a full buffer blocks the relay.
+const TOKEN_BUFFER_CAPACITY: usize = 256;
 
-/// What a caller asks for.
+/// An online request, independent of the interface that it came through.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerRequest {
     pub(crate) id: RequestId,
@@ -39,26 +40,29 @@
     pub(crate) model: ModelName,
     pub(crate) prompt: String,
     pub(crate) max_tokens: u32,
-    /// When the caller gives up.
+    /// When the caller stops waiting; `None` if it set no timeout.
     pub(crate) deadline: Option<Monotonic>,
 }
 
-/// An answer under way: tokens in order, then the end.
-pub(crate) struct Answer {
-    /// Each token once, in order; the last event carries the finish reason. A failure ends it.
+/// An answer in progress.
+pub(crate) struct AnswerStream {
+    /// Each token once, in order. The stream ends with an event that carries the finish reason, or
+    /// with a failure.
     pub(crate) events: mpsc::Receiver<Result<TokenEvent, Failure>>,
 }
 
-/// A whole answer.
+/// The text of an answer, as far as it has been received.
 #[derive(Clone, Debug)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct AnswerText {
     pub(crate) text: String,
+    /// Number of tokens in `text`.
     pub(crate) tokens: u32,
+    /// Only meaningful once the answer has ended.
     pub(crate) finish: FinishReason,
 }
 
-impl WholeAnswer {
-    /// An answer without tokens so far.
+impl AnswerText {
+    /// An answer without tokens.
     pub(crate) fn empty() -> Self {
         Self {
             text: String::new(),
@@ -68,37 +72,37 @@
     }
 }
 
-/// Starts an answer. Returns once an engine has taken it, or with the reason why none did.
+/// Starts an answer. Returns once an engine has accepted the request; fails with the reason if none does.
 pub(crate) async fn start(
     context: &Arc<Context>,
     request: AnswerRequest,
-) -> Result<Answer, Failure> {
+) -> Result<AnswerStream, Failure> {
     lock(&context.retries).record_first_attempt();
-    let mut run = Run {
+    let mut task = AnswerTask {
         context: Arc::clone(context),
         request,
         next_index: 0,
         excluded: Vec::new(),
-        started_anywhere: false,
-        begun_at: context.clock.now(),
+        may_have_started: false,
+        started_at: context.clock.now(),
     };
-    let engine = run.open_with_retries().await?;
-    let (sender, events) = mpsc::channel(BUFFERED_TOKENS);
-    tokio::spawn(async move { run.relay(engine, sender).await });
-    Ok(Answer { events })
+    let engine = task.open_with_retries().await?;
+    let (sender, events) = mpsc::channel(TOKEN_BUFFER_CAPACITY);
+    tokio::spawn(async move { task.relay(engine, sender).await });
+    Ok(AnswerStream { events })
 }
 
-/// Reads an answer to its end.
-pub(crate) async fn collect(mut answer: Answer) -> Result<WholeAnswer, Failure> {
-    let mut whole = WholeAnswer::empty();
+/// Reads an answer stream to its end. Fails if the stream ends without a finish reason.
+pub(crate) async fn collect(mut answer: AnswerStream) -> Result<AnswerText, Failure> {
+    let mut received = AnswerText::empty();
     while let Some(event) = answer.events.recv().await {
         let event = event?;
-        whole.text.push_str(&event.text);
+        received.text.push_str(&event.text);
         if let Some(finish) = event.finish {
-            whole.finish = finish;
-            return Ok(whole);
+            received.finish = finish;
+            return Ok(received);
         }
-        whole.tokens += 1;
+        received.tokens += 1;
     }
     Err(Failure::unknown(
         ErrorKind::WorkerFailed,
@@ -106,42 +110,44 @@
     ))
 }
 
-/// One answer, over as many engines as it takes.
-struct Run {
+/// State of one answer across the engines that generate it.
+struct AnswerTask {
     context: Arc<Context>,
     request: AnswerRequest,
-    /// Index of the next token to pass on.
+    /// Index of the next token to relay.
     next_index: u32,
+    /// Workers that failed this request and are not chosen again.
     excluded: Vec<WorkerId>,
-    /// Whether any engine may have run any of it.
-    started_anywhere: bool,
-    begun_at: Monotonic,
+    /// Whether any engine may have started to run the request.
+    may_have_started: bool,
+    started_at: Monotonic,
 }
 
-/// An engine that answers.
-struct OpenEngine {
+/// An open token stream of one engine.
+struct EngineStream {
     worker: WorkerId,
     address: SocketAddr,
     stream: TokenStream,
-    _occupied: Occupied,
+    _in_flight: InFlight,
 }
 
-/// How the relay of one engine's stream ended.
+/// Why the relay of one engine's stream ended.
 enum RelayEnd {
-    /// The caller has the whole answer, or has gone.
+    /// The caller has received the complete answer, or has disconnected.
     Done,
-    /// The engine broke off.
+    /// The engine's stream failed or was invalid, for the given reason.
     Broken(String),
-    /// The deadline passed.
+    /// The request's deadline passed.
     Expired,
 }
 
-impl Run {
-    /// Tries engines until one takes the request.
-    async fn open_with_retries(&mut self) -> Result<OpenEngine, Failure> {
+impl AnswerTask {
+    /// Tries engines until one accepts the request. Fails if an engine refuses it as invalid, no engine is
+    /// available, the deadline passes or the retry budget is spent.
+    async fn open_with_retries(&mut self) -> Result<EngineStream, Failure> {
         loop {
-            let (worker, address) = self.place()?;
-            let reason = match self.open(worker.clone(), address).await {
+            let (worker, address) = self.choose_engine()?;
+            let reason = match self.open_stream(worker.clone(), address).await {
                 Ok(engine) => return Ok(engine),
                 Err(EngineError::Refused { reason }) => {
                     return Err(Failure::not_run(ErrorKind::InvalidRequest, reason));
@@ -152,17 +158,18 @@
                     reason
                 }
                 Err(EngineError::Broken { reason }) => {
-                    self.started_anywhere = true;
+                    self.may_have_started = true;
                     reason
                 }
             };
-            self.explain(format!("give up worker {worker}"), reason);
+            self.record_decision(format!("give up worker {worker}"), reason);
             self.excluded.push(worker);
             self.try_take_retry()?;
         }
     }
 
-    fn place(&self) -> Result<(WorkerId, SocketAddr), Failure> {
+    /// Chooses an engine of the pool that has not failed this request.
+    fn choose_engine(&self) -> Result<(WorkerId, SocketAddr), Failure> {
         if self.is_expired() {
             return Err(self.failure(ErrorKind::DeadlineExceeded, "the deadline passed"));
         }
@@ -189,8 +196,13 @@
         }
     }
 
-    async fn open(&self, worker: WorkerId, address: SocketAddr) -> Result<OpenEngine, EngineError> {
-        let occupied = Occupied::new(&self.context, &worker);
+    /// Sends the request to one engine, from the first token that has not been relayed.
+    async fn open_stream(
+        &self,
+        worker: WorkerId,
+        address: SocketAddr,
+    ) -> Result<EngineStream, EngineError> {
+        let in_flight = InFlight::new(&self.context, &worker);
         let request = GenerateRequest {
             request: self.request.id.clone(),
             model: self.request.model.clone(),
@@ -199,7 +211,7 @@
             priority: Priority::Online,
             resume_from: self.next_index,
         };
-        self.explain(
+        self.record_decision(
             format!("send to worker {worker} from token {}", self.next_index),
             format!(
                 "prefix affinity within the load bound of pool {}",
@@ -209,24 +221,24 @@
         let engines = &self.context.engines;
         let permit = SendPermit::always();
         let stream = engines
-            .generate(address, &request, permit, HEAD_TIMEOUT)
+            .generate(address, &request, permit, RESPONSE_HEAD_TIMEOUT)
             .await?;
-        Ok(OpenEngine {
+        Ok(EngineStream {
             worker,
             address,
             stream,
-            _occupied: occupied,
+            _in_flight: in_flight,
         })
     }
 
-    /// Passes tokens on until the answer is whole, changing engines as needed.
+    /// Relays tokens until the answer is complete, and resumes on another engine when one fails.
     async fn relay(
         mut self,
-        mut engine: OpenEngine,
+        mut engine: EngineStream,
         sender: mpsc::Sender<Result<TokenEvent, Failure>>,
     ) {
         loop {
-            self.started_anywhere = true;
+            self.may_have_started = true;
             let end = self.relay_engine(&mut engine, &sender).await;
             let reason = match end {
                 RelayEnd::Done => return,
@@ -238,7 +250,7 @@
                 }
                 RelayEnd::Broken(reason) => reason,
             };
-            self.explain(
+            self.record_decision(
                 format!("resume elsewhere than on worker {}", engine.worker),
                 reason,
             );
@@ -254,20 +266,22 @@
         }
     }
 
-    async fn resume(&mut self) -> Result<OpenEngine, Failure> {
+    /// Opens a stream on another engine after one failed. Takes a retry from the budget.
+    async fn resume(&mut self) -> Result<EngineStream, Failure> {
         self.try_take_retry()?;
         self.context.metrics.resumed_streams.inc();
         self.open_with_retries().await
     }
 
+    /// Relays the tokens of one engine until its stream ends or cannot be used further.
     async fn relay_engine(
         &mut self,
-        engine: &mut OpenEngine,
+        engine: &mut EngineStream,
         sender: &mpsc::Sender<Result<TokenEvent, Failure>>,
     ) -> RelayEnd {
         loop {
             let received = tokio::select! {
-                received = tokio::time::timeout(self.token_wait(), engine.stream.next()) => received,
+                received = tokio::time::timeout(self.next_token_timeout(), engine.stream.next()) => received,
                 () = sender.closed() => {
                     self.cancel(engine.address).await;
                     return RelayEnd::Done;
@@ -302,7 +316,7 @@
 
     fn count_token(&mut self, finished: bool) {
         if self.next_index == 0 {
-            let elapsed = self.context.clock.now().saturating_sub(self.begun_at);
+            let elapsed = self.context.clock.now().saturating_sub(self.started_at);
             self.context
                 .metrics
                 .first_token
@@ -313,20 +327,21 @@
         }
     }
 
-    /// How long the next token may take.
-    fn token_wait(&self) -> Duration {
+    /// Timeout for the next token: the configured one, but at most the time left until the request's
+    /// deadline.
+    fn next_token_timeout(&self) -> Duration {
         let scheduler = &self.context.settings.scheduler;
-        let wait = if self.next_index == 0 {
+        let timeout = if self.next_index == 0 {
             scheduler.first_token_timeout
         } else {
             scheduler.token_timeout
         };
         let now = self.context.clock.now();
-        let left = self
+        let remaining = self
             .request
             .deadline
             .map(|deadline| deadline.saturating_sub(now));
-        left.map_or(wait, |left| wait.min(left))
+        remaining.map_or(timeout, |remaining| timeout.min(remaining))
     }
 
     fn is_expired(&self) -> bool {
@@ -345,7 +360,7 @@
         );
     }
 
-    /// Takes one retry out of the budget.
+    /// Takes one retry from the node's retry budget.
     fn try_take_retry(&self) -> Result<(), Failure> {
         if lock(&self.context.retries).try_take_retry() {
             return Ok(());
@@ -356,8 +371,9 @@
         ))
     }
 
+    /// A failure that says whether any engine may have started to run the request.
     fn failure(&self, kind: ErrorKind, message: &str) -> Failure {
-        let failure = if self.started_anywhere {
+        let failure = if self.may_have_started {
             Failure::unknown(kind, message)
         } else {
             Failure::not_run(kind, message)
@@ -365,24 +381,25 @@
         failure.with_retry_after(RETRY_AFTER)
     }
 
-    fn explain(&self, decision: String, reason: String) {
+    /// Adds a decision about this request to the decisions that operators can read.
+    fn record_decision(&self, decision: String, reason: String) {
         let subject = format!("request {}", self.request.id);
         self.context.decisions.record(subject, decision, reason);
     }
 }
 
-/// One online request in progress on a worker, until dropped.
-struct Occupied {
+/// Counts one online request as in progress on a worker until dropped.
+struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
 }
 
-impl Occupied {
+impl InFlight {
     fn new(context: &Arc<Context>, worker: &WorkerId) -> Self {
         if let Some(worker) = lock(&context.workers).get_mut(worker) {
             worker.own_online += 1;
         }
-        context.batch.online_arrived(context);
+        context.batch.preempt_for_online(context);
         Self {
             context: Arc::clone(context),
             worker: worker.clone(),
@@ -390,11 +407,11 @@
     }
 }
 
-impl Drop for Occupied {
+impl Drop for InFlight {
     fn drop(&mut self) {
         if let Some(worker) = lock(&self.context.workers).get_mut(&self.worker) {
             worker.own_online = worker.own_online.saturating_sub(1);
         }
-        self.context.batch.wake();
+        self.context.batch.notify_changed();
     }
 }
--- a/crates/swiftshunt-node/src/online/openai.rs
+++ b/crates/swiftshunt-node/src/online/openai.rs
@@ -1,16 +1,16 @@
-//! The caller interface's shapes, as OpenAI clients send and expect them.
+//! Request and response bodies of the OpenAI-compatible interface.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use swiftshunt_backends::engine::{FinishReason, TokenEvent};
 use swiftshunt_types::{ErrorKind, Failure, ModelName};
 
-use super::answer::WholeAnswer;
+use super::answer::AnswerText;
 
-/// Tokens generated if the caller does not say.
+/// Token limit of requests that set none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
-/// Most tokens that a caller may ask for.
-const MOST_TOKENS: u32 = 32_768;
+/// Highest token limit that a request may set.
+const MAX_TOKENS_LIMIT: u32 = 32_768;
 
 /// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
     pub(crate) stream_options: Option<StreamOptions>,
 }
 
-/// What a streamed answer carries besides its tokens.
+/// Options of a streamed answer.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct StreamOptions {
     #[serde(default)]
@@ -42,7 +42,7 @@
     content: Option<Content>,
 }
 
-/// A message's content: text, or parts of which the text ones count.
+/// Content of a message: plain text, or a list of parts, all of which must be of type `text`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 enum Content {
@@ -59,7 +59,7 @@
 }
 
 impl ChatRequest {
-    /// The prompt that the engine receives.
+    /// The messages as one prompt, a line `role: text` for each.
     pub(crate) fn prompt(&self) -> Result<String, Failure> {
         if self.messages.is_empty() {
             return Err(invalid("messages", "must hold at least one message"));
@@ -115,10 +115,11 @@
     }
 }
 
-fn token_limit(asked: Option<u32>) -> Result<u32, Failure> {
-    let limit = asked.unwrap_or(DEFAULT_MAX_TOKENS);
-    if limit == 0 || limit > MOST_TOKENS {
-        let reason = format!("must be between 1 and {MOST_TOKENS}");
+/// The requested token limit or the default; fails if it is 0 or above [`MAX_TOKENS_LIMIT`].
+fn token_limit(requested: Option<u32>) -> Result<u32, Failure> {
+    let limit = requested.unwrap_or(DEFAULT_MAX_TOKENS);
+    if limit == 0 || limit > MAX_TOKENS_LIMIT {
+        let reason = format!("must be between 1 and {MAX_TOKENS_LIMIT}");
         return Err(invalid("max_tokens", &reason));
     }
     Ok(limit)
@@ -136,7 +137,7 @@
     }
 }
 
-/// A stand-in for the tokeniser's count: words of the prompt.
+/// Approximates the number of prompt tokens by the number of words, as no tokeniser is available.
 fn prompt_tokens(prompt: &str) -> usize {
     prompt.split_whitespace().count()
 }
@@ -150,13 +151,13 @@
     })
 }
 
-/// Answer to a chat request that is not streamed.
+/// Response body of a chat request that is not streamed.
 pub(crate) fn chat_completion(
     id: &str,
     created: u64,
     model: &ModelName,
     prompt: &str,
-    whole: &WholeAnswer,
+    answer: &AnswerText,
 ) -> Value {
     json!({
         "id": format!("chatcmpl-{id}"),
@@ -165,21 +166,21 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "message": { "role": "assistant", "content": whole.text },
+            "message": { "role": "assistant", "content": answer.text },
             "logprobs": null,
-            "finish_reason": finish_name(whole.finish),
+            "finish_reason": finish_name(answer.finish),
         }],
-        "usage": usage(prompt, whole.tokens),
+        "usage": usage(prompt, answer.tokens),
     })
 }
 
-/// Answer to a completion request that is not streamed.
+/// Response body of a completion request that is not streamed.
 pub(crate) fn text_completion(
     id: &str,
     created: u64,
     model: &ModelName,
     prompt: &str,
-    whole: &WholeAnswer,
+    answer: &AnswerText,
 ) -> Value {
     json!({
         "id": format!("cmpl-{id}"),
@@ -188,11 +189,11 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "text": whole.text,
+            "text": answer.text,
             "logprobs": null,
-            "finish_reason": finish_name(whole.finish),
+            "finish_reason": finish_name(answer.finish),
         }],
-        "usage": usage(prompt, whole.tokens),
+        "usage": usage(prompt, answer.tokens),
     })
 }
 
@@ -219,7 +220,7 @@
     })
 }
 
-/// The chunk after the last one, for callers that ask for usage.
+/// The final chunk of a streamed chat answer, for requests that set `include_usage`.
 pub(crate) fn chat_usage_chunk(
     id: &str,
     created: u64,
--- a/crates/swiftshunt-node/src/operator/commands.rs
+++ b/crates/swiftshunt-node/src/operator/commands.rs
@@ -1,5 +1,5 @@
-//! Statements that change something. Conflicting ones are ordered by the ledger, and each author is
-//! told what came of the own one.
+//! Statements that change state. The ledger orders conflicting statements, and each author receives the
+//! outcome of its own statement.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,13 @@
 use super::declarations;
 use crate::api::{cancel_job, create_job, propose_on_job};
 use crate::clock::unix_seconds;
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::lock;
 
-/// Interface that items call if their lines do not say.
+/// Endpoint of items whose line names none.
 const DEFAULT_ENDPOINT: &str = "/v1/chat/completions";
 
+/// Executes a statement that changes state; fails with `InvalidRequest` for one that only reads.
 pub(super) async fn execute(
     context: &Arc<Context>,
     author: &str,
@@ -62,6 +63,7 @@
     Ok(Table::message(message))
 }
 
+/// Sets the deadline of a running job to `within` from the current time.
 async fn set_deadline(
     context: &Context,
     author: &str,
@@ -94,7 +96,7 @@
     input: &FileId,
     within: Duration,
 ) -> Result<Table, Failure> {
-    let id = JobId(format!("batch_{:016x}{:016x}", draw(), draw()));
+    let id = JobId(format!("batch_{:016x}{:016x}", random_u64(), random_u64()));
     let job = create_job(context, id, tenant, input, DEFAULT_ENDPOINT, within).await?;
     let mut table = Table::new(&["id", "items"]);
     table.push(vec![
@@ -104,6 +106,7 @@
     Ok(table)
 }
 
+/// Starts draining a reachable node. If the call to another node fails, that node may drain all the same.
 async fn drain_node(context: &Context, id: &str) -> Result<Table, Failure> {
     let member = {
         let membership = lock(&context.membership);
@@ -116,8 +119,8 @@
     if member.id == context.own.id {
         context.lifecycle.start_draining();
     } else {
-        let asked = context.peers.drain(member.peer).await;
-        asked.map_err(|error| {
+        let drained = context.peers.drain(member.peer).await;
+        drained.map_err(|error| {
             let failure = Failure::unknown(ErrorKind::Unavailable, error.to_string());
             failure.with_retry_after(Duration::from_secs(1))
         })?;
@@ -125,6 +128,7 @@
     Ok(Table::message(format!("node {id} drains")))
 }
 
+/// Marks a worker as leaving; gossip carries the mark to the other nodes.
 fn drain_worker(context: &Context, id: &str) -> Result<Table, Failure> {
     let worker = WorkerId(id.to_owned());
     let mut workers = lock(&context.workers);
--- a/crates/swiftshunt-node/src/operator/tables.rs
+++ b/crates/swiftshunt-node/src/operator/tables.rs
@@ -1,4 +1,4 @@
-//! The tables that `show` reads, and the decisions that `explain` tells.
+//! Tables that the statements `show` and `explain` return.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// Reads a table.
+/// Builds the rows of a table, before the statement's conditions are applied.
 pub(super) async fn read(context: &Arc<Context>, table: TableName) -> Result<Table, Failure> {
     match table {
         TableName::Nodes => Ok(nodes(context)),
@@ -31,7 +31,8 @@
     }
 }
 
-/// Tells every decision about something, from this node and its peers.
+/// Collects the decisions about a subject from this node and the peers that answer, ordered by time.
+/// `NotFound` if there are none.
 pub(super) async fn explain(
     context: &Arc<Context>,
     subject: ExplainSubject,
@@ -44,8 +45,8 @@
         let decisions = if member.id == context.own.id {
             context.decisions.about(&subject)
         } else {
-            let asked = context.peers.decisions(member.peer, &subject).await;
-            asked.unwrap_or_default()
+            let answer = context.peers.decisions(member.peer, &subject).await;
+            answer.unwrap_or_default()
         };
         rows.extend(decisions.into_iter().map(|entry| (member.id, entry)));
     }
@@ -65,6 +66,7 @@
     Ok(table)
 }
 
+/// The members that are reachable according to this node, itself included.
 fn members(context: &Context) -> Vec<Member> {
     lock(&context.membership).reachable().cloned().collect()
 }
@@ -120,20 +122,21 @@
     table
 }
 
-/// Asks every partition's leader at once; partitions without a leader are left out.
-async fn ask_all(context: &Context, query: LedgerQuery) -> Vec<LedgerAnswer> {
+/// Sends a query to the leaders of all partitions concurrently. Partitions that do not answer are left
+/// out.
+async fn query_all_partitions(context: &Context, query: LedgerQuery) -> Vec<LedgerAnswer> {
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let partitions = 0..context.settings.ledger.partitions;
-    let asked = partitions.map(|index| {
+    let requests = partitions.map(|index| {
         let operation = LedgerOperation::Query(query.clone());
         ledger::call(context, PartitionId(index), operation, deadline)
     });
-    join_all(asked).await.into_iter().flatten().collect()
+    join_all(requests).await.into_iter().flatten().collect()
 }
 
-/// Every job of the fleet.
+/// All jobs of the fleet, except those of partitions that do not answer.
 pub(crate) async fn all_jobs(context: &Context) -> Vec<Job> {
-    let answers = ask_all(context, LedgerQuery::Jobs).await;
+    let answers = query_all_partitions(context, LedgerQuery::Jobs).await;
     let jobs = answers.into_iter().filter_map(|answer| match answer {
         LedgerAnswer::Jobs(jobs) => Some(jobs),
         _ => None,
@@ -187,9 +190,9 @@
     table
 }
 
-/// What is declared of every pool of the fleet.
+/// Events, targets and orders of all pools, except those of partitions that do not answer.
 pub(super) async fn all_pools(context: &Context) -> Vec<(PoolName, PoolState)> {
-    let answers = ask_all(context, LedgerQuery::Pools).await;
+    let answers = query_all_partitions(context, LedgerQuery::Pools).await;
     let pools = answers.into_iter().filter_map(|answer| match answer {
         LedgerAnswer::Pools(pools) => Some(pools),
         _ => None,
@@ -276,7 +279,7 @@
 
 async fn submissions(context: &Context) -> Table {
     let mut table = Table::new(&["id", "tenant", "pool", "repeatable", "status", "worker"]);
-    let answers = ask_all(context, LedgerQuery::Submissions).await;
+    let answers = query_all_partitions(context, LedgerQuery::Submissions).await;
     for answer in answers {
         let LedgerAnswer::Submissions(submissions) = answer else {
             continue;
@@ -320,7 +323,7 @@
         "open_submissions",
         "running_jobs",
     ]);
-    for answer in ask_all(context, LedgerQuery::Partition).await {
+    for answer in query_all_partitions(context, LedgerQuery::Partition).await {
         let LedgerAnswer::Partition(view) = answer else {
             continue;
         };
@@ -344,10 +347,10 @@
     table
 }
 
-/// The configuration in force at each node.
+/// The version and author of the configuration in force at each reachable member.
 async fn configuration(context: &Context) -> Table {
     let mut table = Table::new(&["node", "zone", "version", "author"]);
-    let asked = members(context).into_iter().map(|member| async move {
+    let requests = members(context).into_iter().map(|member| async move {
         let history = if member.id == context.own.id {
             Some(context.configuration.borrow().clone())
         } else {
@@ -355,7 +358,7 @@
         };
         (member, history)
     });
-    for (member, history) in join_all(asked).await {
+    for (member, history) in join_all(requests).await {
         table.push(vec![
             member.id.to_string().into(),
             member.zone.as_str().into(),
--- a/crates/swiftshunt-node/src/peer/client.rs
+++ b/crates/swiftshunt-node/src/peer/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes.
+//! Client of the peer interface.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,16 +21,17 @@
 use crate::decisions::Decision;
 use crate::lock;
 
-/// Batches that wait for one peer; more are dropped, and consensus sends them again.
-const RAFT_QUEUE: usize = 1024;
-/// Batches in one exchange.
-const RAFT_BATCHES_PER_EXCHANGE: usize = 128;
-/// An exchange of consensus messages that takes longer is given up.
+/// Capacity of the queue of message batches to one peer. Batches beyond it are dropped; the consensus
+/// protocol sends their messages again.
+const RAFT_QUEUE_CAPACITY: usize = 1024;
+/// Limit of the batches in one exchange.
+const MAX_BATCHES_PER_EXCHANGE: usize = 128;
+/// Timeout of one exchange of consensus messages.
 const RAFT_EXCHANGE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time for a copy of replicated state.
+/// Timeout of calls that read state from a peer or drain it.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Bytes and calls between this node and its peers, as far as this node began them.
+/// Counters of the calls that this node made to other nodes, and of the bytes of their bodies.
 #[derive(Debug, Default)]
 pub(crate) struct PeerTraffic {
     pub(crate) calls: Counter,
@@ -38,6 +39,7 @@
     pub(crate) received_bytes: Counter,
 }
 
+/// Posts a CBOR body and decodes the CBOR answer; counts the call and the bytes of both bodies.
 async fn post_counted<T: DeserializeOwned>(
     http: &HttpClient,
     traffic: &PeerTraffic,
@@ -59,7 +61,7 @@
     decode_cbor(&answer.body).map_err(unreadable)
 }
 
-/// Client of other nodes' peer interface.
+/// Client of the peer interface of other nodes.
 pub(crate) struct PeerClient {
     http: HttpClient,
     traffic: Arc<PeerTraffic>,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// What this node has said to and heard from its peers on its own calls.
+    /// The counters of this client's calls.
     pub(crate) fn traffic(&self) -> &PeerTraffic {
         &self.traffic
     }
@@ -99,6 +101,7 @@
         self.post(to, "/peer/gossip", gossip, timeout).await
     }
 
+    /// Lets the node `through` probe the node `target`.
     pub(crate) async fn probe(
         &self,
         through: SocketAddr,
@@ -143,6 +146,8 @@
         self.post(to, "/peer/drain", &(), FETCH_TIMEOUT).await
     }
 
+    /// Sends an operation to the leader of a partition. The outer error is a failed call, the inner one
+    /// the refusal of the replica.
     pub(crate) async fn ledger(
         &self,
         leader: SocketAddr,
@@ -152,32 +157,34 @@
         self.post(leader, "/peer/ledger", request, timeout).await
     }
 
-    /// Queues consensus messages; drops them if the peer does not keep up.
+    /// Queues consensus messages for a peer. Drops them if the queue is full.
     pub(crate) fn send_raft(&self, to: SocketAddr, batch: RaftBatch) {
         let mut queues = lock(&self.raft_queues);
-        let queue = queues.entry(to).or_insert_with(|| self.start_queue(to));
+        let queue = queues
+            .entry(to)
+            .or_insert_with(|| self.spawn_raft_sender(to));
         if let Err(mpsc::error::TrySendError::Closed(batch)) = queue.try_send(batch) {
-            let fresh = self.start_queue(to);
-            drop(fresh.try_send(batch));
-            queues.insert(to, fresh);
+            let new_queue = self.spawn_raft_sender(to);
+            drop(new_queue.try_send(batch));
+            queues.insert(to, new_queue);
         }
     }
 
-    fn start_queue(&self, to: SocketAddr) -> mpsc::Sender<RaftBatch> {
-        let (sender, mut receiver) = mpsc::channel(RAFT_QUEUE);
+    fn spawn_raft_sender(&self, to: SocketAddr) -> mpsc::Sender<RaftBatch> {
+        let (sender, mut receiver) = mpsc::channel(RAFT_QUEUE_CAPACITY);
         let (http, traffic) = (self.http.clone(), Arc::clone(&self.traffic));
         tokio::spawn(async move {
             let mut batches = Vec::new();
             while receiver
-                .recv_many(&mut batches, RAFT_BATCHES_PER_EXCHANGE)
+                .recv_many(&mut batches, MAX_BATCHES_PER_EXCHANGE)
                 .await
                 > 0
             {
                 let timeout = RAFT_EXCHANGE_TIMEOUT;
-                let sent = post_counted(&http, &traffic, to, "/peer/raft", &batches, timeout);
-                let sent: Result<(), HttpError> = sent.await;
-                if let Err(error) = sent {
-                    log::debug!("consensus messages dropped: {error}");
+                let result = post_counted(&http, &traffic, to, "/peer/raft", &batches, timeout);
+                let result: Result<(), HttpError> = result.await;
+                if let Err(error) = result {
+                    log::debug!("exchange with a peer failed, consensus messages dropped: {error}");
                 }
                 batches.clear();
             }
--- a/crates/swiftshunt-node/src/submissions/execution.rs
+++ b/crates/swiftshunt-node/src/submissions/execution.rs
@@ -1,7 +1,8 @@
-//! The leader's side of a submission: decide, commit the decision, send, record the result.
+//! Execution of a submission by the leader of its partition: it chooses a worker, commits the dispatch,
+//! sends the request and records the result.
 //!
-//! The decision to send is committed before a byte is written, so whoever leads next finds it and
-//! asks the worker by key instead of sending blindly.
+//! The dispatch is committed before any byte is sent, so that the next leader finds it and queries
+//! the worker by submission identifier instead of sending the request a second time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,25 +17,28 @@
 use swiftshunt_types::{Monotonic, PartitionId, SubmissionId, WorkerId, partition_of};
 use tokio_util::sync::CancellationToken;
 
-use crate::context::{Context, draw};
+use crate::context::{Context, random_u64};
 use crate::ledger::{self, LeaseClock};
 use crate::lifecycle::InProgress;
 use crate::lock;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// First pause between tries.
-const RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// How long a worker that was sent a submission is asked for its outcome before it counts as gone.
-const INQUIRY_TIME: Duration = Duration::from_secs(3);
-/// How long a worker must say "not started" before a submission that is not repeatable is settled:
-/// an earlier leader may still be about to send it.
-const NOT_STARTED_TIME: Duration = Duration::from_secs(2);
-/// How long one inquiry may take.
-const INQUIRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a result is offered to leaders before the next leader's inquiry must find it.
-const RECORD_TIME: Duration = Duration::from_secs(30);
+/// Base delay of the exponential backoff between steps.
+const RETRY_DELAY: Duration = Duration::from_millis(25);
+/// Time since the first query of the worker of a dispatch, from which a failed query makes it count as
+/// lost.
+const WORKER_LOST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time since the first query, from which a submission that is not repeatable is settled as outcome
+/// unknown if the worker reports "not started". Before that, an earlier leader may still be about to
+/// send it.
+const NOT_STARTED_SETTLE_DELAY: Duration = Duration::from_secs(2);
+/// Timeout of one query for the state of an execution.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long recording a result is retried. After that, the next leader reads it from the worker.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Runs one submission until it has ended or this leadership is over.
+/// Runs one submission until it has completed. Returns earlier if `stopped` is cancelled, the partition
+/// does not answer as leader, or the lease has expired before a send.
 pub(crate) async fn run_submission(
     context: Arc<Context>,
     partition: PartitionId,
@@ -60,59 +64,67 @@
     stopped: CancellationToken,
 }
 
-/// What follows one step.
+/// Outcome of one step of an execution.
 enum Step {
-    /// A result to record.
+    /// The submission has this result, which is not recorded yet.
     Finished(SubmissionResult),
-    /// Look at the ledger again, after a pause.
-    Again,
-    /// The leadership is over.
-    Over,
+    /// The submission must be read from the ledger again, after a delay.
+    Retry,
+    /// This node does not lead the partition, or its lease has expired.
+    LeadershipEnded,
 }
 
 impl Execution {
     async fn run(&self) {
         let mut attempt = 0;
         while !self.stopped.is_cancelled() {
-            let Some(submission) = self.current().await else {
+            let Some(submission) = self.read_submission().await else {
                 return;
             };
             let step = match &submission.status {
-                SubmissionStatus::Accepted => self.send_first(&submission.request).await,
+                SubmissionStatus::Accepted => self.dispatch_accepted(&submission.request).await,
                 SubmissionStatus::Dispatched(dispatch) => {
-                    self.settle(&submission.request, dispatch).await
+                    self.resolve_outcome(&submission.request, dispatch).await
                 }
                 SubmissionStatus::Completed(_) => return,
             };
             match step {
                 Step::Finished(result) => return self.record(result).await,
-                Step::Over => return,
-                Step::Again => {}
+                Step::LeadershipEnded => return,
+                Step::Retry => {}
             }
-            let pause = backoff(RETRY_PAUSE, attempt, &mut rand::rng());
+            let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
             attempt += 1;
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    async fn current(&self) -> Option<Submission> {
+    /// Reads the submission from the local replica. `None` if it does not exist or the replica does not
+    /// answer as leader.
+    async fn read_submission(&self) -> Option<Submission> {
         let query = LedgerQuery::Submission(self.id.clone());
         let operation = LedgerOperation::Query(query);
-        match self.context.ledger.local(self.partition, operation).await {
+        match self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await
+        {
             Ok(LedgerAnswer::Submission(found)) => found,
             _ => None,
         }
     }
 
-    /// Sends an accepted submission to a worker.
-    async fn send_first(&self, request: &NewSubmission) -> Step {
+    /// Dispatches a submission that no worker has been chosen for; retries if the pool has no worker.
+    async fn dispatch_accepted(&self, request: &NewSubmission) -> Step {
         match self.choose_worker(request, None) {
             Some((worker, address)) => self.dispatch(request, worker, address, None).await,
-            None => Step::Again,
+            None => Step::Retry,
         }
     }
 
-    /// Commits the decision to send, then sends.
+    /// Commits a dispatch to `worker`, in place of the dispatch `supersedes` if given, then sends the
+    /// request.
     async fn dispatch(
         &self,
         request: &NewSubmission,
@@ -120,7 +132,7 @@
         address: SocketAddr,
         supersedes: Option<DispatchId>,
     ) -> Step {
-        let dispatch = DispatchId(draw());
+        let dispatch = DispatchId(random_u64());
         let command = Command::DispatchSubmission {
             submission: self.id.clone(),
             dispatch,
@@ -128,15 +140,19 @@
             supersedes,
         };
         let operation = LedgerOperation::Propose(command);
-        let answer = self.context.ledger.local(self.partition, operation).await;
+        let answer = self
+            .context
+            .ledger
+            .execute_local(self.partition, operation)
+            .await;
         let granted = match answer {
             Ok(LedgerAnswer::Outcome(Outcome::Dispatch(DispatchOutcome::Granted(granted)))) => {
                 granted
             }
-            Ok(_) => return Step::Again,
-            Err(_) => return Step::Over,
+            Ok(_) => return Step::Retry,
+            Err(_) => return Step::LeadershipEnded,
         };
-        self.explain(
+        self.record_decision(
             format!("dispatch {dispatch} to worker {worker}"),
             format!(
                 "least loaded worker of pool {}; attempt {}",
@@ -146,8 +162,8 @@
         self.perform(request, &granted, address).await
     }
 
-    /// Sends under a committed decision. Between the commit and this point the process may have
-    /// been stopped for any time, so the lease is looked at last.
+    /// Sends the request of a committed dispatch. The process may have been suspended for any length
+    /// of time since the commit, so the lease is checked immediately before the send.
     async fn perform(
         &self,
         request: &NewSubmission,
@@ -155,135 +171,145 @@
         address: SocketAddr,
     ) -> Step {
         if !self.lease.is_valid(self.context.clock.now()) {
-            return Step::Over;
+            return Step::LeadershipEnded;
         }
-        let busy = self.occupy(&dispatch.worker);
+        let in_flight = self.track_in_flight(&dispatch.worker);
         let timeout = self.context.settings.limits.worker_timeout;
         let workers = &self.context.submission_workers;
         let body = request.body.clone();
         let answer = workers.perform(address, &self.id, body, timeout).await;
-        drop(busy);
+        drop(in_flight);
         match answer {
-            Ok(answer) => Step::Finished(answered(answer)),
+            Ok(answer) => Step::Finished(answered_result(answer)),
             Err(WorkerError::NotStarted { reason }) => {
                 self.release(dispatch, reason).await;
-                Step::Again
+                Step::Retry
             }
             Err(WorkerError::Unknown { source }) => {
-                self.explain(
+                self.record_decision(
                     format!("ask worker {} for the outcome", dispatch.worker),
                     source.to_string(),
                 );
-                Step::Again
+                Step::Retry
             }
         }
     }
 
-    /// Takes the decision back: the worker certainly did not start.
+    /// Releases a dispatch whose worker certainly did not start the submission.
     async fn release(&self, dispatch: &Dispatch, reason: String) {
         let now = self.context.clock.now();
         lock(&self.context.workers).record_connection_failure(&dispatch.worker, now);
-        self.explain(format!("take dispatch {} back", dispatch.id), reason);
+        self.record_decision(format!("take dispatch {} back", dispatch.id), reason);
         let command = Command::ReleaseSubmission {
             submission: self.id.clone(),
             dispatch: dispatch.id,
         };
         let operation = LedgerOperation::Propose(command);
-        drop(self.context.ledger.local(self.partition, operation).await);
+        drop(
+            self.context
+                .ledger
+                .execute_local(self.partition, operation)
+                .await,
+        );
     }
 
-    /// Finds out what became of a decision whose answer is missing.
-    async fn settle(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    /// Queries the worker of a dispatch without a recorded result until the outcome is known, the
+    /// submission may be dispatched again, or the worker counts as lost.
+    async fn resolve_outcome(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         let started = self.context.clock.now();
         let mut attempt = 0;
         loop {
             if self.stopped.is_cancelled() {
-                return Step::Over;
+                return Step::LeadershipEnded;
             }
             let elapsed = self.context.clock.now().saturating_sub(started);
-            match self.inquire(dispatch).await {
-                Inquiry::Finished(answer) => return Step::Finished(answered(answer)),
-                Inquiry::Running => {}
-                Inquiry::NotStarted if request.repeatable => {
-                    return self.send_again(request, dispatch).await;
+            match self.query_worker(dispatch).await {
+                QueryResult::Finished(answer) => return Step::Finished(answered_result(answer)),
+                QueryResult::Running => {}
+                QueryResult::NotStarted if request.repeatable => {
+                    return self.redispatch(request, dispatch).await;
                 }
-                Inquiry::NotStarted if elapsed >= NOT_STARTED_TIME => {
-                    return self.give_up(dispatch, "the worker has not seen it");
+                QueryResult::NotStarted if elapsed >= NOT_STARTED_SETTLE_DELAY => {
+                    return self.settle_as_unknown(dispatch, "the worker has not seen it");
                 }
-                Inquiry::Silent if elapsed >= INQUIRY_TIME => {
-                    return self.worker_lost(request, dispatch).await;
+                QueryResult::Unreachable if elapsed >= WORKER_LOST_TIMEOUT => {
+                    return self.on_worker_lost(request, dispatch).await;
                 }
-                Inquiry::Gone => return self.worker_lost(request, dispatch).await,
-                Inquiry::NotStarted | Inquiry::Silent => {}
+                QueryResult::Unlisted => return self.on_worker_lost(request, dispatch).await,
+                QueryResult::NotStarted | QueryResult::Unreachable => {}
             }
-            let pause = backoff(RETRY_PAUSE, attempt, &mut rand::rng());
+            let delay = backoff(RETRY_DELAY, attempt, &mut rand::rng());
             attempt += 1;
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    async fn inquire(&self, dispatch: &Dispatch) -> Inquiry {
+    /// Asks the worker of a dispatch once for the state of the execution.
+    async fn query_worker(&self, dispatch: &Dispatch) -> QueryResult {
         let Some(address) = self.address_of(&dispatch.worker) else {
-            return Inquiry::Gone;
+            return QueryResult::Unlisted;
         };
         let workers = &self.context.submission_workers;
-        match workers.look_up(address, &self.id, INQUIRY_TIMEOUT).await {
-            Ok(ExecutionState::Finished { answer }) => Inquiry::Finished(answer),
-            Ok(ExecutionState::Running) => Inquiry::Running,
-            Ok(ExecutionState::NotStarted) => Inquiry::NotStarted,
-            Err(_) => Inquiry::Silent,
+        match workers.look_up(address, &self.id, QUERY_TIMEOUT).await {
+            Ok(ExecutionState::Finished { answer }) => QueryResult::Finished(answer),
+            Ok(ExecutionState::Running) => QueryResult::Running,
+            Ok(ExecutionState::NotStarted) => QueryResult::NotStarted,
+            Err(_) => QueryResult::Unreachable,
         }
     }
 
-    /// Sends a repeatable submission once more: to the same worker, which knows the key if an
-    /// earlier send arrives after all.
-    async fn send_again(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    /// Dispatches a repeatable submission again, to the same worker: it recognises the identifier if
+    /// the earlier request still arrives.
+    async fn redispatch(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         match self.address_of(&dispatch.worker) {
             Some(address) => {
                 let worker = dispatch.worker.clone();
                 self.dispatch(request, worker, address, Some(dispatch.id))
                     .await
             }
-            None => self.worker_lost(request, dispatch).await,
+            None => self.on_worker_lost(request, dispatch).await,
         }
     }
 
-    /// The worker that was sent it cannot be asked any more.
-    async fn worker_lost(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
+    /// Handles a worker that cannot be queried: dispatches a repeatable submission again, to another
+    /// worker if there is one, and settles any other submission as outcome unknown.
+    async fn on_worker_lost(&self, request: &NewSubmission, dispatch: &Dispatch) -> Step {
         if !request.repeatable {
-            return self.give_up(dispatch, "the worker cannot be reached");
+            return self.settle_as_unknown(dispatch, "the worker cannot be reached");
         }
         match self.choose_worker(request, Some(&dispatch.worker)) {
             Some((worker, address)) => {
                 self.dispatch(request, worker, address, Some(dispatch.id))
                     .await
             }
-            None => Step::Again,
+            None => Step::Retry,
         }
     }
 
-    fn give_up(&self, dispatch: &Dispatch, reason: &str) -> Step {
+    /// Ends the execution with an unknown outcome, as the submission must not be sent again.
+    fn settle_as_unknown(&self, dispatch: &Dispatch, reason: &str) -> Step {
         let decision = format!("settle as outcome unknown after dispatch {}", dispatch.id);
-        self.explain(decision, reason.to_owned());
+        self.record_decision(decision, reason.to_owned());
         Step::Finished(SubmissionResult::OutcomeUnknown)
     }
 
-    /// Records the result with whoever leads now; the first recorded result stands.
+    /// Records the result at the partition's current leader. If a result is already recorded, that one
+    /// is kept.
     async fn record(&self, result: SubmissionResult) {
         let command = Command::CompleteSubmission {
             submission: self.id.clone(),
             result,
         };
-        let deadline: Monotonic = self.context.clock.now() + RECORD_TIME;
+        let deadline: Monotonic = self.context.clock.now() + RECORD_TIMEOUT;
         let partition = partition_of(self.id.as_str(), self.context.settings.ledger.partitions);
         let recorded = ledger::propose(&self.context, partition, command, deadline).await;
         if recorded.is_err() {
-            log::warn!(submission = self.id.as_str(); "result not recorded here; the next leader asks the worker");
+            log::warn!(submission = self.id.as_str(); "result not recorded; the next leader queries the worker");
         }
     }
 
-    /// The worker with the fewest submissions in progress from here, other than `excluded` if
-    /// there is a choice.
+    /// The worker of the pool with the fewest online requests in progress from this node. `excluded`
+    /// is chosen only if it is the only candidate.
     fn choose_worker(
         &self,
         request: &NewSubmission,
@@ -293,8 +319,8 @@
         let workers = lock(&self.context.workers);
         let candidates = workers.candidates(&request.pool, &self.context.own.zone, now);
         let least_loaded = candidates.into_iter().min_by_key(|worker| {
-            let again = Some(&worker.machine.id) == excluded;
-            (again, worker.own_online, worker.machine.id.clone())
+            let is_excluded = Some(&worker.machine.id) == excluded;
+            (is_excluded, worker.own_online, worker.machine.id.clone())
         })?;
         Some((
             least_loaded.machine.id.clone(),
@@ -307,53 +333,55 @@
         workers.get(worker).map(|worker| worker.machine.address)
     }
 
-    /// Counts the submission as in progress, on the worker and in the process.
-    fn occupy(&self, worker: &WorkerId) -> Occupied {
-        count_online(&self.context, worker, 1);
-        Occupied {
+    /// Counts the submission as in progress, for the worker and for this process, until the returned
+    /// value is dropped.
+    fn track_in_flight(&self, worker: &WorkerId) -> InFlight {
+        adjust_online_count(&self.context, worker, 1);
+        InFlight {
             context: Arc::clone(&self.context),
             worker: worker.clone(),
-            _in_progress: self.context.lifecycle.enter(),
+            _in_progress: self.context.lifecycle.start_request(),
         }
     }
 
-    fn explain(&self, decision: String, reason: String) {
+    /// Adds a decision about this submission to the decisions that operators can read.
+    fn record_decision(&self, decision: String, reason: String) {
         let subject = format!("submission {}", self.id);
         self.context.decisions.record(subject, decision, reason);
     }
 }
 
-/// What a worker says of a key.
-enum Inquiry {
+/// Result of querying the worker of a dispatch for the state of the execution.
+enum QueryResult {
     Finished(WorkerAnswer),
     Running,
     NotStarted,
-    /// It does not answer.
-    Silent,
-    /// It is no longer in the machine list.
-    Gone,
+    /// The query failed or timed out.
+    Unreachable,
+    /// The worker is not in the machine list.
+    Unlisted,
 }
 
-/// One submission in progress on a worker, until dropped.
-struct Occupied {
+/// Counts one submission as in progress on a worker until dropped.
+struct InFlight {
     context: Arc<Context>,
     worker: WorkerId,
     _in_progress: InProgress,
 }
 
-impl Drop for Occupied {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        count_online(&self.context, &self.worker, -1);
+        adjust_online_count(&self.context, &self.worker, -1);
     }
 }
 
-fn count_online(context: &Context, worker: &WorkerId, change: i32) {
+fn adjust_online_count(context: &Context, worker: &WorkerId, change: i32) {
     if let Some(worker) = lock(&context.workers).get_mut(worker) {
         worker.own_online = worker.own_online.saturating_add_signed(change);
     }
 }
 
-fn answered(answer: WorkerAnswer) -> SubmissionResult {
+fn answered_result(answer: WorkerAnswer) -> SubmissionResult {
     SubmissionResult::Answered {
         status: answer.status,
         body: answer.body,
--- a/crates/swiftshunt-node/src/submissions/intake.rs
+++ b/crates/swiftshunt-node/src/submissions/intake.rs
@@ -1,4 +1,4 @@
-//! The caller's side of a submission: accept it in the ledger, wait for its result.
+//! Acceptance of submissions in the ledger, and reads of their results.
 
 use std::time::Duration;
 
@@ -14,18 +14,22 @@
 use crate::ledger;
 use crate::peer::{LedgerAnswer, LedgerOperation, LedgerQuery};
 
-/// What a caller hands in.
+/// A submission as a caller sends it.
 pub(crate) struct SubmitRequest {
     pub(crate) tenant: TenantName,
+    /// Idempotency key, unique within the tenant.
     pub(crate) key: String,
     pub(crate) pool: PoolName,
     pub(crate) body: String,
+    /// Whether the submission may be sent to a worker more than once.
     pub(crate) repeatable: bool,
     /// How long the caller waits for the result.
     pub(crate) wait: Duration,
 }
 
-/// Accepts a submission and waits for its result; none if it has not ended in time.
+/// Accepts a submission and waits for its result; the result is `None` if the submission has not
+/// completed within `request.wait`. Fails with `KeyReused` if the idempotency key belongs to a
+/// submission with different content.
 pub(crate) async fn submit(
     context: &Context,
     request: SubmitRequest,
@@ -39,6 +43,7 @@
     Ok((id, result))
 }
 
+/// Commits the submission in the ledger; succeeds also if an equal one was accepted before.
 async fn accept(
     context: &Context,
     partition: PartitionId,
@@ -56,7 +61,7 @@
     });
     let deadline = started + context.settings.limits.leader_wait;
     let outcome = ledger::propose(context, partition, command, deadline).await;
-    match outcome.map_err(ledger::failure)? {
+    match outcome.map_err(ledger::to_failure)? {
         Outcome::Accept(AcceptOutcome::New | AcceptOutcome::Existing) => Ok(()),
         _ => {
             let message = "the idempotency key was used with another body";
@@ -65,13 +70,14 @@
     }
 }
 
-/// Digest of everything that makes two requests the same.
+/// Digest of the content. It distinguishes a repeated request from a reuse of its key.
 fn request_digest(request: &SubmitRequest) -> Digest {
     let identity = format!("{}\n{}\n{}", request.pool, request.repeatable, request.body);
     Digest::of(identity.as_bytes())
 }
 
-/// The accepted submission's result, through any change of leader; none if the time is up.
+/// Waits for the result of an accepted submission, also across changes of leader. `None` if the
+/// deadline passes or the partition cannot be reached before it.
 async fn await_result(
     context: &Context,
     partition: PartitionId,
@@ -96,7 +102,8 @@
     }
 }
 
-/// Reads a submission of a tenant, from its leader.
+/// Reads a submission from the leader of its partition. `NotFound` also if it belongs to another
+/// tenant.
 pub(crate) async fn read(
     context: &Context,
     tenant: &TenantName,
@@ -106,7 +113,7 @@
     let operation = LedgerOperation::Query(LedgerQuery::Submission(id.clone()));
     let deadline = context.clock.now() + context.settings.limits.leader_wait;
     let answer = ledger::call(context, partition, operation, deadline).await;
-    let found = match answer.map_err(ledger::failure)? {
+    let found = match answer.map_err(ledger::to_failure)? {
         LedgerAnswer::Submission(found) => found,
         _ => None,
     };
@@ -116,7 +123,8 @@
     if !submission.has_ended() {
         return Ok(submission);
     }
-    // A recorded result is shown only once it cannot be lost: the await passes through the archive.
+    // Awaiting the result ensures that it is archived and cannot be lost. If that fails before the
+    // deadline, the result that was read above is returned, although it may not be archived.
     let result = await_result(context, partition, id, deadline).await;
     let status = result.map(SubmissionStatus::Completed);
     Ok(Submission {
--- a/crates/swiftshunt/tests/gateway_changes.rs
+++ b/crates/swiftshunt/tests/gateway_changes.rs
@@ -21,7 +21,7 @@
     let mut fleet = start(PlatformOptions::default()).await;
     let mut changed = first_configuration();
     changed.routes.remove(0);
-    let old = first_configuration();
+    let outdated = first_configuration();
     fleet.configure(changed);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
@@ -29,7 +29,7 @@
         assert_eq!(answer.expect("no response").status, StatusCode::NOT_FOUND);
     }
     // An older version that is written later changes nothing, also after the log was compacted.
-    let body = serde_json::to_vec(&old).expect("the document cannot be encoded");
+    let body = serde_json::to_vec(&outdated).expect("the document cannot be encoded");
     let topic = swiftshunt_platform::words::topics::OPERATOR;
     fleet.store.put(topic, "config", body);
     fleet.store.drop_history();
@@ -52,8 +52,8 @@
             changed.routes.remove(0);
         }
         for gateway in &fleet.gateways {
-            gateway.door.set(StoreFaults {
-                lost_reads: true,
+            gateway.store_listener.set_faults(StoreFaults {
+                hang_reads: true,
                 ..StoreFaults::default()
             });
         }
@@ -61,7 +61,7 @@
         fleet.configure(first_configuration());
         tokio::time::sleep(OUTAGE).await;
         for gateway in &fleet.gateways {
-            gateway.door.set(StoreFaults::default());
+            gateway.store_listener.set_faults(StoreFaults::default());
         }
         fleet.configure(changed);
         tokio::time::sleep(APPLIED_WITHIN).await;
@@ -83,7 +83,9 @@
 async fn requests_are_served_by_the_known_configuration_while_the_log_is_down() {
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     for (number, gateway) in fleet.gateways.iter().enumerate() {
@@ -97,14 +99,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_single_gateway_without_the_log_serves_by_the_known_configuration() {
     let mut fleet = start(PlatformOptions::default()).await;
-    fleet.gateways[0].door.set(gateway::down());
+    fleet.gateways[0]
+        .store_listener
+        .set_faults(gateway::unresponsive_log());
     fleet.configure(first_configuration());
     let answer = fleet
         .caller
         .ask(fleet.gateways[0].callers, ASK, "r1", DEADLINE)
         .await;
     assert_eq!(answer.expect("no response").status, StatusCode::OK);
-    fleet.gateways[0].door.set(StoreFaults::default());
+    fleet.gateways[0]
+        .store_listener
+        .set_faults(StoreFaults::default());
     let answer = fleet
         .caller
         .ask(fleet.gateways[1].callers, ASK, "r2", DEADLINE)
@@ -124,30 +130,32 @@
 async fn a_leaving_worker_receives_nothing_after_two_seconds(leaving: Leaving) {
     let fleet = start(PlatformOptions::default()).await;
     match leaving {
-        Leaving::Draining => fleet.list(&fleet.whole[0], "whole", values::DRAINING),
-        Leaving::Unlisted => fleet.unlist(&fleet.whole[0]),
+        Leaving::Draining => fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING),
+        Leaving::Unlisted => fleet.unlist(&fleet.whole_workers[0]),
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..20 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
 /// The state of a draining worker that was read from the log stays valid while the log is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_worker_receives_nothing_while_the_log_is_down() {
     let fleet = start(PlatformOptions::default()).await;
-    fleet.list(&fleet.whole[0], "whole", values::DRAINING);
+    fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..40 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("r{number}");
@@ -155,7 +163,7 @@
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
 /// Directory entries may expire while the log is unreachable. A worker whose entry is missing afterwards
@@ -164,23 +172,25 @@
 async fn a_worker_whose_entry_expired_receives_nothing_until_it_is_listed_again() {
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
-    fleet.unlist(&fleet.whole[0]);
+    fleet.unlist(&fleet.whole_workers[0]);
     tokio::time::sleep(APPLIED_WITHIN / 2).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..24 {
         let gateway = fleet.gateways[number % 2].callers;
         let id = format!("gone-{number}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
-    fleet.list(&fleet.whole[0], "whole", values::READY);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
+    fleet.list(&fleet.whole_workers[0], "whole", values::READY);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for number in 0..24 {
         let gateway = fleet.gateways[number % 2].callers;
@@ -188,10 +198,10 @@
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert!(fleet.whole[0].runs().len() > before);
+    assert!(fleet.whole_workers[0].runs().len() > before);
 }
 
-/// If all directory entries expired while the log was unreachable, living workers list themselves again
+/// If all directory entries expired while the log was unreachable, running workers list themselves again
 /// within about two seconds of its return. Until then the gateways must go on using the known workers.
 #[tokio::test(flavor = "multi_thread")]
 async fn known_workers_are_used_if_all_entries_expired_in_an_outage() {
@@ -199,18 +209,20 @@
     const LISTED_AFTER: Duration = Duration::from_millis(1_500);
     let fleet = start(PlatformOptions::default()).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
-    for worker in fleet.whole.iter().chain(&fleet.engines) {
+    for worker in fleet.whole_workers.iter().chain(&fleet.engine_workers) {
         fleet.unlist(worker);
     }
     tokio::time::sleep(APPLIED_WITHIN / 2).await;
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
-    let returned = std::time::Instant::now();
+    let log_restored_at = std::time::Instant::now();
     let (mut asked, mut refused) = (0, 0);
-    while returned.elapsed() < LISTED_AFTER {
+    while log_restored_at.elapsed() < LISTED_AFTER {
         let gateway = fleet.gateways[asked % 2].callers;
         let id = format!("lapsed-{asked}");
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
@@ -220,7 +232,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     fleet.list_all(values::READY);
-    assert_eq!(refused, 0, "of {asked} requests");
+    assert_eq!(refused, 0, "refused requests, of {asked}");
 }
 
 /// Guards against a preference for new workers over those whose directory entries have not changed for
@@ -232,29 +244,32 @@
         ..PlatformOptions::default()
     })
     .await;
-    fleet.unlist(&fleet.whole[2]);
+    fleet.unlist(&fleet.whole_workers[2]);
     tokio::time::sleep(APPLIED_WITHIN * 2).await;
-    fleet.list(&fleet.whole[2], "whole", values::READY);
+    fleet.list(&fleet.whole_workers[2], "whole", values::READY);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[2].runs().len();
+    let before = fleet.whole_workers[2].runs().len();
     let gateway = fleet.gateways[0].callers;
-    let asked = (0..60).map(|number| {
+    let requests = (0..60).map(|number| {
         let caller = fleet.caller.clone();
         let id = format!("r{number}");
         async move { caller.ask(gateway, ASK, &id, DEADLINE).await }
     });
-    for answer in futures_util::future::join_all(asked).await {
+    for answer in futures_util::future::join_all(requests).await {
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    let at_new = fleet.whole[2].runs().len() - before;
-    assert!(at_new < 45, "{at_new} of 60 went to the new worker");
+    let new_worker_runs = fleet.whole_workers[2].runs().len() - before;
+    assert!(
+        new_worker_runs < 45,
+        "{new_worker_runs} of 60 requests went to the new worker"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_planned_stop_breaks_off_no_stream_and_ends_in_time() {
     let mut fleet = start(PlatformOptions {
         events: 20,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     })
     .await;
@@ -270,7 +285,7 @@
         (0..5).all(|number| !fleet.runs_of(&format!("s{number}")).is_empty())
     })
     .await;
-    let stopped = Instant::now();
+    let stopped_at = Instant::now();
     fleet.gateways[0].process.terminate();
     let ready = fleet.gateways[0].ready;
     let caller = fleet.caller.clone();
@@ -290,7 +305,7 @@
     }
     while fleet.gateways[0].process.is_running() {
         assert!(
-            stopped.elapsed() < Duration::from_secs(8),
+            stopped_at.elapsed() < Duration::from_secs(8),
             "the gateway still runs"
         );
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -303,7 +318,7 @@
 async fn a_request_late_in_a_planned_stop_gets_503_with_retry_after() {
     let fleet = start(PlatformOptions {
         events: 60,
-        event_pause: Duration::from_millis(100),
+        event_interval: Duration::from_millis(100),
         ..PlatformOptions::default()
     })
     .await;
@@ -333,8 +348,8 @@
     // Longer than the interval at which the gateway checks its clock plus the tolerated delay.
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     fleet.gateways[0].process.resume();
-    let logs = fleet.logs().to_owned();
-    eventually("the line is written", || async {
+    let logs = fleet.log_directory().to_owned();
+    eventually("the log shows that the process was paused", || async {
         let log = std::fs::read_to_string(logs.join("gateway-0.log"));
         log.is_ok_and(|log| log.contains("this process stood still"))
     })
--- a/crates/swiftshunt/tests/gateway_cold.rs
+++ b/crates/swiftshunt/tests/gateway_cold.rs
@@ -16,30 +16,30 @@
 /// Requests per second that the configuration allows for a cold worker.
 const COLD_PER_S: f64 = 4.0;
 /// Maximum number of requests in any one second by the settings: `COLD_PER_S` times 1.5, plus 4.
-const ALLOWED: usize = 10;
+const MAX_RUNS_PER_SECOND: usize = 10;
 /// Duration for which a worker is cold.
-const COLD: Duration = Duration::from_secs(4);
+const COLD_DURATION: Duration = Duration::from_secs(4);
 /// Time in which gateways discover each other, and after which permit issuers grant starts at cold workers.
 const SETTLED: Duration = Duration::from_millis(4_500);
 /// Duration of a run: with it, the other worker alone has too few slots for all requests.
 const RUN_TIME: Duration = Duration::from_millis(480);
 /// Interval between requests.
-const PAUSE: Duration = Duration::from_millis(15);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(15);
 /// Interval between readings of the worker's number of runs.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 async fn fleet() -> ExclusiveFleet {
     let mut fleet = start(PlatformOptions {
         gateways: 4,
-        event_pause: RUN_TIME / 8,
-        whole_pause: RUN_TIME,
-        settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
+        event_interval: RUN_TIME / 8,
+        answer_delay: RUN_TIME,
+        extra_settings: "[cold]\nshare = 1.5\nrequests = 4.0\n".to_owned(),
         ..PlatformOptions::default()
     })
     .await;
     let mut configuration = first_configuration();
     for service in &mut configuration.services {
-        service.cold_s = COLD.as_secs_f64();
+        service.cold_s = COLD_DURATION.as_secs_f64();
         service.cold_per_s = COLD_PER_S;
     }
     fleet.configure(configuration);
@@ -49,8 +49,12 @@
 
 /// Writes a directory entry that marks the worker as cold.
 fn mark_cold(fleet: &ExclusiveFleet, worker: &Worker, service: &str) {
-    let mut entry = json!(PlatformFleet::entry_of(worker, service, values::READY));
-    entry["coldLeftMs"] = json!(COLD.as_millis() as u64);
+    let mut entry = json!(PlatformFleet::directory_entry(
+        worker,
+        service,
+        values::READY
+    ));
+    entry["coldLeftMs"] = json!(COLD_DURATION.as_millis() as u64);
     let body = serde_json::to_vec(&entry).expect("the entry cannot be encoded");
     fleet.store.put(topics::WORKERS, worker.incarnation(), body);
 }
@@ -63,14 +67,14 @@
     path: &'static str,
     gateways: &[usize],
 ) -> (usize, usize) {
-    let until = Instant::now() + COLD.mul_f64(0.8);
+    let until = Instant::now() + COLD_DURATION.mul_f64(0.8);
     let before = worker.runs().len();
-    let mut seen: Vec<(Instant, usize)> = vec![(Instant::now(), before)];
+    let mut run_counts: Vec<(Instant, usize)> = vec![(Instant::now(), before)];
     let mut sent = 0;
     let mut next = Instant::now();
     while Instant::now() < until {
         if Instant::now() >= next {
-            next += PAUSE;
+            next += REQUEST_INTERVAL;
             let gateway = fleet.gateways[gateways[sent % gateways.len()]].callers;
             let caller = fleet.caller.clone();
             let id = format!("request-{sent}");
@@ -80,11 +84,11 @@
                 caller.ask(gateway, path, &id, deadline).await
             });
         }
-        seen.push((Instant::now(), worker.runs().len()));
-        tokio::time::sleep(POLL_INTERVAL.min(PAUSE)).await;
+        run_counts.push((Instant::now(), worker.runs().len()));
+        tokio::time::sleep(POLL_INTERVAL.min(REQUEST_INTERVAL)).await;
     }
-    let windows = seen.iter().map(|(from, count)| {
-        let within = seen
+    let windows = run_counts.iter().map(|(from, count)| {
+        let within = run_counts
             .iter()
             .filter(|(at, _)| *at <= *from + Duration::from_secs(1));
         let last = within.map(|(_, count)| *count).max().unwrap_or_default();
@@ -98,7 +102,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn streams_and_items_together_do_not_exceed_the_bound_of_a_cold_worker() {
     let fleet = fleet().await;
-    let engine = &fleet.engines[0];
+    let engine = &fleet.engine_workers[0];
     mark_cold(&fleet, engine, "engine");
     tokio::time::sleep(Duration::from_millis(700)).await;
     for job in 0..4 {
@@ -112,7 +116,10 @@
     }
     let (most, total) = max_runs_per_second(&fleet, engine, STREAM, &[0, 1, 2, 3]).await;
     println!("{most} in a second, {total} in total");
-    assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
+    assert!(
+        most <= MAX_RUNS_PER_SECOND,
+        "{most} runs in one second, {MAX_RUNS_PER_SECOND} allowed"
+    );
     assert!(total > 0, "the cold worker received no request");
 }
 
@@ -122,12 +129,15 @@
 async fn online_requests_do_not_exceed_the_bound_of_a_cold_worker_after_a_gateway_is_killed() {
     let mut fleet = fleet().await;
     fleet.gateways[3].process.kill();
-    let worker = &fleet.whole[0];
+    let worker = &fleet.whole_workers[0];
     mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(700)).await;
     let (most, total) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2]).await;
     println!("{most} in a second, {total} in total");
-    assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
+    assert!(
+        most <= MAX_RUNS_PER_SECOND,
+        "{most} runs in one second, {MAX_RUNS_PER_SECOND} allowed"
+    );
     assert!(total > 0, "the cold worker received no request");
 }
 
@@ -145,9 +155,12 @@
         })
         .await;
     }
-    let worker = &fleet.whole[0];
+    let worker = &fleet.whole_workers[0];
     mark_cold(&fleet, worker, "whole");
     tokio::time::sleep(Duration::from_millis(300)).await;
     let (most, _) = max_runs_per_second(&fleet, worker, ASK, &[0, 1, 2, 3]).await;
-    assert!(most <= ALLOWED, "{most} in a second, {ALLOWED} allowed");
+    assert!(
+        most <= MAX_RUNS_PER_SECOND,
+        "{most} runs in one second, {MAX_RUNS_PER_SECOND} allowed"
+    );
 }
--- a/crates/swiftshunt/tests/gateway_peers.rs
+++ b/crates/swiftshunt/tests/gateway_peers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use gateway::{NO_WAIT, assert_completed, listed, start, submit, whole_job};
+use gateway::{NO_WAIT, assert_completed, listed_results, start, submit, wait_for_all_results};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::caller::item_id;
 use swiftshunt_lab::platform::fleet::{PlatformOptions, eventually};
@@ -21,13 +21,15 @@
     for job in &jobs {
         drop(fleet.caller.results(two, job, 0, NO_WAIT).await);
     }
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1]
+        .store_listener
+        .set_faults(gateway::unresponsive_log());
     for job in &jobs {
         submit(&fleet, one, job, 3).await;
     }
     let mut read_count = 0;
     for job in &jobs {
-        whole_job(&fleet, one, job, 3).await;
+        wait_for_all_results(&fleet, one, job, 3).await;
         let answer = fleet.caller.results(two, job, 0, NO_WAIT).await;
         let (status, page) = answer.expect("no response");
         if status == StatusCode::OK {
@@ -57,16 +59,16 @@
         submit(&fleet, one, job, 3).await;
     }
     for job in &jobs {
-        whole_job(&fleet, two, job, 3).await;
+        wait_for_all_results(&fleet, two, job, 3).await;
     }
     fleet.gateways[0].process.pause();
     for job in &jobs {
         eventually("the job is readable while its owner is paused", || async {
-            let results = listed(&fleet, two, job).await;
+            let results = listed_results(&fleet, two, job).await;
             results.len() == 3
         })
         .await;
-        assert_completed(&listed(&fleet, two, job).await, job, 3);
+        assert_completed(&listed_results(&fleet, two, job).await, job, 3);
     }
 }
 
@@ -76,7 +78,7 @@
 async fn an_ended_job_does_not_run_at_a_new_owner_with_outdated_state() {
     const ITEMS: usize = 150;
     let fleet = start(PlatformOptions {
-        event_pause: Duration::from_millis(60),
+        event_interval: Duration::from_millis(60),
         ..PlatformOptions::default()
     })
     .await;
@@ -94,18 +96,18 @@
         })
         .await;
         println!("{} runs before move {moves}", runs());
-        fleet.store.deal_anew();
+        fleet.store.reassign_partitions();
         tokio::time::sleep(Duration::from_millis(800)).await;
     }
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults {
-            lost_reads: true,
+        gateway.store_listener.set_faults(StoreFaults {
+            hang_reads: true,
             ..StoreFaults::default()
         });
     }
     let status = fleet.caller.end(two, "job-1").await;
     assert_eq!(status.expect("no response"), StatusCode::OK);
-    fleet.store.deal_anew();
+    fleet.store.reassign_partitions();
     tokio::time::sleep(Duration::from_millis(2_500)).await;
     let count_before = runs();
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/swiftshunt/tests/gateway_readers.rs
+++ b/crates/swiftshunt/tests/gateway_readers.rs
@@ -19,16 +19,16 @@
 const APPLIED_WITHIN: Duration = Duration::from_secs(2);
 const DEADLINE: Duration = Duration::from_secs(5);
 /// Interval at which workers renew their entries, as on a real platform.
-const HEARTBEAT: Duration = Duration::from_millis(250);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
 const GATEWAYS: usize = 5;
 /// With this setting, two of up to five gateways read for the others.
-const SHARING: &str = "gateways_per_reader = 2";
+const READER_SETTING: &str = "gateways_per_reader = 2";
 
 /// Starts five gateways and waits until only two of them read from the log.
-async fn start_sharing() -> ExclusiveFleet {
+async fn start_with_two_readers() -> ExclusiveFleet {
     let options = PlatformOptions {
         gateways: GATEWAYS,
-        directory: SHARING.to_owned(),
+        extra_directory_settings: READER_SETTING.to_owned(),
         ..PlatformOptions::default()
     };
     let fleet = start(options).await;
@@ -45,15 +45,17 @@
     let began = Instant::now();
     while began.elapsed() < time {
         fleet.list_all(values::READY);
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
 /// Returns the indexes of the gateways that read the directory from the log while entries are renewed.
 async fn readers(fleet: &ExclusiveFleet) -> Vec<usize> {
     let reads = || -> Vec<u64> {
-        let doors = fleet.gateways.iter().map(|gateway| &gateway.door);
-        doors.map(|door| door.reads(topics::WORKERS)).collect()
+        let listeners = fleet.gateways.iter().map(|gateway| &gateway.store_listener);
+        listeners
+            .map(|listener| listener.read_calls(topics::WORKERS))
+            .collect()
     };
     let before = reads();
     renew_entries(fleet, APPLIED_WITHIN).await;
@@ -66,14 +68,14 @@
 /// Removes a worker and adds a route. Asserts that, after `APPLIED_WITHIN`, these gateways send nothing to the
 /// worker and serve the route.
 async fn assert_changes_apply(fleet: &mut ExclusiveFleet, gateways: &[usize]) {
-    fleet.unlist(&fleet.whole[0]);
+    fleet.unlist(&fleet.whole_workers[0]);
     let mut configuration = first_configuration();
     configuration
         .routes
         .push(route("/added/", values::IDEMPOTENT, "whole"));
     fleet.configure(configuration);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     for number in 0..12 {
         let gateway = &fleet.gateways[gateways[number % gateways.len()]];
         for path in [ASK, "/added/"] {
@@ -84,7 +86,7 @@
         }
     }
     assert_eq!(
-        fleet.whole[0].runs().len(),
+        fleet.whole_workers[0].runs().len(),
         before,
         "a request ran at the removed worker"
     );
@@ -92,7 +94,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_read_by_two_gateways_apply_at_five() {
-    let mut fleet = start_sharing().await;
+    let mut fleet = start_with_two_readers().await;
     let all: Vec<usize> = (0..GATEWAYS).collect();
     assert_changes_apply(&mut fleet, &all).await;
 }
@@ -118,20 +120,22 @@
 #[test_case(Loss::LogBusy; "log busy")]
 #[tokio::test(flavor = "multi_thread")]
 async fn changes_apply_in_time_after_the_loss_of_readers(loss: Loss) {
-    let mut fleet = start_sharing().await;
+    let mut fleet = start_with_two_readers().await;
     let readers = readers(&fleet).await;
     for reader in &readers {
         let gateway = &mut fleet.gateways[*reader];
         match loss {
             Loss::Paused => gateway.process.pause(),
             Loss::Killed => gateway.process.kill(),
-            Loss::LogSilent => gateway.door.set(gateway::down()),
-            Loss::ReadsLost => gateway.door.set(StoreFaults {
-                lost_reads: true,
+            Loss::LogSilent => gateway
+                .store_listener
+                .set_faults(gateway::unresponsive_log()),
+            Loss::ReadsLost => gateway.store_listener.set_faults(StoreFaults {
+                hang_reads: true,
                 ..StoreFaults::default()
             }),
-            Loss::LogBusy => gateway.door.set(StoreFaults {
-                down: Some(swiftshunt_lab::platform::store::Down::Busy),
+            Loss::LogBusy => gateway.store_listener.set_faults(StoreFaults {
+                outage: Some(swiftshunt_lab::platform::store::StoreOutage::Busy),
                 ..StoreFaults::default()
             }),
         }
@@ -143,11 +147,13 @@
 /// A gateway that cannot reach the log still receives changes from its reader.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_gateway_without_the_log_receives_changes_from_its_reader() {
-    let mut fleet = start_sharing().await;
+    let mut fleet = start_with_two_readers().await;
     let readers = readers(&fleet).await;
     let others: Vec<usize> = (0..GATEWAYS).filter(|it| !readers.contains(it)).collect();
     for other in &others {
-        fleet.gateways[*other].door.set(gateway::down());
+        fleet.gateways[*other]
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
     assert_changes_apply(&mut fleet, &others).await;
 }
@@ -160,12 +166,12 @@
     wait: Duration,
 }
 
-/// A gateway that is no longer a reader must not answer that there are no new records, since others may still
+/// A gateway that has ceased to be a reader must not answer that there are no new records, since others may still
 /// treat it as a reader.
 #[tokio::test(flavor = "multi_thread")]
 async fn only_readers_answer_calls_for_new_records() {
     let mut fleet = start(PlatformOptions {
-        directory: SHARING.to_owned(),
+        extra_directory_settings: READER_SETTING.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
