--- a/crates/swiftshunt/tests/gateway_refused.rs
+++ b/crates/swiftshunt/tests/gateway_refused.rs
@@ -5,12 +5,14 @@
 
 use std::time::{Duration, Instant};
 
-use gateway::{ExclusiveFleet, assert_completed, listed, start, submit, whole_job};
+use gateway::{
+    ExclusiveFleet, assert_completed, listed_results, start, submit, wait_for_all_results,
+};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::fleet::{
     ASK, BATCH, PlatformOptions, eventually, first_configuration,
 };
-use swiftshunt_lab::platform::store::{Down, StoreFaults};
+use swiftshunt_lab::platform::store::{StoreFaults, StoreOutage};
 use swiftshunt_platform::words::{topics, values};
 use test_case::test_case;
 
@@ -21,14 +23,14 @@
 const SETTLED: Duration = Duration::from_millis(2_500);
 
 /// Starts two gateways, lets them discover each other, and cuts the first off from the log.
-async fn with_one_refused(how: Down) -> ExclusiveFleet {
+async fn start_with_refused_gateway(outage: StoreOutage) -> ExclusiveFleet {
     let fleet = start(PlatformOptions::default()).await;
     tokio::time::sleep(SETTLED).await;
     let faults = StoreFaults {
-        down: Some(how),
+        outage: Some(outage),
         ..StoreFaults::default()
     };
-    fleet.gateways[0].door.set(faults);
+    fleet.gateways[0].store_listener.set_faults(faults);
     tokio::time::sleep(SETTLED).await;
     fleet
 }
@@ -57,8 +59,8 @@
         let key = format!("{}-{number}", if number % 2 == 0 { "a" } else { "z" });
         fleet.store.put(topics::WORKERS, &key, body);
     }
-    fleet.gateways[0].door.set(StoreFaults {
-        half_of_listings: true,
+    fleet.gateways[0].store_listener.set_faults(StoreFaults {
+        refuse_every_second_newest: true,
         ..StoreFaults::default()
     });
     fleet.restart(0).expect("the gateway did not start");
@@ -70,18 +72,18 @@
     .await;
 }
 
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_gateway_applies_changes_in_time(how: Down) {
-    let mut fleet = with_one_refused(how).await;
+async fn a_refused_gateway_applies_changes_in_time(outage: StoreOutage) {
+    let mut fleet = start_with_refused_gateway(outage).await;
     let mut changed = first_configuration();
     changed.routes.remove(1);
     fleet.configure(changed);
-    fleet.list(&fleet.whole[0], "whole", values::DRAINING);
+    fleet.list(&fleet.whole_workers[0], "whole", values::DRAINING);
     tokio::time::sleep(APPLIED_WITHIN).await;
-    let before = fleet.whole[0].runs().len();
+    let before = fleet.whole_workers[0].runs().len();
     let gateway = fleet.gateways[0].callers;
     let removed = fleet.caller.ask(gateway, "/once/", "r", DEADLINE).await;
     assert_eq!(removed.expect("no response").status, StatusCode::NOT_FOUND);
@@ -90,40 +92,40 @@
         let answer = fleet.caller.ask(gateway, ASK, &id, DEADLINE).await;
         assert_eq!(answer.expect("no response").status, StatusCode::OK);
     }
-    assert_eq!(fleet.whole[0].runs().len(), before);
+    assert_eq!(fleet.whole_workers[0].runs().len(), before);
 }
 
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_gateway_accepts_and_lists_jobs(how: Down) {
+async fn a_refused_gateway_accepts_and_lists_jobs(outage: StoreOutage) {
     const ITEMS: usize = 4;
-    let fleet = with_one_refused(how).await;
+    let fleet = start_with_refused_gateway(outage).await;
     let [refused, other] = [fleet.gateways[0].callers, fleet.gateways[1].callers];
     // Each gateway owns some of the eight jobs.
     for number in 0..8 {
         let job = format!("job-{number}");
         submit(&fleet, refused, &job, ITEMS).await;
-        whole_job(&fleet, refused, &job, ITEMS).await;
+        wait_for_all_results(&fleet, refused, &job, ITEMS).await;
         for gateway in [refused, other] {
-            assert_completed(&listed(&fleet, gateway, &job).await, &job, ITEMS);
+            assert_completed(&listed_results(&fleet, gateway, &job).await, &job, ITEMS);
         }
     }
 }
 
 /// If no gateway reaches the log, submissions fail without additional delay, and jobs are accepted again once
 /// the log is back.
-#[test_case(Down::Busy; "log answers busy")]
-#[test_case(Down::Reset; "log resets connections")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
+#[test_case(StoreOutage::Reset; "log resets connections")]
 #[tokio::test(flavor = "multi_thread")]
-async fn submissions_fail_without_delay_if_all_gateways_are_refused(how: Down) {
-    let fleet = with_one_refused(how).await;
+async fn submissions_fail_without_delay_if_all_gateways_are_refused(outage: StoreOutage) {
+    let fleet = start_with_refused_gateway(outage).await;
     let faults = StoreFaults {
-        down: Some(how),
+        outage: Some(outage),
         ..StoreFaults::default()
     };
-    fleet.gateways[1].door.set(faults);
+    fleet.gateways[1].store_listener.set_faults(faults);
     tokio::time::sleep(SETTLED).await;
     for (number, gateway) in fleet.gateways.iter().enumerate() {
         let sent_at = Instant::now();
@@ -137,25 +139,27 @@
         assert!(sent_at.elapsed() < Duration::from_secs(4));
     }
     for gateway in &fleet.gateways {
-        gateway.door.set(StoreFaults::default());
+        gateway.store_listener.set_faults(StoreFaults::default());
     }
     tokio::time::sleep(SETTLED).await;
     for gateway in &fleet.gateways {
         let job = format!("late-{}", gateway.callers.port());
         submit(&fleet, gateway.callers, &job, 2).await;
-        whole_job(&fleet, gateway.callers, &job, 2).await;
+        wait_for_all_results(&fleet, gateway.callers, &job, 2).await;
     }
 }
 
 /// A gateway that starts while the log does not serve it knows other gateways only from its settings.
-#[test_case(Down::Silent; "log does not answer")]
-#[test_case(Down::Busy; "log answers busy")]
+#[test_case(StoreOutage::Unresponsive; "log does not answer")]
+#[test_case(StoreOutage::Busy; "log answers busy")]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gateway_that_starts_while_it_is_refused_serves(how: Down) {
-    let mut fleet = with_one_refused(how).await;
+async fn a_gateway_that_starts_while_it_is_refused_serves(outage: StoreOutage) {
+    let mut fleet = start_with_refused_gateway(outage).await;
     let seed = fleet.gateways[1].peers;
     let lines = format!("[gateways]\nseeds = [\"{seed}\"]");
-    fleet.add_settings(0, &lines).expect("a settings file");
+    fleet
+        .add_settings(0, &lines)
+        .expect("the settings were not written");
     fleet.restart(0).expect("the gateway did not start");
     let (gateway, ready) = (fleet.gateways[0].callers, fleet.gateways[0].ready);
     let caller = fleet.caller.clone();
@@ -163,14 +167,14 @@
     let answer = fleet.caller.ask(gateway, ASK, "r1", DEADLINE).await;
     assert_eq!(answer.expect("no response").status, StatusCode::OK);
     submit(&fleet, gateway, "job-1", 2).await;
-    whole_job(&fleet, gateway, "job-1", 2).await;
+    wait_for_all_results(&fleet, gateway, "job-1", 2).await;
 }
 
 /// After a restart of all gateways, a gateway that the log serves must announce itself to one that the log
 /// does not serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_starting_gateway_announces_itself_to_a_refused_one() {
-    let mut fleet = with_one_refused(Down::Busy).await;
+    let mut fleet = start_with_refused_gateway(StoreOutage::Busy).await;
     fleet.restart(0).expect("the gateway did not start");
     fleet.restart(1).expect("the gateway did not start");
     let ready = fleet.gateways[0].ready;
--- a/crates/swiftshunt/tests/gateway_tenants.rs
+++ b/crates/swiftshunt/tests/gateway_tenants.rs
@@ -4,11 +4,13 @@
 
 use std::time::Duration;
 
-use gateway::{EVENTS, ExclusiveFleet, NO_WAIT, assert_completed, start, whole_job, whole_text};
+use gateway::{
+    EVENTS, ExclusiveFleet, NO_WAIT, assert_completed, expected_output, start, wait_for_all_results,
+};
 use hyper::StatusCode;
 use swiftshunt_lab::platform::caller::{PlatformCaller, item_id};
 use swiftshunt_lab::platform::fleet::{
-    ASK, BATCH, ONCE, PlatformOptions, STREAM, TenantText, eventually, first_configuration,
+    ASK, BATCH, ONCE, PlatformOptions, PublishedTenant, STREAM, eventually, first_configuration,
 };
 use swiftshunt_lab::platform::store::StoreFaults;
 use swiftshunt_platform::words::headers;
@@ -24,36 +26,36 @@
 const SECOND_KEY_A: &str = "second-key-of-a";
 const KEY_B: &str = "the-key-of-b";
 
-fn tenants() -> Vec<TenantText> {
+fn tenants() -> Vec<PublishedTenant> {
     vec![
-        TenantText::new("a", &[KEY_A, SECOND_KEY_A]),
-        TenantText::new("b", &[KEY_B]),
+        PublishedTenant::new("a", &[KEY_A, SECOND_KEY_A]),
+        PublishedTenant::new("b", &[KEY_B]),
     ]
 }
 
 /// Starts a fleet with two tenants and waits until all gateways apply that configuration.
-async fn fleet_of(options: PlatformOptions) -> ExclusiveFleet {
+async fn start_with_tenants(options: PlatformOptions) -> ExclusiveFleet {
     let mut fleet = start(options).await;
     configure(&mut fleet, &tenants());
-    let stranger = fleet.caller.clone();
+    let keyless_caller = fleet.caller.clone();
     for gateway in &fleet.gateways {
         eventually("the gateway requires a key", || async {
-            status(&stranger, gateway.callers, ASK, "r").await == StatusCode::UNAUTHORIZED
+            status_of(&keyless_caller, gateway.callers, ASK, "r").await == StatusCode::UNAUTHORIZED
         })
         .await;
     }
     fleet
 }
 
-fn configure(fleet: &mut ExclusiveFleet, tenants: &[TenantText]) {
+fn configure(fleet: &mut ExclusiveFleet, tenants: &[PublishedTenant]) {
     let mut configuration = first_configuration();
     for route in &mut configuration.routes {
         route.public = route.path_prefix == ONCE;
     }
-    fleet.configure_tenants(configuration, Some(tenants));
+    fleet.configure_with_tenants(configuration, Some(tenants));
 }
 
-async fn status(
+async fn status_of(
     caller: &PlatformCaller,
     gateway: std::net::SocketAddr,
     path: &str,
@@ -75,7 +77,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn workers_receive_the_tenant_and_never_the_key() {
-    let fleet = fleet_of(PlatformOptions::default()).await;
+    let fleet = start_with_tenants(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     for (id, key, tenant) in [
         ("r1", KEY_A, "a"),
@@ -109,7 +111,7 @@
 async fn callers_without_a_known_key_are_refused(
     credentials: &'static [(&'static str, &'static str)],
 ) {
-    let fleet = fleet_of(PlatformOptions {
+    let fleet = start_with_tenants(PlatformOptions {
         gateways: 1,
         ..PlatformOptions::default()
     })
@@ -147,12 +149,12 @@
     );
 }
 
-/// A revoked key is refused by all gateways within the bound, also by one that cannot reach the log, while
+/// A revoked key is refused by all gateways within `APPLIED_WITHIN`, also by one that cannot reach the log, while
 /// the tenant's other key stays valid. The revoked key stays refused after a restart of all gateways; if it
 /// is later assigned to another tenant, it authenticates that tenant.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_revoked_key_is_refused_everywhere_within_the_bound() {
-    let mut fleet = fleet_of(PlatformOptions {
+    let mut fleet = start_with_tenants(PlatformOptions {
         gateways: 3,
         ..PlatformOptions::default()
     })
@@ -160,28 +162,32 @@
     let [revoked, valid] = [KEY_A, SECOND_KEY_A].map(|key| fleet.caller.with_key(key));
     // The gateways discover each other first, so that one without the log can read through another.
     tokio::time::sleep(SETTLED).await;
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1]
+        .store_listener
+        .set_faults(gateway::unresponsive_log());
     tokio::time::sleep(SETTLED).await;
     let mut changed = tenants();
     changed[0].api_keys.remove(0);
     configure(&mut fleet, &changed);
     tokio::time::sleep(APPLIED_WITHIN).await;
     for (index, gateway) in fleet.gateways.iter().enumerate() {
-        let revoked_status = status(&revoked, gateway.callers, ASK, &format!("g{index}")).await;
+        let revoked_status = status_of(&revoked, gateway.callers, ASK, &format!("g{index}")).await;
         assert_eq!(revoked_status, StatusCode::UNAUTHORIZED, "gateway {index}");
-        let served = status(&valid, gateway.callers, ASK, &format!("k{index}")).await;
+        let served = status_of(&valid, gateway.callers, ASK, &format!("k{index}")).await;
         assert_eq!(served, StatusCode::OK, "gateway {index}");
     }
-    fleet.gateways[1].door.set(StoreFaults::default());
+    fleet.gateways[1]
+        .store_listener
+        .set_faults(StoreFaults::default());
     for index in 0..3 {
         fleet.restart(index).expect("the gateway did not start");
     }
     for gateway in &fleet.gateways {
         eventually("the gateway serves again", || async {
-            status(&valid, gateway.callers, ASK, "again").await == StatusCode::OK
+            status_of(&valid, gateway.callers, ASK, "again").await == StatusCode::OK
         })
         .await;
-        let revoked_status = status(&revoked, gateway.callers, ASK, "gone").await;
+        let revoked_status = status_of(&revoked, gateway.callers, ASK, "gone").await;
         assert_eq!(revoked_status, StatusCode::UNAUTHORIZED);
     }
     changed[1].api_keys.push(KEY_A.to_owned());
@@ -190,7 +196,7 @@
     for (index, gateway) in fleet.gateways.iter().enumerate() {
         let id = format!("moved-{index}");
         assert_eq!(
-            status(&revoked, gateway.callers, ASK, &id).await,
+            status_of(&revoked, gateway.callers, ASK, &id).await,
             StatusCode::OK
         );
         assert_eq!(forwarded_tenants(&fleet, &id), [["b"]]);
@@ -202,7 +208,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_job_is_invisible_to_other_tenants() {
     const ITEMS: usize = 3;
-    let fleet = fleet_of(PlatformOptions {
+    let fleet = start_with_tenants(PlatformOptions {
         gateways: 3,
         ..PlatformOptions::default()
     })
@@ -225,8 +231,11 @@
         assert_eq!(body.expect("no response").0, StatusCode::NOT_FOUND);
         let ended = other.end(gateway, "job").await;
         assert_eq!(ended.expect("no response"), StatusCode::NOT_FOUND);
-        let stranger = fleet.caller.results(gateway, "job", 0, NO_WAIT).await;
-        assert_eq!(stranger.expect("no response").0, StatusCode::UNAUTHORIZED);
+        let without_key = fleet.caller.results(gateway, "job", 0, NO_WAIT).await;
+        assert_eq!(
+            without_key.expect("no response").0,
+            StatusCode::UNAUTHORIZED
+        );
     }
     let again = other
         .submit(fleet.gateways[1].callers, BATCH, "job", 1)
@@ -235,14 +244,17 @@
     eventually("both jobs are completed", || async {
         let of_owner = owner.results(first, "job", 0, NO_WAIT).await;
         let of_other = other.results(first, "job", 0, NO_WAIT).await;
-        let lengths = (of_owner.expect("results").1, of_other.expect("results").1);
+        let lengths = (
+            of_owner.expect("no response").1,
+            of_other.expect("no response").1,
+        );
         lengths.0.results.len() == ITEMS && lengths.1.results.len() == 1
     })
     .await;
     let (_, page) = owner
         .results(first, "job", 0, NO_WAIT)
         .await
-        .expect("results");
+        .expect("no response");
     assert_completed(&page.results, "job", ITEMS);
 }
 
@@ -250,8 +262,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn items_of_a_removed_tenant_still_run_on_its_behalf() {
     const ITEMS: usize = 4;
-    let mut fleet = fleet_of(PlatformOptions {
-        event_pause: Duration::from_millis(400),
+    let mut fleet = start_with_tenants(PlatformOptions {
+        event_interval: Duration::from_millis(400),
         ..PlatformOptions::default()
     })
     .await;
@@ -264,11 +276,11 @@
     let read = owner.results(gateway, "job", 0, NO_WAIT).await;
     assert_eq!(read.expect("no response").0, StatusCode::UNAUTHORIZED);
     eventually("all items have run", || async {
-        let whole = |item| {
+        let has_completed_run = |item| {
             let runs = fleet.runs_of(&item_id("job", item));
-            runs.iter().any(|run| run.ended)
+            runs.iter().any(|run| run.completed)
         };
-        (0..ITEMS).all(whole)
+        (0..ITEMS).all(has_completed_run)
     })
     .await;
     for item in 0..ITEMS {
@@ -277,17 +289,17 @@
         }
     }
     // The results are readable with a new key of the same tenant.
-    configure(&mut fleet, &[TenantText::new("a", &["a-later-key"])]);
+    configure(&mut fleet, &[PublishedTenant::new("a", &["a-later-key"])]);
     tokio::time::sleep(APPLIED_WITHIN).await;
     let later = fleet.caller.with_key("a-later-key");
     let (status, page) = later
         .results(gateway, "job", 0, NO_WAIT)
         .await
-        .expect("results");
+        .expect("no response");
     assert_eq!((status, page.results.len()), (StatusCode::OK, ITEMS));
     assert_eq!(
         page.results[0].text,
-        whole_text(&page.results[0].id, EVENTS)
+        expected_output(&page.results[0].id, EVENTS)
     );
 }
 
@@ -295,9 +307,9 @@
 /// through another one.
 #[tokio::test(flavor = "multi_thread")]
 async fn no_key_appears_in_any_output() {
-    let mut fleet = fleet_of(PlatformOptions {
+    let mut fleet = start_with_tenants(PlatformOptions {
         gateways: 3,
-        directory: "gateways_per_reader = 2".to_owned(),
+        extra_directory_settings: "gateways_per_reader = 2".to_owned(),
         ..PlatformOptions::default()
     })
     .await;
@@ -305,23 +317,25 @@
     let gateway = fleet.gateways[0].callers;
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
     assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
-    fleet.gateways[1].door.set(gateway::down());
+    fleet.gateways[1]
+        .store_listener
+        .set_faults(gateway::unresponsive_log());
     configure(&mut fleet, &tenants());
     for (index, gateway) in fleet.gateways.iter().enumerate() {
-        status(&caller, gateway.callers, ASK, &format!("r{index}")).await;
-        status(&caller, gateway.callers, STREAM, &format!("s{index}")).await;
+        status_of(&caller, gateway.callers, ASK, &format!("r{index}")).await;
+        status_of(&caller, gateway.callers, STREAM, &format!("s{index}")).await;
         let unknown = fleet.caller.with_key("unknown-secret-key");
-        status(&unknown, gateway.callers, ASK, &format!("u{index}")).await;
+        status_of(&unknown, gateway.callers, ASK, &format!("u{index}")).await;
         drop(caller.results(gateway.callers, "job", 0, NO_WAIT).await);
         let metrics = fleet.caller.metrics(gateway.metrics).await;
         assert!(metrics.contains("swiftshunt_rejected_keys"));
         assert_contains_no_key(&metrics);
     }
     wait_for_two_results(&fleet, &caller).await;
-    let logs = std::fs::read_dir(fleet.logs()).expect("logs");
+    let logs = std::fs::read_dir(fleet.log_directory()).expect("the log directory is unreadable");
     let mut read = 0;
     for file in logs {
-        let path = file.expect("a file").path();
+        let path = file.expect("the log directory is unreadable").path();
         if path.extension().is_some_and(|extension| extension == "log") {
             let text =
                 String::from_utf8_lossy(&std::fs::read(&path).expect("the log file is unreadable"))
@@ -363,25 +377,29 @@
     settings: &str,
     expected: StatusCode,
 ) {
-    let fleet = fleet_of(PlatformOptions {
-        settings: settings.to_owned(),
+    let fleet = start_with_tenants(PlatformOptions {
+        extra_settings: settings.to_owned(),
         ..PlatformOptions::default()
     })
     .await;
     let caller = fleet.caller.with_key(KEY_A);
     for gateway in &fleet.gateways {
-        gateway.door.set(gateway::down());
+        gateway
+            .store_listener
+            .set_faults(gateway::unresponsive_log());
     }
     tokio::time::sleep(Duration::from_millis(5_500)).await;
     let gateway = fleet.gateways[0].callers;
-    assert_eq!(status(&caller, gateway, ASK, "r1").await, expected);
+    assert_eq!(status_of(&caller, gateway, ASK, "r1").await, expected);
     assert_eq!(
-        status(&fleet.caller, gateway, ONCE, "p1").await,
+        status_of(&fleet.caller, gateway, ONCE, "p1").await,
         StatusCode::OK
     );
-    fleet.gateways[0].door.set(StoreFaults::default());
+    fleet.gateways[0]
+        .store_listener
+        .set_faults(StoreFaults::default());
     eventually("the gateway serves again", || async {
-        status(&caller, gateway, ASK, "r2").await == StatusCode::OK
+        status_of(&caller, gateway, ASK, "r2").await == StatusCode::OK
     })
     .await;
 }
@@ -393,10 +411,10 @@
     let fleet = start(PlatformOptions::default()).await;
     let gateway = fleet.gateways[0].callers;
     let caller = fleet.caller.with_key("anything");
-    assert_eq!(status(&caller, gateway, ASK, "r1").await, StatusCode::OK);
+    assert_eq!(status_of(&caller, gateway, ASK, "r1").await, StatusCode::OK);
     let run = &fleet.runs_of("r1")[0];
     assert!(run.has_credentials && run.tenants.is_empty());
     let submitted = caller.submit(gateway, BATCH, "job", 2).await;
     assert_eq!(submitted.expect("no response"), StatusCode::ACCEPTED);
-    whole_job(&fleet, fleet.gateways[1].callers, "job", 2).await;
+    wait_for_all_results(&fleet, fleet.gateways[1].callers, "job", 2).await;
 }
--- a/crates/swiftshunt/tests/soak.rs
+++ b/crates/swiftshunt/tests/soak.rs
@@ -6,9 +6,11 @@
 
 use swiftshunt_lab::harness::Binaries;
 use swiftshunt_lab::platform::store::StoreFaults;
-use swiftshunt_lab::platform::worker::Manner;
+use swiftshunt_lab::platform::worker::WorkerBehaviour;
 use swiftshunt_lab::soak::history::History;
-use swiftshunt_lab::soak::plan::{ColdStarts, Disruption, Plan, Service, Step, WaitingLimit};
+use swiftshunt_lab::soak::plan::{
+    ColdStarts, Disruption, Plan, ScheduledFault, Service, WaitingLimit,
+};
 use swiftshunt_lab::soak::promises::{ALL, Promise, judge};
 use test_case::test_case;
 use tokio::sync::Mutex;
@@ -25,20 +27,20 @@
 
 async fn play(plan: Plan) -> History {
     let _guard = ONE_ROUND.lock().await;
-    let binaries = Binaries::beside(env!("CARGO_BIN_EXE_swiftshunt"));
+    let binaries = Binaries::beside_node_program(env!("CARGO_BIN_EXE_swiftshunt"));
     let number = ROUNDS.fetch_add(1, Ordering::Relaxed);
     let folder = format!("soak-{}-{}-{number}", plan.seed, std::process::id());
     let scratch = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder);
     println!("seed {}, logs: {}", plan.seed, scratch.display());
     let history = swiftshunt_lab::soak::play(plan, binaries, scratch).await;
-    history.expect("a round")
+    history.expect("the round failed")
 }
 
 fn assert_all_kept(history: &History) {
     for promise in ALL {
         let verdict = judge(promise, history);
         println!("{promise}: {} checked", verdict.checked);
-        assert_eq!(verdict.breaks, [], "{promise}");
+        assert_eq!(verdict.violations, [], "{promise}");
     }
 }
 
@@ -59,15 +61,15 @@
     let folder: PathBuf = [env!("CARGO_MANIFEST_DIR"), "../../lab/seeds"]
         .iter()
         .collect();
-    for file in std::fs::read_dir(folder).expect("plans") {
-        let file = file.expect("a file").path();
+    for file in std::fs::read_dir(folder).expect("the folder of plans is unreadable") {
+        let file = file.expect("the folder of plans is unreadable").path();
         if file
             .extension()
             .is_some_and(|extension| extension == "json")
         {
             println!("{}", file.display());
-            let text = std::fs::read_to_string(&file).expect("a plan");
-            let plan = serde_json::from_str(&text).expect("a plan");
+            let text = std::fs::read_to_string(&file).expect("the plan is unreadable");
+            let plan = serde_json::from_str(&text).expect("the plan cannot be decoded");
             assert_all_kept(&play(plan).await);
         }
     }
@@ -77,22 +79,22 @@
 fn plan_with(disruption: Disruption) -> Plan {
     let mut plan = Plan::draw(1, SHORT_MINUTES);
     plan.job_burst_interval_ms = 1_000;
-    plan.faults = vec![Step {
+    plan.faults = vec![ScheduledFault {
         at_ms: 1_000,
         after: None,
-        for_ms: plan.load_ms,
+        duration_ms: plan.load_ms,
         disruption,
     }];
     plan
 }
 
-fn worker_manner(service: Service, manner: Manner) -> Disruption {
+fn worker_manner(service: Service, manner: WorkerBehaviour) -> Disruption {
     Disruption::ServiceManner { service, manner }
 }
 
 fn store_that_loses_records() -> Disruption {
     let faults = StoreFaults {
-        forgotten: 1.0,
+        false_acknowledgement_probability: 1.0,
         ..StoreFaults::default()
     };
     Disruption::Store {
@@ -101,15 +103,19 @@
     }
 }
 
-#[test_case(Promise::OwnAnswer, worker_manner(Service::Whole, Manner::WrongBody); "wrong response bodies")]
-#[test_case(Promise::AtMostOnce, worker_manner(Service::Whole, Manner::TellTwice); "double runs")]
-#[test_case(Promise::NotRun, worker_manner(Service::Whole, Manner::LyingRefusal); "false statements that a request did not run")]
+#[test_case(Promise::OwnAnswer, worker_manner(Service::Whole, WorkerBehaviour::WrongBody); "wrong response bodies")]
+#[test_case(Promise::AtMostOnce, worker_manner(Service::Whole, WorkerBehaviour::ReportRunTwice); "double runs")]
+#[test_case(Promise::NotRun, worker_manner(Service::Whole, WorkerBehaviour::ReportRunAndDecline); "false statements that a request did not run")]
 #[test_case(Promise::ExactlyOnce, store_that_loses_records(); "a log that loses records")]
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_promise_is_detected(promise: Promise, disruption: Disruption) {
     let history = play(plan_with(disruption)).await;
     let verdict = judge(promise, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "no break was detected, {} checked",
+        verdict.checked
+    );
 }
 
 /// Workers in an evacuated zone, and those in a region that a route excludes, claim to be in the other zone.
@@ -123,23 +129,31 @@
     plan.faults = single.faults;
     plan.cold = None;
     if let Some(regions) = &mut plan.regions {
-        regions.is_told = false;
+        regions.is_announced = false;
     }
     let history = play(plan).await;
     let verdict = judge(promise, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "no break was detected, {} checked",
+        verdict.checked
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_queue_limit_missing_from_the_configuration_is_detected() {
+async fn a_waiting_limit_missing_from_the_configuration_is_detected() {
     let mut plan = plan_with(Disruption::Configure);
     plan.waiting_limit = Some(WaitingLimit {
         tokens: 1,
-        is_told: false,
+        is_announced: false,
     });
     let history = play(plan).await;
     let verdict = judge(Promise::WaitingLimit, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "no break was detected, {} checked",
+        verdict.checked
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -149,15 +163,19 @@
         index: 0,
         same_address: false,
     });
-    plan.faults[0].for_ms = 500;
+    plan.faults[0].duration_ms = 500;
     plan.workers = 2;
     plan.requests_per_s = 100.0;
     plan.cold = Some(ColdStarts {
         per_second: 1.0,
-        lasts_ms: plan.load_ms,
-        is_told: false,
+        duration_ms: plan.load_ms,
+        is_announced: false,
     });
     let history = play(plan).await;
     let verdict = judge(Promise::Cold, &history);
-    assert!(!verdict.breaks.is_empty(), "{} checked", verdict.checked);
+    assert!(
+        !verdict.violations.is_empty(),
+        "no break was detected, {} checked",
+        verdict.checked
+    );
 }
