--- a/crates/swiftshunt-gateway/src/batch/appender.rs
+++ b/crates/swiftshunt-gateway/src/batch/appender.rs
@@ -28,15 +28,16 @@
     Unknown,
 }
 
-/// Pause before a retry when no attempt is open any more.
+/// Pause before the next attempt when all earlier attempts have ended without success.
 const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Largest number of concurrent appends of one record: if half of the answers are lost, four attempts give at least
 /// one answer for fifteen of sixteen records.
 const MAX_CONCURRENT_APPENDS: usize = 4;
 /// Multiple of the average append time after which an answer counts as overdue.
 const OVERDUE_FACTOR: u32 = 4;
-/// Bounds of that time. The lower bound avoids additional load on a slow log. The upper bound keeps lost answers from
-/// using up the time that a caller waits for a 202 (some 0.8 s).
+/// Bounds of the delay after which an unanswered append counts as overdue. The lower bound avoids additional load on a
+/// slow log. The upper bound leaves time for another attempt after a lost answer, since callers expect the 202 within
+/// about 0.8 s.
 const MIN_OVERDUE_DELAY: Duration = Duration::from_millis(100);
 const MAX_OVERDUE_DELAY: Duration = Duration::from_millis(600);
 /// Assumed append time until one has been measured.
@@ -125,11 +126,15 @@
         (mean_append_time * OVERDUE_FACTOR).clamp(MIN_OVERDUE_DELAY, MAX_OVERDUE_DELAY)
     }
 
-    /// Appends a record with retries until it is in the log or `time` is over. An answer that the log loses never
-    /// arrives, so another append is started concurrently when an answer is overdue: waiting for the call's own
-    /// time-out of 2 s made the 202 for a job of 150 items too late. A refusal is final if no other attempt is open or
-    /// has ended without an answer, so that the caller is answered at once. After an unanswered attempt, only success
-    /// is certain.
+    /// Appends a record, with retries, for at most `time`.
+    ///
+    /// If no attempt ends within the overdue delay, another one is started concurrently, up to
+    /// [`MAX_CONCURRENT_APPENDS`]. Waiting for a lost answer until the call's own time-out of 2 s made the 202 too late
+    /// for several jobs with about 150 items in total.
+    ///
+    /// Returns [`Appended::Done`] as soon as an attempt succeeds. Returns [`Appended::Refused`] at once, without a
+    /// retry, if the last open attempt is refused and no earlier one ended with an unknown outcome. Otherwise retries
+    /// until `time` is over and then returns [`Appended::Unknown`], because the record may be in the log.
     pub(crate) async fn append_within(
         &self,
         partition: u32,
